--- a/benchmarks/atlas.py
+++ b/benchmarks/atlas.py
@@ -11,7 +11,7 @@
 
 from benchmarks.atlas_fleet import JITTER, Fleet, sites, spread_over
 from benchmarks.common import chart, keep, table
-from yardbank.atlas.options import Options, Pair, pair_of
+from yardbank.cluster.latency_map.options import Options, Pair, pair_of
 
 SIZES = ((24, 3), (48, 8), (200, 3), (200, 8), (200, 20))
 SEED, CHANGED = 1, 2.5
--- a/benchmarks/atlas_fleet.py
+++ b/benchmarks/atlas_fleet.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 from random import Random
 
-from yardbank.atlas.options import SECOND, Options, Pair, pair_of
-from yardbank.atlas.part import AtlasPart
-from yardbank.peers.node import GossipNode
-from yardbank.rig.gossip import GossipFleet
-from yardbank.rig.wire import Effect, pairs_of
+from yardbank.cluster.latency_map.options import SECOND, Options, Pair, pair_of
+from yardbank.cluster.latency_map.part import AtlasPart
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.testing.rig.gossip import GossipFleet
+from yardbank.testing.rig.wire import Effect, pairs_of
 
 MS = 1_000_000
 NEAR = 1.0  # ms, of a round trip within a zone
--- a/benchmarks/collapse.py
+++ b/benchmarks/collapse.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks.common import keep, table
-from yardbank.rig.virtual import Fleet, Span, World, served_share
+from yardbank.testing.rig.virtual import Fleet, Span, World, served_share
 
 BEFORE, BURST, AFTER, END = 1.5, 5.0, 8.0, 16.0
 SHAPES: dict[str, Callable[[float], float]] = {
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,9 +13,9 @@
 from benchmarks.common import keep, table
 from yardbank.gateway import Gateway, ServerSpec
 from yardbank.interface import RequestClass, Settings
-from yardbank.membership import Apply, Membership, read_set
-from yardbank.membership.document import render
-from yardbank.membership.watcher import Watcher
+from yardbank.server_list import Apply, Membership, read_set
+from yardbank.server_list.document import render
+from yardbank.server_list.watcher import Watcher
 from yardbank.state import Snapshot, Store, encode
 from yardbank.state.snapshot import GroupState, ServerState
 
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -18,13 +18,13 @@
 from twisted.internet.task import deferLater
 
 from benchmarks.common import keep, table
-from yardbank.audit import judge
-from yardbank.audit.report import as_dict
 from yardbank.cli.common import set_up_logs
 from yardbank.gateway.api import ServerSpec
-from yardbank.lab.day import ENTRIES, Session
-from yardbank.lab.world import MEMBERS, Recorder, World
-from yardbank.membership.document import render
+from yardbank.server_list.document import render
+from yardbank.testing.audit import judge
+from yardbank.testing.audit.report import as_dict
+from yardbank.testing.demo.day import ENTRIES, Session
+from yardbank.testing.demo.world import MEMBERS, Recorder, World
 
 
 def write_list(world: World, path: Path) -> None:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -16,10 +16,10 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.common import keep, table
-from yardbank.lab.world import GATEWAY_DN, GATEWAY_PASSWORD
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import Framer
+from yardbank.testing.demo.world import GATEWAY_DN, GATEWAY_PASSWORD
 
 BASE = "ou=numbers,dc=porting"
 SEARCH = codec.encode_operation(m.SearchRequest(f"cn=1,{BASE}", 0, m.Present("objectClass"), ("description",)))
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -18,10 +18,10 @@
 from statistics import mean
 
 from benchmarks.common import chart, keep, table
-from yardbank.peers.datagram import GONE, SUSPECT
-from yardbank.peers.detector import SECOND
-from yardbank.rig.gossip import GossipFleet
-from yardbank.rig.wire import Effect
+from yardbank.cluster.peers.datagram import GONE, SUSPECT
+from yardbank.cluster.peers.detector import SECOND
+from yardbank.testing.rig.gossip import GossipFleet
+from yardbank.testing.rig.wire import Effect
 
 VIRTUAL = (8, 24, 48, 200, 500)
 PROCESSES = (8, 24, 48)
--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -18,14 +18,14 @@
 from benchmarks.common import chart, keep, table
 from yardbank.cli.common import set_up_logs
 from yardbank.gateway.api import ServerSpec
-from yardbank.lab.world import DESK_DN, DESK_PASSWORD, Recorder, World
 from yardbank.ldap import messages as m
-from yardbank.membership.document import render
 from yardbank.plan import Demand, Limits, PlanServer, Problem, solve
 from yardbank.plan.aperture import Ring, aperture
 from yardbank.plan.force import list_hash
-from yardbank.rig.client import connect
-from yardbank.standin.server import Capacity
+from yardbank.server_list.document import render
+from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, Recorder, World
+from yardbank.testing.rig.client import connect
+from yardbank.testing.standin.server import Capacity
 
 ZONES = ("a", "b", "c")
 
--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -7,16 +7,16 @@
 from benchmarks.scale.decisions import DATABASES, START, members, settings, specs
 from benchmarks.scale.line import COUNTED, Line, Quantity, Values
 from benchmarks.scale.memory import processor_ms
+from yardbank.cluster.peers.belief import believe
+from yardbank.cluster.peers.datagram import Word
+from yardbank.cluster.peers.evidence import SILENT
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.sharing import Sharing
+from yardbank.cluster.peers.shell import JUDGE_EVERY
 from yardbank.interface import ServerList
-from yardbank.peers.belief import believe
-from yardbank.peers.datagram import Word
-from yardbank.peers.evidence import SILENT
-from yardbank.peers.node import GossipNode
-from yardbank.peers.sharing import Sharing
-from yardbank.peers.shell import JUDGE_EVERY
 from yardbank.policy import Router
-from yardbank.rig.virtual import Fleet
-from yardbank.rig.virtual_world import World
+from yardbank.testing.rig.virtual import Fleet
+from yardbank.testing.rig.virtual_world import World
 
 SECOND = 1_000_000_000
 JUDGED = SECOND / JUDGE_EVERY  # times a second, where datagrams come that often
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -9,17 +9,17 @@
 from typing import Any
 
 from benchmarks.scale.decisions import specs
-from yardbank.distribution.part import DistributionPart
-from yardbank.distribution.table import Increment, Table
-from yardbank.distribution.version import NOTHING, Version
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.list_distribution.part import DistributionPart
+from yardbank.cluster.list_distribution.table import Increment, Table
+from yardbank.cluster.list_distribution.version import NOTHING, Version
+from yardbank.cluster.peers.datagram import ALIVE
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.parts import Forgetful, Part
 from yardbank.gateway import ServerSpec
-from yardbank.lease.api import Terms
-from yardbank.lease.part import LeasePart
-from yardbank.membership.document import render
-from yardbank.peers.datagram import ALIVE
-from yardbank.peers.node import GossipNode
-from yardbank.peers.parts import Forgetful, Part
-from yardbank.rig.gossip import GossipFleet
+from yardbank.server_list.document import render
+from yardbank.testing.rig.gossip import GossipFleet
 
 SECOND = 1_000_000_000
 REGIONS, ZONES = 3, 11
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -10,9 +10,9 @@
 from benchmarks.scale.line import COUNTED, Line, Quantity, Values
 from benchmarks.scale.memory import grown_kib
 from yardbank.gateway import ServerSpec
-from yardbank.membership import Apply, Membership
-from yardbank.membership.document import render
 from yardbank.platform.listing import parse_listing
+from yardbank.server_list import Apply, Membership
+from yardbank.server_list.document import render
 
 
 def files_by_databases(databases: int, seed: int) -> Values:
--- a/benchmarks/scale/whole.py
+++ b/benchmarks/scale/whole.py
@@ -19,8 +19,8 @@
 from benchmarks.scale.hollow import CONTROLS, SECOND, HollowFleet, Published, snapshot_of
 from benchmarks.scale.line import FOLDER
 from benchmarks.scale.memory import resident_kib
-from yardbank.distribution.transfer import split
-from yardbank.distribution.version import Version
+from yardbank.cluster.list_distribution.transfer import split
+from yardbank.cluster.list_distribution.version import Version
 
 CHANGE_EVERY = 5.0  # seconds; of a day of 4,600 it would be 18.8
 BUDGET_OCTETS, BUDGET_PROCESSOR, BUDGET_KIB, BUDGET_SECONDS = 7000, 1.1, 128 * 1024, 7.0
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -12,10 +12,10 @@
 from benchmarks.common import keep, table
 from yardbank.cli.common import set_up_logs
 from yardbank.directory.codes import Scope
-from yardbank.lab.world import BASE, DESK_DN, DESK_PASSWORD, Recorder, World
 from yardbank.ldap import messages as m
-from yardbank.rig.client import Client, connect
-from yardbank.standin.server import Capacity
+from yardbank.testing.demo.world import BASE, DESK_DN, DESK_PASSWORD, Recorder, World
+from yardbank.testing.rig.client import Client, connect
+from yardbank.testing.standin.server import Capacity
 
 ENTRIES, PARTS = 50, 16
 CLASSES = """
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -16,9 +16,9 @@
 from benchmarks.kills import write_list
 from yardbank.cli.common import set_up_logs
 from yardbank.directory.codes import Code
-from yardbank.lab.world import DESK_DN, DESK_PASSWORD, REQUESTS, Recorder, World
 from yardbank.ldap import messages as m
-from yardbank.rig.client import connect
+from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, REQUESTS, Recorder, World
+from yardbank.testing.rig.client import connect
 
 RUNS = 3
 
--- a/examples/porting_notices.py
+++ b/examples/porting_notices.py
@@ -17,8 +17,8 @@
 
 import click
 
-from yardbank.channels import Delivered
 from yardbank.cli.common import EXIT_FAULT, load_or_exit, set_up_logs
+from yardbank.cluster.channels import Delivered
 from yardbank.daemon.clocks import Clocks
 from yardbank.proxy import Proxy
 
--- a/tests/channels_fleet.py
+++ b/tests/channels_fleet.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from yardbank.channels.api import MS, SECOND, Delivered, Event, Gap, Options, Owned, resource
-from yardbank.channels.part import ChannelPart
-from yardbank.lease.api import Terms
-from yardbank.lease.part import LeasePart
-from yardbank.peers.node import GossipNode
-from yardbank.peers.parts import Forgetful, Keep, Part
-from yardbank.rig.gossip import GossipFleet
+from yardbank.cluster.channels.api import MS, SECOND, Delivered, Event, Gap, Options, Owned, resource
+from yardbank.cluster.channels.part import ChannelPart
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.parts import Forgetful, Keep, Part
+from yardbank.testing.rig.gossip import GossipFleet
 
 
 @dataclass
--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -3,29 +3,29 @@
 
 def deaf_to_lists():
     """Hears nothing of new versions."""
-    from yardbank.distribution.replica import Replica
+    from yardbank.cluster.list_distribution.replica import Replica
 
     Replica.receive = lambda self, now, sender, message: None
 
 
 def alters_entries():
     """Says of other entries that they are the published version."""
-    from yardbank.distribution.replica import Replica
+    from yardbank.cluster.list_distribution.replica import Replica
 
     Replica._own = lambda self: type(own(self))(own(self).version, bytes(16)) if self.table.entries else own(self)
 
 
 def own(replica):
     """What a sound one announces."""
-    from yardbank.distribution.messages import Have
+    from yardbank.cluster.list_distribution.messages import Have
 
     return Have(replica.table.version, replica.table.digest)
 
 
 def goes_back():
     """Falls back to nothing every other second."""
-    from yardbank.distribution.messages import Have
-    from yardbank.distribution.replica import EMPTY, Replica
+    from yardbank.cluster.list_distribution.messages import Have
+    from yardbank.cluster.list_distribution.replica import EMPTY, Replica
 
     heartbeat, turns = Replica.tick, []
 
@@ -41,7 +41,7 @@
 
 def appoints_itself():
     """Publishes without a lease, always under one epoch, entries of its own."""
-    from yardbank.distribution.part import DistributionPart
+    from yardbank.cluster.list_distribution.part import DistributionPart
 
     publish = DistributionPart._publish
 
--- a/tests/distribution_fleet.py
+++ b/tests/distribution_fleet.py
@@ -2,10 +2,10 @@
 
 from collections import defaultdict
 
-from yardbank.distribution.part import DistributionPart
-from yardbank.distribution.table import Table
-from yardbank.distribution.version import NOTHING
-from yardbank.rig.gossip import GossipFleet
+from yardbank.cluster.list_distribution.part import DistributionPart
+from yardbank.cluster.list_distribution.table import Table
+from yardbank.cluster.list_distribution.version import NOTHING
+from yardbank.testing.rig.gossip import GossipFleet
 
 SECOND = 1_000_000_000
 
--- a/tests/grants_bus.py
+++ b/tests/grants_bus.py
@@ -2,12 +2,12 @@
 
 from random import Random
 
-from yardbank.lease import Terms
-from yardbank.lease.explore.nodes import Sight
-from yardbank.lease.part import LeasePart
-from yardbank.lease.times import long_lease
-from yardbank.lease.words import decode
-from yardbank.peers.parts import Forgetful
+from yardbank.cluster.lease import Terms
+from yardbank.cluster.lease.explore.nodes import Sight
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.lease.times import long_lease
+from yardbank.cluster.lease.words import decode
+from yardbank.cluster.peers.parts import Forgetful
 
 SECOND = 1_000_000_000
 TERMS = Terms()
--- a/tests/net.py
+++ b/tests/net.py
@@ -10,10 +10,10 @@
 from twisted.internet.threads import blockingCallFromThread
 
 from yardbank.directory.codes import Code
-from yardbank.lab.world import DESK_DN, DESK_PASSWORD, Recorder, World
 from yardbank.ldap import messages as m
-from yardbank.rig.client import connect
-from yardbank.standin.server import TAG_CONTROL
+from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, Recorder, World
+from yardbank.testing.rig.client import connect
+from yardbank.testing.standin.server import TAG_CONTROL
 
 structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 _running = threading.Event()
--- a/tests/rig_runner.py
+++ b/tests/rig_runner.py
@@ -95,7 +95,7 @@
 
 def keeps_on():
     """Holds for good what it was granted once."""
-    from yardbank.lease.part import LeasePart
+    from yardbank.cluster.lease.part import LeasePart
 
     epoch, turns, had = LeasePart.epoch, LeasePart.turns, {}
 
@@ -110,7 +110,7 @@
 
 def takes_twice():
     """Gives its program an item again that comes again."""
-    from yardbank.channels.items import Stream
+    from yardbank.cluster.channels.items import Stream
 
     take = Stream.take
 
@@ -124,14 +124,14 @@
 
 def mute():
     """Owns channels and gives nothing out."""
-    from yardbank.channels.part import ChannelPart
+    from yardbank.cluster.channels.part import ChannelPart
 
     ChannelPart.publish = lambda self, now, channel, data: ""
 
 
 def restless():
     """Hands on whatever it has, as soon as it can."""
-    from yardbank.channels.ownership import CARRYING, Ownership
+    from yardbank.cluster.channels.ownership import CARRYING, Ownership
 
     def always(self, now, loads):
         for channel, own in self.channels.items():
@@ -143,7 +143,7 @@
 
 def eager():
     """Finds itself in the last stage at once."""
-    from yardbank.rollout.progress import Progress
+    from yardbank.cluster.rollout.progress import Progress
 
     begin = Progress._begin
 
@@ -156,7 +156,7 @@
 
 def deaf_to_stop():
     """Goes on whatever is said against it."""
-    from yardbank.rollout.part import RolloutPart
+    from yardbank.cluster.rollout.part import RolloutPart
 
     judge = RolloutPart._judge
 
@@ -169,7 +169,7 @@
 
 def all_near():
     """Finds every way as short as none."""
-    from yardbank.atlas.firsthand import FirstHand
+    from yardbank.cluster.latency_map.firsthand import FirstHand
 
     saw = FirstHand.saw
     FirstHand.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, 1, *more)
@@ -189,12 +189,12 @@
     else:
         proxy.Proxy.__init__.__kwdefaults__["router"] = FAULTS[fault]
     if fault == "Credulous":
-        from yardbank.peers import belief, shell
+        from yardbank.cluster.peers import belief, shell
 
         belief.PART, belief.WITNESSES = 1.0, 1
         shell.believe = lambda now, evidence, servers, own, draw: belief.believe(now, evidence, servers, {}, draw)
     if fault == "DeafToPeers":
-        from yardbank.peers.shell import Peers
+        from yardbank.cluster.peers.shell import Peers
 
         Peers.datagramReceived = lambda self, datagram, addr: None
     if sys.argv[3].endswith(".py"):  # a program that embeds the gateway
@@ -206,9 +206,9 @@
 
 
 def play(fault, name, folder):
-    from yardbank.rig.play import Play, steady_reactor
-    from yardbank.rig.scenario import load_scenario, shipped
-    from yardbank.rig.verdict import as_dict, verdicts
+    from yardbank.testing.rig.play import Play, steady_reactor
+    from yardbank.testing.rig.scenario import load_scenario, shipped
+    from yardbank.testing.rig.verdict import as_dict, verdicts
 
     def command(gateway, usual):
         if gateway != "g1" and fault not in EVERYWHERE:
--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -4,15 +4,15 @@
 
 import numpy as np
 
-from yardbank.lease import Terms
-from yardbank.lease.part import LeasePart
-from yardbank.rig.gossip import WAY, GossipFleet
-from yardbank.rollout.document import Change
-from yardbank.rollout.figures import ClassFigures, Figures
-from yardbank.rollout.force import Force
-from yardbank.rollout.own import GoBack, GoOver, Options, Stay
-from yardbank.rollout.part import RolloutPart
-from yardbank.rollout.place import AWAY, NAMES
+from yardbank.cluster.lease import Terms
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.rollout.document import Change
+from yardbank.cluster.rollout.figures import ClassFigures, Figures
+from yardbank.cluster.rollout.force import Force
+from yardbank.cluster.rollout.own import GoBack, GoOver, Options, Stay
+from yardbank.cluster.rollout.part import RolloutPart
+from yardbank.cluster.rollout.place import AWAY, NAMES
+from yardbank.testing.rig.gossip import WAY, GossipFleet
 
 SECOND = 10**9
 OLD_NAME, NEW_NAME = "old00000", "new00000"
--- a/tests/test_atlas_ways.py
+++ b/tests/test_atlas_ways.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.atlas.choice import Choice
-from yardbank.atlas.firsthand import DOUBTFUL, SLOW, WELL, FirstHand
-from yardbank.atlas.options import MOST, SECOND, Options
+from yardbank.cluster.latency_map.choice import Choice
+from yardbank.cluster.latency_map.firsthand import DOUBTFUL, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.options import MOST, SECOND, Options
 from yardbank.plan.model import Demand, Limits, PlanServer, Problem
 from yardbank.plan.solver import solve
 from yardbank.plan.ways import with_ways
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -5,15 +5,15 @@
 
 from tests.net import Desk, run, until, world
 from yardbank import interface as api
-from yardbank.audit import judge
-from yardbank.audit.judge import Bounds
-from yardbank.audit.summary import by_class
 from yardbank.cli import main
 from yardbank.directory.codes import Code
 from yardbank.gateway import sending
 from yardbank.ldap import messages as m
 from yardbank.policy import Router
-from yardbank.standin.server import Capacity
+from yardbank.testing.audit import judge
+from yardbank.testing.audit.judge import Bounds
+from yardbank.testing.audit.summary import by_class
+from yardbank.testing.standin.server import Capacity
 
 NUMBERS, REQUESTS = "ou=numbers,dc=porting", "ou=requests,dc=porting"
 
--- a/tests/test_audit_frames.py
+++ b/tests/test_audit_frames.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from yardbank.audit.frames import TAG, Frames
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.state import ClientEnd
-from yardbank.standin.server import TAG_CONTROL
+from yardbank.testing.audit.frames import TAG, Frames
+from yardbank.testing.standin.server import TAG_CONTROL
 
 
 def asked(end, operation, tag=""):
--- a/tests/test_channels_face.py
+++ b/tests/test_channels_face.py
@@ -9,15 +9,15 @@
 from twisted.internet.task import Clock
 
 from examples.porting_notices import Notices
-from yardbank.channels.api import MAX_DATA, MS, SECOND, Options
-from yardbank.channels.asking import PositionFeeds
-from yardbank.channels.face import Channels
-from yardbank.channels.part import ChannelPart
+from yardbank.cluster.channels.api import MAX_DATA, MS, SECOND, Options
+from yardbank.cluster.channels.asking import PositionFeeds
+from yardbank.cluster.channels.face import Channels
+from yardbank.cluster.channels.part import ChannelPart
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.peers.parts import Forgetful
 from yardbank.gateway.api import Position, ServerSpec
-from yardbank.lease.api import Terms
-from yardbank.lease.part import LeasePart
-from yardbank.peers.parts import Forgetful
-from yardbank.rig.gossip import GossipFleet
+from yardbank.testing.rig.gossip import GossipFleet
 
 
 class Log:
--- a/tests/test_channels_items.py
+++ b/tests/test_channels_items.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.channels import placement, tree
-from yardbank.channels.api import MS, SECOND, Delivered, Gap
-from yardbank.channels.items import HOLD, MOST_EARLY, Queue, Recent, Stream
-from yardbank.channels.members import Members
-from yardbank.channels.placement import Placement, bound, place, successors
-from yardbank.channels.wire import Item, Me, Sets, What
+from yardbank.cluster.channels import placement, tree
+from yardbank.cluster.channels.api import MS, SECOND, Delivered, Gap
+from yardbank.cluster.channels.items import HOLD, MOST_EARLY, Queue, Recent, Stream
+from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.placement import Placement, bound, place, successors
+from yardbank.cluster.channels.wire import Item, Me, Sets, What
 
 GIVEN = [(1, 5), (2, 3), (5, 4)]  # epochs, and how many items each had
 
--- a/tests/test_channels_many.py
+++ b/tests/test_channels_many.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.channels_fleet import MS, SECOND, ChannelFleet
-from yardbank.channels.api import Delivered
+from yardbank.cluster.channels.api import Delivered
 
 
 def test_two_hundred_gateways() -> None:
--- a/tests/test_channels_positions.py
+++ b/tests/test_channels_positions.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from yardbank.channels.api import MS, SECOND, Delivered, Options
-from yardbank.channels.positions import Place, Positions, channel_of
-from yardbank.channels.trust import FIRST, SPOT
+from yardbank.cluster.channels.api import MS, SECOND, Delivered, Options
+from yardbank.cluster.channels.positions import Place, Positions, channel_of
+from yardbank.cluster.channels.trust import FIRST, SPOT
 
 PLACES = [Place(f"n{number}", "numbers", 7) for number in range(3)]
 CHANNEL = channel_of("numbers")
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -15,8 +15,8 @@
 from yardbank import interface as api
 from yardbank.policy import Router
 from yardbank.policy.servers import Knowledge
-from yardbank.rig.virtual import Fleet, World
-from yardbank.rig.virtual_world import MS, SECOND, START
+from yardbank.testing.rig.virtual import Fleet, World
+from yardbank.testing.rig.virtual_world import MS, SECOND, START
 
 COLD, SHARE, MULTIPLE, WINDOW = 18 * SECOND, 0.15, 2.5, SECOND  # within what operators' pages state
 PROBE_S = 0.0005  # work of a probe, core seconds
--- a/tests/test_collapse.py
+++ b/tests/test_collapse.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from yardbank.emulator.clock import VirtualClock
-from yardbank.emulator.server import FULL, MISS, OK, SECOND, Capacity, EmulatedServer, Work
 from yardbank.policy import Router
-from yardbank.rig.virtual import Fleet, World, served_share
+from yardbank.testing.emulator.clock import VirtualClock
+from yardbank.testing.emulator.server import FULL, MISS, OK, SECOND, Capacity, EmulatedServer, Work
+from yardbank.testing.rig.virtual import Fleet, World, served_share
 
 
 def shares(**more):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -16,9 +16,9 @@
 from tests.net import Desk, ensure_reactor, run, shown, until, world
 from yardbank.daemon.clocks import Clocks
 from yardbank.daemon.restarts import Restarts
-from yardbank.lab.world import DESK_DN, DESK_PASSWORD, free_port
 from yardbank.ldap import messages as m
-from yardbank.rig.client import connect
+from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, free_port
+from yardbank.testing.rig.client import connect
 
 
 def log_lines(path):
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -5,14 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yardbank.distribution import explore
-from yardbank.distribution.history import MAX_INCREMENTS, History
-from yardbank.distribution.messages import MAX_ASKED, MAX_PIECE, Fetch, Have, Piece, decode, encode
-from yardbank.distribution.replica import FencedError, Replica
-from yardbank.distribution.table import DoesNotFitError, Entry, Table
-from yardbank.distribution.transfer import Assembly, joined, split
-from yardbank.distribution.version import EMPTY_DIGEST, NOTHING, Version
-from yardbank.peers.datagram import DroppedError
+from yardbank.cluster.list_distribution import explore
+from yardbank.cluster.list_distribution.history import MAX_INCREMENTS, History
+from yardbank.cluster.list_distribution.messages import MAX_ASKED, MAX_PIECE, Fetch, Have, Piece, decode, encode
+from yardbank.cluster.list_distribution.replica import FencedError, Replica
+from yardbank.cluster.list_distribution.table import DoesNotFitError, Entry, Table
+from yardbank.cluster.list_distribution.transfer import Assembly, joined, split
+from yardbank.cluster.list_distribution.version import EMPTY_DIGEST, NOTHING, Version
+from yardbank.cluster.peers.datagram import DroppedError
 
 KEYS, VALUES = st.sampled_from("abcdef"), st.text(max_size=8)
 LISTS = st.lists(st.dictionaries(KEYS, VALUES, max_size=6), min_size=1, max_size=8)
--- a/tests/test_distribution_files.py
+++ b/tests/test_distribution_files.py
@@ -6,14 +6,14 @@
 from twisted.internet.task import Clock
 
 from tests.test_joint import TOGETHER, Log, made, parts, without
+from yardbank.cluster.list_distribution.document import entries_of, table_of, text_of
+from yardbank.cluster.list_distribution.shell import DistributionFiles, Source, stored_table
+from yardbank.cluster.list_distribution.table import DoesNotFitError, Table
+from yardbank.cluster.list_distribution.version import NOTHING, Version
 from yardbank.config import ConfigError, load_text
-from yardbank.distribution.document import entries_of, table_of, text_of
-from yardbank.distribution.shell import DistributionFiles, Source, stored_table
-from yardbank.distribution.table import DoesNotFitError, Table
-from yardbank.distribution.version import NOTHING, Version
 from yardbank.gateway import ServerSpec
-from yardbank.membership import Apply, Membership
-from yardbank.membership.document import FleetError, render
+from yardbank.server_list import Apply, Membership
+from yardbank.server_list.document import FleetError, render
 
 GROUPS = {"g0", "g1"}
 SERVERS = [
@@ -107,9 +107,9 @@
 
 
 def test_a_source_that_changes_is_published_written_and_logged_and_a_bad_one_leaves_all_as_it_was(tmp_path):
+    from yardbank.cluster.list_distribution.options import Options
+    from yardbank.cluster.list_distribution.part import DistributionPart
     from yardbank.config.blocks import DistributionBlock
-    from yardbank.distribution.options import Options
-    from yardbank.distribution.part import DistributionPart
 
     clock, log, asked = Clock(), Log(), []
     clock.callFromThread = lambda call: None  # the watcher's own look finds the change
--- a/tests/test_distribution_fleet.py
+++ b/tests/test_distribution_fleet.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from tests.distribution_fleet import SECOND, ListFleet
-from yardbank.distribution.options import Options
-from yardbank.distribution.part import DistributionPart
-from yardbank.distribution.table import Increment
-from yardbank.distribution.version import NOTHING
-from yardbank.rig.wire import Effect, pairs_of
+from yardbank.cluster.list_distribution.options import Options
+from yardbank.cluster.list_distribution.part import DistributionPart
+from yardbank.cluster.list_distribution.table import Increment
+from yardbank.cluster.list_distribution.version import NOTHING
+from yardbank.testing.rig.wire import Effect, pairs_of
 
 
 def test_a_change_reaches_all_and_each_knows_its_version():
--- a/tests/test_distribution_rig.py
+++ b/tests/test_distribution_rig.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from yardbank.audit.distributed import distributed, disturbed, due
+from yardbank.testing.audit.distributed import distributed, disturbed, due
 
 SMALL = """
 title = "small"
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from tests.grants_bus import SECOND, TERMS, Bus, R
-from yardbank.lease.epochs import SHIFT
-from yardbank.lease.explore.nodes import Kept
-from yardbank.lease.times import long_lease, short_overlap, vote_time
-from yardbank.lease.words import Ask, Took, encode
+from yardbank.cluster.lease.epochs import SHIFT
+from yardbank.cluster.lease.explore.nodes import Kept
+from yardbank.cluster.lease.times import long_lease, short_overlap, vote_time
+from yardbank.cluster.lease.words import Ask, Took, encode
 
 
 def test_wanted_held_renewed_released_and_taken_by_the_next():
--- a/tests/test_grants_lists.py
+++ b/tests/test_grants_lists.py
@@ -5,13 +5,13 @@
 from hypothesis import strategies as st
 
 from tests.grants_bus import SECOND, TERMS, Bus, R
-from yardbank.lease import Terms
-from yardbank.lease.explore.nodes import Kept
-from yardbank.lease.explore.scenes import SCENES
-from yardbank.lease.places import majority, voters_of
-from yardbank.lease.times import long_lease
-from yardbank.lease.words import Ask, Hello, Word, decode, encode
-from yardbank.peers.datagram import DroppedError
+from yardbank.cluster.lease import Terms
+from yardbank.cluster.lease.explore.nodes import Kept
+from yardbank.cluster.lease.explore.scenes import SCENES
+from yardbank.cluster.lease.places import majority, voters_of
+from yardbank.cluster.lease.times import long_lease
+from yardbank.cluster.lease.words import Ask, Hello, Word, decode, encode
+from yardbank.cluster.peers.datagram import DroppedError
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
--- a/tests/test_grants_order.py
+++ b/tests/test_grants_order.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yardbank.lease.explore.bugs import BUGS, seeded
-from yardbank.lease.explore.scenes import FINDS, SCENES
-from yardbank.lease.explore.search import explore, read, replay, walk
+from yardbank.cluster.lease.explore.bugs import BUGS, seeded
+from yardbank.cluster.lease.explore.scenes import FINDS, SCENES
+from yardbank.cluster.lease.explore.search import explore, read, replay, walk
 
 FILES = sorted((Path(__file__).parent / "data").glob("lease-*.json"))
 
--- a/tests/test_ldap_path.py
+++ b/tests/test_ldap_path.py
@@ -8,12 +8,12 @@
 from twisted.internet.defer import gatherResults
 
 from tests.net import Desk, run, shown, until, world
-from yardbank.audit import judge
 from yardbank.directory.codes import Code
-from yardbank.lab.world import CLASSES, DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import integer, tlv
+from yardbank.testing.audit import judge
+from yardbank.testing.demo.world import CLASSES, DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS
 
 pytestmark = pytest.mark.parametrize("daemon", [False, True], ids=["library", "daemon"])
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yardbank.pg.classify import Taint
-from yardbank.pool.lease import Ask, Clean, Give, Leases, Limits, Open, Refuse, Shut
+from yardbank.pg.pool.lease import Ask, Clean, Give, Leases, Limits, Open, Refuse, Shut
 
 FAR = 10**12
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,11 +17,11 @@
 from yardbank.cli import main
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import MS, ServerSpec
-from yardbank.membership import Apply, FleetError, Hold, Membership, Reject, read_set
-from yardbank.membership.blocks import BlockCache
-from yardbank.membership.change import compare, suspicion
-from yardbank.membership.document import render
-from yardbank.membership.watcher import Watcher, read_files
+from yardbank.server_list import Apply, FleetError, Hold, Membership, Reject, read_set
+from yardbank.server_list.blocks import BlockCache
+from yardbank.server_list.change import compare, suspicion
+from yardbank.server_list.document import render
+from yardbank.server_list.watcher import Watcher, read_files
 
 GROUPS = ("a", "b")
 
@@ -426,7 +426,7 @@
 
 
 def test_a_lists_classes_change_what_new_operations_match(tmp_path):
-    from yardbank.lab.world import CLASSES
+    from yardbank.testing.demo.world import CLASSES
 
     with world(start=False) as place:
         folder = tmp_path / "list.d"
@@ -464,7 +464,7 @@
 
 
 def test_ghosts_drains_by_file_then_gone_and_a_return_under_the_old_name(tmp_path):
-    from yardbank.audit import judge
+    from yardbank.testing.audit import judge
 
     with world(start=False) as place:
         file = tmp_path / "list.hcl"
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -8,9 +8,9 @@
 from yardbank.config import ConfigError, load_text
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import ServerSpec
-from yardbank.membership.blocks import BlockCache
-from yardbank.membership.document import FleetError, read_set, render
 from yardbank.plan.document import PlanError, read_problem
+from yardbank.server_list.blocks import BlockCache
+from yardbank.server_list.document import FleetError, read_set, render
 from yardbank.state.snapshot import GroupState, ServerState, Snapshot, SnapshotError, decode, encode
 
 LIST = render([ServerSpec(f"s{i}", "numbers", "norte", "127.0.0.1", 1000 + i, i == 0) for i in range(3)], "v7")
--- a/tests/test_parcels.py
+++ b/tests/test_parcels.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yardbank.peers import datagram, parcel
-from yardbank.peers.datagram import DroppedError
-from yardbank.peers.keeping import FileKeep
-from yardbank.peers.node import GossipNode
-from yardbank.peers.parcel import Item, Parcel
-from yardbank.peers.parts import Letter
-from yardbank.rig.gossip import GossipFleet
+from yardbank.cluster.peers import datagram, parcel
+from yardbank.cluster.peers.datagram import DroppedError
+from yardbank.cluster.peers.keeping import FileKeep
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.parcel import Item, Parcel
+from yardbank.cluster.peers.parts import Letter
+from yardbank.testing.rig.gossip import GossipFleet
 
 KEY = b"k" * 32
 SECOND = 10**9
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.peers import datagram as wire
-from yardbank.peers.datagram import (
+from yardbank.cluster.peers import datagram as wire
+from yardbank.cluster.peers.datagram import (
     ALIVE,
     GONE,
     SUSPECT,
@@ -20,11 +20,11 @@
     encode,
     read_keys,
 )
-from yardbank.peers.detector import LEAP, MAX_SLOWNESS, SECOND, Detector
-from yardbank.peers.node import GossipNode, Rate
-from yardbank.peers.register import FRESH, MAX_KEYS, Register
-from yardbank.rig.gossip import FLEET, KEY, GossipFleet
-from yardbank.rig.wire import Effect, pairs_of
+from yardbank.cluster.peers.detector import LEAP, MAX_SLOWNESS, SECOND, Detector
+from yardbank.cluster.peers.node import GossipNode, Rate
+from yardbank.cluster.peers.register import FRESH, MAX_KEYS, Register
+from yardbank.testing.rig.gossip import FLEET, KEY, GossipFleet
+from yardbank.testing.rig.wire import Effect, pairs_of
 
 OTHER = b"o" * 32
 NAMES = [f"g{number}" for number in range(8)]
--- a/tests/test_peers_process.py
+++ b/tests/test_peers_process.py
@@ -11,9 +11,9 @@
 
 from tests.helpers import wait_for
 from yardbank.cli import main
-from yardbank.peers.listing import PeerList, Reject, Take, next_life, stored_life
-from yardbank.rig.place import peers_text, settings_text
-from yardbank.rig.scenario import SHAPE, check_text
+from yardbank.cluster.peers.listing import PeerList, Reject, Take, next_life, stored_life
+from yardbank.testing.rig.place import peers_text, settings_text
+from yardbank.testing.rig.scenario import SHAPE, check_text
 
 SCENARIO = check_text(
     'title = "t"\nfleet {\n  gateways = 3\n  peers = true\n}\ngroup "a" {\n  suffix = "dc=a"\n}\n'
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -12,9 +12,9 @@
 
 from tests.bruteforce import check, exact, grid, written
 from yardbank.cli import main
-from yardbank.membership.document import read_plans
 from yardbank.plan import Demand, Limits, PlanServer, Problem, solve
 from yardbank.plan.model import relaxed, warmth_of
+from yardbank.server_list.document import read_plans
 
 
 def test_the_same_verdict_and_optimum_as_brute_force():
@@ -307,8 +307,8 @@
 
 def test_weights_of_a_plan_are_a_part_of_a_watched_list(tmp_path):
     from yardbank.gateway import ServerSpec
-    from yardbank.membership import read_set
-    from yardbank.membership.document import render
+    from yardbank.server_list import read_set
+    from yardbank.server_list.document import render
 
     file, out = tmp_path / "model.hcl", tmp_path / "weights.hcl"
     file.write_text(MODEL.replace("a = 0.5", "a = 1"))
--- a/tests/test_plan_use.py
+++ b/tests/test_plan_use.py
@@ -13,17 +13,17 @@
 
 from tests.net import Desk, run, until, world
 from tests.test_config import TEXT
-from yardbank.audit import judge
 from yardbank.cli import main
 from yardbank.gateway.api import ServerSpec
 from yardbank.ldap import messages as m
-from yardbank.membership.document import FleetError, read_plans, read_set, render
-from yardbank.membership.edit import ListReader
-from yardbank.membership.watcher import read_files
-from yardbank.place import Place
 from yardbank.plan.aperture import ApertureError, Ring, aperture
+from yardbank.plan.fleet_position import Place
 from yardbank.plan.force import MadePlan, Warming, choose, list_hash, view
-from yardbank.standin.server import Capacity
+from yardbank.server_list.document import FleetError, read_plans, read_set, render
+from yardbank.server_list.edit import ListReader
+from yardbank.server_list.watcher import read_files
+from yardbank.testing.audit import judge
+from yardbank.testing.standin.server import Capacity
 
 NOW = 1_000_000.0
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.pool import Client, Connection, StatementError, Statements
-from yardbank.pool.statements import server_name
+from yardbank.pg.pool import Client, Connection, StatementError, Statements
+from yardbank.pg.pool.statements import server_name
 
 
 class Server:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,8 +10,8 @@
 
 from yardbank.cli import main
 from yardbank.config.checked import ConfigError, check_text
-from yardbank.rig.scenario import SHAPE, load_scenario, shipped
-from yardbank.rig.schedule import HOLDING, OVER, TABLE, WAITING, Schedule
+from yardbank.testing.rig.scenario import SHAPE, load_scenario, shipped
+from yardbank.testing.rig.schedule import HOLDING, OVER, TABLE, WAITING, Schedule
 
 HEAD = 'title = "t"\ngroup "a" {\n  suffix = "dc=a"\n}\nclaim "r" {\n  kind = "rules"\n}\n'
 
@@ -137,6 +137,6 @@
 
 
 def test_the_scenarios_lie_with_the_package():
-    import yardbank.rig
+    import yardbank.testing.rig
 
-    assert all(path.parent.parent == Path(yardbank.rig.__file__).parent for path in shipped().values())
+    assert all(path.parent.parent == Path(yardbank.testing.rig.__file__).parent for path in shipped().values())
--- a/tests/test_rig_claims.py
+++ b/tests/test_rig_claims.py
@@ -1,8 +1,8 @@
 """Excuses and claims over facts made by hand."""
 
-from yardbank.audit import judge
-from yardbank.audit.claims import alive, served, serves_again
-from yardbank.audit.excuses import Excuses
+from yardbank.testing.audit import judge
+from yardbank.testing.audit.claims import alive, served, serves_again
+from yardbank.testing.audit.excuses import Excuses
 
 
 def process(at, what, name="g1", **more):
--- a/tests/test_rig_fleet.py
+++ b/tests/test_rig_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.helpers import wait_for
-from yardbank.rig.scenario import shipped
+from yardbank.testing.rig.scenario import shipped
 
 GROUP = 'group "numbers" {\n  suffix = "ou=numbers,dc=porting"\n}\n'
 BELIEF = 'claim "belief" {\n  kind = "belief"\n}\n'
--- a/tests/test_rig_group.py
+++ b/tests/test_rig_group.py
@@ -22,7 +22,7 @@
 
 
 def test_a_group_is_stopped_and_killed_as_a_whole_and_leaves_nothing(tmp_path):
-    command = [sys.executable, "-m", "yardbank.rig.guardian"]
+    command = [sys.executable, "-m", "yardbank.testing.rig.guardian"]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) as guardian:
 
         def order(do, **more):
--- a/tests/test_rig_moments.py
+++ b/tests/test_rig_moments.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from yardbank.rig.scenario import load_scenario, shipped
+from yardbank.testing.rig.scenario import load_scenario, shipped
 
 EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ
 FEWER = {
--- a/tests/test_rig_taps.py
+++ b/tests/test_rig_taps.py
@@ -13,20 +13,20 @@
 
 from tests.net import ensure_reactor, run, until
 from tests.test_rig import HEAD, scenario, step
-from yardbank.audit.gone import departures
 from yardbank.cli import main
 from yardbank.config.checked import ConfigError
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.state import ClientEnd
-from yardbank.rig.client import GONE, connect
-from yardbank.rig.load import next_gateway
-from yardbank.rig.record import Recorder
-from yardbank.rig.relay import HOST, StreamRelay
-from yardbank.rig.taps import Attempts, Departures
-from yardbank.rig.verdict import verdicts
-from yardbank.rig.wire import Effect, Network
-from yardbank.standin.server import TAG_CONTROL
+from yardbank.testing.audit.gone import departures
+from yardbank.testing.rig.client import GONE, connect
+from yardbank.testing.rig.load import next_gateway
+from yardbank.testing.rig.record import Recorder
+from yardbank.testing.rig.relay import HOST, StreamRelay
+from yardbank.testing.rig.taps import Attempts, Departures
+from yardbank.testing.rig.verdict import verdicts
+from yardbank.testing.rig.wire import Effect, Network
+from yardbank.testing.standin.server import TAG_CONTROL
 
 SEARCH = m.SearchRequest("dc=a", 0, m.Present("objectClass"))
 
--- a/tests/test_rig_together.py
+++ b/tests/test_rig_together.py
@@ -4,16 +4,16 @@
 import pytest
 
 from tests.test_rig import scenario, step
-from yardbank.audit import changes, feeds
-from yardbank.audit.letters import items, letters
-from yardbank.audit.ways import charted
+from yardbank.cluster.peers.parcel import Item, Parcel, encode
 from yardbank.config.checked import ConfigError
 from yardbank.config.load import load_text
-from yardbank.peers.parcel import Item, Parcel, encode
-from yardbank.rig.changes import asking, changed
-from yardbank.rig.known import Known, fact_of
-from yardbank.rig.place import peers_text, settings_text
-from yardbank.rig.wire import Effect, Network, ways
+from yardbank.testing.audit import changes, feeds
+from yardbank.testing.audit.letters import items, letters
+from yardbank.testing.audit.ways import charted
+from yardbank.testing.rig.changes import asking, changed
+from yardbank.testing.rig.known import Known, fact_of
+from yardbank.testing.rig.place import peers_text, settings_text
+from yardbank.testing.rig.wire import Effect, Network, ways
 
 FLEET = "fleet {\n  gateways = 4\n  peers = true\n  channels = true\n  rollout = true\n  atlas = true\n}\n"
 NOTICES = 'program "notices" {\n  who = ["g1", "g2"]\n  channels = 3\n}\n'
--- a/tests/test_rollout_files.py
+++ b/tests/test_rollout_files.py
@@ -14,14 +14,14 @@
 from tests.helpers import wait_for
 from tests.net import run, world
 from tests.rollout_world import Disk
+from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, taken
+from yardbank.cluster.rollout.force import EXIT_ANEW, Force, Version
+from yardbank.cluster.rollout.own import Memory, reconciled, remembered
+from yardbank.cluster.rollout.place import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
 from yardbank.config import ConfigError
 from yardbank.daemon.versions import Versions
-from yardbank.lab.world import free_port
-from yardbank.rollout import force as forces
-from yardbank.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, taken
-from yardbank.rollout.force import EXIT_ANEW, Force, Version
-from yardbank.rollout.own import Memory, reconciled, remembered
-from yardbank.rollout.place import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
+from yardbank.testing.demo.world import free_port
 
 SECOND = 10**9
 GOOD = 'rollout "a" {\n  settings = "new.hcl"\n}\n'
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.rollout_world import SECOND, Disk, Kind, World, change, zoned
-from yardbank.rollout.document import Word
+from yardbank.cluster.rollout.document import Word
 
 LOOKUP, WRITE = "lookup:0", "write:0"
 
--- a/tests/test_rollout_landed.py
+++ b/tests/test_rollout_landed.py
@@ -12,15 +12,14 @@
 
 from tests.helpers import wait_for
 from tests.net import ensure_reactor, run
-from yardbank.lab.world import free_port
+from yardbank.testing.demo.world import free_port
 
 LANDED = "9d7b4df"  # the last commit whose gateways know nothing of letters
 ROOT = Path(__file__).parent.parent
 
-GATEWAY = """
-import json, sys, time
+LANDED_GATEWAY = """
+import sys, time
 from pathlib import Path
-from random import Random
 from twisted.internet import reactor
 from yardbank.config.schema import PeersBlock
 from yardbank.peers.shell import Peers
@@ -34,23 +33,10 @@
 class Log:
     def __getattr__(self, level): return lambda event, **fields: None
 
-folder, name, port, parts = Path(sys.argv[1]), sys.argv[2], int(sys.argv[3]), sys.argv[4] == "parts"
+folder, name, port = Path(sys.argv[1]), sys.argv[2], int(sys.argv[3])
 block = PeersBlock(name=name, port=port, list="peers.hcl", key="key", view=name + ".json", period="200ms", timeout="50ms")
 peers = Peers(block, folder, folder / (name + "-state"), reactor=reactor, now=time.monotonic_ns, wall=time.time, seed=1,
               log=Log(), sharing=Alone())
-if parts:
-    from yardbank.lease import Terms
-    from yardbank.lease.part import LeasePart
-    from yardbank.peers.keeping import FileKeep
-    from yardbank.rollout.document import SHAPE, taken
-    from yardbank.rollout.own import Options
-    from yardbank.rollout.part import RolloutPart
-    leases = LeasePart(peers.node.sight, Terms(), Random(2), FileKeep(folder / (name + "-leases"), Log()))
-    part = RolloutPart(peers.node.sight, leases, Random(1), FileKeep(folder / (name + "-kept"), Log()), Options())
-    peers.node.add(leases)
-    peers.node.add(part)
-    change = taken(b'rollout "a" {\\n settings = "new.hcl"\\n}\\n', "r", SHAPE).change
-    reactor.callLater(1, lambda: (part.asked(time.monotonic_ns(), change, "new"), peers.prompt()))
 peers.start()
 reactor.run()
 """
@@ -75,11 +61,11 @@
     (tmp_path / "peers.hcl").write_text(
         "".join(f'peer "{name}" {{\n address = "127.0.0.1"\n port = {port}\n}}\n' for name, port in ports.items())
     )
-    (tmp_path / "gateway.py").write_text(GATEWAY)
+    (tmp_path / "gateway.py").write_text(LANDED_GATEWAY)
 
     def start(name, program):
-        what = "parts" if program == ROOT else "alone"
-        command = [sys.executable, str(tmp_path / "gateway.py"), str(tmp_path), name, str(ports[name]), what]
+        script = ["-m", "tests.support.rollout_member"] if program == ROOT else [str(tmp_path / "gateway.py")]
+        command = [sys.executable, *script, str(tmp_path), name, str(ports[name])]
         return subprocess.Popen(command, env={**os.environ, "PYTHONPATH": str(program)}, cwd=tmp_path)
 
     def view(name):
--- a/tests/test_rollout_liars.py
+++ b/tests/test_rollout_liars.py
@@ -8,10 +8,10 @@
 from tests.rollout_world import SECOND, Kind, change
 from tests.test_rollout_faults import moved
 from tests.test_rollout_fleet import LOOKUP, begun, worse
-from yardbank.peers.datagram import DroppedError
-from yardbank.rollout.book import Book
-from yardbank.rollout.place import FELL, NEW
-from yardbank.rollout.said import Cell, Said, encoded, letter, records
+from yardbank.cluster.peers.datagram import DroppedError
+from yardbank.cluster.rollout.book import Book
+from yardbank.cluster.rollout.place import FELL, NEW
+from yardbank.cluster.rollout.said import Cell, Said, encoded, letter, records
 
 
 def lie(world, name, change_it):
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 from yardbank.ldap.spread import spans
 from yardbank.spread import Budget, CookieError, Pages, Part, Spread, Tree, Verdict, identity_of
 from yardbank.spread.tree import glue_attributes
-from yardbank.standin.directory import Directory, Entry
+from yardbank.testing.standin.directory import Directory, Entry
 
 SECOND = 1_000_000_000
 PRESENT = m.Present("objectClass")
--- a/tests/test_spread_path.py
+++ b/tests/test_spread_path.py
@@ -5,11 +5,11 @@
 from twisted.internet.defer import gatherResults
 
 from tests.net import Desk, run, until, world
-from yardbank.audit import judge
 from yardbank.directory.codes import Code, Scope
-from yardbank.lab.world import DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
+from yardbank.testing.audit import judge
+from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS
 
 BASE = "dc=porting"
 PARTS = ({"suffix": NUMBERS, "read": "bounded", "staleness": 0.8}, {"suffix": REQUESTS, "read": "session"})
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -9,9 +9,9 @@
 from tests.platform_kit import READ, World, query
 from yardbank.interface import Refuse, Request, Send
 from yardbank.policy import Router
-from yardbank.rig.virtual import Fleet
-from yardbank.rig.virtual_world import SECOND, START
-from yardbank.rig.virtual_world import World as VirtualWorld
+from yardbank.testing.rig.virtual import Fleet
+from yardbank.testing.rig.virtual_world import SECOND, START
+from yardbank.testing.rig.virtual_world import World as VirtualWorld
 
 SPELL, REQUESTS = 4 * SECOND, 15  # turned away on end, with no attempt in between
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -16,11 +16,11 @@
 from tests.gateway_place import READ, WRITE, FakeBackend, Sink
 from yardbank.cli import main
 from yardbank.config import load_text
-from yardbank.fleet import FleetKeeper
 from yardbank.gateway import Call, Gateway, Reply, ServerSpec
 from yardbank.gateway.api import MS, Position
 from yardbank.interface import Role, Settings
-from yardbank.membership.document import render
+from yardbank.server_list.document import render
+from yardbank.server_list.service import FleetKeeper
 from yardbank.state import Snapshot, SnapshotError, Store, decode, encode, judge
 from yardbank.state.snapshot import FORMAT, MAGIC, GroupState, ServerState
 from yardbank.state.store import StoreError
--- a/yardbank/cli/audit.py
+++ b/yardbank/cli/audit.py
@@ -15,8 +15,8 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as JSON.")
 def audit(record: Path, as_json: bool) -> None:
     """Judge the five rules from a RECORD of what crossed the sockets. Exit code 1: a rule was broken."""
-    from yardbank.audit import judge, read_record
-    from yardbank.audit.report import show
+    from yardbank.testing.audit import judge, read_record
+    from yardbank.testing.audit.report import show
 
     try:
         facts = read_record(record)
--- a/yardbank/cli/fleet.py
+++ b/yardbank/cli/fleet.py
@@ -14,9 +14,9 @@
 from yardbank.cli.common import EXIT_FAULT, load_or_exit
 from yardbank.config import Config, build
 from yardbank.gateway.api import ServerSpec
-from yardbank.membership.change import compare, suspicion
-from yardbank.membership.document import Fleet, FleetError, read_set, render
-from yardbank.membership.watcher import read_files
+from yardbank.server_list.change import compare, suspicion
+from yardbank.server_list.document import Fleet, FleetError, read_set, render
+from yardbank.server_list.watcher import read_files
 from yardbank.state.snapshot import Snapshot, SnapshotError
 from yardbank.state.store import Store, StoreError
 
--- a/yardbank/cli/rig.py
+++ b/yardbank/cli/rig.py
@@ -16,7 +16,7 @@
 
 
 def _load(file: str) -> Any:
-    from yardbank.rig.scenario import load_scenario, shipped
+    from yardbank.testing.rig.scenario import load_scenario, shipped
 
     path = Path(file)
     if not path.exists() and file in shipped():
@@ -32,7 +32,7 @@
 @rig.command("list")
 def list_() -> None:
     """Scenarios that come with the program."""
-    from yardbank.rig.scenario import load_scenario, shipped
+    from yardbank.testing.rig.scenario import load_scenario, shipped
 
     for name, path in shipped().items():
         click.echo(f"{name:24} {load_scenario(path).title}")
@@ -55,8 +55,8 @@
 @click.option("--keep", type=click.Path(path_type=Path), help="Keep record, logs and settings in this new folder.")
 def run(file: str, seed: int | None, json_file: Path | None, keep: Path | None) -> None:
     """Play a scenario. Exit code 0: every claim holds; 1: one does not; 2: a fault of the scenario or the machine."""
-    from yardbank.rig.play import Play, PlayError, steady_reactor
-    from yardbank.rig.verdict import as_dict, verdicts
+    from yardbank.testing.rig.play import Play, PlayError, steady_reactor
+    from yardbank.testing.rig.verdict import as_dict, verdicts
 
     scenario = _load(file)
     set_up_logs("error", "console")
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -18,7 +18,7 @@
 from yardbank.files import write_whole
 
 if TYPE_CHECKING:
-    from yardbank.rollout.document import Asked
+    from yardbank.cluster.rollout.document import Asked
 
 FILE = click.argument("file", type=click.Path(path_type=Path))
 
@@ -41,7 +41,7 @@
 
 
 def _asked(path: Path) -> Asked:
-    from yardbank.rollout.document import SHAPE, Asked, taken
+    from yardbank.cluster.rollout.document import SHAPE, Asked, taken
 
     found = checked_or_exit(lambda path: taken(read_text(path).encode(), str(path), SHAPE), path)
     assert isinstance(found, Asked)
@@ -49,8 +49,8 @@
 
 
 def _zones(file: Path, config: Config) -> dict[str, str]:
+    from yardbank.cluster.peers.listing import SHAPE as PEERS
     from yardbank.config.checked import check_text
-    from yardbank.peers.listing import SHAPE as PEERS
 
     if config.peers is None:
         _fault(f"{file}: no peers block: this gateway knows of no others")
@@ -67,8 +67,8 @@
 @click.argument("asked", type=click.Path(path_type=Path), required=False)
 def check(file: Path, asked: Path | None) -> None:
     """Check what is asked for (the file that the settings name, or ASKED), and show who would go when."""
-    from yardbank.rollout.actuator import sound
-    from yardbank.rollout.order import Order
+    from yardbank.cluster.rollout.actuator import sound
+    from yardbank.cluster.rollout.order import Order
 
     config = load_or_exit(file)
     path = asked or _asked_file(file, config)
@@ -151,7 +151,7 @@
 
 
 def _say(file: Path, rollout: str, stop: bool) -> None:
-    from yardbank.rollout.document import WORDS, Word, taken, word_file
+    from yardbank.cluster.rollout.document import WORDS, Word, taken, word_file
 
     config = load_or_exit(file)
     path = word_file(_asked_file(file, config))
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -10,16 +10,16 @@
 import click
 
 from yardbank.cli.common import EXIT_FAULT, load_or_exit, set_up_logs
+from yardbank.cluster.peers import PeersError
 from yardbank.config import Config
-from yardbank.peers import PeersError
 
 if TYPE_CHECKING:
-    from yardbank.rollout.force import Started
+    from yardbank.cluster.rollout.force import Started
 
 
 def _in_force(file: Path, config: Config, log: Any) -> tuple[Started, Path, Config]:
     """How this process was started, the settings file in force, and what it says."""
-    from yardbank.rollout.force import Force, Started, of_worker
+    from yardbank.cluster.rollout.force import Force, Started, of_worker
 
     try:
         started = of_worker(os.environ, file)
--- a/yardbank/cli/standin.py
+++ b/yardbank/cli/standin.py
@@ -29,8 +29,8 @@
     """A primary and its read-only copies, until interrupted; prints one JSON line when they listen."""
     from twisted.internet import reactor
 
-    from yardbank.standin.cluster import Cluster, Timing
-    from yardbank.standin.server import Standin
+    from yardbank.testing.standin.cluster import Cluster, Timing
+    from yardbank.testing.standin.server import Standin
 
     clock: object = reactor
     names = ["primary", *(f"copy-{number}" for number in range(1, copies + 1))]
--- a/yardbank/channels/__init__.py
+++ b/yardbank/cluster/channels/__init__.py
@@ -4,6 +4,6 @@
 ``channels`` block; the operators' platform never imports it.
 """
 
-from yardbank.channels.api import Delivered, Ended, Gap, Options, Owned
+from yardbank.cluster.channels.api import Delivered, Ended, Gap, Options, Owned
 
 __all__ = ["Delivered", "Ended", "Gap", "Options", "Owned"]
--- a/yardbank/channels/asking.py
+++ b/yardbank/cluster/channels/asking.py
@@ -6,9 +6,9 @@
 from random import Random
 from typing import Any, Protocol
 
-from yardbank.channels.api import SECOND, Delivered, Options
-from yardbank.channels.face import Channels
-from yardbank.channels.positions import PREFIX, Place, Positions, channel_of
+from yardbank.cluster.channels.api import SECOND, Delivered, Options
+from yardbank.cluster.channels.face import Channels
+from yardbank.cluster.channels.positions import PREFIX, Place, Positions, channel_of
 from yardbank.gateway.api import Position, ServerSpec
 from yardbank.timeline import Vector
 
--- a/yardbank/channels/bidding.py
+++ b/yardbank/cluster/channels/bidding.py
@@ -9,16 +9,16 @@
 from collections import Counter
 from random import Random
 
-from yardbank.channels import placement as placing
-from yardbank.channels import wire
-from yardbank.channels.api import MS, PREFIX, SECOND, Ended, Options, Owned, resource
-from yardbank.channels.feed import Feed
-from yardbank.channels.members import Members
-from yardbank.channels.placement import Placement
-from yardbank.channels.states import APART, BIDDING, CARRYING, ENTERING, HANDING, WAITING, Own
-from yardbank.channels.wire import AskEnd
-from yardbank.lease.api import OWNED, Leases
-from yardbank.peers.parts import Letter, Sight
+from yardbank.cluster.channels import placement as placing
+from yardbank.cluster.channels import wire
+from yardbank.cluster.channels.api import MS, PREFIX, SECOND, Ended, Options, Owned, resource
+from yardbank.cluster.channels.feed import Feed
+from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.placement import Placement
+from yardbank.cluster.channels.states import APART, BIDDING, CARRYING, ENTERING, HANDING, WAITING, Own
+from yardbank.cluster.channels.wire import AskEnd
+from yardbank.cluster.lease.api import OWNED, Leases
+from yardbank.cluster.peers.parts import Letter, Sight
 
 STEP = 300 * MS  # between two turns to bid
 NEAR, FAR = 3, 1500 * MS  # so many are told directly that the owner lives; the others wait so much longer for its word
--- a/yardbank/channels/edges.py
+++ b/yardbank/cluster/channels/edges.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from yardbank.channels import tree
-from yardbank.channels.api import MS, SECOND
+from yardbank.cluster.channels import tree
+from yardbank.cluster.channels.api import MS, SECOND
 
 QUIET = 2500 * MS  # without a word of the channel, its parent counts as broken
 BACK = 30 * SECOND  # so long one stays with another than the first way, where that works
--- a/yardbank/channels/face.py
+++ b/yardbank/cluster/channels/face.py
@@ -17,9 +17,9 @@
 
 from twisted.internet.defer import Deferred
 
-from yardbank.channels.api import SECOND, Delivered, Event, Gap, Owned
-from yardbank.channels.items import Queue
-from yardbank.channels.part import ChannelPart
+from yardbank.cluster.channels.api import SECOND, Delivered, Event, Gap, Owned
+from yardbank.cluster.channels.items import Queue
+from yardbank.cluster.channels.part import ChannelPart
 
 OnItem = Callable[[Delivered], Any]
 OnGap = Callable[[Gap], Any]
--- a/yardbank/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Collection, Iterable, Mapping
 
-from yardbank.channels import wire
-from yardbank.channels.api import MS
-from yardbank.channels.items import Recent, Stream
-from yardbank.channels.outgoing import Carried, Known, Outgoing
-from yardbank.channels.wire import Again, EndedAt, Have, Item, State
-from yardbank.peers.datagram import DroppedError
-from yardbank.peers.parts import Letter
+from yardbank.cluster.channels import wire
+from yardbank.cluster.channels.api import MS
+from yardbank.cluster.channels.items import Recent, Stream
+from yardbank.cluster.channels.outgoing import Carried, Known, Outgoing
+from yardbank.cluster.channels.wire import Again, EndedAt, Have, Item, State
+from yardbank.cluster.peers.datagram import DroppedError
+from yardbank.cluster.peers.parts import Letter
 
 LEAP = 1 << 20  # so far beyond what is known, a sequence is not believed
 FAR = 1 << 44  # nor an epoch: they begin with the seconds of the wall clock and ten bits
--- a/yardbank/channels/neighbours.py
+++ b/yardbank/cluster/channels/neighbours.py
@@ -6,9 +6,9 @@
 
 import xxhash
 
-from yardbank.channels.api import SECOND
-from yardbank.channels.members import Members
-from yardbank.peers.parts import Sight
+from yardbank.cluster.channels.api import SECOND
+from yardbank.cluster.channels.members import Members
+from yardbank.cluster.peers.parts import Sight
 
 GRACE = 3 * SECOND  # who is doubted for less stays in the trees
 TELL_ALL = 60 * SECOND  # in so long all others are told one's interests again
--- a/yardbank/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from yardbank.channels import wire
-from yardbank.channels.api import MS, Delivered, Event, Gap, Options
-from yardbank.channels.edges import Edges
-from yardbank.channels.items import Recent, Stream
-from yardbank.channels.wire import Again, Have, Item, Place, State
-from yardbank.peers.parts import Letter
+from yardbank.cluster.channels import wire
+from yardbank.cluster.channels.api import MS, Delivered, Event, Gap, Options
+from yardbank.cluster.channels.edges import Edges
+from yardbank.cluster.channels.items import Recent, Stream
+from yardbank.cluster.channels.wire import Again, Have, Item, Place, State
+from yardbank.cluster.peers.parts import Letter
 
 
 @dataclass(slots=True)
--- a/yardbank/channels/placement.py
+++ b/yardbank/cluster/channels/placement.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from yardbank.channels.api import MS
+from yardbank.cluster.channels.api import MS
 
 Distance = Callable[[str, str], "int | None"]
 LOAD = 1.25  # of an even share, that one gateway has at most
--- a/yardbank/channels/trust.py
+++ b/yardbank/cluster/channels/trust.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from yardbank.channels.api import SECOND
+from yardbank.cluster.channels.api import SECOND
 from yardbank.timeline import Mark, Vector
 
 UNTESTED, TRUSTED, STRUCK = "untested", "trusted", "struck"
--- a/yardbank/channels/wire.py
+++ b/yardbank/cluster/channels/wire.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from yardbank.channels.api import MAX_DATA
-from yardbank.peers.datagram import DroppedError
+from yardbank.cluster.channels.api import MAX_DATA
+from yardbank.cluster.peers.datagram import DroppedError
 
 LETTER = 900  # octets of a letter with many entries, about
 Entry = TypeVar("Entry")
--- a/yardbank/joint.py
+++ b/yardbank/cluster/coordination.py
@@ -14,25 +14,25 @@
 
 from twisted.internet.defer import Deferred, succeed
 
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.peers.keeping import FileKeep
+from yardbank.cluster.peers.parts import Forgetful, Keep
+from yardbank.cluster.peers.shell import Peers
 from yardbank.config import Config
 from yardbank.gateway.api import ServerSpec
 from yardbank.gateway.gateway import Gateway
-from yardbank.lease.api import Terms
-from yardbank.lease.part import LeasePart
-from yardbank.peers.keeping import FileKeep
-from yardbank.peers.parts import Forgetful, Keep
-from yardbank.peers.shell import Peers
 
 if TYPE_CHECKING:
-    from yardbank.atlas.part import AtlasPart
-    from yardbank.channels.asking import PositionFeeds
-    from yardbank.channels.face import Channels
-    from yardbank.channels.placement import Distance
-    from yardbank.distribution.shell import DistributionFiles
-    from yardbank.rollout.actuator import Actuator
-    from yardbank.rollout.figures import Figures
-    from yardbank.rollout.force import Started
-    from yardbank.rollout.part import RolloutPart
+    from yardbank.cluster.channels.asking import PositionFeeds
+    from yardbank.cluster.channels.face import Channels
+    from yardbank.cluster.channels.placement import Distance
+    from yardbank.cluster.latency_map.part import AtlasPart
+    from yardbank.cluster.list_distribution.shell import DistributionFiles
+    from yardbank.cluster.rollout.actuator import Actuator
+    from yardbank.cluster.rollout.figures import Figures
+    from yardbank.cluster.rollout.force import Started
+    from yardbank.cluster.rollout.part import RolloutPart
 
 SECOND = 1_000_000_000
 LISTED_EVERY = SECOND // 2  # so often the gateway's list is compared with what the positions' feeds know
@@ -97,8 +97,8 @@
         return FileKeep(self._state / f"{what}-kept", self._log) if self._state is not None else Forgetful()
 
     def _make_map(self, config: Config) -> None:
-        from yardbank.atlas.options import Options
-        from yardbank.atlas.part import AtlasPart
+        from yardbank.cluster.latency_map.options import Options
+        from yardbank.cluster.latency_map.part import AtlasPart
 
         block = config.atlas
         assert block is not None
@@ -109,10 +109,10 @@
         self._map = part
 
     def _make_channels(self, config: Config, distance: Distance) -> None:
-        from yardbank.channels.api import Options
-        from yardbank.channels.asking import PositionFeeds
-        from yardbank.channels.face import Channels
-        from yardbank.channels.part import ChannelPart
+        from yardbank.cluster.channels.api import Options
+        from yardbank.cluster.channels.asking import PositionFeeds
+        from yardbank.cluster.channels.face import Channels
+        from yardbank.cluster.channels.part import ChannelPart
 
         block = config.channels
         assert block is not None
@@ -132,9 +132,9 @@
             )  # fmt: skip
 
     def _make_rollout(self, config: Config, started: Started | None) -> None:
-        from yardbank.rollout.actuator import Actuator, name_of
-        from yardbank.rollout.own import Options
-        from yardbank.rollout.part import RolloutPart
+        from yardbank.cluster.rollout.actuator import Actuator, name_of
+        from yardbank.cluster.rollout.own import Options
+        from yardbank.cluster.rollout.part import RolloutPart
 
         block = config.rollout
         assert block is not None
@@ -155,10 +155,10 @@
             self.channels.part.prefer(lambda names: self._changed_first(part, names))
 
     def _make_distribution(self, config: Config, folder: Path) -> None:
+        from yardbank.cluster.list_distribution.options import Options
+        from yardbank.cluster.list_distribution.part import DistributionPart
+        from yardbank.cluster.list_distribution.shell import DistributionFiles, stored_table
         from yardbank.config.build import fleet_groups
-        from yardbank.distribution.options import Options
-        from yardbank.distribution.part import DistributionPart
-        from yardbank.distribution.shell import DistributionFiles, stored_table
 
         block, node = config.distribution, self._peers.node
         assert block is not None
@@ -179,8 +179,8 @@
         return sorted(names, key=lambda name: (name not in changed, name))
 
     def _figures(self) -> Figures:
+        from yardbank.cluster.rollout.figures import of_gateway, resident
         from yardbank.gateway.tallies import beyond
-        from yardbank.rollout.figures import of_gateway, resident
 
         promises = {
             kind.name: (kind.aim, kind.deadline, kind.worth, kind.late_worth, kind.effect, kind.read)
--- a/yardbank/atlas/choice.py
+++ b/yardbank/cluster/latency_map/choice.py
@@ -13,8 +13,8 @@
 
 from random import Random
 
-from yardbank.atlas.levels import differs
-from yardbank.atlas.options import SECOND
+from yardbank.cluster.latency_map.levels import differs
+from yardbank.cluster.latency_map.options import SECOND
 
 # Less than this part, or so many ns, is no reason to go over: of a round trip, and of the longest usual one.
 SHORTER, LONGEST = (0.15, 1_000_000), (0.5, 5_000_000)
--- a/yardbank/atlas/claims.py
+++ b/yardbank/cluster/latency_map/claims.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from yardbank.atlas.firsthand import Figure
-from yardbank.atlas.options import Pair
+from yardbank.cluster.latency_map.firsthand import Figure
+from yardbank.cluster.latency_map.options import Pair
 
 VOICES = 3  # so many are wanted before one of them may lie
 MAX_VOICES = 24  # kept of one pair; beyond, the one seen longest ago gives way
--- a/yardbank/atlas/firsthand.py
+++ b/yardbank/cluster/latency_map/firsthand.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from itertools import islice, takewhile
 
-from yardbank.atlas.options import LEAST, MOST, SECOND, Options
+from yardbank.cluster.latency_map.options import LEAST, MOST, SECOND, Options
 
 WELL, DOUBTFUL, SLOW = 0, 1, 2
 NAMES = {WELL: "well", DOUBTFUL: "doubtful", SLOW: "slow"}
--- a/yardbank/atlas/letter.py
+++ b/yardbank/cluster/latency_map/letter.py
@@ -15,9 +15,9 @@
 import msgspec
 import xxhash
 
-from yardbank.atlas.firsthand import NAMES
-from yardbank.atlas.options import LEAST, MAX_ZONES, MOST, SECOND
-from yardbank.peers.datagram import DroppedError
+from yardbank.cluster.latency_map.firsthand import NAMES
+from yardbank.cluster.latency_map.options import LEAST, MAX_ZONES, MOST, SECOND
+from yardbank.cluster.peers.datagram import DroppedError
 
 KIND = 1  # rows of the map
 NOTHING = 0
--- a/yardbank/atlas/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -10,15 +10,15 @@
 from random import Random
 from typing import Any
 
-from yardbank.atlas import firsthand, letter
-from yardbank.atlas.choice import Choice, Ways
-from yardbank.atlas.claims import Claim, Claims, believed
-from yardbank.atlas.firsthand import LATE, SLOW, WELL, FirstHand
-from yardbank.atlas.letter import Entry
-from yardbank.atlas.levels import SEEN, Levels, Turn
-from yardbank.atlas.options import MAX_ZONES, SECOND, Options, Pair, pair_of
-from yardbank.peers.datagram import DroppedError
-from yardbank.peers.parts import Letter, Sight
+from yardbank.cluster.latency_map import firsthand, letter
+from yardbank.cluster.latency_map.choice import Choice, Ways
+from yardbank.cluster.latency_map.claims import Claim, Claims, believed
+from yardbank.cluster.latency_map.firsthand import LATE, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.letter import Entry
+from yardbank.cluster.latency_map.levels import SEEN, Levels, Turn
+from yardbank.cluster.latency_map.options import MAX_ZONES, SECOND, Options, Pair, pair_of
+from yardbank.cluster.peers.datagram import DroppedError
+from yardbank.cluster.peers.parts import Letter, Sight
 
 MS = 1_000_000
 EVERY = 3 * SECOND // 2  # a letter
--- a/yardbank/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from yardbank.lease.api import ENDED, OWNED
-from yardbank.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
-from yardbank.lease.votes import Votes
-from yardbank.lease.words import GRANTED, HELD, LOW, MAX_RESOURCE, NAMED, SILENT, TAKEN, Answer, Offer, Took
+from yardbank.cluster.lease.api import ENDED, OWNED
+from yardbank.cluster.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
+from yardbank.cluster.lease.votes import Votes
+from yardbank.cluster.lease.words import GRANTED, HELD, LOW, MAX_RESOURCE, NAMED, SILENT, TAKEN, Answer, Offer, Took
 
 MAX_CLAIMS, MAX_OFFERS = 1024, 256
 MAX_RAISED = 3  # higher epochs tried in one vote
--- a/yardbank/lease/explore/bugs.py
+++ b/yardbank/cluster/lease/explore/bugs.py
@@ -7,11 +7,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from yardbank.lease import votes
-from yardbank.lease.api import Terms
-from yardbank.lease.claim import HANDING, HOLDING, Claim
-from yardbank.lease.lists import Lists
-from yardbank.lease.voter import Voter
+from yardbank.cluster.lease import votes
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.claim import HANDING, HOLDING, Claim
+from yardbank.cluster.lease.lists import Lists
+from yardbank.cluster.lease.voter import Voter
 
 
 def _drift() -> Any:
--- a/yardbank/lease/explore/freeze.py
+++ b/yardbank/cluster/lease/explore/freeze.py
@@ -6,12 +6,12 @@
 from random import Random
 from typing import Any
 
-from yardbank.lease.claim import Claim
-from yardbank.lease.claims import Claims
-from yardbank.lease.epochs import Epochs
-from yardbank.lease.lists import Lists
-from yardbank.lease.part import LeasePart
-from yardbank.lease.voter import Voter
+from yardbank.cluster.lease.claim import Claim
+from yardbank.cluster.lease.claims import Claims
+from yardbank.cluster.lease.epochs import Epochs
+from yardbank.cluster.lease.lists import Lists
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.lease.voter import Voter
 
 # What of each changes in place; all else is shared, or the same for good.
 _CHANGING: dict[type, tuple[str, ...]] = {
--- a/yardbank/lease/lists.py
+++ b/yardbank/cluster/lease/lists.py
@@ -14,10 +14,10 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from yardbank.lease.api import Terms
-from yardbank.lease.places import majority, voters_of
-from yardbank.lease.times import long_lease
-from yardbank.lease.words import MAX_LISTS, Ask
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.places import majority, voters_of
+from yardbank.cluster.lease.times import long_lease
+from yardbank.cluster.lease.words import MAX_LISTS, Ask
 
 GREETED = 1  # at once
 CACHED = 4096  # resources whose voters are remembered
--- a/yardbank/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -9,17 +9,17 @@
 import msgspec
 import xxhash
 
-from yardbank.lease.api import LeaseTurn, Terms
-from yardbank.lease.claim import HANDING, HOLDING
-from yardbank.lease.claim import NAMES as STATES
-from yardbank.lease.claims import Claims
-from yardbank.lease.epochs import SHIFT, Epochs
-from yardbank.lease.lists import Lists
-from yardbank.lease.voter import Voter
-from yardbank.lease.words import GRANTED, LIST, LOW, NAMED, Answer, Ask, Hello, NextIs, Offer, Release, Word
-from yardbank.lease.words import decode as read
-from yardbank.lease.words import encode as written
-from yardbank.peers.parts import Keep, Letter, Sight
+from yardbank.cluster.lease.api import LeaseTurn, Terms
+from yardbank.cluster.lease.claim import HANDING, HOLDING
+from yardbank.cluster.lease.claim import NAMES as STATES
+from yardbank.cluster.lease.claims import Claims
+from yardbank.cluster.lease.epochs import SHIFT, Epochs
+from yardbank.cluster.lease.lists import Lists
+from yardbank.cluster.lease.voter import Voter
+from yardbank.cluster.lease.words import GRANTED, LIST, LOW, NAMED, Answer, Ask, Hello, NextIs, Offer, Release, Word
+from yardbank.cluster.lease.words import decode as read
+from yardbank.cluster.lease.words import encode as written
+from yardbank.cluster.peers.parts import Keep, Letter, Sight
 
 SHOWN = 256  # resources in a view
 MS = 1_000_000
--- a/yardbank/lease/times.py
+++ b/yardbank/cluster/lease/times.py
@@ -4,7 +4,7 @@
 
 import math
 
-from yardbank.lease.api import Terms
+from yardbank.cluster.lease.api import Terms
 
 
 def long_lease(terms: Terms) -> int:
--- a/yardbank/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -9,10 +9,10 @@
 
 from typing import NamedTuple
 
-from yardbank.lease.api import Terms
-from yardbank.lease.epochs import Epochs
-from yardbank.lease.times import long_lease, vote_time
-from yardbank.lease.words import FAR, FULL, GRANTED, HELD, LOW, SILENT, TAKEN, Ask, NextIs, Release
+from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.epochs import Epochs
+from yardbank.cluster.lease.times import long_lease, vote_time
+from yardbank.cluster.lease.words import FAR, FULL, GRANTED, HELD, LOW, SILENT, TAKEN, Ask, NextIs, Release
 
 MAX_RESOURCES = 4096
 MS = 1_000_000
--- a/yardbank/lease/votes.py
+++ b/yardbank/cluster/lease/votes.py
@@ -6,12 +6,12 @@
 from collections.abc import Collection
 from random import Random
 
-from yardbank.lease.api import ENDED, OWNED, LeaseTurn, Terms
-from yardbank.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
-from yardbank.lease.epochs import Epochs
-from yardbank.lease.lists import Lists
-from yardbank.lease.times import long_lease, short_overlap, vote_time
-from yardbank.lease.words import Ask, NextIs, Offer, Release, Word
+from yardbank.cluster.lease.api import ENDED, OWNED, LeaseTurn, Terms
+from yardbank.cluster.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
+from yardbank.cluster.lease.epochs import Epochs
+from yardbank.cluster.lease.lists import Lists
+from yardbank.cluster.lease.times import long_lease, short_overlap, vote_time
+from yardbank.cluster.lease.words import Ask, NextIs, Offer, Release, Word
 
 MAX_HINTS, MAX_TURNS, MAX_NEWS = 1024, 4096, 256
 
--- a/yardbank/lease/words.py
+++ b/yardbank/cluster/lease/words.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from yardbank.peers.datagram import MAX_NAME, DroppedError
+from yardbank.cluster.peers.datagram import MAX_NAME, DroppedError
 
 MAX_RESOURCE = 128
 MAX_EPOCH = (1 << 63) - 1
--- a/yardbank/distribution/document.py
+++ b/yardbank/cluster/list_distribution/document.py
@@ -5,9 +5,9 @@
 import re
 from collections.abc import Iterable, Mapping
 
-from yardbank.distribution.table import DoesNotFitError, Entry, Increment, Table, shown
-from yardbank.distribution.version import NOTHING, Version
-from yardbank.membership.document import FleetError, read_set, render
+from yardbank.cluster.list_distribution.table import DoesNotFitError, Entry, Increment, Table, shown
+from yardbank.cluster.list_distribution.version import NOTHING, Version
+from yardbank.server_list.document import FleetError, read_set, render
 
 _HEAD = re.compile(r"# distributed version ([0-9]{1,18})\.([0-9]{1,18}) digest ([0-9a-f]{32})\n")
 _BLOCK = re.compile(r'^server "([^"\n]+)" \{\n.*?^\}$', re.MULTILINE | re.DOTALL)
--- a/yardbank/distribution/explore.py
+++ b/yardbank/cluster/list_distribution/explore.py
@@ -1,4 +1,6 @@
-"""Every order of events in a small fleet, over the real code: python -m yardbank.distribution.explore [--deep].
+"""Every order of events in a small fleet, over the real code.
+
+Run as ``python -m yardbank.cluster.list_distribution.explore [--deep]``.
 
 Three gateways, two publishers one after the other, of whom the second may not have heard of the first. Messages are
 delivered in any order, lost or delivered twice; clocks run when the search says so. After each step the invariants of
@@ -16,11 +18,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yardbank.distribution.messages import Message, decode, encode
-from yardbank.distribution.options import Options
-from yardbank.distribution.replica import FencedError, Replica
-from yardbank.distribution.table import shown
-from yardbank.distribution.version import NOTHING, Version
+from yardbank.cluster.list_distribution.messages import Message, decode, encode
+from yardbank.cluster.list_distribution.options import Options
+from yardbank.cluster.list_distribution.replica import FencedError, Replica
+from yardbank.cluster.list_distribution.table import shown
+from yardbank.cluster.list_distribution.version import NOTHING, Version
 
 NAMES = ("a", "b", "c")
 OPTIONS = Options(rounds=1, fan_out=2, tries=3)
--- a/yardbank/distribution/fetching.py
+++ b/yardbank/cluster/list_distribution/fetching.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from yardbank.distribution.messages import Fetch, Have
-from yardbank.distribution.options import Options
-from yardbank.distribution.transfer import Assembly
-from yardbank.distribution.version import Version
+from yardbank.cluster.list_distribution.messages import Fetch, Have
+from yardbank.cluster.list_distribution.options import Options
+from yardbank.cluster.list_distribution.transfer import Assembly
+from yardbank.cluster.list_distribution.version import Version
 
 MAX_SOURCES = 16  # that are remembered
 
--- a/yardbank/distribution/history.py
+++ b/yardbank/cluster/list_distribution/history.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from yardbank.distribution.table import Entry, Increment
-from yardbank.distribution.version import Version
+from yardbank.cluster.list_distribution.table import Entry, Increment
+from yardbank.cluster.list_distribution.version import Version
 
 MAX_INCREMENTS = 1024
 MAX_OCTETS = 512 << 10  # of their entries' keys and values
--- a/yardbank/distribution/messages.py
+++ b/yardbank/cluster/list_distribution/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from yardbank.distribution.version import DIGEST_OCTETS, Version
-from yardbank.peers.datagram import DroppedError
+from yardbank.cluster.list_distribution.version import DIGEST_OCTETS, Version
+from yardbank.cluster.peers.datagram import DroppedError
 
 MAX_PIECE = 900  # octets of a document in one message: with all that stands around it, it fits a datagram
 MAX_PIECES = 4096  # of one document
--- a/yardbank/distribution/part.py
+++ b/yardbank/cluster/list_distribution/part.py
@@ -6,12 +6,12 @@
 from random import Random
 from typing import Any
 
-from yardbank.distribution.messages import decode, encode
-from yardbank.distribution.options import Options
-from yardbank.distribution.replica import Adoption, FencedError, Replica
-from yardbank.distribution.table import Table, shown
-from yardbank.lease.api import Leases
-from yardbank.peers.parts import Letter, Sight
+from yardbank.cluster.lease.api import Leases
+from yardbank.cluster.list_distribution.messages import decode, encode
+from yardbank.cluster.list_distribution.options import Options
+from yardbank.cluster.list_distribution.replica import Adoption, FencedError, Replica
+from yardbank.cluster.list_distribution.table import Table, shown
+from yardbank.cluster.peers.parts import Letter, Sight
 
 RESOURCE = "list-publisher"  # the lease whose holder may publish
 RATE, BURST = 4000, 64 * 1024  # octets a second on average, and at once, of all that one gateway sends for this
--- a/yardbank/distribution/replica.py
+++ b/yardbank/cluster/list_distribution/replica.py
@@ -19,15 +19,15 @@
 from dataclasses import dataclass
 from random import Random
 
-from yardbank.distribution.fetching import Fetching
-from yardbank.distribution.history import History
-from yardbank.distribution.messages import Fetch, Have, Message, Piece
-from yardbank.distribution.neighbours import Neighbours
-from yardbank.distribution.options import Options
-from yardbank.distribution.serving import Documents, Pieces
-from yardbank.distribution.table import DoesNotFitError, Increment, Table, shown
-from yardbank.distribution.transfer import Assembly, split
-from yardbank.distribution.version import EMPTY_DIGEST, NOTHING, Version
+from yardbank.cluster.list_distribution.fetching import Fetching
+from yardbank.cluster.list_distribution.history import History
+from yardbank.cluster.list_distribution.messages import Fetch, Have, Message, Piece
+from yardbank.cluster.list_distribution.neighbours import Neighbours
+from yardbank.cluster.list_distribution.options import Options
+from yardbank.cluster.list_distribution.serving import Documents, Pieces
+from yardbank.cluster.list_distribution.table import DoesNotFitError, Increment, Table, shown
+from yardbank.cluster.list_distribution.transfer import Assembly, split
+from yardbank.cluster.list_distribution.version import EMPTY_DIGEST, NOTHING, Version
 
 EMPTY = Have(NOTHING, EMPTY_DIGEST)
 
--- a/yardbank/distribution/serving.py
+++ b/yardbank/cluster/list_distribution/serving.py
@@ -4,11 +4,11 @@
 
 from collections import OrderedDict
 
-from yardbank.distribution.history import History
-from yardbank.distribution.messages import Fetch, Piece
-from yardbank.distribution.table import Table
-from yardbank.distribution.transfer import split
-from yardbank.distribution.version import Version
+from yardbank.cluster.list_distribution.history import History
+from yardbank.cluster.list_distribution.messages import Fetch, Piece
+from yardbank.cluster.list_distribution.table import Table
+from yardbank.cluster.list_distribution.transfer import split
+from yardbank.cluster.list_distribution.version import Version
 
 MAX_DOCUMENTS = 4  # that are kept in pieces
 
--- a/yardbank/distribution/shell.py
+++ b/yardbank/cluster/list_distribution/shell.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Any
 
+from yardbank.cluster.list_distribution.document import entries_of, table_of, text_of
+from yardbank.cluster.list_distribution.part import DistributionPart
+from yardbank.cluster.list_distribution.table import DoesNotFitError, Table, shown
 from yardbank.config.blocks import DistributionBlock
-from yardbank.distribution.document import entries_of, table_of, text_of
-from yardbank.distribution.part import DistributionPart
-from yardbank.distribution.table import DoesNotFitError, Table, shown
 from yardbank.files import write_whole
-from yardbank.membership.document import FleetError, digest_of
-from yardbank.membership.watcher import Watcher
+from yardbank.server_list.document import FleetError, digest_of
+from yardbank.server_list.watcher import Watcher
 
 
 def stored_table(path: Path, log: Any) -> Table:
--- a/yardbank/distribution/table.py
+++ b/yardbank/cluster/list_distribution/table.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yardbank.distribution.version import EMPTY_DIGEST, NOTHING, Version, digest_octets, entry_hash
+from yardbank.cluster.list_distribution.version import EMPTY_DIGEST, NOTHING, Version, digest_octets, entry_hash
 
 MAX_ENTRIES = 20_000
 MAX_KEY_OCTETS = 128
--- a/yardbank/distribution/transfer.py
+++ b/yardbank/cluster/list_distribution/transfer.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from yardbank.distribution.messages import MAX_PIECE, MAX_PIECES, Piece
-from yardbank.distribution.table import DoesNotFitError, Increment
-from yardbank.distribution.version import Version
+from yardbank.cluster.list_distribution.messages import MAX_PIECE, MAX_PIECES, Piece
+from yardbank.cluster.list_distribution.table import DoesNotFitError, Increment
+from yardbank.cluster.list_distribution.version import Version
 
 MAX_OCTETS = 32 << 20  # of a document, unpacked
 _LEVEL = 6
--- a/yardbank/peers/detector.py
+++ b/yardbank/cluster/peers/detector.py
@@ -13,9 +13,9 @@
 
 from __future__ import annotations
 
-from yardbank.peers.datagram import ACK, ALIVE, ASK, GONE, NACK, PING
-from yardbank.peers.standing import Standing
-from yardbank.peers.states import (
+from yardbank.cluster.peers.datagram import ACK, ALIVE, ASK, GONE, NACK, PING
+from yardbank.cluster.peers.standing import Standing
+from yardbank.cluster.peers.states import (
     LEAP,
     LONELY,
     MAX_RELAYED,
--- a/yardbank/peers/evidence.py
+++ b/yardbank/cluster/peers/evidence.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from yardbank.peers.datagram import MAX_NAME, Word
+from yardbank.cluster.peers.datagram import MAX_NAME, Word
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LIFE = 15 * SECOND
--- a/yardbank/peers/parcel.py
+++ b/yardbank/cluster/peers/parcel.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yardbank.peers.datagram import HEAD, MAX_INCARNATION, MAX_NAME, MAX_OCTETS, DroppedError, open_sealed, seal
+from yardbank.cluster.peers.datagram import HEAD, MAX_INCARNATION, MAX_NAME, MAX_OCTETS, DroppedError, open_sealed, seal
 
 VERSION = 2
 MAX_TOPIC = 16
--- a/yardbank/peers/post.py
+++ b/yardbank/cluster/peers/post.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from collections.abc import Callable, Collection
 
-from yardbank.peers import parcel
-from yardbank.peers.datagram import DroppedError
-from yardbank.peers.parcel import Item, Parcel
-from yardbank.peers.parts import Part
+from yardbank.cluster.peers import parcel
+from yardbank.cluster.peers.datagram import DroppedError
+from yardbank.cluster.peers.parcel import Item, Parcel
+from yardbank.cluster.peers.parts import Part
 
 SECOND = 1_000_000_000
 RATE, BURST = 1200, 16 * 1024  # octets a second on average, and at once
--- a/yardbank/peers/register.py
+++ b/yardbank/cluster/peers/register.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from yardbank.peers.datagram import MAX_NAME, Count
+from yardbank.cluster.peers.datagram import MAX_NAME, Count
 
 MAX_KEYS = 512  # of one gateway; more are not told, and not taken
 FRESH = 15_000_000_000  # so old (ns), a gateway's figures no longer count
--- a/yardbank/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Mapping
 
 from yardbank import interface as api
+from yardbank.cluster.peers.belief import Belief, Listed
+from yardbank.cluster.peers.evidence import FAILING, FULL, SECOND, SILENT, WELL
 from yardbank.gateway.api import ServerSpec
-from yardbank.peers.belief import Belief, Listed
-from yardbank.peers.evidence import FAILING, FULL, SECOND, SILENT, WELL
 from yardbank.policy import Router
 
 FRESH = 3 * SECOND  # an answer this recent says that a server does well
--- a/yardbank/peers/shell.py
+++ b/yardbank/cluster/peers/shell.py
@@ -13,17 +13,17 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
+from yardbank.cluster.peers import PeersError
+from yardbank.cluster.peers.belief import Belief, believe
+from yardbank.cluster.peers.datagram import read_keys
+from yardbank.cluster.peers.detector import NAMES, SECOND, Pace
+from yardbank.cluster.peers.listing import PeerList, Reject, Take, next_life, stored_life
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.sharing import Sharing
+from yardbank.cluster.peers.view import node_view
 from yardbank.config.blocks import PeersBlock
 from yardbank.files import write_whole
-from yardbank.membership.watcher import Watcher
-from yardbank.peers import PeersError
-from yardbank.peers.belief import Belief, believe
-from yardbank.peers.datagram import read_keys
-from yardbank.peers.detector import NAMES, SECOND, Pace
-from yardbank.peers.listing import PeerList, Reject, Take, next_life, stored_life
-from yardbank.peers.node import GossipNode
-from yardbank.peers.sharing import Sharing
-from yardbank.peers.view import node_view
+from yardbank.server_list.watcher import Watcher
 
 WRITE_EVERY = 1.0  # seconds between two writings of the view, at least
 JUDGE_EVERY = SECOND // 5  # what is believed is worked out anew, at most
--- a/yardbank/peers/standing.py
+++ b/yardbank/cluster/peers/standing.py
@@ -6,8 +6,19 @@
 from collections.abc import Iterable
 from random import Random
 
-from yardbank.peers.datagram import ALIVE, GONE, MAX_INCARNATION, SUSPECT, News
-from yardbank.peers.states import LEAP, MAX_SLOWNESS, UNHEARD, Change, Out, Pace, Peer, Probe, Relayed, Suspicion
+from yardbank.cluster.peers.datagram import ALIVE, GONE, MAX_INCARNATION, SUSPECT, News
+from yardbank.cluster.peers.states import (
+    LEAP,
+    MAX_SLOWNESS,
+    UNHEARD,
+    Change,
+    Out,
+    Pace,
+    Peer,
+    Probe,
+    Relayed,
+    Suspicion,
+)
 
 
 class Standing:
--- a/yardbank/peers/states.py
+++ b/yardbank/cluster/peers/states.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from yardbank.peers.datagram import ALIVE, GONE, SUSPECT
+from yardbank.cluster.peers.datagram import ALIVE, GONE, SUSPECT
 
 SECOND = 1_000_000_000
 UNHEARD = 0  # in the list, and no word of it yet
--- a/yardbank/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -6,15 +6,15 @@
 from pathlib import Path
 from typing import Any
 
+from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, version_of, word_file
+from yardbank.cluster.rollout.force import Force, Version
+from yardbank.cluster.rollout.own import GoBack, GoOver, Stay
+from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.config import Config, ConfigError, load
 from yardbank.config.blocks import RolloutBlock
 from yardbank.config.checked import Shape, read_text
-from yardbank.membership.watcher import Watcher
-from yardbank.rollout import force as forces
-from yardbank.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, version_of, word_file
-from yardbank.rollout.force import Force, Version
-from yardbank.rollout.own import GoBack, GoOver, Stay
-from yardbank.rollout.part import RolloutPart
+from yardbank.server_list.watcher import Watcher
 
 LOOK_EVERY = 0.2  # seconds
 
--- a/yardbank/rollout/mover.py
+++ b/yardbank/cluster/rollout/mover.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from yardbank.lease import Leases
-from yardbank.peers.parts import Keep
-from yardbank.rollout.document import Change
-from yardbank.rollout.force import Version
-from yardbank.rollout.own import MAX_STOPPED, GoBack, GoOver, Options, Stay, Turn, reconciled, remembered
-from yardbank.rollout.place import (
+from yardbank.cluster.lease import Leases
+from yardbank.cluster.peers.parts import Keep
+from yardbank.cluster.rollout.document import Change
+from yardbank.cluster.rollout.force import Version
+from yardbank.cluster.rollout.own import MAX_STOPPED, GoBack, GoOver, Options, Stay, Turn, reconciled, remembered
+from yardbank.cluster.rollout.place import (
     AWAY,
     BACK_DUE,
     BACK_OUT,
--- a/yardbank/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -6,18 +6,18 @@
 from random import Random
 from typing import Any
 
-from yardbank.lease import Leases
-from yardbank.peers.parts import Keep, Letter, Sight
-from yardbank.rollout.book import Book, passed_on_often
-from yardbank.rollout.document import Change, Word
-from yardbank.rollout.mover import Mover
-from yardbank.rollout.order import Order
-from yardbank.rollout.own import GoBack, GoOver, Options, Stay, Turn
-from yardbank.rollout.place import ASKING, AWAY, DUE, FELL, MOVED, NEW, OLD
-from yardbank.rollout.progress import Progress
-from yardbank.rollout.said import MAX_WHY, Said
-from yardbank.rollout.teller import SLOW, Teller
-from yardbank.rollout.view import rollout_view
+from yardbank.cluster.lease import Leases
+from yardbank.cluster.peers.parts import Keep, Letter, Sight
+from yardbank.cluster.rollout.book import Book, passed_on_often
+from yardbank.cluster.rollout.document import Change, Word
+from yardbank.cluster.rollout.mover import Mover
+from yardbank.cluster.rollout.order import Order
+from yardbank.cluster.rollout.own import GoBack, GoOver, Options, Stay, Turn
+from yardbank.cluster.rollout.place import ASKING, AWAY, DUE, FELL, MOVED, NEW, OLD
+from yardbank.cluster.rollout.progress import Progress
+from yardbank.cluster.rollout.said import MAX_WHY, Said
+from yardbank.cluster.rollout.teller import SLOW, Teller
+from yardbank.cluster.rollout.view import rollout_view
 
 SECOND = 1_000_000_000
 
--- a/yardbank/rollout/place.py
+++ b/yardbank/cluster/rollout/place.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from yardbank.lease import Leases
+from yardbank.cluster.lease import Leases
 
 OLD, DUE, OUT, SETTLING, NEW = 0, 1, 2, 3, 4
 BACK_DUE, BACK_OUT, BACK_SETTLING, FELL = 5, 6, 7, 8
--- a/yardbank/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Mapping
 
-from yardbank.rollout.document import Change
-from yardbank.rollout.order import Order
-from yardbank.rollout.place import FELL, NEW
-from yardbank.rollout.said import Said
-from yardbank.rollout.trial import Past, Trial
+from yardbank.cluster.rollout.document import Change
+from yardbank.cluster.rollout.order import Order
+from yardbank.cluster.rollout.place import FELL, NEW
+from yardbank.cluster.rollout.said import Said
+from yardbank.cluster.rollout.trial import Past, Trial
 
 STAGE, WELL, UNDECIDED, FINISHED = "stage", "well", "undecided", "finished"
 
--- a/yardbank/rollout/said.py
+++ b/yardbank/cluster/rollout/said.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yardbank.peers.datagram import MAX_INCARNATION, MAX_NAME, DroppedError
+from yardbank.cluster.peers.datagram import MAX_INCARNATION, MAX_NAME, DroppedError
 
 MAX_CELLS, MAX_RECORD, MAX_WHY = 8, 600, 48
 MAX_COUNT = 1 << 53
--- a/yardbank/rollout/teller.py
+++ b/yardbank/cluster/rollout/teller.py
@@ -4,13 +4,13 @@
 
 from msgspec.structs import replace
 
-from yardbank.peers.parts import Letter, Sight
-from yardbank.rollout.book import Book, passed_on_often
-from yardbank.rollout.figures import Figures, cells
-from yardbank.rollout.mover import Mover
-from yardbank.rollout.order import Order
-from yardbank.rollout.own import Options
-from yardbank.rollout.said import MAX_RECORD, MAX_WHY, Cell, Said, encoded
+from yardbank.cluster.peers.parts import Letter, Sight
+from yardbank.cluster.rollout.book import Book, passed_on_often
+from yardbank.cluster.rollout.figures import Figures, cells
+from yardbank.cluster.rollout.mover import Mover
+from yardbank.cluster.rollout.order import Order
+from yardbank.cluster.rollout.own import Options
+from yardbank.cluster.rollout.said import MAX_RECORD, MAX_WHY, Cell, Said, encoded
 
 SECOND = 1_000_000_000
 SLOW = 3  # of ``Sight.slowness``: from here on this gateway's view and figures are not gone by
--- a/yardbank/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -5,10 +5,10 @@
 import math
 from typing import Any
 
-from yardbank.rollout.book import Book
-from yardbank.rollout.mover import Mover
-from yardbank.rollout.place import NAMES
-from yardbank.rollout.progress import Progress
+from yardbank.cluster.rollout.book import Book
+from yardbank.cluster.rollout.mover import Mover
+from yardbank.cluster.rollout.place import NAMES
+from yardbank.cluster.rollout.progress import Progress
 
 
 def rollout_view(mover: Mover, progress: Progress, book: Book) -> dict[str, Any]:
--- a/yardbank/config/build.py
+++ b/yardbank/config/build.py
@@ -11,7 +11,7 @@
 from yardbank.ldap.backend import BackendOptions
 from yardbank.ldap.classify import SCOPES, Classifier, Rule
 from yardbank.ldap.front import FrontOptions
-from yardbank.place import Place
+from yardbank.plan.fleet_position import Place
 
 STRICT_READ, STRICT_WRITE = "strict-read", "strict-write"
 
--- a/yardbank/daemon/keeper.py
+++ b/yardbank/daemon/keeper.py
@@ -15,9 +15,9 @@
 
 from twisted.internet.protocol import ProcessProtocol
 
+from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout.force import Force
 from yardbank.daemon.versions import Versions
-from yardbank.rollout import force as forces
-from yardbank.rollout.force import Force
 
 
 class _Worker(ProcessProtocol):
--- a/yardbank/daemon/versions.py
+++ b/yardbank/daemon/versions.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from yardbank.cluster.rollout.force import EXIT_ANEW, Force
 from yardbank.daemon.restarts import Restarts
-from yardbank.rollout.force import EXIT_ANEW, Force
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/plan/force.py
+++ b/yardbank/plan/force.py
@@ -16,8 +16,8 @@
 import xxhash
 
 from yardbank.gateway.api import ServerSpec
-from yardbank.place import Place
 from yardbank.plan.aperture import LEAST_WEIGHT, ApertureError, aperture
+from yardbank.plan.fleet_position import Place
 from yardbank.plan.model import warmth_of
 
 STEPS = 10  # in which a plan fades and a server warms up
--- a/yardbank/proxy.py
+++ b/yardbank/proxy.py
@@ -20,18 +20,18 @@
 from twisted.internet.defer import Deferred, DeferredList, maybeDeferred
 
 from yardbank.config import Config, build
-from yardbank.fleet import FleetKeeper
 from yardbank.gateway.gateway import Gateway, Record
 from yardbank.interface import Settings
 from yardbank.ldap.backend import LdapBackend
 from yardbank.ldap.front import LdapFrontFactory
 from yardbank.policy import Router
+from yardbank.server_list.service import FleetKeeper
 
 if TYPE_CHECKING:
-    from yardbank.channels.face import Channels
-    from yardbank.joint import Joint
-    from yardbank.peers.shell import Peers
-    from yardbank.rollout.force import Started
+    from yardbank.cluster.channels.face import Channels
+    from yardbank.cluster.coordination import Joint
+    from yardbank.cluster.peers.shell import Peers
+    from yardbank.cluster.rollout.force import Started
 
 
 def listening_socket(address: str, port: int, shared: bool) -> socket.socket:
@@ -94,8 +94,8 @@
         self._peers: Peers | None = None
         self._joint: Joint | None = None
         if config.peers is not None:
-            from yardbank.peers.sharing import Sharing
-            from yardbank.peers.shell import Peers
+            from yardbank.cluster.peers.sharing import Sharing
+            from yardbank.cluster.peers.shell import Peers
 
             state = folder / config.state.path / f"worker-{worker}" if config.state is not None else None
             self._peers = Peers(
@@ -121,7 +121,7 @@
     def _join(
         self, config: Config, state: Path | None, wall: Callable[[], float], started: Started | None, folder: Path
     ) -> None:
-        from yardbank import joint
+        from yardbank.cluster import coordination as joint
 
         assert self._peers is not None
         if joint.wanted(config):
--- a/yardbank/audit/__init__.py
+++ b/yardbank/testing/audit/__init__.py
@@ -1,6 +1,6 @@
 """Judges the five rules from records of what crossed the sockets; shares no code with the gateway."""
 
-from yardbank.audit.judge import Verdict, judge
-from yardbank.audit.record import read_record
+from yardbank.testing.audit.judge import Verdict, judge
+from yardbank.testing.audit.record import read_record
 
 __all__ = ["Verdict", "judge", "read_record"]
--- a/yardbank/audit/changes.py
+++ b/yardbank/testing/audit/changes.py
@@ -5,8 +5,8 @@
 from collections import Counter, defaultdict
 from collections.abc import Mapping, Sequence
 
-from yardbank.audit.claims import Finding
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.claims import Finding
+from yardbank.testing.audit.record import Fact
 
 # Words of the gateways' ``rollout`` lines; ``stage`` is the one that its sender sees under way.
 GOES, STAGE, WELL, STOPPED = "going_over", "stage", "well", "stopped"
--- a/yardbank/audit/claims.py
+++ b/yardbank/testing/audit/claims.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from yardbank.audit.judge import outcome
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.judge import outcome
+from yardbank.testing.audit.record import Fact
 
 CLASSES = ("lookup", "status", "commit")
 
--- a/yardbank/audit/cold_sum.py
+++ b/yardbank/testing/audit/cold_sum.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from math import sqrt
 
-from yardbank.audit.claims import Finding
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.claims import Finding
+from yardbank.testing.audit.record import Fact
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/audit/distributed.py
+++ b/yardbank/testing/audit/distributed.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from yardbank.audit.claims import Finding
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.claims import Finding
+from yardbank.testing.audit.record import Fact
 
 WITHIN = 7.0  # seconds
 FOREVER = float("inf")
--- a/yardbank/audit/excuses.py
+++ b/yardbank/testing/audit/excuses.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.record import Fact
 
 CLIENTS = "clients"
 _BEGINS, _ENDS = frozenset(("kill", "pause")), frozenset(("ready", "resume"))
--- a/yardbank/audit/feeds.py
+++ b/yardbank/testing/audit/feeds.py
@@ -6,8 +6,8 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass
 
-from yardbank.audit.claims import Finding, moment, span
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.claims import Finding, moment, span
+from yardbank.testing.audit.record import Fact
 
 Place = tuple[int, int]  # epoch, sequence
 RECORDING = 0.05  # seconds from an item's leaving to its being noted, if the rig itself was not late
--- a/yardbank/audit/judge.py
+++ b/yardbank/testing/audit/judge.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from yardbank.audit.excuses import Excuses
-from yardbank.audit.record import Fact
-from yardbank.audit.rule import Bounds, Rule, outcome
-from yardbank.audit.rules import cold, drains_kept, no_effect_twice, one_answer
-from yardbank.audit.stale import no_stale_read
+from yardbank.testing.audit.excuses import Excuses
+from yardbank.testing.audit.record import Fact
+from yardbank.testing.audit.rule import Bounds, Rule, outcome
+from yardbank.testing.audit.rules import cold, drains_kept, no_effect_twice, one_answer
+from yardbank.testing.audit.stale import no_stale_read
 
 
 @dataclass(slots=True)
--- a/yardbank/audit/lateness.py
+++ b/yardbank/testing/audit/lateness.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left
 from collections.abc import Iterable
 
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.record import Fact
 
 TAIL = 0.03  # seconds: the rig looks at its clock every 20 ms, and notes from 10 ms on that it was late
 
--- a/yardbank/audit/report.py
+++ b/yardbank/testing/audit/report.py
@@ -8,7 +8,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from yardbank.audit.judge import Verdict
+from yardbank.testing.audit.judge import Verdict
 
 
 def as_dict(verdict: Verdict) -> dict[str, Any]:
--- a/yardbank/audit/rule.py
+++ b/yardbank/testing/audit/rule.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.record import Fact
 
 BUSY, REFERRAL, SUCCESS = 51, 10, 0
 
--- a/yardbank/audit/rules.py
+++ b/yardbank/testing/audit/rules.py
@@ -5,9 +5,9 @@
 from bisect import bisect_right
 from collections import defaultdict
 
-from yardbank.audit.excuses import Excuses
-from yardbank.audit.record import Fact
-from yardbank.audit.rule import BUSY, REFERRAL, Bounds, Rule, frame, outcome
+from yardbank.testing.audit.excuses import Excuses
+from yardbank.testing.audit.record import Fact
+from yardbank.testing.audit.rule import BUSY, REFERRAL, Bounds, Rule, frame, outcome
 
 
 def one_answer(facts: list[Fact], bounds: Bounds, excuses: Excuses) -> Rule:
--- a/yardbank/audit/stale.py
+++ b/yardbank/testing/audit/stale.py
@@ -6,8 +6,8 @@
 from collections import defaultdict
 from typing import Any
 
-from yardbank.audit.record import Fact
-from yardbank.audit.rule import REFERRAL, SUCCESS, Rule, frame, outcome
+from yardbank.testing.audit.record import Fact
+from yardbank.testing.audit.rule import REFERRAL, SUCCESS, Rule, frame, outcome
 
 
 class _Log:
--- a/yardbank/audit/summary.py
+++ b/yardbank/testing/audit/summary.py
@@ -7,8 +7,8 @@
 
 from rich.table import Table
 
-from yardbank.audit.judge import outcome
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.judge import outcome
+from yardbank.testing.audit.record import Fact
 
 WAITED = 0.01  # seconds from the client's socket to the server's: it was held, or sent elsewhere first
 
--- a/yardbank/audit/told.py
+++ b/yardbank/testing/audit/told.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from yardbank.audit.claims import Finding
-from yardbank.audit.excuses import FOREVER, Excuses
-from yardbank.audit.lateness import Lateness
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.claims import Finding
+from yardbank.testing.audit.excuses import FOREVER, Excuses
+from yardbank.testing.audit.lateness import Lateness
+from yardbank.testing.audit.record import Fact
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/audit/ways.py
+++ b/yardbank/testing/audit/ways.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping, Sequence
 
-from yardbank.audit.changes import running
-from yardbank.audit.claims import Finding
-from yardbank.audit.record import Fact
+from yardbank.testing.audit.changes import running
+from yardbank.testing.audit.claims import Finding
+from yardbank.testing.audit.record import Fact
 
 KNOWN = ("seen", "estimated")
 
--- a/yardbank/lab/day.py
+++ b/yardbank/testing/demo/day.py
@@ -10,10 +10,10 @@
 from twisted.internet.task import deferLater
 
 from yardbank.directory.codes import Code, Scope
-from yardbank.lab.world import DESK_DN, DESK_PASSWORD, GROUPS, NUMBERS, REQUESTS, World
 from yardbank.ldap import messages as m
-from yardbank.rig.client import LOST, Client, connect
-from yardbank.standin.server import TAG_CONTROL
+from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, GROUPS, NUMBERS, REQUESTS, World
+from yardbank.testing.rig.client import LOST, Client, connect
+from yardbank.testing.standin.server import TAG_CONTROL
 
 ENTRIES = 50
 CLASSES = {"bounded": "number-lookup", "session": "request-state", "write": "number-change", "spread": "spread"}
--- a/yardbank/lab/demo.py
+++ b/yardbank/testing/demo/demo.py
@@ -10,14 +10,14 @@
 import click
 from rich.console import Console
 
-from yardbank.audit import judge
-from yardbank.audit.report import as_dict, show
-from yardbank.audit.summary import ClassRow, by_class, table
 from yardbank.config import advice, load_text
 from yardbank.files import write_whole
-from yardbank.lab.day import ENTRIES, Day
-from yardbank.lab.world import BASE, DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS, Recorder, World
-from yardbank.standin.cluster import Timing
+from yardbank.testing.audit import judge
+from yardbank.testing.audit.report import as_dict, show
+from yardbank.testing.audit.summary import ClassRow, by_class, table
+from yardbank.testing.demo.day import ENTRIES, Day
+from yardbank.testing.demo.world import BASE, DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS, Recorder, World
+from yardbank.testing.standin.cluster import Timing
 
 _MEANS = {
     "session": "a read sees what its session has written",
--- a/yardbank/lab/world.py
+++ b/yardbank/testing/demo/world.py
@@ -19,10 +19,10 @@
 
 from yardbank.config import load_text
 from yardbank.proxy import Proxy, listening_socket
-from yardbank.rig.record import Recorder
-from yardbank.standin.cluster import Cluster, Timing
-from yardbank.standin.process import device
-from yardbank.standin.server import Capacity, Standin
+from yardbank.testing.rig.record import Recorder
+from yardbank.testing.standin.cluster import Cluster, Timing
+from yardbank.testing.standin.process import device
+from yardbank.testing.standin.server import Capacity, Standin
 
 BASE = "dc=porting"
 NUMBERS, REQUESTS = f"ou=numbers,{BASE}", f"ou=requests,{BASE}"
@@ -228,7 +228,7 @@
         return self._until_listening(time.monotonic() + 20)
 
     def _until_listening(self, until: float) -> Deferred[Any]:
-        from yardbank.rig.client import connect
+        from yardbank.testing.rig.client import connect
 
         def again(failure: Any) -> Any:
             if time.monotonic() > until:
--- a/yardbank/emulator/server.py
+++ b/yardbank/testing/emulator/server.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from yardbank.emulator.clock import VirtualClock
+from yardbank.testing.emulator.clock import VirtualClock
 
 SECOND = 1_000_000_000
 MISS, FULL, OK = "miss", "full", "ok"
--- a/yardbank/rig/changes.py
+++ b/yardbank/testing/rig/changes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from yardbank.rig.steps import Step
+from yardbank.testing.rig.steps import Step
 
 SETTLE = "300ms"  # so long after it is back a gateway's figures do not count yet
 # By name: words of the settings, and what stands there instead.
--- a/yardbank/rig/cross.py
+++ b/yardbank/testing/rig/cross.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from yardbank.config.checked import Faults
-from yardbank.rig.claim import CHANNELS, DISTRIBUTION, PEERS
-from yardbank.rig.claim import ROLLOUT as CHANGES
-from yardbank.rig.steps import DATAGRAMS, GATEWAY, PUBLISH, ROLLOUT, matching
+from yardbank.testing.rig.claim import CHANNELS, DISTRIBUTION, PEERS
+from yardbank.testing.rig.claim import ROLLOUT as CHANGES
+from yardbank.testing.rig.steps import DATAGRAMS, GATEWAY, PUBLISH, ROLLOUT, matching
 
 if TYPE_CHECKING:
-    from yardbank.rig.scenario import Scenario
+    from yardbank.testing.rig.scenario import Scenario
 
 
 _SWITCHES = {PEERS: "peers", CHANNELS: "channels", CHANGES: "rollout", ("map",): "atlas"}
--- a/yardbank/rig/drive.py
+++ b/yardbank/testing/rig/drive.py
@@ -10,14 +10,14 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet.defer import Deferred
 
-from yardbank.audit.judge import outcome
 from yardbank.directory.codes import Code, Scope
 from yardbank.ldap import messages as m
-from yardbank.rig.client import GONE, LOST, Answer, Client, connect
-from yardbank.rig.load import GIVE_UP, STALENESS, Arrival, next_gateway, session_end, try_again
-from yardbank.rig.relay import HOST
-from yardbank.rig.scenario import CLIENTS, Load
-from yardbank.standin.server import TAG_CONTROL
+from yardbank.testing.audit.judge import outcome
+from yardbank.testing.rig.client import GONE, LOST, Answer, Client, connect
+from yardbank.testing.rig.load import GIVE_UP, STALENESS, Arrival, next_gateway, session_end, try_again
+from yardbank.testing.rig.relay import HOST
+from yardbank.testing.rig.scenario import CLIENTS, Load
+from yardbank.testing.standin.server import TAG_CONTROL
 
 DESK_DN, DESK_PASSWORD = "cn=desk,dc=porting", "desk"
 MAX_WAITING = 500  # of one client that has no connection; beyond, the oldest is given up
--- a/yardbank/rig/embedded.py
+++ b/yardbank/testing/rig/embedded.py
@@ -1,4 +1,6 @@
-"""A gateway under a supervisor whose program carries channels: ``python -m yardbank.rig.embedded COUNT serve FILE``.
+"""A gateway under a supervisor whose program carries channels.
+
+Run as ``python -m yardbank.testing.rig.embedded COUNT serve FILE``.
 
 The example's notices (``examples/porting_notices.py``) beside the daemon's own worker, so that a fleet that carries
 channels can go through a rollout.
--- a/yardbank/rig/guardian.py
+++ b/yardbank/testing/rig/guardian.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a scenario and outlives whoever asked for them: ``python -m yardbank.rig.guardian``.
+"""Starts the processes of a scenario and outlives whoever asked for them: ``python -m yardbank.testing.rig.guardian``.
 
 Orders come as JSON lines on standard input (``start``, ``signal``, ``tell``), news go out on standard output
 (``started``, ``line``, ``ended``). When the input ends, however its writer ended, every process that was started is
--- a/yardbank/rig/known.py
+++ b/yardbank/testing/rig/known.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from yardbank.audit.changes import ON_NEW, ON_OLD, STOPPED
-from yardbank.audit.letters import holdings, items
+from yardbank.testing.audit.changes import ON_NEW, ON_OLD, STOPPED
+from yardbank.testing.audit.letters import holdings, items
 
 Fact = dict[str, Any]
 # Log lines that become facts: under their own name, with these of their words.
--- a/yardbank/rig/load.py
+++ b/yardbank/testing/rig/load.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from yardbank.rig.scenario import Group, Load
+from yardbank.testing.rig.scenario import Group, Load
 
 CLASS_OF = {"bounded": "lookup", "session": "status", "write": "commit"}
 DEADLINE = {"lookup": 1.5, "status": 2.0, "commit": 3.0}
--- a/yardbank/rig/place.py
+++ b/yardbank/testing/rig/place.py
@@ -11,10 +11,10 @@
 import lmdb
 
 from yardbank.files import write_whole
-from yardbank.rig.changes import asking, changed, file_name, word
-from yardbank.rig.drive import DESK_DN, DESK_PASSWORD
-from yardbank.rig.load import DEADLINE, STALENESS
-from yardbank.rig.scenario import Fleet, Scenario, Step, matching
+from yardbank.testing.rig.changes import asking, changed, file_name, word
+from yardbank.testing.rig.drive import DESK_DN, DESK_PASSWORD
+from yardbank.testing.rig.load import DEADLINE, STALENESS
+from yardbank.testing.rig.scenario import Fleet, Scenario, Step, matching
 
 GATEWAY_DN, GATEWAY_PASSWORD = "cn=gateway,dc=porting", "gateway"
 _COLD_S, _COLD_SHARE = 4.0, 0.3  # as the stand-ins warm up
--- a/yardbank/rig/processes.py
+++ b/yardbank/testing/rig/processes.py
@@ -14,8 +14,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ProcessProtocol
 
-from yardbank.rig.embedded import EVERY, EXAMPLE
-from yardbank.rig.roster import DOWN, READY, Roster
+from yardbank.testing.rig.embedded import EVERY, EXAMPLE
+from yardbank.testing.rig.roster import DOWN, READY, Roster
 
 Record = Callable[[dict[str, Any]], None]
 _SIGNALS = {"kill": signal.SIGKILL, "terminate": signal.SIGTERM, "pause": signal.SIGSTOP, "resume": signal.SIGCONT}
@@ -60,7 +60,7 @@
         self.transport: Any = None
         self.on_lost: Callable[[], None] = lambda: None
         self.on_line: Callable[[str, dict[str, Any]], None] = lambda name, line: None
-        command = [sys.executable, "-m", "yardbank.rig.guardian"]
+        command = [sys.executable, "-m", "yardbank.testing.rig.guardian"]
 
         # A session of its own: what a terminal sends to its foreground is for the rig alone to act on.
         reactor.spawnProcess(self, command[0], command, env=None, usePTY=False)
--- a/yardbank/rig/published.py
+++ b/yardbank/testing/rig/published.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from yardbank.rig.place import GatewayPlace, source_text
-from yardbank.rig.scenario import Scenario, matching
+from yardbank.testing.rig.place import GatewayPlace, source_text
+from yardbank.testing.rig.scenario import Scenario, matching
 
 
 class PublishedList:
--- a/yardbank/rig/running.py
+++ b/yardbank/testing/rig/running.py
@@ -14,19 +14,19 @@
 from twisted.internet.defer import Deferred
 
 from yardbank.files import write_whole
-from yardbank.rig.drive import Drive
-from yardbank.rig.known import Known, fact_of
-from yardbank.rig.place import GATEWAY_DN, GATEWAY_PASSWORD, GatewayPlace, Listed, list_text, peers_text
-from yardbank.rig.processes import Processes, program_command
-from yardbank.rig.published import PublishedList
-from yardbank.rig.record import Recorder
-from yardbank.rig.relay import DatagramRelay, StreamRelay
-from yardbank.rig.roster import READY
-from yardbank.rig.scenario import CLIENTS, Scenario
-from yardbank.rig.schedule import Due, Schedule
-from yardbank.rig.taps import Attempts, Departures, Tap
-from yardbank.rig.wire import Effect, Network, Pair, ways
-from yardbank.standin.process import GroupSpec
+from yardbank.testing.rig.drive import Drive
+from yardbank.testing.rig.known import Known, fact_of
+from yardbank.testing.rig.place import GATEWAY_DN, GATEWAY_PASSWORD, GatewayPlace, Listed, list_text, peers_text
+from yardbank.testing.rig.processes import Processes, program_command
+from yardbank.testing.rig.published import PublishedList
+from yardbank.testing.rig.record import Recorder
+from yardbank.testing.rig.relay import DatagramRelay, StreamRelay
+from yardbank.testing.rig.roster import READY
+from yardbank.testing.rig.scenario import CLIENTS, Scenario
+from yardbank.testing.rig.schedule import Due, Schedule
+from yardbank.testing.rig.taps import Attempts, Departures, Tap
+from yardbank.testing.rig.wire import Effect, Network, Pair, ways
+from yardbank.testing.standin.process import GroupSpec
 
 Command = Callable[[str, list[str]], list[str]]  # a gateway's name and command: the command to use
 
@@ -151,7 +151,7 @@
             read_s=group.read_time / 1e9, write_s=group.write_time / 1e9, ship=group.ship / 1e9,
             detect=group.detect / 1e9, elect=group.elect / 1e9, seed=self.seed,
         )  # fmt: skip
-        command = [sys.executable, "-m", "yardbank.standin.process", msgspec.json.encode(spec).decode()]
+        command = [sys.executable, "-m", "yardbank.testing.standin.process", msgspec.json.encode(spec).decode()]
         return self.processes.start(group.name, command, self.folder / f"{group.name}.log")
 
     def _start_gateway(self, name: str) -> Deferred[Any]:
@@ -164,7 +164,7 @@
         if supervised:
             command.append("--supervised")
             if channels and not place.in_force.exists():  # what the supervisor is to start, until a rollout changes it
-                place.start_with(f"{sys.executable} -m yardbank.rig.embedded {channels}")
+                place.start_with(f"{sys.executable} -m yardbank.testing.rig.embedded {channels}")
         for clock in self.scenario.clock:
             if clock.gateway == name:
                 offset = clock.offset / 1e9 * (-1 if clock.behind else 1)
--- a/yardbank/rig/scenario.py
+++ b/yardbank/testing/rig/scenario.py
@@ -9,10 +9,10 @@
 
 from yardbank.config.base import Model
 from yardbank.config.checked import ConfigError, Shape, check_text, read_text
-from yardbank.rig.blocks import Clock, Fleet, Group, Load, Program
-from yardbank.rig.claim import Claim
-from yardbank.rig.cross import cross
-from yardbank.rig.steps import GATEWAY, NETWORK, ROLLOUT, Step, matching
+from yardbank.testing.rig.blocks import Clock, Fleet, Group, Load, Program
+from yardbank.testing.rig.claim import Claim
+from yardbank.testing.rig.cross import cross
+from yardbank.testing.rig.steps import GATEWAY, NETWORK, ROLLOUT, Step, matching
 
 CLIENTS = "clients"  # all clients are one end of the network
 MAX_STAGES = 10
--- a/yardbank/rig/schedule.py
+++ b/yardbank/testing/rig/schedule.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from yardbank.rig.scenario import Step
+from yardbank.testing.rig.scenario import Step
 
 WAITING, HOLDING, OVER = "waiting", "holding", "over"
 # What moves a step on: from, by, to. There is no way back.
--- a/yardbank/rig/taps.py
+++ b/yardbank/testing/rig/taps.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from yardbank.audit.frames import OPERATIONS, Frames
+from yardbank.testing.audit.frames import OPERATIONS, Frames
 
 Record = Callable[[dict[str, Any]], None]
 
--- a/yardbank/rig/verdict.py
+++ b/yardbank/testing/rig/verdict.py
@@ -1,4 +1,4 @@
-"""Whether a scenario's claims hold: the record goes to ``yardbank.audit``, one line a claim comes out."""
+"""Whether a scenario's claims hold: the record goes to ``yardbank.testing.audit``, one line a claim comes out."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yardbank.audit import changes, feeds, judge
-from yardbank.audit.claims import Finding, alive, belief, served, serves_again, unmoved, views
-from yardbank.audit.cold_sum import ColdBounds, cold_sum
-from yardbank.audit.distributed import distributed
-from yardbank.audit.gone import GoneBounds, gone_clients
-from yardbank.audit.judge import Bounds
-from yardbank.audit.record import Fact
-from yardbank.audit.told import ToldBounds, told_in_time
-from yardbank.audit.ways import charted
-from yardbank.rig.scenario import Claim, Scenario, matching
+from yardbank.testing.audit import changes, feeds, judge
+from yardbank.testing.audit.claims import Finding, alive, belief, served, serves_again, unmoved, views
+from yardbank.testing.audit.cold_sum import ColdBounds, cold_sum
+from yardbank.testing.audit.distributed import distributed
+from yardbank.testing.audit.gone import GoneBounds, gone_clients
+from yardbank.testing.audit.judge import Bounds
+from yardbank.testing.audit.record import Fact
+from yardbank.testing.audit.told import ToldBounds, told_in_time
+from yardbank.testing.audit.ways import charted
+from yardbank.testing.rig.scenario import Claim, Scenario, matching
 
 BOUNDS = Bounds(answer_slack=1.5)  # many processes share the machine's cores: answers are judged less closely
 
--- a/yardbank/rig/virtual.py
+++ b/yardbank/testing/rig/virtual.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 
 from yardbank import interface as api
-from yardbank.emulator.clock import VirtualClock
-from yardbank.emulator.server import EmulatedServer
-from yardbank.rig.virtual_gateway import VirtualGateway, Want
-from yardbank.rig.virtual_world import BIN, MS, REPORT_EVERY, SECOND, START, Kind, MakeRouter, World
+from yardbank.testing.emulator.clock import VirtualClock
+from yardbank.testing.emulator.server import EmulatedServer
+from yardbank.testing.rig.virtual_gateway import VirtualGateway, Want
+from yardbank.testing.rig.virtual_world import BIN, MS, REPORT_EVERY, SECOND, START, Kind, MakeRouter, World
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/rig/virtual_gateway.py
+++ b/yardbank/testing/rig/virtual_gateway.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 from yardbank import interface as api
-from yardbank.emulator.server import OK, Work
-from yardbank.rig.virtual_world import MS, NET, Kind, MakeRouter
+from yardbank.testing.emulator.server import OK, Work
+from yardbank.testing.rig.virtual_world import MS, NET, Kind, MakeRouter
 
 if TYPE_CHECKING:
-    from yardbank.rig.virtual import Fleet
+    from yardbank.testing.rig.virtual import Fleet
 
 
 @dataclass(slots=True)
--- a/yardbank/rig/virtual_world.py
+++ b/yardbank/testing/rig/virtual_world.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING, Protocol
 
 from yardbank import interface as api
-from yardbank.emulator.server import Capacity
+from yardbank.testing.emulator.server import Capacity
 
 if TYPE_CHECKING:
-    from yardbank.rig.virtual import Fleet
+    from yardbank.testing.rig.virtual import Fleet
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 100 * SECOND
--- a/yardbank/standin/cluster.py
+++ b/yardbank/testing/standin/cluster.py
@@ -13,7 +13,7 @@
 
 from yardbank.ldap import csn
 from yardbank.ldap import messages as m
-from yardbank.standin.directory import OK, Directory, Outcome
+from yardbank.testing.standin.directory import OK, Directory, Outcome
 
 Record = Callable[[dict[str, Any]], None]
 
--- a/yardbank/standin/process.py
+++ b/yardbank/testing/standin/process.py
@@ -19,8 +19,8 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from yardbank.ldap import messages as m
-from yardbank.standin.cluster import Cluster, Timing
-from yardbank.standin.server import Capacity, Standin
+from yardbank.testing.standin.cluster import Cluster, Timing
+from yardbank.testing.standin.server import Capacity, Standin
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/standin/server.py
+++ b/yardbank/testing/standin/server.py
@@ -18,8 +18,8 @@
 from yardbank.ldap import messages as m
 from yardbank.ldap.match import matches
 from yardbank.ldap.state import Abandoned, Asked, Broken, Closed, ServerEnd
-from yardbank.standin.cluster import Cluster, Record
-from yardbank.standin.directory import show
+from yardbank.testing.standin.cluster import Cluster, Record
+from yardbank.testing.standin.directory import show
 
 TAG_CONTROL = "1.3.6.1.4.1.32473.1.1"  # under the arc for documentation: names a request in records
 _WRITES = (m.AddRequest, m.ModifyRequest, m.ModifyDNRequest, m.DeleteRequest)
