--- a/benchmarks/atlas_fleet.py
+++ b/benchmarks/atlas_fleet.py
@@ -9,7 +9,7 @@
 from yardbank.cluster.latency_map.part import AtlasPart
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.testing.rig.gossip import GossipFleet
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 MS = 1_000_000
 NEAR = 1.0  # ms, of a round trip within a zone
--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -22,8 +22,8 @@
 from yardbank.cluster.channels.positions import Place, Positions
 from yardbank.gateway.passed import Passed
 from yardbank.policy import Router
+from yardbank.testing.rig.network import Effect
 from yardbank.testing.rig.virtual import Fleet, World
-from yardbank.testing.rig.wire import Effect
 
 SEEDS = 50
 SOUND, LOSSY = Effect(delay=0.0005, jitter=0.001), Effect(delay=0.002, jitter=0.02, lose=0.1, double=0.05)
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -19,9 +19,9 @@
 
 from benchmarks.common import chart, keep, table
 from yardbank.cluster.peers.datagram import GONE, SUSPECT
-from yardbank.cluster.peers.detector import SECOND
+from yardbank.cluster.peers.failure_detector import SECOND
 from yardbank.testing.rig.gossip import GossipFleet
-from yardbank.testing.rig.wire import Effect
+from yardbank.testing.rig.network import Effect
 
 VIRTUAL = (8, 24, 48, 200, 500)
 PROCESSES = (8, 24, 48)
--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -20,8 +20,8 @@
 from yardbank.gateway.api import ServerSpec
 from yardbank.ldap import messages as m
 from yardbank.plan import Demand, Limits, PlanServer, Problem, solve
+from yardbank.plan.active_plan import list_hash
 from yardbank.plan.aperture import Ring, aperture
-from yardbank.plan.force import list_hash
 from yardbank.server_list.document import render
 from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, Recorder, World
 from yardbank.testing.rig.client import connect
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -13,7 +13,7 @@
 
 from benchmarks.common import chart, keep, table
 from tests.rollout_world import SECOND, Kind, World, change, zoned
-from yardbank.cluster.rollout.order import Order
+from yardbank.cluster.rollout.stage_plan import Order
 
 SIZES = (8, 24, 48, 200)
 RATE = 30.0  # requests a second of each gateway
--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -8,11 +8,11 @@
 
 from benchmarks.scale.line import COUNTED, Line, Quantity, Values
 from benchmarks.scale.memory import resident_kib
+from yardbank.cluster.peers.counters import MAX_KEYS
 from yardbank.cluster.peers.datagram import ALIVE, GONE, Count
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.register import MAX_KEYS
 from yardbank.testing.rig.gossip import GossipFleet
-from yardbank.testing.rig.wire import Effect
+from yardbank.testing.rig.network import Effect
 
 SECOND = 1_000_000_000
 ZONES = 11
--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -7,12 +7,12 @@
 from benchmarks.scale.decisions import DATABASES, START, members, settings, specs
 from benchmarks.scale.line import COUNTED, Line, Quantity, Values
 from benchmarks.scale.memory import processor_ms
-from yardbank.cluster.peers.belief import believe
 from yardbank.cluster.peers.datagram import Word
-from yardbank.cluster.peers.evidence import SILENT
 from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.outlier_consensus import believe
+from yardbank.cluster.peers.report_store import SILENT
 from yardbank.cluster.peers.sharing import Sharing
-from yardbank.cluster.peers.shell import JUDGE_EVERY
+from yardbank.cluster.peers.transport import JUDGE_EVERY
 from yardbank.interface import ServerList
 from yardbank.policy import Router
 from yardbank.testing.rig.virtual import Fleet
--- a/tests/grants_bus.py
+++ b/tests/grants_bus.py
@@ -3,10 +3,10 @@
 from random import Random
 
 from yardbank.cluster.lease import Terms
-from yardbank.cluster.lease.explore.nodes import Sight
+from yardbank.cluster.lease.messages import decode
+from yardbank.cluster.lease.model_check.nodes import Sight
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.lease.times import long_lease
-from yardbank.cluster.lease.words import decode
+from yardbank.cluster.lease.timing import long_lease
 from yardbank.cluster.peers.parts import Forgetful
 
 SECOND = 1_000_000_000
--- a/tests/rig_runner.py
+++ b/tests/rig_runner.py
@@ -169,7 +169,7 @@
 
 def all_near():
     """Finds every way as short as none."""
-    from yardbank.cluster.latency_map.firsthand import FirstHand
+    from yardbank.cluster.latency_map.measurements import FirstHand
 
     saw = FirstHand.saw
     FirstHand.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, 1, *more)
@@ -189,12 +189,13 @@
     else:
         proxy.Proxy.__init__.__kwdefaults__["router"] = FAULTS[fault]
     if fault == "Credulous":
-        from yardbank.cluster.peers import belief, shell
+        from yardbank.cluster.peers import outlier_consensus as belief
+        from yardbank.cluster.peers import transport as shell
 
         belief.PART, belief.WITNESSES = 1.0, 1
         shell.believe = lambda now, evidence, servers, own, draw: belief.believe(now, evidence, servers, {}, draw)
     if fault == "DeafToPeers":
-        from yardbank.cluster.peers.shell import Peers
+        from yardbank.cluster.peers.transport import Peers
 
         Peers.datagramReceived = lambda self, datagram, addr: None
     if sys.argv[3].endswith(".py"):  # a program that embeds the gateway
--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -6,12 +6,12 @@
 
 from yardbank.cluster.lease import Terms
 from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.rollout.active_version import Force
 from yardbank.cluster.rollout.document import Change
-from yardbank.cluster.rollout.figures import ClassFigures, Figures
-from yardbank.cluster.rollout.force import Force
-from yardbank.cluster.rollout.own import GoBack, GoOver, Options, Stay
+from yardbank.cluster.rollout.local_state import GoBack, GoOver, Options, Stay
+from yardbank.cluster.rollout.metrics import ClassFigures, Figures
 from yardbank.cluster.rollout.part import RolloutPart
-from yardbank.cluster.rollout.place import AWAY, NAMES
+from yardbank.cluster.rollout.phase import AWAY, NAMES
 from yardbank.testing.rig.gossip import WAY, GossipFleet
 
 SECOND = 10**9
--- a/tests/support/rollout_member.py
+++ b/tests/support/rollout_member.py
@@ -9,10 +9,10 @@
 
 from yardbank.cluster.lease import Terms
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.peers.keeping import FileKeep
-from yardbank.cluster.peers.shell import Peers
+from yardbank.cluster.peers.file_store import FileKeep
+from yardbank.cluster.peers.transport import Peers
 from yardbank.cluster.rollout.document import SHAPE, taken
-from yardbank.cluster.rollout.own import Options
+from yardbank.cluster.rollout.local_state import Options
 from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.config.schema import PeersBlock
 
--- a/tests/test_atlas.py
+++ b/tests/test_atlas.py
@@ -5,12 +5,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.latency_map import firsthand, letter
-from yardbank.cluster.latency_map.claims import MAX_VOICES, SLACK, Belief, Claim, Claims, believed
-from yardbank.cluster.latency_map.firsthand import DOUBTFUL, SLOW, WELL, FirstHand
-from yardbank.cluster.latency_map.letter import Entry
-from yardbank.cluster.latency_map.levels import Level, Levels
+from yardbank.cluster.latency_map import measurements as firsthand
+from yardbank.cluster.latency_map import messages as letter
+from yardbank.cluster.latency_map.estimates import Level, Levels
+from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import LEAST, MAX_ZONES, MOST, SECOND, Options
+from yardbank.cluster.latency_map.reports import MAX_VOICES, SLACK, Belief, Claim, Claims, believed
 from yardbank.cluster.peers.datagram import DroppedError
 
 MS = 1_000_000
--- a/tests/test_atlas_fleet.py
+++ b/tests/test_atlas_fleet.py
@@ -5,7 +5,7 @@
 from benchmarks.atlas import middle
 from benchmarks.atlas_fleet import Fleet, sites, spread_over
 from yardbank.cluster.latency_map.options import SECOND, Options, pair_of
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 MS = 1_000_000
 THREE = {("a", "a"): 1, ("b", "b"): 1, ("c", "c"): 1, ("a", "b"): 10, ("b", "c"): 30, ("a", "c"): 60}
--- a/tests/test_atlas_harm.py
+++ b/tests/test_atlas_harm.py
@@ -4,12 +4,12 @@
 
 from benchmarks.atlas_fleet import Fleet
 from tests.test_atlas_fleet import THREE, right, three, wrong
-from yardbank.cluster.latency_map import letter
-from yardbank.cluster.latency_map.firsthand import SLOW
-from yardbank.cluster.latency_map.letter import Entry
+from yardbank.cluster.latency_map import messages as letter
+from yardbank.cluster.latency_map.measurements import SLOW
+from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import LEAST, MOST, SECOND, Options
 from yardbank.cluster.peers.parts import Letter
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 MS = 1_000_000
 
--- a/tests/test_atlas_ways.py
+++ b/tests/test_atlas_ways.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.latency_map.choice import Choice
-from yardbank.cluster.latency_map.firsthand import DOUBTFUL, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, FirstHand
 from yardbank.cluster.latency_map.options import MOST, SECOND, Options
+from yardbank.cluster.latency_map.transition import Choice
 from yardbank.plan.model import Demand, Limits, PlanServer, Problem
 from yardbank.plan.solver import solve
-from yardbank.plan.ways import with_ways
+from yardbank.plan.zone_latencies import with_ways
 
 MS = 1_000_000
 OPTIONS = Options()
--- a/tests/test_audit_terms.py
+++ b/tests/test_audit_terms.py
@@ -2,10 +2,10 @@
 
 from itertools import count
 
+from yardbank.testing.audit.client_departure import GoneBounds, departures, gone_clients
 from yardbank.testing.audit.cold_sum import ColdBounds, cold_sum
-from yardbank.testing.audit.gone import GoneBounds, departures, gone_clients
 from yardbank.testing.audit.lateness import Lateness
-from yardbank.testing.audit.told import ToldBounds, told_in_time
+from yardbank.testing.audit.notification_deadline import ToldBounds, told_in_time
 
 # Gone clients
 
--- a/tests/test_channels_face.py
+++ b/tests/test_channels_face.py
@@ -10,9 +10,9 @@
 
 from examples.porting_notices import Notices
 from yardbank.cluster.channels.api import MAX_DATA, MS, SECOND, Options
-from yardbank.cluster.channels.asking import PositionFeeds
-from yardbank.cluster.channels.face import Channels
 from yardbank.cluster.channels.part import ChannelPart
+from yardbank.cluster.channels.position_polling import PositionFeeds
+from yardbank.cluster.channels.service import Channels
 from yardbank.cluster.lease.api import Terms
 from yardbank.cluster.lease.part import LeasePart
 from yardbank.cluster.peers.parts import Forgetful
--- a/tests/test_channels_faults.py
+++ b/tests/test_channels_faults.py
@@ -7,11 +7,11 @@
 
 from tests.channels_fleet import MS, SECOND, ChannelFleet
 from tests.test_channels_fleet import LOSSY, TERM, cut, fleet, sound
-from yardbank.cluster.channels import wire
+from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import Delivered, resource
 from yardbank.cluster.channels.states import HANDING
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.testing.rig.wire import Effect
+from yardbank.testing.rig.network import Effect
 
 
 def hand_on(found: ChannelFleet) -> tuple[str, str, str]:
--- a/tests/test_channels_fleet.py
+++ b/tests/test_channels_fleet.py
@@ -7,7 +7,7 @@
 from tests.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels.api import Delivered
 from yardbank.cluster.channels.placement import bound
-from yardbank.testing.rig.wire import Effect
+from yardbank.testing.rig.network import Effect
 
 TERM = 3 * SECOND
 LOSSY = Effect(delay=0.002, jitter=0.02, lose=0.1, double=0.1)
--- a/tests/test_channels_items.py
+++ b/tests/test_channels_items.py
@@ -11,8 +11,8 @@
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Gap
 from yardbank.cluster.channels.items import HOLD, MOST_EARLY, Queue, Recent, Stream
 from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.messages import Item, Me, Sets, What
 from yardbank.cluster.channels.placement import Placement, bound, place, successors
-from yardbank.cluster.channels.wire import Item, Me, Sets, What
 
 GIVEN = [(1, 5), (2, 3), (5, 4)]  # epochs, and how many items each had
 
--- a/tests/test_channels_positions.py
+++ b/tests/test_channels_positions.py
@@ -8,7 +8,7 @@
 
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Options
 from yardbank.cluster.channels.positions import Place, Positions, channel_of
-from yardbank.cluster.channels.trust import FIRST, SPOT
+from yardbank.cluster.channels.verification import FIRST, SPOT
 
 PLACES = [Place(f"n{number}", "numbers", 7) for number in range(3)]
 CHANNEL = channel_of("numbers")
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -9,10 +9,10 @@
 from tests.test_crossings_discovery import Agent, a_list
 from tests.test_platform_watch import Network, events, watching
 from yardbank.gateway.api import SECOND
-from yardbank.platform import vigil
+from yardbank.platform import watch_state as vigil
 from yardbank.platform.config import Address
-from yardbank.platform.vigil import BESIDE, SILENCE
 from yardbank.platform.watch import Watcher
+from yardbank.platform.watch_state import BESIDE, SILENCE
 
 TOLD = 6.0  # s
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yardbank.cluster.list_distribution import explore
+from yardbank.cluster.list_distribution import model_check as explore
 from yardbank.cluster.list_distribution.history import MAX_INCREMENTS, History
 from yardbank.cluster.list_distribution.messages import MAX_ASKED, MAX_PIECE, Fetch, Have, Piece, decode, encode
 from yardbank.cluster.list_distribution.replica import FencedError, Replica
--- a/tests/test_distribution_files.py
+++ b/tests/test_distribution_files.py
@@ -7,7 +7,7 @@
 
 from tests.test_joint import TOGETHER, Log, made, parts, without
 from yardbank.cluster.list_distribution.document import entries_of, table_of, text_of
-from yardbank.cluster.list_distribution.shell import DistributionFiles, Source, stored_table
+from yardbank.cluster.list_distribution.files import DistributionFiles, Source, stored_table
 from yardbank.cluster.list_distribution.table import DoesNotFitError, Table
 from yardbank.cluster.list_distribution.version import NOTHING, Version
 from yardbank.config import ConfigError, load_text
--- a/tests/test_distribution_fleet.py
+++ b/tests/test_distribution_fleet.py
@@ -9,7 +9,7 @@
 from yardbank.cluster.list_distribution.part import DistributionPart
 from yardbank.cluster.list_distribution.table import Increment
 from yardbank.cluster.list_distribution.version import NOTHING
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 
 def test_a_change_reaches_all_and_each_knows_its_version():
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -6,9 +6,9 @@
 
 from tests.grants_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease.epochs import SHIFT
-from yardbank.cluster.lease.explore.nodes import Kept
-from yardbank.cluster.lease.times import long_lease, short_overlap, vote_time
-from yardbank.cluster.lease.words import Ask, Took, encode
+from yardbank.cluster.lease.messages import Ask, Took, encode
+from yardbank.cluster.lease.model_check.nodes import Kept
+from yardbank.cluster.lease.timing import long_lease, short_overlap, vote_time
 
 
 def test_wanted_held_renewed_released_and_taken_by_the_next():
--- a/tests/test_grants_bounds.py
+++ b/tests/test_grants_bounds.py
@@ -5,8 +5,8 @@
 from tests.grants_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease import Terms
 from yardbank.cluster.lease.epochs import FAR, Epochs
+from yardbank.cluster.lease.messages import FULL, GRANTED, Answer, Ask, Offer, decode, encode
 from yardbank.cluster.lease.voter import MAX_RESOURCES, Verdict
-from yardbank.cluster.lease.words import FULL, GRANTED, Answer, Ask, Offer, decode, encode
 
 
 def test_a_liar_cannot_use_up_the_epochs_and_its_harm_goes_on_no_longer_than_itself():
--- a/tests/test_grants_fleet.py
+++ b/tests/test_grants_fleet.py
@@ -7,10 +7,10 @@
 
 from yardbank.cluster.lease import Terms
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.lease.times import long_lease, vote_time
+from yardbank.cluster.lease.timing import long_lease, vote_time
 from yardbank.cluster.peers.parts import Forgetful
 from yardbank.testing.rig.gossip import GossipFleet
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 SECOND = 1_000_000_000
 TERMS = Terms(drift=0.02)
--- a/tests/test_grants_lists.py
+++ b/tests/test_grants_lists.py
@@ -6,11 +6,11 @@
 
 from tests.grants_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease import Terms
-from yardbank.cluster.lease.explore.nodes import Kept
-from yardbank.cluster.lease.explore.scenes import SCENES
-from yardbank.cluster.lease.places import majority, voters_of
-from yardbank.cluster.lease.times import long_lease
-from yardbank.cluster.lease.words import Ask, Hello, Word, decode, encode
+from yardbank.cluster.lease.messages import Ask, Hello, Word, decode, encode
+from yardbank.cluster.lease.model_check.nodes import Kept
+from yardbank.cluster.lease.model_check.scenes import SCENES
+from yardbank.cluster.lease.quorum import majority, voters_of
+from yardbank.cluster.lease.timing import long_lease
 from yardbank.cluster.peers.datagram import DroppedError
 
 
--- a/tests/test_grants_order.py
+++ b/tests/test_grants_order.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yardbank.cluster.lease.explore.bugs import BUGS, seeded
-from yardbank.cluster.lease.explore.scenes import FINDS, SCENES
-from yardbank.cluster.lease.explore.search import explore, read, replay, walk
+from yardbank.cluster.lease.model_check.bugs import BUGS, seeded
+from yardbank.cluster.lease.model_check.scenes import FINDS, SCENES
+from yardbank.cluster.lease.model_check.search import explore, read, replay, walk
 
 FILES = sorted((Path(__file__).parent / "data").glob("lease-*.json"))
 
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from tests.helpers import World, group
-from yardbank.cluster.peers.belief import PART, SPREAD, Listed, believe
 from yardbank.cluster.peers.datagram import Word
-from yardbank.cluster.peers.evidence import (
+from yardbank.cluster.peers.outlier_consensus import PART, SPREAD, Listed, believe
+from yardbank.cluster.peers.report_store import (
     AGAIN,
     BAD,
     FAILING,
@@ -27,7 +27,7 @@
 )
 from yardbank.interface import Hearsay, Send
 from yardbank.testing.rig.gossip import GossipFleet
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 PEERS = [f"g{number}" for number in range(1, 8)]
 GROUP = [Listed(f"a-{number}", "a", 0) for number in range(1, 6)]
--- a/tests/test_list_edits.py
+++ b/tests/test_list_edits.py
@@ -8,9 +8,9 @@
 
 from yardbank.gateway.api import ServerSpec
 from yardbank.server_list import Apply, Hold, Membership
-from yardbank.server_list.change import compare, describe, suspicion, suspicion_of
+from yardbank.server_list.comparison import compare, describe, suspicion, suspicion_of
 from yardbank.server_list.document import FleetError, read_set, render
-from yardbank.server_list.edit import ListReader, _shared_back, _shared_front
+from yardbank.server_list.incremental_reader import ListReader, _shared_back, _shared_front
 
 GROUPS = {"a", "b"}
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,8 +18,8 @@
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import MS, ServerSpec
 from yardbank.server_list import Apply, FleetError, Hold, Membership, Reject, read_set
-from yardbank.server_list.blocks import BlockCache
-from yardbank.server_list.change import compare, suspicion
+from yardbank.server_list.block_cache import BlockCache
+from yardbank.server_list.comparison import compare, suspicion
 from yardbank.server_list.document import render
 from yardbank.server_list.watcher import Watcher, read_files
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -9,7 +9,7 @@
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import ServerSpec
 from yardbank.plan.document import PlanError, read_problem
-from yardbank.server_list.blocks import BlockCache
+from yardbank.server_list.block_cache import BlockCache
 from yardbank.server_list.document import FleetError, read_set, render
 from yardbank.state.snapshot import GroupState, ServerState, Snapshot, SnapshotError, decode, encode
 
--- a/tests/test_parcels.py
+++ b/tests/test_parcels.py
@@ -8,11 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yardbank.cluster.peers import datagram, parcel
+from yardbank.cluster.peers import batch as parcel
+from yardbank.cluster.peers import datagram
+from yardbank.cluster.peers.batch import Item, Parcel
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.cluster.peers.keeping import FileKeep
+from yardbank.cluster.peers.file_store import FileKeep
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.parcel import Item, Parcel
 from yardbank.cluster.peers.parts import Letter
 from yardbank.testing.rig.gossip import GossipFleet
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 
 from yardbank.cluster.peers import datagram as wire
+from yardbank.cluster.peers.counters import FRESH, MAX_KEYS, Register
 from yardbank.cluster.peers.datagram import (
     ALIVE,
     GONE,
@@ -20,11 +21,10 @@
     encode,
     read_keys,
 )
-from yardbank.cluster.peers.detector import LEAP, MAX_SLOWNESS, SECOND, Detector
+from yardbank.cluster.peers.failure_detector import LEAP, MAX_SLOWNESS, SECOND, Detector
 from yardbank.cluster.peers.node import GossipNode, Rate
-from yardbank.cluster.peers.register import FRESH, MAX_KEYS, Register
 from yardbank.testing.rig.gossip import FLEET, KEY, GossipFleet
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 OTHER = b"o" * 32
 NAMES = [f"g{number}" for number in range(8)]
--- a/tests/test_peers_process.py
+++ b/tests/test_peers_process.py
@@ -11,8 +11,8 @@
 
 from tests.helpers import wait_for
 from yardbank.cli import main
-from yardbank.cluster.peers.listing import PeerList, Reject, Take, next_life, stored_life
-from yardbank.testing.rig.place import peers_text, settings_text
+from yardbank.cluster.peers.peer_list import PeerList, Reject, Take, next_life, stored_life
+from yardbank.testing.rig.gateway_folder import peers_text, settings_text
 from yardbank.testing.rig.scenario import SHAPE, check_text
 
 SCENARIO = check_text(
--- a/tests/test_plan_use.py
+++ b/tests/test_plan_use.py
@@ -16,11 +16,11 @@
 from yardbank.cli import main
 from yardbank.gateway.api import ServerSpec
 from yardbank.ldap import messages as m
+from yardbank.plan.active_plan import MadePlan, Warming, choose, list_hash, view
 from yardbank.plan.aperture import ApertureError, Ring, aperture
 from yardbank.plan.fleet_position import Place
-from yardbank.plan.force import MadePlan, Warming, choose, list_hash, view
 from yardbank.server_list.document import FleetError, read_plans, read_set, render
-from yardbank.server_list.edit import ListReader
+from yardbank.server_list.incremental_reader import ListReader
 from yardbank.server_list.watcher import read_files
 from yardbank.testing.audit import judge
 from yardbank.testing.standin.server import Capacity
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yardbank.platform.values import MAX_DEPTH, Sign, SplitError, Values
+from yardbank.platform.json_stream import MAX_DEPTH, Sign, SplitError, Values
 
 TEXTS = st.text(max_size=6) | st.sampled_from(['"', "\\", "}", "{[", '\\"}', "\n"])
 LEAVES = st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False, allow_infinity=False) | TEXTS
--- a/tests/test_platform_vigil.py
+++ b/tests/test_platform_vigil.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from yardbank.gateway.api import MS, SECOND
-from yardbank.platform.vigil import BESIDE, LONGEST_PAUSE, MOST, SILENCE, TABLE, Event, Phase, Vigil
+from yardbank.platform.watch_state import BESIDE, LONGEST_PAUSE, MOST, SILENCE, TABLE, Event, Phase, Vigil
 
 EVENTS = st.sampled_from([event for event in Event if event is not Event.TICK])
 STEPS = st.lists(st.tuples(EVENTS, st.integers(0, 5), st.integers(0, 4 * SECOND)), max_size=60)
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -8,8 +8,8 @@
 
 from tests.platform_kit import ENTRY, HEAD, LINE, Log, chunk
 from yardbank.platform.config import Address
-from yardbank.platform.vigil import MOST
 from yardbank.platform.watch import Watcher
+from yardbank.platform.watch_state import MOST
 
 
 class Network(MemoryReactorClock):
--- a/tests/test_rig_taps.py
+++ b/tests/test_rig_taps.py
@@ -18,14 +18,14 @@
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.state import ClientEnd
-from yardbank.testing.audit.gone import departures
+from yardbank.testing.audit.client_departure import departures
 from yardbank.testing.rig.client import GONE, connect
 from yardbank.testing.rig.load import next_gateway
+from yardbank.testing.rig.network import Effect, Network
 from yardbank.testing.rig.record import Recorder
 from yardbank.testing.rig.relay import HOST, StreamRelay
 from yardbank.testing.rig.taps import Attempts, Departures
 from yardbank.testing.rig.verdict import verdicts
-from yardbank.testing.rig.wire import Effect, Network
 from yardbank.testing.standin.server import TAG_CONTROL
 
 SEARCH = m.SearchRequest("dc=a", 0, m.Present("objectClass"))
--- a/tests/test_rig_together.py
+++ b/tests/test_rig_together.py
@@ -4,16 +4,16 @@
 import pytest
 
 from tests.test_rig import scenario, step
-from yardbank.cluster.peers.parcel import Item, Parcel, encode
+from yardbank.cluster.peers.batch import Item, Parcel, encode
 from yardbank.config.checked import ConfigError
 from yardbank.config.load import load_text
 from yardbank.testing.audit import changes, feeds
-from yardbank.testing.audit.letters import items, letters
-from yardbank.testing.audit.ways import charted
+from yardbank.testing.audit.gossip_messages import items, letters
+from yardbank.testing.audit.zone_latencies import charted
 from yardbank.testing.rig.changes import asking, changed
-from yardbank.testing.rig.known import Known, fact_of
-from yardbank.testing.rig.place import peers_text, settings_text
-from yardbank.testing.rig.wire import Effect, Network, ways
+from yardbank.testing.rig.gateway_folder import peers_text, settings_text
+from yardbank.testing.rig.network import Effect, Network, ways
+from yardbank.testing.rig.observations import Known, fact_of
 
 FLEET = "fleet {\n  gateways = 4\n  peers = true\n  channels = true\n  rollout = true\n  atlas = true\n}\n"
 NOTICES = 'program "notices" {\n  who = ["g1", "g2"]\n  channels = 3\n}\n'
--- a/tests/test_rig_wire.py
+++ b/tests/test_rig_wire.py
@@ -10,8 +10,8 @@
 from tests.test_rig import scenario
 from yardbank.testing.rig import roster as r
 from yardbank.testing.rig.load import draw, next_gateway, try_again
+from yardbank.testing.rig.network import MAX_DATAGRAMS, MAX_HELD, Datagrams, Effect, Ended, Network, Stream, pairs_of
 from yardbank.testing.rig.roster import Roster
-from yardbank.testing.rig.wire import MAX_DATAGRAMS, MAX_HELD, Datagrams, Effect, Ended, Network, Stream, pairs_of
 
 PIECES = st.lists(st.binary(min_size=1, max_size=300), min_size=1, max_size=30)
 EFFECTS = st.builds(Effect, st.sampled_from(["", "silent"]), st.floats(0, 0.2), st.floats(0, 0.2),
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -7,7 +7,7 @@
 from tests.rollout_world import SECOND, Kind, World, change, zoned
 from tests.test_rollout_fleet import begun, stopped, worse
 from yardbank.cluster.rollout.document import Word
-from yardbank.testing.rig.wire import Effect, pairs_of
+from yardbank.testing.rig.network import Effect, pairs_of
 
 ALL = [f"g{n:03d}" for n in range(8)]
 
--- a/tests/test_rollout_files.py
+++ b/tests/test_rollout_files.py
@@ -14,11 +14,11 @@
 from tests.helpers import wait_for
 from tests.net import run, world
 from tests.rollout_world import Disk
-from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout.active_version import EXIT_ANEW, Force, Version
 from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, taken
-from yardbank.cluster.rollout.force import EXIT_ANEW, Force, Version
-from yardbank.cluster.rollout.own import Memory, reconciled, remembered
-from yardbank.cluster.rollout.place import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
+from yardbank.cluster.rollout.local_state import Memory, reconciled, remembered
+from yardbank.cluster.rollout.phase import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
 from yardbank.config import ConfigError
 from yardbank.daemon.versions import Versions
 from yardbank.testing.demo.world import free_port
--- a/tests/test_rollout_judge.py
+++ b/tests/test_rollout_judge.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.rollout import judge
-from yardbank.cluster.rollout.order import Order
+from yardbank.cluster.rollout import sequential_test as judge
+from yardbank.cluster.rollout.stage_plan import Order
 
 FLEETS, PAIRS, WINDOWS, REQUESTS, BY = 2000, 4, 50, 100, 0.03
 STOP, PASS = 0.05, 0.05
--- a/tests/test_rollout_liars.py
+++ b/tests/test_rollout_liars.py
@@ -9,9 +9,9 @@
 from tests.test_rollout_faults import moved
 from tests.test_rollout_fleet import LOOKUP, begun, worse
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.cluster.rollout.book import Book
-from yardbank.cluster.rollout.place import FELL, NEW
-from yardbank.cluster.rollout.said import Cell, Said, encoded, letter, records
+from yardbank.cluster.rollout.phase import FELL, NEW
+from yardbank.cluster.rollout.record import Cell, Said, encoded, letter, records
+from yardbank.cluster.rollout.record_log import Book
 
 
 def lie(world, name, change_it):
--- a/tests/test_rollout_process.py
+++ b/tests/test_rollout_process.py
@@ -7,7 +7,7 @@
 
 from tests.helpers import wait_for
 from tests.net import run, world
-from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout import active_version as forces
 from yardbank.testing.demo.world import free_port
 
 NAMES = ["g0", "g1", "g2", "g3"]
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -9,11 +9,11 @@
 
 from tests.test_rollout_files import GOOD
 from yardbank.cli import main
-from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout.active_version import Force, Version
 from yardbank.cluster.rollout.actuator import Actuator, name_of
 from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Word, taken
-from yardbank.cluster.rollout.force import Force, Version
-from yardbank.cluster.rollout.own import GoBack, GoOver, Stay
+from yardbank.cluster.rollout.local_state import GoBack, GoOver, Stay
 from yardbank.config.blocks import RolloutBlock
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -22,9 +22,9 @@
 from yardbank.server_list.document import render
 from yardbank.server_list.service import FleetKeeper
 from yardbank.state import Snapshot, SnapshotError, Store, decode, encode, judge
+from yardbank.state.recovery import WriteRate, next_generation
 from yardbank.state.snapshot import FORMAT, MAGIC, GroupState, ServerState
 from yardbank.state.store import StoreError
-from yardbank.state.trust import WriteRate, next_generation
 
 NAME = st.text(max_size=8)
 MARKS = st.dictionaries(NAME, st.lists(st.integers(0, 2**60) | NAME, max_size=3), max_size=2)
--- a/yardbank/cli/demo.py
+++ b/yardbank/cli/demo.py
@@ -24,7 +24,7 @@
     seed: int, seconds: float, daemon: bool, stay: bool, json_file: Path | None, record: Path | None, verbose: bool
 ) -> None:
     """Play a scripted bad day on loopback sockets and print a verdict on the five rules."""
-    from yardbank.testing.demo.demo import run_day, run_stay
+    from yardbank.testing.demo.runner import run_day, run_stay
 
     set_up_logs("debug" if verbose else "error", "console")
     if stay:
--- a/yardbank/cli/fleet.py
+++ b/yardbank/cli/fleet.py
@@ -14,7 +14,7 @@
 from yardbank.cli.common import EXIT_FAULT, load_or_exit
 from yardbank.config import Config, build
 from yardbank.gateway.api import ServerSpec
-from yardbank.server_list.change import compare, suspicion
+from yardbank.server_list.comparison import compare, suspicion
 from yardbank.server_list.document import Fleet, FleetError, read_set, render
 from yardbank.server_list.watcher import read_files
 from yardbank.state.snapshot import Snapshot, SnapshotError
--- a/yardbank/cli/plan.py
+++ b/yardbank/cli/plan.py
@@ -15,8 +15,8 @@
 from yardbank.cli.common import EXIT_FAULT, load_or_exit
 from yardbank.config import build
 from yardbank.config.base import duration
+from yardbank.plan.active_plan import MadePlan, list_hash
 from yardbank.plan.document import PlanError, moved, read_problem, render
-from yardbank.plan.force import MadePlan, list_hash
 from yardbank.plan.model import RELAXABLE, Problem, relaxed
 from yardbank.plan.solver import Plan, solve
 from yardbank.server_list.document import FleetError, read_plans, read_set
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -49,7 +49,7 @@
 
 
 def _zones(file: Path, config: Config) -> dict[str, str]:
-    from yardbank.cluster.peers.listing import SHAPE as PEERS
+    from yardbank.cluster.peers.peer_list import SHAPE as PEERS
     from yardbank.config.checked import check_text
 
     if config.peers is None:
@@ -68,7 +68,7 @@
 def check(file: Path, asked: Path | None) -> None:
     """Check what is asked for (the file that the settings name, or ASKED), and show who would go when."""
     from yardbank.cluster.rollout.actuator import sound
-    from yardbank.cluster.rollout.order import Order
+    from yardbank.cluster.rollout.stage_plan import Order
 
     config = load_or_exit(file)
     path = asked or _asked_file(file, config)
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -14,12 +14,12 @@
 from yardbank.config import Config
 
 if TYPE_CHECKING:
-    from yardbank.cluster.rollout.force import Started
+    from yardbank.cluster.rollout.active_version import Started
 
 
 def _in_force(file: Path, config: Config, log: Any) -> tuple[Started, Path, Config]:
     """How this process was started, the settings file in force, and what it says."""
-    from yardbank.cluster.rollout.force import Force, Started, of_worker
+    from yardbank.cluster.rollout.active_version import Force, Started, of_worker
 
     try:
         started = of_worker(os.environ, file)
@@ -72,7 +72,7 @@
     log = set_up_logs(config.logging.level, config.logging.format)
     started = None
     if config.rollout is not None and supervised:
-        from yardbank.daemon.keeper import run_keeper
+        from yardbank.daemon.versioned_supervisor import run_keeper
 
         options = ["--record", str(record)] if record is not None else []
         options += ["--clock-rate", str(clock_rate), "--clock-offset", str(clock_offset)] if clocks.odd else []
--- a/yardbank/cluster/channels/bidding.py
+++ b/yardbank/cluster/channels/election.py
@@ -9,14 +9,14 @@
 from collections import Counter
 from random import Random
 
+from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels import placement as placing
-from yardbank.cluster.channels import wire
 from yardbank.cluster.channels.api import MS, PREFIX, SECOND, Ended, Options, Owned, resource
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.messages import AskEnd
 from yardbank.cluster.channels.placement import Placement
 from yardbank.cluster.channels.states import APART, BIDDING, CARRYING, ENTERING, HANDING, WAITING, Own
-from yardbank.cluster.channels.wire import AskEnd
 from yardbank.cluster.lease.api import OWNED, Leases
 from yardbank.cluster.peers.parts import Letter, Sight
 
--- a/yardbank/cluster/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Collection, Iterable, Mapping
 
-from yardbank.cluster.channels import wire
+from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MS
 from yardbank.cluster.channels.items import Recent, Stream
+from yardbank.cluster.channels.messages import Again, EndedAt, Have, Item, State
 from yardbank.cluster.channels.outgoing import Carried, Known, Outgoing
-from yardbank.cluster.channels.wire import Again, EndedAt, Have, Item, State
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import Letter
 
--- a/yardbank/cluster/channels/items.py
+++ b/yardbank/cluster/channels/items.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from yardbank.cluster.channels.api import MS, Delivered, Gap
-from yardbank.cluster.channels.wire import Item, Place
+from yardbank.cluster.channels.messages import Item, Place
 
 HOLD = 600 * MS  # so long the next one in order is waited for
 ASK_EVERY = 60 * MS
--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from yardbank.cluster.channels.wire import Me, Sets, What, name_batches
+from yardbank.cluster.channels.messages import Me, Sets, What, name_batches
 
 MOST_PARTIAL = 16  # sets of which some parts have come
 
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from yardbank.cluster.channels import wire
+from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MS, Delivered, Event, Gap, Options
-from yardbank.cluster.channels.edges import Edges
 from yardbank.cluster.channels.items import Recent, Stream
-from yardbank.cluster.channels.wire import Again, Have, Item, Place, State
+from yardbank.cluster.channels.messages import Again, Have, Item, Place, State
+from yardbank.cluster.channels.subscriptions import Edges
 from yardbank.cluster.peers.parts import Letter
 
 
--- a/yardbank/cluster/channels/ownership.py
+++ b/yardbank/cluster/channels/ownership.py
@@ -12,10 +12,10 @@
 
 from yardbank.cluster.channels import placement as placing
 from yardbank.cluster.channels.api import MS, SECOND, resource
-from yardbank.cluster.channels.bidding import Bidding
+from yardbank.cluster.channels.election import Bidding
+from yardbank.cluster.channels.messages import AskEnd, EndedAt, Take
 from yardbank.cluster.channels.placement import BETTER, BETTER_BY
 from yardbank.cluster.channels.states import APART, BIDDING, CARRYING, HANDING, Own
-from yardbank.cluster.channels.wire import AskEnd, EndedAt, Take
 
 MOST_TRIED = 3  # successors, before a channel is given up without one
 MOST_HANDING, AT_STOP = 4, 64  # at a time
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -11,19 +11,19 @@
 from random import Random
 from typing import Any
 
-from yardbank.cluster.channels import wire
+from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MAX_CHANNELS, MAX_DATA, MS, PREFIX, Event, Options
-from yardbank.cluster.channels.bidding import POLL
+from yardbank.cluster.channels.election import POLL
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.items import ASK_EVERY
 from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.messages import Again, AskEnd, Beat, EndedAt, Item, Me, Sets, Subscribe, Take, What, Who
 from yardbank.cluster.channels.neighbours import Neighbours
 from yardbank.cluster.channels.ownership import Ownership
 from yardbank.cluster.channels.placement import Distance, Placement
-from yardbank.cluster.channels.wire import Again, AskEnd, Beat, EndedAt, Item, Me, Sets, Subscribe, Take, What, Who
 from yardbank.cluster.lease.api import Leases
+from yardbank.cluster.peers.outbox import Rate
 from yardbank.cluster.peers.parts import Letter, Sight
-from yardbank.cluster.peers.post import Rate
 
 MOST_EVENTS = 8192
 ITEM_HEAD = 160  # octets that one item takes beside its data, in a datagram of its own
--- a/yardbank/cluster/channels/asking.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -7,8 +7,8 @@
 from typing import Any, Protocol
 
 from yardbank.cluster.channels.api import SECOND, Delivered, Options
-from yardbank.cluster.channels.face import Channels
 from yardbank.cluster.channels.positions import PREFIX, Place, Positions, channel_of
+from yardbank.cluster.channels.service import Channels
 from yardbank.gateway.api import Position, ServerSpec
 from yardbank.timeline import Vector
 
--- a/yardbank/cluster/channels/positions.py
+++ b/yardbank/cluster/channels/positions.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from yardbank.cluster.channels.api import MAX_DATA, MS, Delivered, Options
-from yardbank.cluster.channels.trust import Lie, Trust
+from yardbank.cluster.channels.verification import Lie, Trust
 from yardbank.timeline import Vector
 
 PREFIX = "positions/"
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -16,22 +16,22 @@
 
 from yardbank.cluster.lease.api import Terms
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.peers.keeping import FileKeep
+from yardbank.cluster.peers.file_store import FileKeep
 from yardbank.cluster.peers.parts import Forgetful, Keep
-from yardbank.cluster.peers.shell import Peers
+from yardbank.cluster.peers.transport import Peers
 from yardbank.config import Config
 from yardbank.gateway.api import ServerSpec
 from yardbank.gateway.gateway import Gateway
 
 if TYPE_CHECKING:
-    from yardbank.cluster.channels.asking import PositionFeeds
-    from yardbank.cluster.channels.face import Channels
     from yardbank.cluster.channels.placement import Distance
+    from yardbank.cluster.channels.position_polling import PositionFeeds
+    from yardbank.cluster.channels.service import Channels
     from yardbank.cluster.latency_map.part import AtlasPart
-    from yardbank.cluster.list_distribution.shell import DistributionFiles
+    from yardbank.cluster.list_distribution.files import DistributionFiles
+    from yardbank.cluster.rollout.active_version import Started
     from yardbank.cluster.rollout.actuator import Actuator
-    from yardbank.cluster.rollout.figures import Figures
-    from yardbank.cluster.rollout.force import Started
+    from yardbank.cluster.rollout.metrics import Figures
     from yardbank.cluster.rollout.part import RolloutPart
 
 SECOND = 1_000_000_000
@@ -110,9 +110,9 @@
 
     def _make_channels(self, config: Config, distance: Distance) -> None:
         from yardbank.cluster.channels.api import Options
-        from yardbank.cluster.channels.asking import PositionFeeds
-        from yardbank.cluster.channels.face import Channels
         from yardbank.cluster.channels.part import ChannelPart
+        from yardbank.cluster.channels.position_polling import PositionFeeds
+        from yardbank.cluster.channels.service import Channels
 
         block = config.channels
         assert block is not None
@@ -133,7 +133,7 @@
 
     def _make_rollout(self, config: Config, started: Started | None) -> None:
         from yardbank.cluster.rollout.actuator import Actuator, name_of
-        from yardbank.cluster.rollout.own import Options
+        from yardbank.cluster.rollout.local_state import Options
         from yardbank.cluster.rollout.part import RolloutPart
 
         block = config.rollout
@@ -155,9 +155,9 @@
             self.channels.part.prefer(lambda names: self._changed_first(part, names))
 
     def _make_distribution(self, config: Config, folder: Path) -> None:
+        from yardbank.cluster.list_distribution.files import DistributionFiles, stored_table
         from yardbank.cluster.list_distribution.options import Options
         from yardbank.cluster.list_distribution.part import DistributionPart
-        from yardbank.cluster.list_distribution.shell import DistributionFiles, stored_table
         from yardbank.config.build import fleet_groups
 
         block, node = config.distribution, self._peers.node
@@ -179,7 +179,7 @@
         return sorted(names, key=lambda name: (name not in changed, name))
 
     def _figures(self) -> Figures:
-        from yardbank.cluster.rollout.figures import of_gateway, resident
+        from yardbank.cluster.rollout.metrics import of_gateway, resident
         from yardbank.gateway.tallies import beyond
 
         promises = {
--- a/yardbank/cluster/latency_map/levels.py
+++ b/yardbank/cluster/latency_map/estimates.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yardbank.cluster.latency_map.claims import Belief
 from yardbank.cluster.latency_map.options import SECOND, Pair, pair_of
+from yardbank.cluster.latency_map.reports import Belief
 
 MS = 1_000_000
 UNKNOWN, ESTIMATED, SEEN = 0, 1, 2
--- a/yardbank/cluster/latency_map/letter.py
+++ b/yardbank/cluster/latency_map/messages.py
@@ -15,7 +15,7 @@
 import msgspec
 import xxhash
 
-from yardbank.cluster.latency_map.firsthand import NAMES
+from yardbank.cluster.latency_map.measurements import NAMES
 from yardbank.cluster.latency_map.options import LEAST, MAX_ZONES, MOST, SECOND
 from yardbank.cluster.peers.datagram import DroppedError
 
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -10,13 +10,14 @@
 from random import Random
 from typing import Any
 
-from yardbank.cluster.latency_map import firsthand, letter
-from yardbank.cluster.latency_map.choice import Choice, Ways
-from yardbank.cluster.latency_map.claims import Claim, Claims, believed
-from yardbank.cluster.latency_map.firsthand import LATE, SLOW, WELL, FirstHand
-from yardbank.cluster.latency_map.letter import Entry
-from yardbank.cluster.latency_map.levels import SEEN, Levels, Turn
+from yardbank.cluster.latency_map import measurements as firsthand
+from yardbank.cluster.latency_map import messages as letter
+from yardbank.cluster.latency_map.estimates import SEEN, Levels, Turn
+from yardbank.cluster.latency_map.measurements import LATE, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import MAX_ZONES, SECOND, Options, Pair, pair_of
+from yardbank.cluster.latency_map.reports import Claim, Claims, believed
+from yardbank.cluster.latency_map.transition import Choice, Ways
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import Letter, Sight
 
--- a/yardbank/cluster/latency_map/claims.py
+++ b/yardbank/cluster/latency_map/reports.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from yardbank.cluster.latency_map.firsthand import Figure
+from yardbank.cluster.latency_map.measurements import Figure
 from yardbank.cluster.latency_map.options import Pair
 
 VOICES = 3  # so many are wanted before one of them may lie
--- a/yardbank/cluster/latency_map/choice.py
+++ b/yardbank/cluster/latency_map/transition.py
@@ -13,7 +13,7 @@
 
 from random import Random
 
-from yardbank.cluster.latency_map.levels import differs
+from yardbank.cluster.latency_map.estimates import differs
 from yardbank.cluster.latency_map.options import SECOND
 
 # Less than this part, or so many ns, is no reason to go over: of a round trip, and of the longest usual one.
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -9,8 +9,8 @@
 
 from yardbank.cluster.lease.api import ENDED, OWNED
 from yardbank.cluster.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
+from yardbank.cluster.lease.messages import GRANTED, HELD, LOW, MAX_RESOURCE, NAMED, SILENT, TAKEN, Answer, Offer, Took
 from yardbank.cluster.lease.votes import Votes
-from yardbank.cluster.lease.words import GRANTED, HELD, LOW, MAX_RESOURCE, NAMED, SILENT, TAKEN, Answer, Offer, Took
 
 MAX_CLAIMS, MAX_OFFERS = 1024, 256
 MAX_RAISED = 3  # higher epochs tried in one vote
--- a/yardbank/cluster/lease/lists.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -15,9 +15,9 @@
 from typing import NamedTuple
 
 from yardbank.cluster.lease.api import Terms
-from yardbank.cluster.lease.places import majority, voters_of
-from yardbank.cluster.lease.times import long_lease
-from yardbank.cluster.lease.words import MAX_LISTS, Ask
+from yardbank.cluster.lease.messages import MAX_LISTS, Ask
+from yardbank.cluster.lease.quorum import majority, voters_of
+from yardbank.cluster.lease.timing import long_lease
 
 GREETED = 1  # at once
 CACHED = 4096  # resources whose voters are remembered
--- a/yardbank/cluster/lease/epochs.py
+++ b/yardbank/cluster/lease/epochs.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from yardbank.cluster.lease.words import MAX_EPOCH
+from yardbank.cluster.lease.messages import MAX_EPOCH
 
 SHIFT = 10
 STEP = 64
--- a/yardbank/cluster/lease/explore/__main__.py
+++ b/yardbank/cluster/lease/model_check/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m yardbank.cluster.lease.explore``: look for two holders or an epoch that comes twice."""
+"""``python -m yardbank.cluster.lease.model_check``: look for two holders or an epoch that comes twice."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import click
 
-from yardbank.cluster.lease.explore.bugs import BUGS, seeded
-from yardbank.cluster.lease.explore.scenes import FINDS, SCENES
-from yardbank.cluster.lease.explore.search import Example, explore, shrunk, walk, write
+from yardbank.cluster.lease.model_check.bugs import BUGS, seeded
+from yardbank.cluster.lease.model_check.scenes import FINDS, SCENES
+from yardbank.cluster.lease.model_check.search import Example, explore, shrunk, walk, write
 
 
 @click.command()
--- a/yardbank/cluster/lease/explore/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -10,7 +10,7 @@
 from yardbank.cluster.lease import votes
 from yardbank.cluster.lease.api import Terms
 from yardbank.cluster.lease.claim import HANDING, HOLDING, Claim
-from yardbank.cluster.lease.lists import Lists
+from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.voter import Voter
 
 
--- a/yardbank/cluster/lease/explore/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -8,8 +8,8 @@
 
 from yardbank.cluster.lease.claim import Claim
 from yardbank.cluster.lease.claims import Claims
+from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.epochs import Epochs
-from yardbank.cluster.lease.lists import Lists
 from yardbank.cluster.lease.part import LeasePart
 from yardbank.cluster.lease.voter import Voter
 
--- a/yardbank/cluster/lease/explore/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -7,9 +7,9 @@
 
 import xxhash
 
-from yardbank.cluster.lease.explore.freeze import Numbered, key
+from yardbank.cluster.lease.messages import Answer, Ask, NextIs, Release, Word, decode
+from yardbank.cluster.lease.model_check.freeze import Numbered, key
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.lease.words import Answer, Ask, NextIs, Release, Word, decode
 
 
 class Sight:
--- a/yardbank/cluster/lease/explore/scenes.py
+++ b/yardbank/cluster/lease/model_check/scenes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from yardbank.cluster.lease.explore.world import SECOND, Scene
+from yardbank.cluster.lease.model_check.world import SECOND, Scene
 
 ONE = {"a": "", "b": "", "c": ""}
 # a holds by itself and c; b knows nothing
--- a/yardbank/cluster/lease/explore/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yardbank.cluster.lease.explore.world import Action, Scene, World
+from yardbank.cluster.lease.model_check.world import Action, Scene, World
 
 
 class Found(NamedTuple):
--- a/yardbank/cluster/lease/explore/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from yardbank.cluster.lease.api import OWNED, Terms
-from yardbank.cluster.lease.explore.freeze import Zero, copied
-from yardbank.cluster.lease.explore.nodes import Kept, Letter, Node, Sight
+from yardbank.cluster.lease.messages import Answer, Hello, decode
+from yardbank.cluster.lease.model_check.freeze import Zero, copied
+from yardbank.cluster.lease.model_check.nodes import Kept, Letter, Node, Sight
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.lease.words import Answer, Hello, decode
 
 SECOND = 1_000_000_000
 TERMS = Terms(term=12 * SECOND, drift=0.2, overlap=6 * SECOND, voters=3)
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -13,12 +13,12 @@
 from yardbank.cluster.lease.claim import HANDING, HOLDING
 from yardbank.cluster.lease.claim import NAMES as STATES
 from yardbank.cluster.lease.claims import Claims
+from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.epochs import SHIFT, Epochs
-from yardbank.cluster.lease.lists import Lists
+from yardbank.cluster.lease.messages import GRANTED, LIST, LOW, NAMED, Answer, Ask, Hello, NextIs, Offer, Release, Word
+from yardbank.cluster.lease.messages import decode as read
+from yardbank.cluster.lease.messages import encode as written
 from yardbank.cluster.lease.voter import Voter
-from yardbank.cluster.lease.words import GRANTED, LIST, LOW, NAMED, Answer, Ask, Hello, NextIs, Offer, Release, Word
-from yardbank.cluster.lease.words import decode as read
-from yardbank.cluster.lease.words import encode as written
 from yardbank.cluster.peers.parts import Keep, Letter, Sight
 
 SHOWN = 256  # resources in a view
--- a/yardbank/cluster/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -11,8 +11,8 @@
 
 from yardbank.cluster.lease.api import Terms
 from yardbank.cluster.lease.epochs import Epochs
-from yardbank.cluster.lease.times import long_lease, vote_time
-from yardbank.cluster.lease.words import FAR, FULL, GRANTED, HELD, LOW, SILENT, TAKEN, Ask, NextIs, Release
+from yardbank.cluster.lease.messages import FAR, FULL, GRANTED, HELD, LOW, SILENT, TAKEN, Ask, NextIs, Release
+from yardbank.cluster.lease.timing import long_lease, vote_time
 
 MAX_RESOURCES = 4096
 MS = 1_000_000
--- a/yardbank/cluster/lease/votes.py
+++ b/yardbank/cluster/lease/votes.py
@@ -8,10 +8,10 @@
 
 from yardbank.cluster.lease.api import ENDED, OWNED, LeaseTurn, Terms
 from yardbank.cluster.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
+from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.epochs import Epochs
-from yardbank.cluster.lease.lists import Lists
-from yardbank.cluster.lease.times import long_lease, short_overlap, vote_time
-from yardbank.cluster.lease.words import Ask, NextIs, Offer, Release, Word
+from yardbank.cluster.lease.messages import Ask, NextIs, Offer, Release, Word
+from yardbank.cluster.lease.timing import long_lease, short_overlap, vote_time
 
 MAX_HINTS, MAX_TURNS, MAX_NEWS = 1024, 4096, 256
 
--- a/yardbank/cluster/list_distribution/explore.py
+++ b/yardbank/cluster/list_distribution/model_check.py
@@ -1,6 +1,6 @@
 """Every order of events in a small fleet, over the real code.
 
-Run as ``python -m yardbank.cluster.list_distribution.explore [--deep]``.
+Run as ``python -m yardbank.cluster.list_distribution.model_check [--deep]``.
 
 Three gateways, two publishers one after the other, of whom the second may not have heard of the first. Messages are
 delivered in any order, lost or delivered twice; clocks run when the search says so. After each step the invariants of
--- a/yardbank/cluster/peers/detector.py
+++ b/yardbank/cluster/peers/failure_detector.py
@@ -14,8 +14,7 @@
 from __future__ import annotations
 
 from yardbank.cluster.peers.datagram import ACK, ALIVE, ASK, GONE, NACK, PING
-from yardbank.cluster.peers.standing import Standing
-from yardbank.cluster.peers.states import (
+from yardbank.cluster.peers.detector_types import (
     LEAP,
     LONELY,
     MAX_RELAYED,
@@ -33,6 +32,7 @@
     Probe,
     Relayed,
 )
+from yardbank.cluster.peers.membership_state import Standing
 
 __all__ = ["LEAP", "MAX_SLOWNESS", "NAMES", "SECOND", "TABLE", "UNHEARD", "Change", "Detector", "Out", "Pace", "Peer"]
 
--- a/yardbank/cluster/peers/standing.py
+++ b/yardbank/cluster/peers/membership_state.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from yardbank.cluster.peers.datagram import ALIVE, GONE, MAX_INCARNATION, SUSPECT, News
-from yardbank.cluster.peers.states import (
+from yardbank.cluster.peers.detector_types import (
     LEAP,
     MAX_SLOWNESS,
     UNHEARD,
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -14,15 +14,15 @@
 
 import xxhash
 
+from yardbank.cluster.peers import batch as parcel
 from yardbank.cluster.peers import datagram as wire
-from yardbank.cluster.peers import parcel
+from yardbank.cluster.peers.batch import Item, Parcel
+from yardbank.cluster.peers.counters import Register, Sum
 from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, News, Replays
-from yardbank.cluster.peers.detector import NAMES, Change, Detector, Out, Pace
-from yardbank.cluster.peers.evidence import Evidence
-from yardbank.cluster.peers.parcel import Item, Parcel
+from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, Out, Pace
+from yardbank.cluster.peers.outbox import Post, Rate
 from yardbank.cluster.peers.parts import Part
-from yardbank.cluster.peers.post import Post, Rate
-from yardbank.cluster.peers.register import Register, Sum
+from yardbank.cluster.peers.report_store import Evidence
 
 FILL = 480  # octets of news, counts and words in one datagram
 RATE, BURST = 1800, 8 * 1024  # octets a second on average, and at once
--- a/yardbank/cluster/peers/post.py
+++ b/yardbank/cluster/peers/outbox.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from collections.abc import Callable, Collection
 
-from yardbank.cluster.peers import parcel
+from yardbank.cluster.peers import batch as parcel
+from yardbank.cluster.peers.batch import Item, Parcel
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.cluster.peers.parcel import Item, Parcel
 from yardbank.cluster.peers.parts import Part
 
 SECOND = 1_000_000_000
--- a/yardbank/cluster/peers/belief.py
+++ b/yardbank/cluster/peers/outlier_consensus.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from yardbank.cluster.peers.evidence import BAD, LIFE, WELL, Evidence, FirstHand, Kept
+from yardbank.cluster.peers.report_store import BAD, LIFE, WELL, Evidence, FirstHand, Kept
 
 WITNESSES = 2
 PART = 0.5  # of a group's usable servers that hearsay may take, at most
--- a/yardbank/cluster/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Mapping
 
 from yardbank import interface as api
-from yardbank.cluster.peers.belief import Belief, Listed
-from yardbank.cluster.peers.evidence import FAILING, FULL, SECOND, SILENT, WELL
+from yardbank.cluster.peers.outlier_consensus import Belief, Listed
+from yardbank.cluster.peers.report_store import FAILING, FULL, SECOND, SILENT, WELL
 from yardbank.gateway.api import ServerSpec
 from yardbank.policy import Router
 
--- a/yardbank/cluster/peers/shell.py
+++ b/yardbank/cluster/peers/transport.py
@@ -14,11 +14,11 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from yardbank.cluster.peers import PeersError
-from yardbank.cluster.peers.belief import Belief, believe
 from yardbank.cluster.peers.datagram import read_keys
-from yardbank.cluster.peers.detector import NAMES, SECOND, Pace
-from yardbank.cluster.peers.listing import PeerList, Reject, Take, next_life, stored_life
+from yardbank.cluster.peers.failure_detector import NAMES, SECOND, Pace
 from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.outlier_consensus import Belief, believe
+from yardbank.cluster.peers.peer_list import PeerList, Reject, Take, next_life, stored_life
 from yardbank.cluster.peers.sharing import Sharing
 from yardbank.cluster.peers.view import node_view
 from yardbank.config.blocks import PeersBlock
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from yardbank.cluster.peers.belief import Belief
-from yardbank.cluster.peers.evidence import KINDS
 from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.outlier_consensus import Belief
+from yardbank.cluster.peers.report_store import KINDS
 
 MS = 1_000_000
 
--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Any
 
-from yardbank.cluster.rollout import force as forces
+from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout.active_version import Force, Version
 from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, version_of, word_file
-from yardbank.cluster.rollout.force import Force, Version
-from yardbank.cluster.rollout.own import GoBack, GoOver, Stay
+from yardbank.cluster.rollout.local_state import GoBack, GoOver, Stay
 from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.config import Config, ConfigError, load
 from yardbank.config.blocks import RolloutBlock
--- a/yardbank/cluster/rollout/teller.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -5,12 +5,12 @@
 from msgspec.structs import replace
 
 from yardbank.cluster.peers.parts import Letter, Sight
-from yardbank.cluster.rollout.book import Book, passed_on_often
-from yardbank.cluster.rollout.figures import Figures, cells
-from yardbank.cluster.rollout.mover import Mover
-from yardbank.cluster.rollout.order import Order
-from yardbank.cluster.rollout.own import Options
-from yardbank.cluster.rollout.said import MAX_RECORD, MAX_WHY, Cell, Said, encoded
+from yardbank.cluster.rollout.local_state import Options
+from yardbank.cluster.rollout.metrics import Figures, cells
+from yardbank.cluster.rollout.record import MAX_RECORD, MAX_WHY, Cell, Said, encoded
+from yardbank.cluster.rollout.record_log import Book, passed_on_often
+from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.state_machine import Mover
 
 SECOND = 1_000_000_000
 SLOW = 3  # of ``Sight.slowness``: from here on this gateway's view and figures are not gone by
--- a/yardbank/cluster/rollout/trial.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -10,13 +10,13 @@
 import numpy as np
 import xxhash
 
-from yardbank.cluster.rollout import judge
-from yardbank.cluster.rollout.book import same_course
+from yardbank.cluster.rollout import sequential_test as judge
 from yardbank.cluster.rollout.document import SHARES, Change
-from yardbank.cluster.rollout.judge import Floats
-from yardbank.cluster.rollout.order import Order, Pair
-from yardbank.cluster.rollout.place import DUE, FELL, NEW, OLD
-from yardbank.cluster.rollout.said import MAX_CELLS, Cell, Said
+from yardbank.cluster.rollout.phase import DUE, FELL, NEW, OLD
+from yardbank.cluster.rollout.record import MAX_CELLS, Cell, Said
+from yardbank.cluster.rollout.record_log import same_course
+from yardbank.cluster.rollout.sequential_test import Floats
+from yardbank.cluster.rollout.stage_plan import Order, Pair
 
 LEAST_P99 = 100  # requests of a window, of each side, for its p99 to say anything
 SWOLLEN = 3  # windows one after another with too much memory
--- a/yardbank/cluster/rollout/own.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from yardbank.cluster.peers.parts import Keep
+from yardbank.cluster.rollout.active_version import Force, Version
 from yardbank.cluster.rollout.document import Change
-from yardbank.cluster.rollout.figures import Figures
-from yardbank.cluster.rollout.force import Force, Version
-from yardbank.cluster.rollout.place import BACK_OUT, MOVED, NEW, OLD, OUT, TABLE
+from yardbank.cluster.rollout.metrics import Figures
+from yardbank.cluster.rollout.phase import BACK_OUT, MOVED, NEW, OLD, OUT, TABLE
 
 MAX_STOPPED = 64  # rollouts that are remembered as stopped; the oldest are forgotten first
 
--- a/yardbank/cluster/rollout/figures.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from yardbank.cluster.rollout.said import MAX_CELLS, Cell
+from yardbank.cluster.rollout.record import MAX_CELLS, Cell
 
 LEAST = 100  # requests for a p99
 
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -8,15 +8,15 @@
 
 from yardbank.cluster.lease import Leases
 from yardbank.cluster.peers.parts import Keep, Letter, Sight
-from yardbank.cluster.rollout.book import Book, passed_on_often
+from yardbank.cluster.rollout.announcer import SLOW, Teller
 from yardbank.cluster.rollout.document import Change, Word
-from yardbank.cluster.rollout.mover import Mover
-from yardbank.cluster.rollout.order import Order
-from yardbank.cluster.rollout.own import GoBack, GoOver, Options, Stay, Turn
-from yardbank.cluster.rollout.place import ASKING, AWAY, DUE, FELL, MOVED, NEW, OLD
+from yardbank.cluster.rollout.local_state import GoBack, GoOver, Options, Stay, Turn
+from yardbank.cluster.rollout.phase import ASKING, AWAY, DUE, FELL, MOVED, NEW, OLD
 from yardbank.cluster.rollout.progress import Progress
-from yardbank.cluster.rollout.said import MAX_WHY, Said
-from yardbank.cluster.rollout.teller import SLOW, Teller
+from yardbank.cluster.rollout.record import MAX_WHY, Said
+from yardbank.cluster.rollout.record_log import Book, passed_on_often
+from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.state_machine import Mover
 from yardbank.cluster.rollout.view import rollout_view
 
 SECOND = 1_000_000_000
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Mapping
 
+from yardbank.cluster.rollout.canary_analysis import Past, Trial
 from yardbank.cluster.rollout.document import Change
-from yardbank.cluster.rollout.order import Order
-from yardbank.cluster.rollout.place import FELL, NEW
-from yardbank.cluster.rollout.said import Said
-from yardbank.cluster.rollout.trial import Past, Trial
+from yardbank.cluster.rollout.phase import FELL, NEW
+from yardbank.cluster.rollout.record import Said
+from yardbank.cluster.rollout.stage_plan import Order
 
 STAGE, WELL, UNDECIDED, FINISHED = "stage", "well", "undecided", "finished"
 
--- a/yardbank/cluster/rollout/book.py
+++ b/yardbank/cluster/rollout/record_log.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from yardbank.cluster.peers.outbox import Rate
 from yardbank.cluster.peers.parts import Letter
-from yardbank.cluster.peers.post import Rate
-from yardbank.cluster.rollout.said import Said, encoded, letter, records
+from yardbank.cluster.rollout.record import Said, encoded, letter, records
 
 MAX_PENDING = 4  # records of one owner that one voice has told
 MAX_PAST = 8  # beats of one owner that are remembered
--- a/yardbank/cluster/rollout/mover.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -9,10 +9,19 @@
 
 from yardbank.cluster.lease import Leases
 from yardbank.cluster.peers.parts import Keep
+from yardbank.cluster.rollout.active_version import Version
 from yardbank.cluster.rollout.document import Change
-from yardbank.cluster.rollout.force import Version
-from yardbank.cluster.rollout.own import MAX_STOPPED, GoBack, GoOver, Options, Stay, Turn, reconciled, remembered
-from yardbank.cluster.rollout.place import (
+from yardbank.cluster.rollout.local_state import (
+    MAX_STOPPED,
+    GoBack,
+    GoOver,
+    Options,
+    Stay,
+    Turn,
+    reconciled,
+    remembered,
+)
+from yardbank.cluster.rollout.phase import (
     AWAY,
     BACK_DUE,
     BACK_OUT,
--- a/yardbank/cluster/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -5,10 +5,10 @@
 import math
 from typing import Any
 
-from yardbank.cluster.rollout.book import Book
-from yardbank.cluster.rollout.mover import Mover
-from yardbank.cluster.rollout.place import NAMES
+from yardbank.cluster.rollout.phase import NAMES
 from yardbank.cluster.rollout.progress import Progress
+from yardbank.cluster.rollout.record_log import Book
+from yardbank.cluster.rollout.state_machine import Mover
 
 
 def rollout_view(mover: Mover, progress: Progress, book: Book) -> dict[str, Any]:
--- a/yardbank/daemon/keeper.py
+++ b/yardbank/daemon/versioned_supervisor.py
@@ -15,8 +15,8 @@
 
 from twisted.internet.protocol import ProcessProtocol
 
-from yardbank.cluster.rollout import force as forces
-from yardbank.cluster.rollout.force import Force
+from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout.active_version import Force
 from yardbank.daemon.versions import Versions
 
 
--- a/yardbank/daemon/versions.py
+++ b/yardbank/daemon/versions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from yardbank.cluster.rollout.force import EXIT_ANEW, Force
+from yardbank.cluster.rollout.active_version import EXIT_ANEW, Force
 from yardbank.daemon.restarts import Restarts
 
 
--- a/yardbank/daemon/worker.py
+++ b/yardbank/daemon/worker.py
@@ -19,7 +19,7 @@
 from yardbank.proxy import Proxy
 
 if TYPE_CHECKING:
-    from yardbank.cluster.rollout.force import Started
+    from yardbank.cluster.rollout.active_version import Started
 
 
 class Recorder:
@@ -40,7 +40,7 @@
     """The settings file that counts now: a rollout may have changed it in service. Raises ``ValueError``."""
     if started is None:
         return file
-    from yardbank.cluster.rollout import force
+    from yardbank.cluster.rollout import active_version as force
 
     return force.read(started.given.parent).now.file(started.given)
 
@@ -90,7 +90,7 @@
     code = 0
 
     def leave() -> None:  # a rollout: the supervisor starts this gateway anew, by what is in force then
-        from yardbank.cluster.rollout.force import EXIT_ANEW
+        from yardbank.cluster.rollout.active_version import EXIT_ANEW
 
         nonlocal code
         code = EXIT_ANEW
--- a/yardbank/plan/document.py
+++ b/yardbank/plan/document.py
@@ -9,8 +9,8 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from yardbank.config.hcl import Body, HclError, parse
+from yardbank.plan.active_plan import list_hash
 from yardbank.plan.aperture import LEAST_WEIGHT
-from yardbank.plan.force import list_hash
 from yardbank.plan.model import Demand, Limits, PlanServer, Problem, warmth_of
 
 if TYPE_CHECKING:
--- a/yardbank/plan/replan.py
+++ b/yardbank/plan/replan.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 
 from yardbank.gateway.api import ServerSpec
+from yardbank.plan.active_plan import MadePlan, list_hash
 from yardbank.plan.document import candidates, weights
-from yardbank.plan.force import MadePlan, list_hash
 from yardbank.plan.model import Problem, warmth_of
 
 
--- a/yardbank/platform/admission.py
+++ b/yardbank/platform/admission.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from yardbank.gateway.api import MS, SECOND
-from yardbank.platform.vigil import MOST
+from yardbank.platform.watch_state import MOST
 
 CLOSING = 4  # the least of connections of clients that may be in their end, besides those that are served
 # standard streams 3, epoll 1, wakers 2, the port 1, Twisted's reserve 1, watches of discovery ``vigil.MOST`` and the
--- a/yardbank/platform/discovery.py
+++ b/yardbank/platform/discovery.py
@@ -6,8 +6,8 @@
 
 import h11
 
+from yardbank.platform.json_stream import Sign, Values
 from yardbank.platform.listing import Listing, parse_listing
-from yardbank.platform.values import Sign, Values
 
 MAX_HEAD = 16 << 10  # of the head of an answer, of a chunk, of trailers; data are passed on as they come
 
--- a/yardbank/platform/watch.py
+++ b/yardbank/platform/watch.py
@@ -13,9 +13,9 @@
 from yardbank.gateway.api import MS, SECOND
 from yardbank.platform.config import Address
 from yardbank.platform.discovery import Watch
+from yardbank.platform.json_stream import Sign
 from yardbank.platform.listing import Listing, joined
-from yardbank.platform.values import Sign
-from yardbank.platform.vigil import SILENCE, Steps, Vigil
+from yardbank.platform.watch_state import SILENCE, Steps, Vigil
 
 LOG_EVERY = SECOND  # of what discovery can cause at will
 READ_SIZE, MAX_READS = 64 << 10, 16  # octets at a time, and how many times in a row
--- a/yardbank/proxy.py
+++ b/yardbank/proxy.py
@@ -28,10 +28,10 @@
 from yardbank.server_list.service import FleetKeeper
 
 if TYPE_CHECKING:
-    from yardbank.cluster.channels.face import Channels
+    from yardbank.cluster.channels.service import Channels
     from yardbank.cluster.coordination import Joint
-    from yardbank.cluster.peers.shell import Peers
-    from yardbank.cluster.rollout.force import Started
+    from yardbank.cluster.peers.transport import Peers
+    from yardbank.cluster.rollout.active_version import Started
 
 
 def listening_socket(address: str, port: int, shared: bool) -> socket.socket:
@@ -95,7 +95,7 @@
         self._joint: Joint | None = None
         if config.peers is not None:
             from yardbank.cluster.peers.sharing import Sharing
-            from yardbank.cluster.peers.shell import Peers
+            from yardbank.cluster.peers.transport import Peers
 
             state = folder / config.state.path / f"worker-{worker}" if config.state is not None else None
             self._peers = Peers(
--- a/yardbank/server_list/document.py
+++ b/yardbank/server_list/document.py
@@ -17,8 +17,8 @@
 from yardbank.config.hcl import Body, HclError, parse
 from yardbank.config.schema import Class, Server
 from yardbank.gateway.api import ServerSpec
-from yardbank.plan.force import MadePlan
-from yardbank.server_list.blocks import BlockCache
+from yardbank.plan.active_plan import MadePlan
+from yardbank.server_list.block_cache import BlockCache
 
 MAX_SERVERS = 20_000
 
--- a/yardbank/server_list/edit.py
+++ b/yardbank/server_list/incremental_reader.py
@@ -13,7 +13,7 @@
 
 from yardbank.config.hcl import Body
 from yardbank.gateway.api import ServerSpec
-from yardbank.server_list.blocks import BlockCache, plain_blocks
+from yardbank.server_list.block_cache import BlockCache, plain_blocks
 from yardbank.server_list.document import MAX_SERVERS, Delta, Fleet, digest_of, read_set, server_of
 
 _NO_START = b" \t\r\n\v\f}"  # a line that begins so begins no block
--- a/yardbank/server_list/life.py
+++ b/yardbank/server_list/lifecycle.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 
 from yardbank.gateway.api import MS, SECOND
-from yardbank.server_list.change import Change, Changes, compare, describe, suspicion, suspicion_of
+from yardbank.server_list.comparison import Change, Changes, compare, describe, suspicion, suspicion_of
 from yardbank.server_list.document import Fleet, FleetError, digest_of
-from yardbank.server_list.edit import ListReader
+from yardbank.server_list.incremental_reader import ListReader
 
 SETTLE = 20 * MS  # unchanged for so long: the writer is likely to be done
 PATIENCE = 2 * SECOND  # written without a pause for so long: what stands there is read all the same
--- a/yardbank/server_list/service.py
+++ b/yardbank/server_list/service.py
@@ -12,17 +12,17 @@
 from yardbank.config.schema import Class
 from yardbank.gateway.api import MS, ServerSpec
 from yardbank.gateway.gateway import Gateway
+from yardbank.plan.active_plan import MadePlan, Warming, choose, view
 from yardbank.plan.document import PlanError, read_problem
-from yardbank.plan.force import MadePlan, Warming, choose, view
 from yardbank.plan.model import Problem
 from yardbank.plan.replan import replan
 from yardbank.scheduler import Budget, Queue, Runner
 from yardbank.server_list.document import Fleet
-from yardbank.server_list.life import Action, Apply, Hold, Membership, Reject
+from yardbank.server_list.lifecycle import Action, Apply, Hold, Membership, Reject
 from yardbank.server_list.watcher import Watcher
+from yardbank.state.recovery import WriteRate, judge, next_generation
 from yardbank.state.snapshot import GroupState, ServerState, Snapshot
 from yardbank.state.store import Store, StoreError
-from yardbank.state.trust import WriteRate, judge, next_generation
 
 PLAN_BURST = 50 * MS  # of work, before planning waits for its share
 LEAST_VIEW = 0.05  # seconds between two looks at what a plan has become
--- a/yardbank/testing/rig/place.py
+++ b/yardbank/testing/rig/gateway_folder.py
@@ -12,8 +12,8 @@
 
 from yardbank.files import write_whole
 from yardbank.testing.rig.changes import asking, changed, file_name, word
-from yardbank.testing.rig.drive import DESK_DN, DESK_PASSWORD
 from yardbank.testing.rig.load import DEADLINE, STALENESS
+from yardbank.testing.rig.load_driver import DESK_DN, DESK_PASSWORD
 from yardbank.testing.rig.scenario import Fleet, Scenario, Step, matching
 
 GATEWAY_DN, GATEWAY_PASSWORD = "cn=gateway,dc=porting", "gateway"
--- a/yardbank/testing/rig/gossip.py
+++ b/yardbank/testing/rig/gossip.py
@@ -11,10 +11,10 @@
 from random import Random
 
 from yardbank.cluster.peers.datagram import ALIVE, GONE
-from yardbank.cluster.peers.detector import SECOND, Change, Pace
+from yardbank.cluster.peers.failure_detector import SECOND, Change, Pace
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.parts import Part
-from yardbank.testing.rig.wire import Datagrams, Effect, Network
+from yardbank.testing.rig.network import Datagrams, Effect, Network
 
 FLEET, KEY = "porting", b"k" * 32
 WAY = Effect(delay=0.0005, jitter=0.001)  # a sound network, in seconds
--- a/yardbank/testing/rig/known.py
+++ b/yardbank/testing/rig/observations.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from yardbank.testing.audit.changes import ON_NEW, ON_OLD, STOPPED
-from yardbank.testing.audit.letters import holdings, items
+from yardbank.testing.audit.gossip_messages import holdings, items
 
 Fact = dict[str, Any]
 # Log lines that become facts: under their own name, with these of their words.
--- a/yardbank/testing/rig/play.py
+++ b/yardbank/testing/rig/play.py
@@ -13,13 +13,13 @@
 
 from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
 
-from yardbank.testing.rig.acting import Acting
 from yardbank.testing.rig.claim import TERMS
-from yardbank.testing.rig.drive import Drive
 from yardbank.testing.rig.load import draw
+from yardbank.testing.rig.load_driver import Drive
 from yardbank.testing.rig.processes import GuardianLostError, ProgramMissingError
 from yardbank.testing.rig.roster import DOWN, ENDING, PAUSED, READY, STARTING, sees_rightly
 from yardbank.testing.rig.scenario import CLIENTS, NETWORK
+from yardbank.testing.rig.step_runner import Acting
 
 START_TIMEOUT = 90.0  # seconds for all processes of a kind
 LOOK, LATE = 0.02, 0.01  # seconds between two looks at the rig's own lateness, and from which it counts
--- a/yardbank/testing/rig/published.py
+++ b/yardbank/testing/rig/published.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from yardbank.testing.rig.place import GatewayPlace, source_text
+from yardbank.testing.rig.gateway_folder import GatewayPlace, source_text
 from yardbank.testing.rig.scenario import Scenario, matching
 
 
--- a/yardbank/testing/rig/relay.py
+++ b/yardbank/testing/rig/relay.py
@@ -17,8 +17,8 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 from twisted.python.failure import Failure
 
+from yardbank.testing.rig.network import Datagrams, Ended, Network, Stream
 from yardbank.testing.rig.taps import Tap
-from yardbank.testing.rig.wire import Datagrams, Ended, Network, Stream
 
 HOST = "127.0.0.1"
 MAX_OPEN = 10_000  # connections of one relay; beyond, they are reset
--- a/yardbank/testing/rig/running.py
+++ b/yardbank/testing/rig/running_fleet.py
@@ -14,9 +14,17 @@
 from twisted.internet.defer import Deferred
 
 from yardbank.files import write_whole
-from yardbank.testing.rig.drive import Drive
-from yardbank.testing.rig.known import Known, fact_of
-from yardbank.testing.rig.place import GATEWAY_DN, GATEWAY_PASSWORD, GatewayPlace, Listed, list_text, peers_text
+from yardbank.testing.rig.gateway_folder import (
+    GATEWAY_DN,
+    GATEWAY_PASSWORD,
+    GatewayPlace,
+    Listed,
+    list_text,
+    peers_text,
+)
+from yardbank.testing.rig.load_driver import Drive
+from yardbank.testing.rig.network import Effect, Network, Pair, ways
+from yardbank.testing.rig.observations import Known, fact_of
 from yardbank.testing.rig.processes import Processes, program_command
 from yardbank.testing.rig.published import PublishedList
 from yardbank.testing.rig.record import Recorder
@@ -25,7 +33,6 @@
 from yardbank.testing.rig.scenario import CLIENTS, Scenario
 from yardbank.testing.rig.schedule import Due, Schedule
 from yardbank.testing.rig.taps import Attempts, Departures, Tap
-from yardbank.testing.rig.wire import Effect, Network, Pair, ways
 from yardbank.testing.standin.process import GroupSpec
 
 Command = Callable[[str, list[str]], list[str]]  # a gateway's name and command: the command to use
--- a/yardbank/testing/rig/scenario.py
+++ b/yardbank/testing/rig/scenario.py
@@ -11,7 +11,7 @@
 from yardbank.config.checked import ConfigError, Shape, check_text, read_text
 from yardbank.testing.rig.blocks import Clock, Fleet, Group, Load, Program
 from yardbank.testing.rig.claim import Claim
-from yardbank.testing.rig.cross import cross
+from yardbank.testing.rig.cross_checks import cross
 from yardbank.testing.rig.steps import GATEWAY, NETWORK, ROLLOUT, Step, matching
 
 CLIENTS = "clients"  # all clients are one end of the network
--- a/yardbank/testing/rig/acting.py
+++ b/yardbank/testing/rig/step_runner.py
@@ -5,11 +5,11 @@
 from random import Random
 from typing import Any
 
+from yardbank.testing.rig.network import Effect, only, pairs_of
 from yardbank.testing.rig.roster import DOWN, ENDING
-from yardbank.testing.rig.running import Running
+from yardbank.testing.rig.running_fleet import Running
 from yardbank.testing.rig.scenario import GATEWAY, NETWORK, ROLLOUT, Step, matching
 from yardbank.testing.rig.schedule import Due
-from yardbank.testing.rig.wire import Effect, only, pairs_of
 
 
 def effect_of(step: Step) -> Effect:
--- a/yardbank/testing/rig/verdict.py
+++ b/yardbank/testing/rig/verdict.py
@@ -9,13 +9,13 @@
 
 from yardbank.testing.audit import changes, feeds, judge
 from yardbank.testing.audit.claims import Finding, alive, belief, served, serves_again, unmoved, views
+from yardbank.testing.audit.client_departure import GoneBounds, gone_clients
 from yardbank.testing.audit.cold_sum import ColdBounds, cold_sum
 from yardbank.testing.audit.distributed import distributed
-from yardbank.testing.audit.gone import GoneBounds, gone_clients
 from yardbank.testing.audit.judge import Bounds
+from yardbank.testing.audit.notification_deadline import ToldBounds, told_in_time
 from yardbank.testing.audit.record import Fact
-from yardbank.testing.audit.told import ToldBounds, told_in_time
-from yardbank.testing.audit.ways import charted
+from yardbank.testing.audit.zone_latencies import charted
 from yardbank.testing.rig.scenario import Claim, Scenario, matching
 
 BOUNDS = Bounds(answer_slack=1.5)  # many processes share the machine's cores: answers are judged less closely
