--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -16,7 +16,7 @@
 from statistics import mean, median
 
 from benchmarks.common import chart, keep, table
-from tests.channels_fleet import MS, SECOND, ChannelFleet
+from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank import interface as api
 from yardbank.cluster.channels.api import Delivered, Options
 from yardbank.cluster.channels.positions import Place, Positions
--- a/benchmarks/classify.py
+++ b/benchmarks/classify.py
@@ -5,7 +5,7 @@
 from itertools import cycle
 
 from benchmarks.common import keep, per_second, table
-from tests.statements import CORPUS
+from tests.support.pg_statements import CORPUS
 from yardbank.pg.classify import Classifier, Kind
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -12,7 +12,7 @@
 from statistics import mean
 
 from benchmarks.common import chart, keep, table
-from tests.rollout_world import SECOND, Kind, World, change, zoned
+from tests.support.rollout_fleet import SECOND, Kind, World, change, zoned
 from yardbank.cluster.rollout.stage_plan import Order
 
 SIZES = (8, 24, 48, 200)
--- a/benchmarks/scale/together.py
+++ b/benchmarks/scale/together.py
@@ -7,8 +7,8 @@
 from benchmarks.atlas_fleet import Fleet as MapFleet
 from benchmarks.atlas_fleet import sites, spread_over
 from benchmarks.scale.line import COUNTED, Line, Quantity, Values
-from tests.channels_fleet import ChannelFleet
-from tests.rollout_world import World, change, zoned
+from tests.support.channels_fleet import ChannelFleet
+from tests.support.rollout_fleet import World, change, zoned
 
 SECOND = 1_000_000_000
 GATEWAYS = 12
--- a/tests/test_channels_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from tests.channels_fleet import MS, SECOND, ChannelFleet
-from tests.test_channels_fleet import LOSSY, TERM, cut, fleet, sound
+from tests.cluster.channels.test_fleet import LOSSY, TERM, cut, fleet, sound
+from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import Delivered, resource
 from yardbank.cluster.channels.states import HANDING
--- a/tests/test_channels_fleet.py
+++ b/tests/cluster/channels/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.channels_fleet import MS, SECOND, ChannelFleet
+from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels.api import Delivered
 from yardbank.cluster.channels.placement import bound
 from yardbank.testing.rig.network import Effect
--- a/tests/test_channels_many.py
+++ b/tests/cluster/channels/test_large_fleet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.channels_fleet import MS, SECOND, ChannelFleet
+from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels.api import Delivered
 
 
--- a/tests/test_atlas_harm.py
+++ b/tests/cluster/latency_map/test_fleet_faults.py
@@ -3,7 +3,7 @@
 import pytest
 
 from benchmarks.atlas_fleet import Fleet
-from tests.test_atlas_fleet import THREE, right, three, wrong
+from tests.cluster.latency_map.test_fleet import THREE, right, three, wrong
 from yardbank.cluster.latency_map import messages as letter
 from yardbank.cluster.latency_map.measurements import SLOW
 from yardbank.cluster.latency_map.messages import Entry
--- a/tests/test_grants_bounds.py
+++ b/tests/cluster/lease/test_bounds.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.grants_bus import SECOND, TERMS, Bus, R
+from tests.support.lease_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease import Terms
 from yardbank.cluster.lease.epochs import FAR, Epochs
 from yardbank.cluster.lease.messages import FULL, GRANTED, Answer, Ask, Offer, decode, encode
--- a/tests/test_grants.py
+++ b/tests/cluster/lease/test_lease.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.grants_bus import SECOND, TERMS, Bus, R
+from tests.support.lease_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease.epochs import SHIFT
 from yardbank.cluster.lease.messages import Ask, Took, encode
 from yardbank.cluster.lease.model_check.nodes import Kept
--- a/tests/test_grants_order.py
+++ b/tests/cluster/lease/test_model_check.py
@@ -1,14 +1,13 @@
 """One grant, one holder: every order of events, and the faults that must be found."""
 
-from pathlib import Path
-
 import pytest
 
+from tests.support.paths import DATA
 from yardbank.cluster.lease.model_check.bugs import BUGS, seeded
 from yardbank.cluster.lease.model_check.scenes import FINDS, SCENES
 from yardbank.cluster.lease.model_check.search import explore, read, replay, walk
 
-FILES = sorted((Path(__file__).parent / "data").glob("lease-*.json"))
+FILES = sorted(DATA.glob("lease-*.json"))
 
 
 @pytest.mark.parametrize("name", list(SCENES))
@@ -20,7 +19,7 @@
 
 @pytest.mark.parametrize("bug", list(BUGS))
 def test_each_fault_is_found_and_its_shortest_counterexample_is_the_kept_one(bug):
-    kept = read(Path(__file__).parent / "data" / f"lease-{bug}.json")
+    kept = read(DATA / f"lease-{bug}.json")
     assert kept.bug == bug
     with seeded(bug):
         assert replay(kept) == kept.wrong != ""
--- a/tests/test_distribution_files.py
+++ b/tests/cluster/list_distribution/test_files.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from tests.test_joint import TOGETHER, Log, made, parts, without
+from tests.cluster.test_coordination import TOGETHER, Log, made, parts, without
 from yardbank.cluster.list_distribution.document import entries_of, table_of, text_of
 from yardbank.cluster.list_distribution.files import DistributionFiles, Source, stored_table
 from yardbank.cluster.list_distribution.table import DoesNotFitError, Table
--- a/tests/test_distribution_fleet.py
+++ b/tests/cluster/list_distribution/test_fleet.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.distribution_fleet import SECOND, ListFleet
+from tests.support.list_distribution_fleet import SECOND, ListFleet
 from yardbank.cluster.list_distribution.options import Options
 from yardbank.cluster.list_distribution.part import DistributionPart
 from yardbank.cluster.list_distribution.table import Increment
--- a/tests/test_distribution_rig.py
+++ b/tests/cluster/list_distribution/test_processes.py
@@ -63,7 +63,7 @@
 def test_a_copy_with_a_fault_of_its_own_is_found(fault, seen, tmp_path):
     file = tmp_path / "s.hcl"
     file.write_text(SMALL)
-    command = [sys.executable, "-m", "tests.rig_runner", fault, str(file), str(tmp_path / "folder")]
+    command = [sys.executable, "-m", "tests.support.rig_runner", fault, str(file), str(tmp_path / "folder")]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     (claim,) = json.loads(done.stdout.splitlines()[-1])["claims"]
--- a/tests/test_hearsay.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import World, group
+from tests.support.router_world import World, group
 from yardbank.cluster.peers.datagram import Word
 from yardbank.cluster.peers.outlier_consensus import PART, SPREAD, Listed, believe
 from yardbank.cluster.peers.report_store import (
--- a/tests/test_peers_process.py
+++ b/tests/cluster/peers/test_processes.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.helpers import wait_for
+from tests.support.router_world import wait_for
 from yardbank.cli import main
 from yardbank.cluster.peers.peer_list import PeerList, Reject, Take, next_life, stored_life
 from yardbank.testing.rig.gateway_folder import peers_text, settings_text
--- a/tests/test_rollout_shell.py
+++ b/tests/cluster/rollout/test_actuator.py
@@ -2,12 +2,12 @@
 
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 from click.testing import CliRunner
 
-from tests.test_rollout_files import GOOD
+from tests.cluster.rollout.test_files import GOOD
+from tests.support.paths import EXAMPLE_SETTINGS as SETTINGS
 from yardbank.cli import main
 from yardbank.cluster.rollout import active_version as forces
 from yardbank.cluster.rollout.active_version import Force, Version
@@ -42,9 +42,6 @@
         return []
 
 
-SETTINGS = Path(__file__).parent.parent / "deploy" / "example.hcl"
-
-
 BLOCKS = 'peers {\n name = "g0"\n port = 0\n list = "peers.hcl"\n key = "key"\n}\nrollout {\n}\n'
 
 
--- a/tests/test_rollout_liars.py
+++ b/tests/cluster/rollout/test_false_records.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from tests.rollout_world import SECOND, Kind, change
-from tests.test_rollout_faults import moved
-from tests.test_rollout_fleet import LOOKUP, begun, worse
+from tests.cluster.rollout.test_faults import moved
+from tests.cluster.rollout.test_fleet import LOOKUP, begun, worse
+from tests.support.rollout_fleet import SECOND, Kind, change
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.rollout.phase import FELL, NEW
 from yardbank.cluster.rollout.record import Cell, Said, encoded, letter, records
--- a/tests/test_rollout_faults.py
+++ b/tests/cluster/rollout/test_faults.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.rollout_world import SECOND, Kind, World, change, zoned
-from tests.test_rollout_fleet import begun, stopped, worse
+from tests.cluster.rollout.test_fleet import begun, stopped, worse
+from tests.support.rollout_fleet import SECOND, Kind, World, change, zoned
 from yardbank.cluster.rollout.document import Word
 from yardbank.testing.rig.network import Effect, pairs_of
 
--- a/tests/test_rollout_files.py
+++ b/tests/cluster/rollout/test_files.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import wait_for
-from tests.net import run, world
-from tests.rollout_world import Disk
+from tests.support.reactor_thread import run, world
+from tests.support.rollout_fleet import Disk
+from tests.support.router_world import wait_for
 from yardbank.cluster.rollout import active_version as forces
 from yardbank.cluster.rollout.active_version import EXIT_ANEW, Force, Version
 from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, taken
--- a/tests/test_rollout_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.rollout_world import SECOND, Disk, Kind, World, change, zoned
+from tests.support.rollout_fleet import SECOND, Disk, Kind, World, change, zoned
 from yardbank.cluster.rollout.document import Word
 
 LOOKUP, WRITE = "lookup:0", "write:0"
--- a/tests/test_rollout_landed.py
+++ b/tests/cluster/rollout/test_landed_version.py
@@ -6,16 +6,15 @@
 import subprocess
 import sys
 import tarfile
-from pathlib import Path
 
 import pytest
 
-from tests.helpers import wait_for
-from tests.net import ensure_reactor, run
+from tests.support.paths import ROOT
+from tests.support.reactor_thread import ensure_reactor, run
+from tests.support.router_world import wait_for
 from yardbank.testing.demo.world import free_port
 
 LANDED = "9d7b4df"  # the last commit whose gateways know nothing of letters
-ROOT = Path(__file__).parent.parent
 
 LANDED_GATEWAY = """
 import sys, time
--- a/tests/test_rollout_process.py
+++ b/tests/cluster/rollout/test_processes.py
@@ -5,8 +5,8 @@
 import subprocess
 import sys
 
-from tests.helpers import wait_for
-from tests.net import run, world
+from tests.support.reactor_thread import run, world
+from tests.support.router_world import wait_for
 from yardbank.cluster.rollout import active_version as forces
 from yardbank.testing.demo.world import free_port
 
--- a/tests/test_joint.py
+++ b/tests/cluster/test_coordination.py
@@ -2,15 +2,15 @@
 
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 from twisted.internet.task import Clock
 
+from tests.support.paths import EXAMPLE_SETTINGS
 from yardbank.config import ConfigError, load_text
 from yardbank.proxy import Proxy
 
-EXAMPLE = (Path(__file__).parents[1] / "deploy" / "example.hcl").read_text()
+EXAMPLE = EXAMPLE_SETTINGS.read_text()
 TOGETHER = EXAMPLE.replace("#| ", "").replace("#|", "")
 PARTS = ("lease", "feed", "rollout", "map")
 
--- a/tests/test_mutations.py
+++ b/tests/config/test_broken_input.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.test_config import TEXT
+from tests.config.test_settings import TEXT
 from yardbank.config import ConfigError, load_text
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import ServerSpec
--- a/tests/test_nothing_fitted.py
+++ b/tests/config/test_nothing_fitted.py
@@ -18,7 +18,8 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+from tests.support.paths import ROOT
+
 GIVEN = os.environ.get("YARDBANK_SITES", "")
 SITES = [Path(name) for name in GIVEN.split(":")] if GIVEN else sorted((ROOT / "deploy" / "sites").glob("*.toml"))
 PROGRAM = [*sorted((ROOT / "yardbank").rglob("*.py")), ROOT / "deploy" / "balancer.toml"]
--- a/tests/test_config.py
+++ b/tests/config/test_settings.py
@@ -2,18 +2,17 @@
 
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 from click.testing import CliRunner
 
+from tests.support.paths import EXAMPLE_SETTINGS as EXAMPLE
 from yardbank.cli import main
 from yardbank.config import ConfigError, advice, build, load_text
 from yardbank.ldap import filters
 from yardbank.ldap import messages as m
 from yardbank.ldap.classify import Classifier, Rule, operation_name
 
-EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.hcl"
 TEXT = EXAMPLE.read_text()
 
 FAULTS = [
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests import known_red
+from tests.support import known_red
 
 
 def pytest_configure(config):
--- a/tests/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -12,8 +12,8 @@
 from twisted.internet import reactor
 from twisted.internet.defer import gatherResults
 
-from tests.helpers import wait_for
-from tests.net import Desk, ensure_reactor, run, shown, until, world
+from tests.support.reactor_thread import Desk, ensure_reactor, run, shown, until, world
+from tests.support.router_world import wait_for
 from yardbank.daemon.clocks import Clocks
 from yardbank.daemon.restarts import Restarts
 from yardbank.ldap import messages as m
--- a/tests/test_dial.py
+++ b/tests/gateway/test_dial.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-from tests.platform_kit import AUTHENTICATED
+from tests.support.platform import AUTHENTICATED
 from yardbank.gateway.api import ServerSpec
 from yardbank.platform.backend import PlatformBackend
 
--- a/tests/test_gateway_faults.py
+++ b/tests/gateway/test_faults.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from tests.gateway_place import READ, SERVERS, WRITE, FakeBackend, Place, Sink
+from tests.support.virtual_gateway import READ, SERVERS, WRITE, FakeBackend, Place, Sink
 from yardbank.gateway import Call, Gateway, Limits, Reply
 from yardbank.gateway.api import MS
 from yardbank.interface import Gone, Request, Role, Settings, Timer
--- a/tests/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,6 +1,6 @@
 """The gateway on a virtual clock: requests, attempts, answers."""
 
-from tests.gateway_place import SERVERS, FakeConnection, Place
+from tests.support.virtual_gateway import SERVERS, FakeConnection, Place
 from yardbank.gateway import Limits, Reply
 from yardbank.gateway.api import MS, Position
 from yardbank.interface import Role
--- a/tests/test_passed.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.gateway_place import SERVERS, Place
+from tests.support.virtual_gateway import SERVERS, Place
 from yardbank.gateway import Reply, ServerSpec
 from yardbank.gateway.api import Position
 from yardbank.gateway.passed import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, Passed
--- a/tests/test_gateway_pieces.py
+++ b/tests/gateway/test_parts.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from tests.gateway_place import KEYED, READ, WRITE
+from tests.support.virtual_gateway import KEYED, READ, WRITE
 from yardbank.gateway.clock import SteadyClock, started_at
 from yardbank.gateway.deadlines import Deadlines
 from yardbank.gateway.ending import allowance, may_be_refused
--- a/tests/test_crossings_attempts.py
+++ b/tests/gateway/test_race_attempts.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from tests.crossings_place import COPY, LONE, Place, Scripted
-from tests.gateway_place import FakeConnection
+from tests.support.delayed_gateway import COPY, LONE, Place, Scripted
+from tests.support.virtual_gateway import FakeConnection
 from yardbank.gateway import Reply
 from yardbank.gateway.api import BROKE_OPENING, MS, NotSentError
 from yardbank.interface import Fail, Gone, Outcome, Refuse, Send, SetTimer, Timer
--- a/tests/test_crossings_lists.py
+++ b/tests/gateway/test_race_lists.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.crossings_place import COPY, DRAINS, LONE, MOVED, Place, Scripted
+from tests.support.delayed_gateway import COPY, DRAINS, LONE, MOVED, Place, Scripted
 from yardbank.gateway import ServerSpec
 from yardbank.interface import Outcome, Probed, Send, ServerList
 
--- a/tests/test_crossings_timers.py
+++ b/tests/gateway/test_race_timers.py
@@ -6,7 +6,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from tests.gateway_place import Place
+from tests.support.virtual_gateway import Place
 from yardbank.gateway.api import MS
 from yardbank.gateway.deadlines import Deadlines
 
--- a/tests/test_tallies.py
+++ b/tests/gateway/test_request_counters.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.gateway_place import READ, WRITE, Place
+from tests.support.virtual_gateway import READ, WRITE, Place
 from yardbank.gateway.api import MS
 from yardbank.gateway.tallies import BUCKETS, LEAST, MOST, Tallies, Tally, beyond, bucket
 
--- a/tests/test_view.py
+++ b/tests/gateway/test_view.py
@@ -2,7 +2,7 @@
 
 import json
 
-from tests.gateway_place import Place
+from tests.support.virtual_gateway import Place
 from yardbank.gateway.api import MS, ServerSpec
 from yardbank.gateway.view import MOST_SERVERS
 
--- a/tests/test_gateway_ways.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.gateway_place import SERVERS, FakeConnection, Place
+from tests.support.virtual_gateway import SERVERS, FakeConnection, Place
 from yardbank.gateway import ServerSpec
 from yardbank.gateway.api import BROKE_OPENING, MS, Position
 from yardbank.interface import Ways
--- a/tests/test_spread_path.py
+++ b/tests/ldap/test_cross_group_end_to_end.py
@@ -4,7 +4,7 @@
 import pytest
 from twisted.internet.defer import gatherResults
 
-from tests.net import Desk, run, until, world
+from tests.support.reactor_thread import Desk, run, until, world
 from yardbank.directory.codes import Code, Scope
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
--- a/tests/test_ldap_path.py
+++ b/tests/ldap/test_end_to_end.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.defer import gatherResults
 
-from tests.net import Desk, run, shown, until, world
+from tests.support.reactor_thread import Desk, run, shown, until, world
 from yardbank.directory.codes import Code
 from yardbank.ldap import codec
 from yardbank.ldap import messages as m
--- a/tests/test_crossings_ldap.py
+++ b/tests/ldap/test_race_clients.py
@@ -8,8 +8,8 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.task import Clock
 
-from tests.crossings_kit import GONE, arrives, go, readable
-from tests.platform_kit import LOOKUP, Log
+from tests.support.client_sockets import GONE, arrives, go, readable
+from tests.support.platform import LOOKUP, Log
 from yardbank.directory.codes import Code, Scope
 from yardbank.gateway import Gateway, Limits, Reply, ServerSpec
 from yardbank.interface import Settings
--- a/tests/test_pg.py
+++ b/tests/pg/test_codec.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.statements import CORPUS
+from tests.support.pg_statements import CORPUS
 from yardbank.pg import messages as pg
 from yardbank.pg.classify import Classifier, Kind, Taint
 from yardbank.pg.wire import MAX_STARTUP, SSL_REQUEST, VERSION_3_0, Frame, Framer, WireError, int32
--- a/tests/test_plan_use.py
+++ b/tests/plan/test_active_plan.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import gatherResults
 
-from tests.net import Desk, run, until, world
-from tests.test_config import TEXT
+from tests.config.test_settings import TEXT
+from tests.support.reactor_thread import Desk, run, until, world
 from yardbank.cli import main
 from yardbank.gateway.api import ServerSpec
 from yardbank.ldap import messages as m
--- a/tests/test_plan.py
+++ b/tests/plan/test_solver.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.bruteforce import check, exact, grid, written
+from tests.support.plan_brute_force import check, exact, grid, written
 from yardbank.cli import main
 from yardbank.plan import Demand, Limits, PlanServer, Problem, solve
 from yardbank.plan.model import relaxed, warmth_of
--- a/tests/test_settings_spoilt.py
+++ b/tests/platform/test_broken_settings.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from tests.platform_kit import CONFIG, ENTRY, START, Log, Reactor, listening, query, serving
+from tests.support.platform import CONFIG, ENTRY, START, Log, Reactor, listening, query, serving
 from yardbank.gateway.api import SECOND
 from yardbank.platform.client import EMPTY
 from yardbank.platform.config import PlatformError, read_config
--- a/tests/test_platform_clients.py
+++ b/tests/platform/test_clients.py
@@ -1,6 +1,6 @@
 """Clients, admission and the gateway together."""
 
-from tests.platform_kit import READ, READY, WRITE, World, query
+from tests.support.platform import READ, READY, WRITE, World, query
 from yardbank.gateway import Reply
 from yardbank.pg import messages as pg
 from yardbank.pg.wire import Frame
--- a/tests/test_platform_told.py
+++ b/tests/platform/test_configuration.py
@@ -3,7 +3,7 @@
 import orjson
 import pytest
 
-from tests.platform_kit import CONFIG, ENTRY, ENV
+from tests.support.platform import CONFIG, ENTRY, ENV
 from yardbank.gateway import ServerSpec
 from yardbank.gateway.api import SECOND
 from yardbank.platform.config import (
--- a/tests/test_platform_ends.py
+++ b/tests/platform/test_connection_end.py
@@ -8,8 +8,8 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from tests.platform_kit import KINDS, READ, READY, START, WRITE, World, query, serving
-from tests.test_platform_connections import Pair
+from tests.platform.test_server_connections import Pair
+from tests.support.platform import KINDS, READ, READY, START, WRITE, World, query, serving
 from yardbank.gateway import Reply
 from yardbank.platform.admission import State
 from yardbank.platform.backend import Operation
--- a/tests/test_platform_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.platform_kit import ENTRY, HEAD, LINE, chunk
+from tests.support.platform import ENTRY, HEAD, LINE, chunk
 from yardbank.platform.discovery import HttpError, Watch
 from yardbank.platform.listing import Listing
 
--- a/tests/test_settings_drawn.py
+++ b/tests/platform/test_drawn_settings.py
@@ -6,8 +6,8 @@
 from hypothesis import Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from tests.drawn_play import Play, milliseconds
-from tests.drawn_wire import WirePlay
+from tests.support.drawn_adapter_play import WirePlay
+from tests.support.drawn_platform_play import Play, milliseconds
 from yardbank.policy import Router
 from yardbank.policy.picking import Picking
 
--- a/tests/test_discovery_terms.py
+++ b/tests/platform/test_notification_deadline.py
@@ -5,9 +5,9 @@
 import orjson
 import pytest
 
-from tests.platform_kit import ENTRY, HEAD, LINE, chunk
-from tests.test_crossings_discovery import Agent, a_list
-from tests.test_platform_watch import Network, events, watching
+from tests.platform.test_race_discovery import Agent, a_list
+from tests.platform.test_watch import Network, events, watching
+from tests.support.platform import ENTRY, HEAD, LINE, chunk
 from yardbank.gateway.api import SECOND
 from yardbank.platform import watch_state as vigil
 from yardbank.platform.config import Address
--- a/tests/test_platform_pipeline.py
+++ b/tests/platform/test_pipeline.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.platform_kit import KINDS, READ, READY, WRITE, World, query
+from tests.support.platform import KINDS, READ, READY, WRITE, World, query
 from yardbank.gateway import Reply
 from yardbank.gateway.api import MS, SECOND
 from yardbank.platform.pipeline import MAX_HELD_OCTETS, MAX_OPEN, ORDER_MARGIN, Pipeline, Stage
--- a/tests/test_platform_program.py
+++ b/tests/platform/test_program.py
@@ -12,7 +12,7 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from tests.platform_kit import (
+from tests.support.platform import (
     AUTHENTICATED,
     CONFIG,
     ENTRY,
--- a/tests/test_crossings_clients.py
+++ b/tests/platform/test_race_client_end.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.crossings_kit import GONE, Wire, arrives, go
-from tests.platform_kit import READ, WRITE, World, query
+from tests.support.client_sockets import GONE, Wire, arrives, go
+from tests.support.platform import READ, WRITE, World, query
 from yardbank.gateway import Reply
 from yardbank.platform import client
 from yardbank.platform.pipeline import MAX_OPEN
--- a/tests/test_crossings_closing.py
+++ b/tests/platform/test_race_closing.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.crossings_kit import Wire, arrives, readable
-from tests.platform_kit import READ, READY, START, query
+from tests.support.client_sockets import Wire, arrives, readable
+from tests.support.platform import READ, READY, START, query
 from yardbank.gateway import Reply
 from yardbank.platform.admission import State
 from yardbank.platform.client import EMPTY
--- a/tests/test_crossings_descriptors.py
+++ b/tests/platform/test_race_descriptors.py
@@ -10,8 +10,8 @@
 import orjson
 import pytest
 
-from tests.crossings_kit import readable
-from tests.platform_kit import AUTHENTICATED, CONFIG, ENTRY, ENV, HEAD, READ, READY, START, chunk, query, row
+from tests.support.client_sockets import readable
+from tests.support.platform import AUTHENTICATED, CONFIG, ENTRY, ENV, HEAD, READ, READY, START, chunk, query, row
 from yardbank.gateway.api import MS
 
 EXEC = "import os, resource, sys; n = int(sys.argv[1]); resource.setrlimit(resource.RLIMIT_NOFILE, (n, n));" \
--- a/tests/test_crossings_discovery.py
+++ b/tests/platform/test_race_discovery.py
@@ -8,8 +8,8 @@
 import pytest
 from twisted.internet.epollreactor import EPollReactor
 
-from tests.platform_kit import ENTRY, HEAD, LINE, Log, chunk
-from tests.test_platform_watch import events, watching
+from tests.platform.test_watch import events, watching
+from tests.support.platform import ENTRY, HEAD, LINE, Log, chunk
 from yardbank.platform.config import Address
 from yardbank.platform.listing import Listing, joined
 from yardbank.platform.watch import MAX_READS, READ_SIZE, Watcher
--- a/tests/test_crossings_kill.py
+++ b/tests/platform/test_race_kill.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.platform_kit import AUTHENTICATED, ENV, READY, service
-from tests.test_crossings_program import asked, fleet, until  # noqa: F401 - a fixture
+from tests.platform.test_race_program import asked, fleet, until  # noqa: F401 - a fixture
+from tests.support.platform import AUTHENTICATED, ENV, READY, service
 from yardbank.gateway.api import MS, SECOND
 from yardbank.platform.service import LINGER
 
--- a/tests/test_crossings_program.py
+++ b/tests/platform/test_race_program.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from tests.platform_kit import AUTHENTICATED, ENTRY, ENV, HEAD, READ, READY, START, chunk, query, row, serving
+from tests.support.platform import AUTHENTICATED, ENTRY, ENV, HEAD, READ, READY, START, chunk, query, row, serving
 from yardbank.platform.client import EMPTY
 
 TCP_FIN_WAIT1 = 4  # of Linux: an end was sent that the other side has not acknowledged
--- a/tests/test_crossings_process.py
+++ b/tests/platform/test_race_signals.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 
-from tests.platform_kit import CONFIG, READ, READY, START, query, service, serving
+from tests.support.platform import CONFIG, READ, READY, START, query, service, serving
 
 
 def start_held(tmp_path, discovery):
--- a/tests/test_crossings_writes.py
+++ b/tests/platform/test_race_writes.py
@@ -10,7 +10,7 @@
 from twisted.internet.tcp import Connection as TcpConnection
 from twisted.internet.testing import StringTransport
 
-from tests.platform_kit import AUTHENTICATED, KINDS, READY, WRITE, Log, row
+from tests.support.platform import AUTHENTICATED, KINDS, READY, WRITE, Log, row
 from yardbank.gateway import Limits, ServerSpec
 from yardbank.gateway.api import MS, SECOND, NotSentError
 from yardbank.gateway.deadlines import Deadlines
--- a/tests/test_platform_connections.py
+++ b/tests/platform/test_server_connections.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from tests.platform_kit import AUTHENTICATED, KINDS, READ, READY, Log, parameter, row
+from tests.support.platform import AUTHENTICATED, KINDS, READ, READY, Log, parameter, row
 from yardbank.gateway.api import MS, SECOND, ServerSpec
 from yardbank.pg import messages as pg
 from yardbank.platform.backend import Operation, PlatformBackend, ServerConnection
--- a/tests/test_platform_ways.py
+++ b/tests/platform/test_server_links.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from tests.platform_kit import AUTHENTICATED, KINDS, READ, READY, WRITE, Backend, Log, row
+from tests.support.platform import AUTHENTICATED, KINDS, READ, READY, WRITE, Backend, Log, row
 from yardbank.gateway import Call, Gateway, Limits, Reply, ServerSpec
 from yardbank.gateway.api import BROKE_OPENING, MS, SECOND
 from yardbank.gateway.deadlines import Deadlines
--- a/tests/test_platform_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.platform_kit import AUTHENTICATED, DESCRIPTION, KINDS, READ, READY, START, parameter, query, row
+from tests.support.platform import AUTHENTICATED, DESCRIPTION, KINDS, READ, READY, START, parameter, query, row
 from yardbank.gateway.api import MS, SECOND, Position
 from yardbank.gateway.positions import ClockPositions
 from yardbank.interface import Report, Role
--- a/tests/test_standing_terms.py
+++ b/tests/platform/test_standing_terms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.platform_kit import READ, World, query
+from tests.support.platform import READ, World, query
 from yardbank.interface import Refuse, Request, Send
 from yardbank.policy import Router
 from yardbank.testing.rig.virtual import Fleet
--- a/tests/test_platform_statements.py
+++ b/tests/platform/test_statements.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from tests.platform_kit import COMMIT, KINDS, LOOKUP, READ, WRITE
+from tests.support.platform import COMMIT, KINDS, LOOKUP, READ, WRITE
 from yardbank.gateway.api import MS
 from yardbank.platform.statement import MAX_VALUE, StatementError, out_of_reach, read_statement, since_write
 
--- a/tests/test_platform_watch.py
+++ b/tests/platform/test_watch.py
@@ -6,7 +6,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from tests.platform_kit import ENTRY, HEAD, LINE, Log, chunk
+from tests.support.platform import ENTRY, HEAD, LINE, Log, chunk
 from yardbank.platform.config import Address
 from yardbank.platform.watch import Watcher
 from yardbank.platform.watch_state import MOST
--- a/tests/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -5,9 +5,9 @@
 import subprocess
 import sys
 import tomllib
-from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+from tests.support.paths import ROOT
+
 ENV = {
     "ceilings": {
         "cancel": True,
--- a/tests/test_policy_marks.py
+++ b/tests/policy/test_gossiped_positions.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Member, Report, Role, World, group, sent
+from tests.support.router_world import MS, SECOND, Member, Report, Role, World, group, sent
 from yardbank.interface import Marked, Probe, ServerList
 
 BOTH_SEEDS = pytest.mark.parametrize("seed", [7, 8])
--- a/tests/test_policy_health.py
+++ b/tests/policy/test_health.py
@@ -1,6 +1,6 @@
 """Which servers are doubted, silent, lost, asked, trusted again; connections that go bad."""
 
-from tests.helpers import MS, SECOND, Member, Role, World, answer_all, group, sent
+from tests.support.router_world import MS, SECOND, Member, Role, World, answer_all, group, sent
 from yardbank.interface import Cancel, CloseIdle, Fail, Probe, Probed, Send, ServerList, SetTimer
 
 
--- a/tests/test_policy_limits.py
+++ b/tests/policy/test_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Member, Role, World, answer_all, group, sent
+from tests.support.router_world import MS, SECOND, Member, Role, World, answer_all, group, sent
 from yardbank.interface import Refuse, Send, ServerList
 
 
--- a/tests/test_load.py
+++ b/tests/policy/test_load_reports.py
@@ -2,7 +2,7 @@
 
 from itertools import pairwise
 
-from tests.helpers import MS, SECOND, Report, Role, World, group, told
+from tests.support.router_world import MS, SECOND, Report, Role, World, group, told
 from yardbank.interface import Gone, Member, Probe, Probed, Refuse, Send, ServerList
 
 LATE = 700 * MS  # later than a lookup's aim
--- a/tests/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import CLASSES, MS, Member, Report, Role, World, group
+from tests.support.router_world import CLASSES, MS, Member, Report, Role, World, group
 from yardbank.interface import Fail, Outcome, Probed, Refuse, Request, Send, ServerList, Timer
 
 STATUSES = ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"]
--- a/tests/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -9,14 +9,13 @@
 """
 
 import json
-from pathlib import Path
 
 import pytest
 
+from tests.support.paths import DATA
 from yardbank import interface as api
 from yardbank.policy import Router
 
-DATA = Path(__file__).parent / "data"
 RECORD = json.loads((DATA / "recorded_events.json").read_text())
 ZONES = json.loads((DATA / "recorded_zones.json").read_text())
 
--- a/tests/test_policy.py
+++ b/tests/policy/test_router.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import CLASSES, MS, SECOND, Member, Report, Role, World, answer_all, group, sent
+from tests.support.router_world import CLASSES, MS, SECOND, Member, Report, Role, World, answer_all, group, sent
 from yardbank.interface import (
     Fail,
     Gone,
--- a/tests/test_policy_zones.py
+++ b/tests/policy/test_zones.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Member, Role, World, sent
+from tests.support.router_world import MS, SECOND, Member, Role, World, sent
 from yardbank.interface import Gone, Probe, Refuse, Send, Ways
 
 
--- /dev/null
+++ b/tests/server_list/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of server_list."""
--- a/tests/test_membership.py
+++ b/tests/server_list/test_server_list.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from twisted.internet import reactor
 
-from tests.net import Desk, ensure_reactor, run, until, world
+from tests.support.reactor_thread import Desk, ensure_reactor, run, until, world
 from yardbank.cli import main
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import MS, ServerSpec
@@ -372,7 +372,7 @@
 
 
 def test_commands(tmp_path):
-    from tests.test_config import TEXT
+    from tests.config.test_settings import TEXT
 
     settings_file, file = tmp_path / "g.hcl", tmp_path / "new.hcl"
     cut = TEXT.index('server "norte-1"'), TEXT.index("# Anyone may look")
--- a/tests/test_state.py
+++ b/tests/state/test_state.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from tests.gateway_place import READ, WRITE, FakeBackend, Sink
+from tests.support.virtual_gateway import READ, WRITE, FakeBackend, Sink
 from yardbank.cli import main
 from yardbank.config import load_text
 from yardbank.gateway import Call, Gateway, Reply, ServerSpec
--- a/tests/crossings_kit.py
+++ b/tests/support/client_sockets.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-from tests.platform_kit import READY, START, World
+from tests.support.platform import READY, START, World
 from yardbank.platform.listening import listen
 
 RESET = struct.pack("ii", 1, 0)
--- a/tests/crossings_place.py
+++ b/tests/support/delayed_gateway.py
@@ -2,8 +2,8 @@
 
 from twisted.internet.task import Clock
 
-from tests.gateway_place import KEYED, READ, WRITE, FakeBackend, FakeConnection, Sink
-from tests.platform_kit import Log
+from tests.support.platform import Log
+from tests.support.virtual_gateway import KEYED, READ, WRITE, FakeBackend, FakeConnection, Sink
 from yardbank.gateway import Call, Gateway, ServerSpec
 from yardbank.gateway.api import MS
 from yardbank.interface import Outcome, Settings
--- a/tests/drawn_wire.py
+++ b/tests/support/drawn_adapter_play.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from tests.drawn_play import START_AT
+from tests.support.drawn_platform_play import START_AT
 from yardbank.adapter import Host
 from yardbank.gateway.api import MS, SECOND
 
--- a/tests/drawn_play.py
+++ b/tests/support/drawn_platform_play.py
@@ -13,7 +13,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from tests.platform_kit import AUTHENTICATED, READY, START, Log, parameter, query, row
+from tests.support.platform import AUTHENTICATED, READY, START, Log, parameter, query, row
 from yardbank.gateway import Gateway, Limits
 from yardbank.gateway.api import MS
 from yardbank.gateway.positions import ClockPositions
--- a/tests/known_red.py
+++ b/tests/support/known_red.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-ROOT = Path(__file__).parents[1]
+from tests.support.paths import ROOT
+
 FILE = ROOT / "KNOWN-RED.txt"
 MOST = 3
 
--- /dev/null
+++ b/tests/support/paths.py
@@ -0,0 +1,7 @@
+"""Where things lie in the repository."""
+
+from pathlib import Path
+
+ROOT = Path(__file__).parents[2]
+DATA = ROOT / "tests" / "data"
+EXAMPLE_SETTINGS = ROOT / "deploy" / "example.hcl"
--- a/tests/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -9,7 +9,8 @@
 import sys
 from pathlib import Path
 
-from tests import distribution_faults, moments_faults
+from tests.support import list_distribution_faults as distribution_faults
+from tests.support import rare_moment_faults as moments_faults
 from yardbank import interface as api
 from yardbank.gateway import sending
 from yardbank.policy import Router
@@ -218,7 +219,7 @@
             made.places[gateway].start_with(f"{sys.executable} -m tests.rig_runner serve {fault}")
             return usual
         rest = usual[1:] if usual[1].endswith(".py") else usual[3:]
-        return [sys.executable, "-m", "tests.rig_runner", "serve", fault, *rest]
+        return [sys.executable, "-m", "tests.support.rig_runner", "serve", fault, *rest]
 
     reactor = steady_reactor()
     scenario = load_scenario(shipped().get(name) or Path(name))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from tests import known_red
-from tests.known_red import Known, KnownRedError, missing, names, read
+from tests.support import known_red
+from tests.support.known_red import Known, KnownRedError, missing, names, read
 
 
 def test_an_absent_or_empty_file_lists_none_and_lines_have_three_parts():
--- a/tests/test_audit.py
+++ b/tests/testing/audit/test_rules.py
@@ -3,7 +3,7 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.net import Desk, run, until, world
+from tests.support.reactor_thread import Desk, run, until, world
 from yardbank import interface as api
 from yardbank.cli import main
 from yardbank.directory.codes import Code
--- a/tests/test_rig_together.py
+++ b/tests/testing/rig/test_cluster_claims.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from tests.test_rig import scenario, step
+from tests.testing.rig.test_scenarios import scenario, step
 from yardbank.cluster.peers.batch import Item, Parcel, encode
 from yardbank.config.checked import ConfigError
 from yardbank.config.load import load_text
--- a/tests/test_rig_fleet.py
+++ b/tests/testing/rig/test_fleet.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from tests.helpers import wait_for
+from tests.support.paths import ROOT
+from tests.support.router_world import wait_for
 from yardbank.testing.rig.scenario import shipped
 
 GROUP = 'group "numbers" {\n  suffix = "ou=numbers,dc=porting"\n}\n'
@@ -38,7 +39,7 @@
 
 def landed(folder):
     """The older program, laid out from the history."""
-    root = Path(__file__).parent.parent
+    root = ROOT
     archive = subprocess.run(["git", "archive", LANDED, "yardbank"], cwd=root, capture_output=True, check=False)
     if archive.returncode:
         pytest.skip("no history here to take the older program from")
@@ -101,7 +102,7 @@
         text_of = text_of.replace("gateways = 2\n", "gateways = 4\n  peers = true\n").replace('"3s"', '"8s"')
         text_of = text_of.replace('porting"\n}', 'porting"\n  servers = 3\n}', 1) + BELIEF
     file.write_text(text_of)
-    command = [sys.executable, "-m", "tests.rig_runner", fault, str(file), str(tmp_path / "folder")]
+    command = [sys.executable, "-m", "tests.support.rig_runner", fault, str(file), str(tmp_path / "folder")]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     claims = {one["name"]: one for one in json.loads(done.stdout.splitlines()[-1])["claims"]}
--- a/tests/test_rig_wire.py
+++ b/tests/testing/rig/test_network.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.test_rig import scenario
+from tests.testing.rig.test_scenarios import scenario
 from yardbank.testing.rig import roster as r
 from yardbank.testing.rig.load import draw, next_gateway, try_again
 from yardbank.testing.rig.network import MAX_DATAGRAMS, MAX_HELD, Datagrams, Effect, Ended, Network, Stream, pairs_of
--- a/tests/test_rig_group.py
+++ b/tests/testing/rig/test_process_groups.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from tests.helpers import wait_for
+from tests.support.router_world import wait_for
 
 
 def states(group):
--- a/tests/test_rig_moments.py
+++ b/tests/testing/rig/test_rare_moments.py
@@ -98,7 +98,7 @@
     file = small(name, tmp_path) if name else tmp_path / "s.hcl"
     if not name:
         file.write_text(GONE_SMALL)
-    command = [sys.executable, "-m", "tests.rig_runner", fault, str(file), str(tmp_path / "folder")]
+    command = [sys.executable, "-m", "tests.support.rig_runner", fault, str(file), str(tmp_path / "folder")]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     (judged,) = (one for one in json.loads(done.stdout.splitlines()[-1])["claims"] if one["kind"] == kind)
--- a/tests/test_rig_faults.py
+++ b/tests/testing/rig/test_seeded_faults.py
@@ -64,7 +64,7 @@
     term, longest = ("3s", "30s") if part == "rollout" else ("1s", length)
     text_of = FLEET % (part, term, length, longest, claim)
     file.write_text(text_of + more.replace("%s", named_for_g1() if part == "rollout" else ""))
-    command = [sys.executable, "-m", "tests.rig_runner", fault, str(file), str(tmp_path / "folder")]
+    command = [sys.executable, "-m", "tests.support.rig_runner", fault, str(file), str(tmp_path / "folder")]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     (judged,) = json.loads(done.stdout.splitlines()[-1])["claims"]
--- a/tests/test_rig_taps.py
+++ b/tests/testing/rig/test_taps.py
@@ -11,8 +11,8 @@
 from click.testing import CliRunner
 from twisted.internet import reactor
 
-from tests.net import ensure_reactor, run, until
-from tests.test_rig import HEAD, scenario, step
+from tests.support.reactor_thread import ensure_reactor, run, until
+from tests.testing.rig.test_scenarios import HEAD, scenario, step
 from yardbank.cli import main
 from yardbank.config.checked import ConfigError
 from yardbank.ldap import codec
