--- a/benchmarks/atlas_fleet.py
+++ b/benchmarks/atlas_fleet.py
@@ -44,7 +44,7 @@
         self.slow: dict[str, int] = {}  # what a gateway adds itself to all it sees, ns
 
         def made(node: GossipNode, random: Random) -> list[AtlasPart]:
-            part = AtlasPart(node.sight, random, options)
+            part = AtlasPart(node.membership_view, random, options)
             node.on_round_trip.append(part.saw_peer)
             self.parts[node.name] = part
             return [part]
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -19,17 +19,17 @@
 
 def _in_force(file: Path, config: Config, log: Any) -> tuple[Started, Path, Config]:
     """How this process was started, the settings file in force, and what it says."""
-    from yardbank.cluster.rollout.active_version import Force, Started, of_worker
+    from yardbank.cluster.rollout.active_version import ActiveVersion, Started, of_worker
 
     try:
         started = of_worker(os.environ, file)
     except ValueError as problem:  # it runs by what it was started with, and says so
         log.error("in_force_unreadable", fault=str(problem))
-        started = Started(Force(), file, False)
+        started = Started(ActiveVersion(), file, False)
     if not started.supervised and started.force.now.program:
         log.error("rollout", rollout=started.force.now.rollout, what="not_in_force", stage=0,
                   version=started.force.now.name, why="another program runs only under --supervised")  # fmt: skip
-        started = Started(Force(), file, False)
+        started = Started(ActiveVersion(), file, False)
     now = started.force.now.file(started.given)
     return (started, file, config) if now == file else (started, now, load_or_exit(now))
 
--- a/yardbank/cluster/channels/api.py
+++ b/yardbank/cluster/channels/api.py
@@ -36,14 +36,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Delivered:
-    """An item of a channel that is followed here: in order, each once. ``owner`` and ``life``: who carried it."""
+    """An item of a channel that is followed here: in order, each once. ``owner`` and ``boot_epoch``: who carried it."""
 
     channel: str
     epoch: int
     sequence: int
     data: bytes
     owner: str = ""
-    life: int = 0
+    boot_epoch: int = 0
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -18,7 +18,7 @@
 from yardbank.cluster.channels.placement import Placement
 from yardbank.cluster.channels.states import APART, BIDDING, CARRYING, ENTERING, HANDING, WAITING, Own
 from yardbank.cluster.lease.api import OWNED, Leases
-from yardbank.cluster.peers.parts import Letter, Sight
+from yardbank.cluster.peers.parts import MembershipView, Message
 
 STEP = 300 * MS  # between two turns to bid
 NEAR, FAR = 3, 1500 * MS  # so many are told directly that the owner lives; the others wait so much longer for its word
@@ -34,19 +34,19 @@
     """All channels that this gateway would carry."""
 
     def __init__(
-        self, sight: Sight, leases: Leases, members: Members, placement: Placement, feed: Feed,
+        self, membership_view: MembershipView, leases: Leases, members: Members, placement: Placement, feed: Feed,
         options: Options, random: Random,
     ) -> None:  # fmt: skip
         self.channels: dict[str, Own] = {}
         self.stopping = False
         self.moves: Counter[tuple[str, str]] = Counter()  # of ``TABLE``
-        self._sight, self._leases, self._members, self._feed = sight, leases, members, feed
+        self._membership_view, self._leases, self._members, self._feed = membership_view, leases, members, feed
         self._placement, self._options, self._random = placement, options, random
         self._began = self._expects = 0
         self._busy: set[str] = set()  # channels of which something is to happen soon
         self._held: set[str] = set()  # that are carried, or about to be
 
-    def want(self, now: int, channel: str) -> None:
+    def acquire(self, now: int, channel: str) -> None:
         """Carry it whenever that is this gateway's turn."""
         self._began = self._began or now
         self.channels.setdefault(channel, Own(now, at=now))
@@ -110,7 +110,7 @@
     def loads(self) -> Counter[str]:
         """How many channels each gateway carries, as far as is known here."""
         found = Counter(known.owner for known in self._feed.known.values() if not known.over)
-        found[self._sight.name] = len(self.held())
+        found[self._membership_view.name] = len(self.held())
         return found
 
     def _look_at_bids(self, now: int) -> None:
@@ -119,7 +119,12 @@
             if own.state != BIDDING:
                 continue
             known = self._feed.known.get(channel)
-            taken = known is not None and not known.over and known.owner != self._sight.name and known.heard_at > own.at
+            taken = (
+                known is not None
+                and not known.over
+                and known.owner != self._membership_view.name
+                and known.heard_at > own.at
+            )
             patient = self._options.overlap * 2 if own.source else self._options.term * PATIENCE
             if (taken and not own.source) or now - own.at > patient or self.stopping:
                 self._leases.release(now, resource(channel))
@@ -131,7 +136,7 @@
         orphans: dict[str, list[str]] = {}
         most = 1
         young = now < self._began + YOUNG  # at a start nobody knows who else there is
-        strangers = self._members.strangers(self._sight.zones()) if young else frozenset()
+        strangers = self._members.strangers(self._membership_view.zones()) if young else frozenset()
         for channel, own in self.channels.items():
             if own.state not in (APART, WAITING):
                 continue
@@ -150,11 +155,11 @@
             most = max(most, placing.bound(len(self.channels), len(names)))
         for channel, queue in placing.place(orphans, loads, most).items():
             own = self.channels[channel]
-            if self._sight.name not in queue:
+            if self._membership_view.name not in queue:
                 continue
             if own.state == APART:
                 self._move(now, channel, own, WAITING)
-            own.turn = self._turn(channel, own, queue.index(self._sight.name))
+            own.turn = self._turn(channel, own, queue.index(self._membership_view.name))
             if now >= own.turn and len(self._busy) < MOST_BIDS:
                 self._bid(now, channel, own)
 
@@ -187,7 +192,7 @@
                 kept.discard(channel)
 
     def _bid(self, now: int, channel: str, own: Own) -> None:
-        self._leases.want(now, resource(channel))
+        self._leases.acquire(now, resource(channel))
         self._move(now, channel, own, BIDDING)
 
     def _granted(self, now: int, channel: str, own: Own | None, epoch: int) -> None:
@@ -241,10 +246,10 @@
 
     def _heirs(self, channel: str, loads: Counter[str]) -> list[str]:
         """Who would be next if this gateway died; they are told directly that it lives."""
-        names = self._members.candidates(channel) - {self._sight.name}
+        names = self._members.candidates(channel) - {self._membership_view.name}
         most = placing.bound(len(self.channels), len(names) + 1)
         order = self._placement.order(channel, names, self._members.followers(channel))
         return placing.turns(order, loads, most)[:NEAR]
 
-    def _say(self, to: str, message: wire.Message) -> None:
-        self._feed.letters.append(Letter(to, wire.encode(message), urgent=True))
+    def _say(self, to: str, message: wire.ChannelMessage) -> None:
+        self._feed.outgoing_messages.append(Message(to, wire.encode(message), urgent=True))
--- a/yardbank/cluster/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -13,7 +13,7 @@
 from yardbank.cluster.channels.messages import Again, EndedAt, Have, Item, State
 from yardbank.cluster.channels.outgoing import Carried, Known, Outgoing
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.cluster.peers.parts import Letter
+from yardbank.cluster.peers.parts import Message
 
 LEAP = 1 << 20  # so far beyond what is known, a sequence is not believed
 FAR = 1 << 44  # nor an epoch: they begin with the seconds of the wall clock and ten bits
@@ -43,7 +43,7 @@
         known, end = self.known.get(channel), self.ends.get(channel)
         after = end if end is not None and known is not None and end[0] == known.epoch < epoch else None
         self.carried[channel] = Carried(epoch, 0, after)
-        self.known[channel] = Known(epoch, 0, self.name, self.life, now, after)
+        self.known[channel] = Known(epoch, 0, self.name, self.boot_epoch, now, after)
         self.above.pop(channel, None)
         if (stream := self.streams.get(channel)) is not None:
             stream.heard(now, epoch, 0, after)
@@ -54,7 +54,7 @@
         """Give out the next item of a channel carried here; how many gateways it was sent to."""
         mine = self.carried[channel]
         mine.sequence += 1
-        item = Item(channel, mine.epoch, mine.sequence, data, self.name, self.life, mine.after)
+        item = Item(channel, mine.epoch, mine.sequence, data, self.name, self.boot_epoch, mine.after)
         known = self.known[channel]
         if known.epoch == mine.epoch:
             known.sequence, known.heard_at = mine.sequence, now
@@ -72,7 +72,7 @@
         known.over = known.over or known.epoch == mine.epoch
         body = wire.encode(EndedAt(channel, *place))
         targets = {*to, *self.heirs.get(channel, ()), *self.targets(now, channel)} - {self.name}
-        self.letters += [Letter(name, body, urgent=True) for name in sorted(targets)]
+        self.outgoing_messages += [Message(name, body, urgent=True) for name in sorted(targets)]
 
     def end(self, channel: str, before: int) -> EndedAt | None:
         """Where this gateway's own last epoch before another ended; None: it did not, or that is not known."""
@@ -92,7 +92,7 @@
             raise DroppedError("leap")
         self.edges.heard(now, item.channel, sender)
         if known is None or item.epoch > known.epoch:
-            self.known[item.channel] = Known(item.epoch, item.sequence, item.owner, item.life, now, item.after)
+            self.known[item.channel] = Known(item.epoch, item.sequence, item.owner, item.boot_epoch, now, item.after)
         elif item.epoch == known.epoch and item.sequence > known.sequence:
             known.sequence, known.heard_at = item.sequence, now
         if self._keep(now, item):
@@ -126,7 +126,7 @@
             heard_at = now - state.age * MS
             if known is None or state.epoch > known.epoch:
                 self.known[state.channel] = Known(
-                    state.epoch, state.sequence, state.owner, state.life, heard_at, state.after
+                    state.epoch, state.sequence, state.owner, state.boot_epoch, heard_at, state.after
                 )
                 for to in self.targets(now, state.channel):
                     if to != sender:
--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class _Interest:
-    life: int
+    boot_epoch: int
     version: int
     sets: int
 
@@ -74,14 +74,14 @@
         other = self._others.get(to)
         return Me(self.version, self.hash, other.sets if other is not None else 0)
 
-    def heard(self, sender: str, life: int, told: Me) -> list[Me | What]:
+    def heard(self, sender: str, boot_epoch: int, told: Me) -> list[Me | What]:
         """One told its hash: what to answer."""
         other = self._others.get(sender)
-        if other is None or (life, told.version) > (other.life, other.version):
+        if other is None or (boot_epoch, told.version) > (other.boot_epoch, other.version):
             if other is None or other.sets != told.sets:
                 self.changes += 1
-            self._others[sender] = _Interest(life, told.version, told.sets)
-        elif (life, told.version) < (other.life, other.version):
+            self._others[sender] = _Interest(boot_epoch, told.version, told.sets)
+        elif (boot_epoch, told.version) < (other.boot_epoch, other.version):
             return []
         found: list[Me | What] = []
         if told.sets not in self._sets:
--- a/yardbank/cluster/channels/messages.py
+++ b/yardbank/cluster/channels/messages.py
@@ -28,7 +28,7 @@
     sequence: Number
     data: Annotated[bytes, Meta(max_length=MAX_DATA)]
     owner: Name
-    life: Number
+    boot_epoch: Number
     after: Place | None = None
 
 
@@ -40,7 +40,7 @@
     sequence: Number
     age: Number
     owner: Name
-    life: Number
+    boot_epoch: Number
     after: Place | None = None
 
 
@@ -124,16 +124,16 @@
     follows: tuple[Name, ...]
 
 
-Message = Item | Beat | Subscribe | Again | EndedAt | AskEnd | Take | Who | Me | What | Sets
-_decoder = msgspec.msgpack.Decoder(Message)
+ChannelMessage = Item | Beat | Subscribe | Again | EndedAt | AskEnd | Take | Who | Me | What | Sets
+_decoder = msgspec.msgpack.Decoder(ChannelMessage)
 
 
-def encode(message: Message) -> bytes:
+def encode(message: ChannelMessage) -> bytes:
     """Its octets."""
     return msgspec.msgpack.encode(message)
 
 
-def decode(body: bytes) -> Message:
+def decode(body: bytes) -> ChannelMessage:
     """What it says. Raises ``DroppedError``."""
     try:
         return _decoder.decode(body)
--- a/yardbank/cluster/channels/neighbours.py
+++ b/yardbank/cluster/channels/neighbours.py
@@ -8,7 +8,7 @@
 
 from yardbank.cluster.channels.api import SECOND
 from yardbank.cluster.channels.members import Members
-from yardbank.cluster.peers.parts import Sight
+from yardbank.cluster.peers.parts import MembershipView
 
 GRACE = 3 * SECOND  # who is doubted for less stays in the trees
 TELL_ALL = 60 * SECOND  # in so long all others are told one's interests again
@@ -19,8 +19,8 @@
 class Neighbours:
     """Peers that are there, as the link finds them."""
 
-    def __init__(self, sight: Sight) -> None:
-        self._sight = sight
+    def __init__(self, membership_view: MembershipView) -> None:
+        self._membership_view = membership_view
         self._here: frozenset[str] = frozenset()
         self._absent: dict[str, int] = {}  # not alive any more: since when
         self._met: dict[str, tuple[int, int]] = {}  # whose interests are not known: when to tell ours, tries left
@@ -33,7 +33,7 @@
 
     def look(self, now: int, members: Members) -> frozenset[str]:
         """Who is there: one that is doubted for a moment stays."""
-        alive = self._sight.alive()
+        alive = self._membership_view.alive()
         for name in alive - self._here:
             if name not in self._met and not members.told_of(name):
                 self._met[name] = now if self._first(name) else now + TOLD_LATER, TRIES
@@ -65,5 +65,5 @@
 
     def _first(self, other: str) -> bool:
         """Whether this gateway speaks first when the two meet: with about half of the others."""
-        one, two = f"{self._sight.name}/{other}", f"{other}/{self._sight.name}"
+        one, two = f"{self._membership_view.name}/{other}", f"{other}/{self._membership_view.name}"
         return xxhash.xxh3_64_intdigest(one.encode()) < xxhash.xxh3_64_intdigest(two.encode())
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -15,7 +15,7 @@
 from yardbank.cluster.channels.items import Recent, Stream
 from yardbank.cluster.channels.messages import Again, Have, Item, Place, State
 from yardbank.cluster.channels.subscriptions import Edges
-from yardbank.cluster.peers.parts import Letter
+from yardbank.cluster.peers.parts import Message
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     epoch: int
     sequence: int
     owner: str
-    life: int
+    boot_epoch: int
     heard_at: int
     after: Place | None = None
     over: bool = False  # the owner said itself that it is none any more
@@ -44,12 +44,12 @@
     """What is known of channels here, and what goes out of it by itself."""
 
     def __init__(self, name: str, options: Options, random: Random) -> None:
-        self.name, self.life = name, 0
+        self.name, self.boot_epoch = name, 0
         self.known: dict[str, Known] = {}
         self.above: dict[str, int] = {}  # channels carried here of which others have seen a higher epoch
         self.heirs: dict[str, list[str]] = {}  # by channel carried here: who would be next
         self.edges = Edges(name, options.fan_out, random)
-        self.letters: list[Letter] = []
+        self.outgoing_messages: list[Message] = []
         self.events: list[Event] = []
         self.waiting: set[str] = set()  # channels of which something is missing
         self.followed: Collection[str] = ()  # here, by listeners: the others only pass through
@@ -71,7 +71,7 @@
 
     def send_item(self, item: Item, to: Iterable[str]) -> None:
         body = wire.encode(item)
-        self.letters += [Letter(name, body) for name in to]
+        self.outgoing_messages += [Message(name, body) for name in to]
 
     def tick(self, now: int) -> None:
         """One beat."""
@@ -97,7 +97,7 @@
             self.flush(stream)
             if (missing := stream.missing(now)) is not None and (to := self._helper(channel)):
                 body = wire.encode(Again(channel, missing.epoch, missing.first, missing.last))
-                self.letters.append(Letter(to, body))
+                self.outgoing_messages.append(Message(to, body))
 
     def _helper(self, channel: str) -> str:
         """The parent or the owner, by chance, so that one of them that lacks it or is lost does not matter."""
@@ -116,7 +116,7 @@
             if parent := self.edges.parent(channel):
                 by.setdefault(parent, []).append(Have(channel, *self.streams[channel].place))
         for parent, haves in by.items():
-            self.letters += [Letter(parent, body) for body in wire.subscriptions(haves)]
+            self.outgoing_messages += [Message(parent, body) for body in wire.subscriptions(haves)]
 
     def answer(self, now: int, asker: str, channels: Iterable[str]) -> None:
         """One asks who carries some."""
@@ -125,16 +125,16 @@
     def tell(self, now: int, channels: Mapping[str, Iterable[str]], urgent: bool = False) -> None:
         for to, some in channels.items():
             states = [state for channel in some if (state := self._state(now, channel)) is not None]
-            self.letters += [Letter(to, body, urgent) for body in wire.beats(states)]
+            self.outgoing_messages += [Message(to, body, urgent) for body in wire.beats(states)]
 
     def _state(self, now: int, channel: str) -> State | None:
         mine, known = self.carried.get(channel), self.known.get(channel)
         if mine is not None and (known is None or known.epoch <= mine.epoch):
-            return State(channel, mine.epoch, mine.sequence, 0, self.name, self.life, mine.after)
+            return State(channel, mine.epoch, mine.sequence, 0, self.name, self.boot_epoch, mine.after)
         if known is None or known.over:
             return None
         age = max(0, now - known.heard_at) // MS
-        return State(channel, known.epoch, known.sequence, age, known.owner, known.life, known.after)
+        return State(channel, known.epoch, known.sequence, age, known.owner, known.boot_epoch, known.after)
 
     def flush(self, stream: Stream) -> None:
         if stream.waits():
@@ -147,5 +147,5 @@
             if isinstance(one, Gap):
                 self.events.append(one)
             else:
-                self.events.append(Delivered(one.channel, one.epoch, one.sequence, one.data, one.owner, one.life))
+                self.events.append(Delivered(one.channel, one.epoch, one.sequence, one.data, one.owner, one.boot_epoch))
         stream.out.clear()
--- a/yardbank/cluster/channels/ownership.py
+++ b/yardbank/cluster/channels/ownership.py
@@ -107,7 +107,7 @@
     # Planned ends
 
     def _hand(self, now: int, channel: str, own: Own, to: str) -> bool:
-        if not self._leases.hand_on(now, resource(channel), to):
+        if not self._leases.transfer(now, resource(channel), to):
             return False  # it is held here for too short a time yet
         own.to = to
         self._move(now, channel, own, HANDING)
@@ -116,7 +116,11 @@
 
     def _next(self, channel: str, own: Own, loads: Counter[str]) -> list[str]:
         """Who may take it, the best first."""
-        names = (self._members.candidates(channel) & self._sight.alive()) - own.tried - {self._sight.name}
+        names = (
+            (self._members.candidates(channel) & self._membership_view.alive())
+            - own.tried
+            - {self._membership_view.name}
+        )
         most = placing.bound(len(self.channels), len(names) + (not self.stopping))
         order = self._placement.order(channel, names, self._members.followers(channel))
         return placing.successors(order, loads, most, self.prefer)
@@ -152,7 +156,7 @@
             names = [name for name in self._next(channel, own, loads) if loads[name] < even]
             if names and self._hand(now, channel, own, names[0]):
                 loads[names[0]] += 1
-                loads[self._sight.name] -= 1
+                loads[self._membership_view.name] -= 1
                 handing += 1
                 here = here[1:]
 
@@ -162,7 +166,7 @@
             if own.state != CARRYING:
                 continue
             followers = self._members.followers(channel)
-            cost = self._placement.cost(self._sight.name, followers)
+            cost = self._placement.cost(self._membership_view.name, followers)
             names = self._next(channel, own, loads)
             best = self._placement.cost(names[0], followers) if names else None
             most = placing.bound(len(self.channels), len(names) + 1)
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -23,7 +23,7 @@
 from yardbank.cluster.channels.placement import Distance, Placement
 from yardbank.cluster.lease.api import Leases
 from yardbank.cluster.peers.outbox import Rate
-from yardbank.cluster.peers.parts import Letter, Sight
+from yardbank.cluster.peers.parts import MembershipView, Message
 
 MOST_EVENTS = 8192
 ITEM_HEAD = 160  # octets that one item takes beside its data, in a datagram of its own
@@ -34,21 +34,23 @@
 
     topic = "feed"
 
-    def __init__(self, sight: Sight, leases: Leases, random: Random, options: Options, distance: Distance) -> None:
+    def __init__(
+        self, membership_view: MembershipView, leases: Leases, random: Random, options: Options, distance: Distance
+    ) -> None:
         self.rate: tuple[int, int] | None = (options.rate, options.burst)
         self.lost_events = 0
         self.on_events: Callable[[], None] | None = (
             None  # called when ``events`` has something; it should not act at once
         )
-        self.sight, self.options = sight, options
-        self.members = Members(sight.name)
+        self.membership_view, self.options = membership_view, options
+        self.members = Members(membership_view.name)
         self.placement = Placement(distance)
-        self.feed = Feed(sight.name, options, random)
-        self.ownership = Ownership(sight, leases, self.members, self.placement, self.feed, options, random)
+        self.feed = Feed(membership_view.name, options, random)
+        self.ownership = Ownership(membership_view, leases, self.members, self.placement, self.feed, options, random)
         self._random = random
         self._budget = Rate(options.rate * 3 // 4, options.burst * 3 // 4)  # of items that start here
         self._follows: dict[str, bool] = {}  # by channel: whether only the newest counts
-        self._neighbours = Neighbours(sight)
+        self._neighbours = Neighbours(membership_view)
         self._seen_changes = -1
         self._next_beat = self._next_poll = self._next_mend = 0
         self._now = 0
@@ -58,7 +60,7 @@
     def own(self, now: int, channel: str) -> None:
         """Carry a channel whenever that is this gateway's turn. Raises ``ValueError`` if it cannot."""
         self._check(channel)
-        self.ownership.want(now, channel)
+        self.ownership.acquire(now, channel)
         self._changed(now)
 
     def disown(self, now: int, channel: str) -> None:
@@ -121,15 +123,15 @@
 
     def listed(self, now: int) -> None:
         """The list has changed."""
-        zones = self.sight.zones()
-        self.feed.life = self.sight.life
+        zones = self.membership_view.zones()
+        self.feed.boot_epoch = self.membership_view.boot_epoch
         self.members.listed(zones)
         self.placement.listed(zones)
         self._neighbours.listed(zones)
         self._next_beat = self._next_beat or now + self._random.randrange(self.options.beat)
         self._look_around(now)
 
-    def receive(self, now: int, sender: str, life: int, body: bytes) -> None:
+    def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A letter. Raises ``DroppedError``."""
         self._now = now
         match message := wire.decode(body):
@@ -151,7 +153,7 @@
                 self._next_poll = now
                 self.ownership.expect(now)
             case Me():
-                for answer in self.members.heard(sender, life, message):
+                for answer in self.members.heard(sender, boot_epoch, message):
                     self._say(sender, answer)
                 self._neighbours.known(sender)
             case What():
@@ -192,9 +194,9 @@
             times.append(self._next_mend)
         return min(times)
 
-    def letters(self) -> list[Letter]:
+    def outgoing_messages(self) -> list[Message]:
         """What is to be sent."""
-        found, self.feed.letters = self.feed.letters, []
+        found, self.feed.outgoing_messages = self.feed.outgoing_messages, []
         return found
 
     def view(self, now: int) -> dict[str, Any]:
@@ -221,7 +223,7 @@
         owns = () if self.ownership.stopping else self.ownership.channels
         self.feed.followed = self._follows.keys()
         if self.members.change(owns, self._follows):
-            for name in sorted(self.sight.alive()):
+            for name in sorted(self.membership_view.alive()):
                 self._say(name, self.members.me(name))
         if self.members.changes != self._seen_changes:
             self._seen_changes = self.members.changes
@@ -229,8 +231,8 @@
             latest = {channel for channel, only in self._follows.items() if only}
             self.feed.joined({channel: self.members.followers(channel) for channel in sorted(self._taken())}, latest)
 
-    def _say(self, to: str, message: wire.Message) -> None:
-        self.feed.letters.append(Letter(to, wire.encode(message)))
+    def _say(self, to: str, message: wire.ChannelMessage) -> None:
+        self.feed.outgoing_messages.append(Message(to, wire.encode(message)))
 
     def _tell_events(self) -> None:
         surplus = len(self.feed.events) - MOST_EVENTS
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -105,7 +105,7 @@
         for one in told:
             self._gateway.told_position(one.server, one.started, one.marks, checked=True)
         for lie in self.decider.lies():
-            self._log.warning("positions_owner_lied", owner=lie.owner, life=lie.life, server=lie.server)
+            self._log.warning("positions_owner_lied", owner=lie.owner, boot_epoch=lie.boot_epoch, server=lie.server)
         alone = self.decider.alone()
         if alone != self._alone:
             self._alone = alone
--- a/yardbank/cluster/channels/positions.py
+++ b/yardbank/cluster/channels/positions.py
@@ -194,7 +194,7 @@
             known = self._servers.get(name)
             if known is None or known.place.group != group:
                 continue  # another list: nobody's word brings in a server
-            if self.trust.told(now, item.owner, item.life, item.epoch, name, started, marks):
+            if self.trust.told(now, item.owner, item.boot_epoch, item.epoch, name, started, marks):
                 known.alone, known.heard_at = False, now
                 self.told.append(Told(name, started, marks))
 
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -14,10 +14,10 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.peers.file_store import FileKeep
-from yardbank.cluster.peers.parts import Forgetful, Keep
+from yardbank.cluster.peers.file_store import FileStore
+from yardbank.cluster.peers.parts import KeyValueStore, NullStore
 from yardbank.cluster.peers.transport import Peers
 from yardbank.config import Config
 from yardbank.gateway.api import ServerSpec
@@ -74,9 +74,11 @@
         self._map: AtlasPart | None = None
         self._distribution: DistributionFiles | None = None
         block = config.leases
-        self._terms = Terms(block.term, block.drift, block.overlap, block.voters) if block is not None else Terms()
+        self._terms = (
+            LeaseTerms(block.term, block.drift, block.overlap, block.voters) if block is not None else LeaseTerms()
+        )
         node = peers.node
-        leases = LeasePart(node.sight, self._terms, self._random("leases"), self._keep("leases"))
+        leases = LeasePart(node.membership_view, self._terms, self._random("leases"), self._keep("leases"))
         node.add(leases)
         self.leases = leases
         if config.atlas is not None:
@@ -91,10 +93,10 @@
         peers.after.append(self._after)
 
     def _random(self, what: str) -> Random:
-        return Random(f"{self._gateway.settings.seed}/{self._peers.node.detector.life}/{what}")
+        return Random(f"{self._gateway.settings.seed}/{self._peers.node.detector.boot_epoch}/{what}")
 
-    def _keep(self, what: str) -> Keep:
-        return FileKeep(self._state / f"{what}-kept", self._log) if self._state is not None else Forgetful()
+    def _keep(self, what: str) -> KeyValueStore:
+        return FileStore(self._state / f"{what}-kept", self._log) if self._state is not None else NullStore()
 
     def _make_map(self, config: Config) -> None:
         from yardbank.cluster.latency_map.options import Options
@@ -102,7 +104,9 @@
 
         block = config.atlas
         assert block is not None
-        part = AtlasPart(self._peers.node.sight, self._random("map"), Options(block.life, block.taken_up, block.step))
+        part = AtlasPart(
+            self._peers.node.membership_view, self._random("map"), Options(block.life, block.taken_up, block.step)
+        )
         self._peers.node.add(part)
         self._peers.node.on_round_trip.append(part.saw_peer)
         self._gateway.on_way.append(part.saw_server)
@@ -121,7 +125,7 @@
             term=self._terms.term, overlap=self._terms.overlap,
         )  # fmt: skip
         node, now = self._peers.node, self._gateway.now
-        part = ChannelPart(node.sight, self.leases, self._random("channels"), options, distance)
+        part = ChannelPart(node.membership_view, self.leases, self._random("channels"), options, distance)
         node.add(part)
         part.ownership.heard_epoch = self.leases.epochs.hear
         self.channels = Channels(part, reactor=self._reactor, now=now, prompt=self._peers.prompt, log=self._log)
@@ -145,7 +149,7 @@
         name = name_of(version.file(started.given), version.program)
         options = Options(self._figures, started.force, name, block.beat)
         node = self._peers.node
-        part = RolloutPart(node.sight, self.leases, self._random("rollout"), self._keep("rollout"), options)
+        part = RolloutPart(node.membership_view, self.leases, self._random("rollout"), self._keep("rollout"), options)
         node.add(part)
         self._actuator = Actuator(
             part, started.given, block, started.force, reactor=self._reactor, now=self._gateway.now, wall=self._wall,
@@ -163,7 +167,7 @@
         block, node = config.distribution, self._peers.node
         assert block is not None
         part = DistributionPart(
-            node.sight, self.leases, self._random("distribution"), Options(heartbeat=block.heartbeat),
+            node.membership_view, self.leases, self._random("distribution"), Options(heartbeat=block.heartbeat),
             stored_table(folder / block.file, self._log),
         )  # fmt: skip
         part.heard_epoch = self.leases.epochs.hear
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -19,7 +19,7 @@
 from yardbank.cluster.latency_map.reports import Claim, Claims, believed
 from yardbank.cluster.latency_map.transition import Choice, Ways
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.cluster.peers.parts import Letter, Sight
+from yardbank.cluster.peers.parts import MembershipView, Message
 
 MS = 1_000_000
 EVERY = 3 * SECOND // 2  # a letter
@@ -33,9 +33,9 @@
     topic = "map"
     rate: tuple[int, int] | None = None
 
-    def __init__(self, sight: Sight, random: Random, options: Options | None = None) -> None:
+    def __init__(self, membership_view: MembershipView, random: Random, options: Options | None = None) -> None:
         self.options = options or Options()
-        self._sight, self._random = sight, random
+        self._membership_view, self._random = membership_view, random
         self.seen = FirstHand(self.options)
         self.claims = Claims()
         self.levels = Levels()
@@ -45,10 +45,10 @@
         self._known: dict[bytes, str] = {}
         self._servers: dict[str, int] = {}  # zones that servers were seen in, and when last
         self._slow: dict[str, int] = {}  # peers that find themselves slow, and when they said so
-        self._lives: dict[str, int] = {}
+        self._boot_epochs: dict[str, int] = {}
         self._stood: dict[str, str] = {}  # the list's zones as they were
         self._turns: dict[Pair, Turn] = {}
-        self._out: list[Letter] = []
+        self._out: list[Message] = []
         self._number = 0
         self._next = self._next_letter = self._beats = 0
         self._stopped = False
@@ -58,7 +58,7 @@
 
     def saw_peer(self, now: int, peer: str, ns: int) -> None:
         """A peer answered a probe."""
-        zone = self._sight.zones().get(peer)
+        zone = self._membership_view.zones().get(peer)
         if zone is not None and peer not in self._slow and not self._late(now):
             self.seen.saw(now, zone, ns, peer)
 
@@ -83,14 +83,14 @@
 
     def listed(self, now: int) -> None:
         """The list has changed."""
-        zones = self._sight.zones()
+        zones = self._membership_view.zones()
         if not self._next:
             self._next = now + self._random.randrange(SECOND)
             self._next_letter = now + self._random.randrange(EVERY)
         moved = {name for name, zone in self._stood.items() if zones.get(name) != zone}
         self._stood = dict(zones)
-        self._lives = {name: life for name, life in self._lives.items() if name in zones}
-        self._zone = zones[self._sight.name]
+        self._boot_epochs = {name: boot_epoch for name, boot_epoch in self._boot_epochs.items() if name in zones}
+        self._zone = zones[self._membership_view.name]
         self.seen.listed(self._zone, zones)
         self.claims.keep(lambda pair, name, claim: name not in moved)
         self._slow = {name: at for name, at in self._slow.items() if name in zones}
@@ -98,7 +98,7 @@
 
     def _settle(self) -> None:
         """Which zones there are: those of the list before those of servers."""
-        listed = set(self._sight.zones().values())
+        listed = set(self._membership_view.zones().values())
         names = [self._zone, *sorted(listed - {self._zone}), *sorted(self._servers.keys() - listed)]
         self._known = {letter.digest(zone): zone for zone in reversed(names[:MAX_ZONES])}
         self.left_out = len(names) - len(self._known)
@@ -106,24 +106,24 @@
         kept = set(self.levels.by)
         self.claims.keep(lambda pair, name, claim: pair in kept)
 
-    def receive(self, now: int, sender: str, life: int, body: bytes) -> None:
+    def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A peer's rows. Raises ``DroppedError``."""
         if self._late(now):
             raise DroppedError("late")  # it waited here while this gateway was stopped: its ages are wrong
-        if life < self._lives.get(sender, 0):
+        if boot_epoch < self._boot_epochs.get(sender, 0):
             raise DroppedError("old")
-        zone = self._sight.zones().get(sender)
+        zone = self._membership_view.zones().get(sender)
         told = letter.decode(body, self._known)
         if zone is None or told.own != zone:
             raise DroppedError("zone")  # our lists differ: what it saw belongs elsewhere
-        if life > self._lives.get(sender, 0):
-            self._lives[sender] = life
+        if boot_epoch > self._boot_epochs.get(sender, 0):
+            self._boot_epochs[sender] = boot_epoch
             self.claims.keep(lambda pair, name, claim: name != sender)  # what an earlier start saw is its own no more
         if told.state == SLOW:
             self._slow[sender] = now
         else:
             self._slow.pop(sender, None)
-        order = life, told.number
+        order = boot_epoch, told.number
         for row, entries in told.rows:
             for other, entry in entries.items():
                 pair, first = pair_of(row, other), row == zone
@@ -138,7 +138,7 @@
         self._now = now
         if now >= self._next:
             self._stopped = now - self._next > LATE  # until the next tick: timers may come before sockets
-            self.seen.ticked(now, now - self._next, self._sight.slowness())
+            self.seen.ticked(now, now - self._next, self._membership_view.slowness())
             self._next = now + SECOND
             self._beats += 1
             self._forget(now)
@@ -153,14 +153,14 @@
         times = [self._next, self._next_letter, self.choice.next_at(self._now)]
         return min((at for at in times if at), default=None)
 
-    def letters(self) -> list[Letter]:
+    def outgoing_messages(self) -> list[Message]:
         """What is to be sent; taken off."""
         found, self._out = self._out, []
         return found
 
     def _tell(self, now: int) -> None:
-        zones = self._sight.zones()
-        alive = sorted(name for name in self._sight.alive() if name in zones)
+        zones = self._membership_view.zones()
+        alive = sorted(name for name in self._membership_view.alive() if name in zones)
         near = [name for name in alive if zones[name] == self._zone]
         far = [name for name in alive if zones[name] != self._zone]
         self._number += 1
@@ -176,7 +176,7 @@
         chosen = self._random.sample(others, min(OTHERS, len(others)))
         rows = [(self._zone, row)] + [(zone, self._believed_row(now, zone, others)) for zone in chosen]
         body = letter.encode(self._number, self.seen.state, rows)
-        self._out.append(Letter(among[self._random.randrange(len(among))], body))
+        self._out.append(Message(among[self._random.randrange(len(among))], body))
 
     def _believed_row(self, now: int, zone: str, others: list[str]) -> dict[str, Entry]:
         return {
--- a/yardbank/cluster/lease/__init__.py
+++ b/yardbank/cluster/lease/__init__.py
@@ -3,6 +3,6 @@
 Safety rests on the voters' promises and on clocks that run at nearly one rate, never on who is believed to be alive.
 """
 
-from yardbank.cluster.lease.api import Leases, LeaseTurn, Terms
+from yardbank.cluster.lease.api import LeaseEvent, Leases, LeaseTerms
 
-__all__ = ["LeaseTurn", "Leases", "Terms"]
+__all__ = ["LeaseEvent", "LeaseTerms", "Leases"]
--- a/yardbank/cluster/lease/api.py
+++ b/yardbank/cluster/lease/api.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseTerms:
     """How leases run; the same over the whole fleet."""
 
     term: int = 3_000_000_000  # of a grant, by the voter's clock
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LeaseTurn:
+class LeaseEvent:
     """What became of one's own holding: ``OWNED`` (with a new, higher epoch) or ``ENDED`` (and why)."""
 
     resource: str
@@ -39,14 +39,14 @@
 class Leases(Protocol):
     """One gateway's leases. Every call that takes a time reads nothing else; call ``prompt`` of the link afterwards."""
 
-    def want(self, now: int, resource: str) -> None:
-        """Try to get it, and keep it once it is had, until ``release`` or ``hand_on``. Again: no change."""
+    def acquire(self, now: int, resource: str) -> None:
+        """Try to get it, and keep it once it is had, until ``release`` or ``transfer``. Again: no change."""
 
     def release(self, now: int, resource: str) -> None:
         """Want it no more; whoever holds it here ends at once, and the voters are told."""
 
-    def hand_on(self, now: int, resource: str, to: str) -> bool:
-        """Begin to hand it to another gateway; whether that began. Its end comes as a ``LeaseTurn``.
+    def transfer(self, now: int, resource: str, to: str) -> bool:
+        """Begin to hand it to another gateway; whether that began. Its end comes as a ``LeaseEvent``.
 
         If the other does not take it within the overlap, it stays here, or ends here: never both hold it for longer.
         """
@@ -57,10 +57,10 @@
     def offered(self, prefix: str) -> list[tuple[str, str]]:
         """Resources (whose names begin so) that others hand on to this gateway: name, from whom; taken off.
 
-        ``want`` takes one up.
+        ``acquire`` takes one up.
         """
 
-    def turns(self, prefix: str) -> list[LeaseTurn]:
+    def turns(self, prefix: str) -> list[LeaseEvent]:
         """What happened to resources whose names begin so, since this was asked last; taken off."""
 
     def holder(self, resource: str) -> tuple[str, int] | None:
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -24,7 +24,7 @@
 
     # What the user does
 
-    def want(self, now: int, resource: str) -> None:
+    def acquire(self, now: int, resource: str) -> None:
         """See ``api.Leases``. Raises ``ValueError`` for a name that no letter can carry."""
         if not 0 < len(resource) <= MAX_RESOURCE:
             raise ValueError(f"a resource's name has 1 to {MAX_RESOURCE} characters: {resource!r}")
@@ -48,7 +48,7 @@
         if resource in self.claims:
             self._drop(now, claim)
 
-    def hand_on(self, now: int, resource: str, to: str) -> bool:
+    def transfer(self, now: int, resource: str, to: str) -> bool:
         """See ``api.Leases``. Not within ``overlap`` of having got it: the one before may hold it still."""
         claim = self.claims.get(resource)
         if claim is None or to == self.name or to not in self._lists.zones:
@@ -71,7 +71,7 @@
     def answer(self, now: int, voter: str, word: Answer) -> None:
         """A voter's word."""
         claim = self.claims.get(word.resource)
-        if claim is None or word.life != self.life:
+        if claim is None or word.boot_epoch != self.boot_epoch:
             self.stale += 1
             return
         self._expire(now, claim)
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.messages import MAX_LISTS, Ask
 from yardbank.cluster.lease.quorum import majority, voters_of
 from yardbank.cluster.lease.timing import long_lease
@@ -47,7 +47,7 @@
     __slots__ = ("_cache", "_greet_at", "_last", "_terms", "forgotten", "fresh", "hash", "heard",
                  "long", "name", "older", "past", "zones")  # fmt: skip
 
-    def __init__(self, name: str, terms: Terms) -> None:
+    def __init__(self, name: str, terms: LeaseTerms) -> None:
         self.name, self._terms = name, terms
         self.long = long_lease(terms)  # or longer, if terms were in an earlier life
         self.hash, self.zones = 0, dict[str, str]()
--- a/yardbank/cluster/lease/epochs.py
+++ b/yardbank/cluster/lease/epochs.py
@@ -25,9 +25,9 @@
         self.top = self.floor = self.kept = self._base = self._begun = 0
         self.refused = 0  # epochs too far ahead
 
-    def begin(self, now: int, life: int, kept: int) -> None:
+    def begin(self, now: int, boot_epoch: int, kept: int) -> None:
         """The first thing after a start; ``kept``: what the store says, 0 where it says nothing."""
-        self._begun, self._base = now, max(kept, min(life << SHIFT, MAX_EPOCH - 2 * FAR))
+        self._begun, self._base = now, max(kept, min(boot_epoch << SHIFT, MAX_EPOCH - 2 * FAR))
         self.top = self.floor = self.kept = self._base
 
     def hear(self, now: int, epoch: int) -> bool:
--- a/yardbank/cluster/lease/messages.py
+++ b/yardbank/cluster/lease/messages.py
@@ -1,7 +1,7 @@
 """Letters of leases: MessagePack arrays ``[kind, resource, ...]``; elements beyond those known here are ignored.
 
-``life`` and ``number`` are the asker's: its start, and a count that rises with each thing it says in that life. A voter
-takes nothing of one asker and resource that is not above what it took last, so late and doubled letters change nothing.
+``boot_epoch`` and ``number`` are the asker's: its start, and a count that rises with each thing it says since then. A
+voter takes nothing of one asker and resource that is not above what it took last, so late and doubled letters change nothing.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     """To a voter: grant me this. ``renewal``: I hold it under this epoch now; else the epoch is a new one."""
 
     resource: Resource
-    life: Number
+    boot_epoch: Number
     number: Number
     epoch: Number
     renewal: bool
@@ -53,7 +53,7 @@
     """From a voter, to one ask. ``top``: the highest epoch it knows of, of any resource."""
 
     resource: Resource
-    life: Number
+    boot_epoch: Number
     number: Number
     verdict: Annotated[int, Meta(ge=1, le=255)]
     top: Number
@@ -67,7 +67,7 @@
     """To a voter: this ownership, or the attempt at it, is over."""
 
     resource: Resource
-    life: Number
+    boot_epoch: Number
     number: Number
     epoch: Number
 
@@ -76,7 +76,7 @@
     """To a voter: this one may have it while I still hold it."""
 
     resource: Resource
-    life: Number
+    boot_epoch: Number
     number: Number
     epoch: Number
     next: Name
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -8,14 +8,14 @@
 from unittest.mock import patch
 
 from yardbank.cluster.lease import votes
-from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.claim import HANDING, HOLDING, Claim
 from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.voter import Voter
 
 
 def _drift() -> Any:
-    return patch.object(Terms, "held", lambda terms: terms.term)
+    return patch.object(LeaseTerms, "held", lambda terms: terms.term)
 
 
 def _forgets() -> Any:
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -12,11 +12,11 @@
 from yardbank.cluster.lease.part import LeasePart
 
 
-class Sight:
-    """See ``parts.Sight``."""
+class MembershipView:
+    """See ``parts.MembershipView``."""
 
-    def __init__(self, name: str, life: int, zones: Mapping[str, str]) -> None:
-        self.name, self.life, self._zones = name, life, zones
+    def __init__(self, name: str, boot_epoch: int, zones: Mapping[str, str]) -> None:
+        self.name, self.boot_epoch, self._zones = name, boot_epoch, zones
 
     def zones(self) -> Mapping[str, str]:
         return self._zones
@@ -68,10 +68,10 @@
 
 
 _words: dict[bytes, Word] = {}
-_keys: dict[Letter, tuple[tuple[Any, ...], Numbered]] = {}
+_keys: dict[Message, tuple[tuple[Any, ...], Numbered]] = {}
 
 
-class Letter(NamedTuple):
+class Message(NamedTuple):
     """On its way."""
 
     source: str
@@ -90,7 +90,7 @@
             word, number = self.word(), ("", 0, 0)
             fields: list[Any] = [getattr(word, one) for one in word.__struct_fields__ if one != "number"]
             if isinstance(word, Ask | Release | NextIs | Answer):
-                number = (self.target if isinstance(word, Answer) else self.source), word.life, word.number
+                number = (self.target if isinstance(word, Answer) else self.source), word.boot_epoch, word.number
             found = _keys[self] = (self.source, self.target, type(word).__name__, *fields), number
         return found
 
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -9,7 +9,7 @@
 import msgspec
 import xxhash
 
-from yardbank.cluster.lease.api import LeaseTurn, Terms
+from yardbank.cluster.lease.api import LeaseEvent, LeaseTerms
 from yardbank.cluster.lease.claim import HANDING, HOLDING
 from yardbank.cluster.lease.claim import NAMES as STATES
 from yardbank.cluster.lease.claims import Claims
@@ -19,7 +19,7 @@
 from yardbank.cluster.lease.messages import decode as read
 from yardbank.cluster.lease.messages import encode as written
 from yardbank.cluster.lease.voter import Voter
-from yardbank.cluster.peers.parts import Keep, Letter, Sight
+from yardbank.cluster.peers.parts import KeyValueStore, MembershipView, Message
 
 SHOWN = 256  # resources in a view
 MS = 1_000_000
@@ -41,18 +41,34 @@
 
     topic = "lease"
     rate: tuple[int, int] | None = None
-    __slots__ = ("_keep", "_letters", "_out", "_sight", "begun", "claims", "epochs", "life", "lists", "name",
-                 "not_kept", "terms", "voter")  # fmt: skip
-
-    def __init__(self, sight: Sight, terms: Terms, random: Random, keep: Keep) -> None:
-        self._sight, self.terms, self._keep = sight, terms, keep
-        self.name, self.life = sight.name, sight.life  # as a holder; it stays, whatever the link learns of old lives
+    __slots__ = (
+        "_keep",
+        "_letters",
+        "_membership_view",
+        "_out",
+        "begun",
+        "boot_epoch",
+        "claims",
+        "epochs",
+        "lists",
+        "name",
+        "not_kept",
+        "terms",
+        "voter",
+    )  # fmt: skip
+
+    def __init__(self, membership_view: MembershipView, terms: LeaseTerms, random: Random, keep: KeyValueStore) -> None:
+        self._membership_view, self.terms, self._keep = membership_view, terms, keep
+        self.name, self.boot_epoch = (
+            membership_view.name,
+            membership_view.boot_epoch,
+        )  # as a holder; it stays, whatever the link learns of old lives
         self._out: list[tuple[str, Word, bool]] = []  # to whom, what, whether it is urgent
-        self._letters: list[Letter] = []
+        self._letters: list[Message] = []
         self.epochs = Epochs()
         self.lists = Lists(self.name, terms)
         self.voter = Voter(terms, self.epochs)
-        self.claims = Claims(self.name, self.life, terms, random, self.lists, self.epochs, self._out)
+        self.claims = Claims(self.name, self.boot_epoch, terms, random, self.lists, self.epochs, self._out)
         self.begun = False
         self.not_kept = 0
 
@@ -63,9 +79,9 @@
         if not self.begun:
             self._begin(now)
         terms = self.terms
-        agreed = f"{self._sight.list_hash()}/{terms.term}/{terms.drift}/{terms.overlap}/{terms.voters}"
+        agreed = f"{self._membership_view.list_hash()}/{terms.term}/{terms.drift}/{terms.overlap}/{terms.voters}"
         # other terms are as another list: who has them grants nothing to who has not
-        if self.lists.listed(now, xxhash.xxh3_64_intdigest(agreed.encode()), self._sight.zones()):
+        if self.lists.listed(now, xxhash.xxh3_64_intdigest(agreed.encode()), self._membership_view.zones()):
             self._save()
             for claim in self.claims.claims.values():
                 if claim.state == HOLDING:
@@ -80,11 +96,11 @@
                 kept = msgspec.msgpack.decode(data, type=_Kept)
         except msgspec.DecodeError:
             pass  # as if there were no store: the life number stands in for it
-        self.epochs.begin(now, self.life, kept.epoch)
+        self.epochs.begin(now, self.boot_epoch, kept.epoch)
         self.lists.restore(now, kept.lists, kept.longest)
         self.voter.begin(now, self.lists.long)
 
-    def receive(self, now: int, sender: str, life: int, body: bytes) -> None:
+    def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A letter came."""
         word = read(body)
         if self.begun:
@@ -95,8 +111,12 @@
         """Time has passed."""
         if not self.begun:
             return
-        if self._sight.life > self.life and self.epochs.hear(now, self._sight.life << SHIFT):
-            self.epochs.floor = max(self.epochs.floor, self._sight.life << SHIFT)  # an earlier start was further
+        if self._membership_view.boot_epoch > self.boot_epoch and self.epochs.hear(
+            now, self._membership_view.boot_epoch << SHIFT
+        ):
+            self.epochs.floor = max(
+                self.epochs.floor, self._membership_view.boot_epoch << SHIFT
+            )  # an earlier start was further
         self.claims.tick(now)
         for peer in self.lists.tick(now):
             self._out.append((peer, self._hello(answer=True), False))
@@ -106,16 +126,16 @@
         """When ``tick`` is due."""
         return min((at for at in (self.claims.next_at(), self.lists.next_at()) if at is not None), default=None)
 
-    def letters(self) -> list[Letter]:
+    def outgoing_messages(self) -> list[Message]:
         """What is to be sent; taken off."""
         found, self._letters = self._letters, []
         return found
 
     # Leases
 
-    def want(self, now: int, resource: str) -> None:
+    def acquire(self, now: int, resource: str) -> None:
         """See ``api.Leases``."""
-        self.claims.want(now, resource)
+        self.claims.acquire(now, resource)
         self._done(now)
 
     def release(self, now: int, resource: str) -> None:
@@ -123,9 +143,9 @@
         self.claims.release(now, resource)
         self._done(now)
 
-    def hand_on(self, now: int, resource: str, to: str) -> bool:
+    def transfer(self, now: int, resource: str, to: str) -> bool:
         """See ``api.Leases``."""
-        begun = self.claims.hand_on(now, resource, to)
+        begun = self.claims.transfer(now, resource, to)
         self._done(now)
         return begun
 
@@ -141,13 +161,13 @@
             del self.claims.offered[resource]
         return found
 
-    def turns(self, prefix: str) -> list[LeaseTurn]:
+    def turns(self, prefix: str) -> list[LeaseEvent]:
         """See ``api.Leases``."""
         found = [turn for turn in self.claims.turns if turn.resource.startswith(prefix)]
         self.claims.turns = [turn for turn in self.claims.turns if not turn.resource.startswith(prefix)]
         return found
 
-    def news(self) -> list[LeaseTurn]:
+    def news(self) -> list[LeaseEvent]:
         """The turns of all resources once more, for the log; taken off. The oldest give way where nobody asks."""
         found = list(self.claims.news)
         self.claims.news.clear()
@@ -193,7 +213,7 @@
 
     def _answer(self, to: str, ask: Ask | NextIs, verdict: int, holder: str = "", left: int = 0) -> None:
         lists = self.lists
-        answer = Answer(ask.resource, ask.life, ask.number, verdict, self.epochs.top, lists.hash, lists.binding(),
+        answer = Answer(ask.resource, ask.boot_epoch, ask.number, verdict, self.epochs.top, lists.hash, lists.binding(),
                         holder, left)  # fmt: skip
         self._out.append((to, answer, verdict in (GRANTED, LOW, NAMED)))
 
@@ -215,7 +235,7 @@
             if to == self.name:
                 self._take(now, to, word)
             else:
-                self._letters.append(Letter(to, written(word), urgent))
+                self._letters.append(Message(to, written(word), urgent))
         if self.epochs.top > self.epochs.kept:
             self._save()
 
--- a/yardbank/cluster/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from yardbank.cluster.lease.api import Terms
+from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.epochs import Epochs
 from yardbank.cluster.lease.messages import FAR, FULL, GRANTED, HELD, LOW, SILENT, TAKEN, Ask, NextIs, Release
 from yardbank.cluster.lease.timing import long_lease, vote_time
@@ -22,7 +22,7 @@
     """What is known of one resource; bound while ``until`` is ahead."""
 
     holder: str = ""
-    life: int = 0
+    boot_epoch: int = 0
     epoch: int = 0
     number: int = 0  # of the holder's last word that was taken
     until: int = 0
@@ -44,7 +44,7 @@
 
     __slots__ = ("_epochs", "_terms", "clash", "clashes", "entries", "full", "ignored", "silent_until")
 
-    def __init__(self, terms: Terms, epochs: Epochs) -> None:
+    def __init__(self, terms: LeaseTerms, epochs: Epochs) -> None:
         self._terms, self._epochs = terms, epochs
         self.entries: dict[str, Entry] = {}
         self.silent_until = 0
@@ -62,7 +62,7 @@
         if now < self.silent_until:
             return Verdict(SILENT, left=_ms(self.silent_until - now))
         entry = self.entries.get(ask.resource) or Entry()
-        same = (entry.holder, entry.life) == (sender, ask.life)
+        same = (entry.holder, entry.boot_epoch) == (sender, ask.boot_epoch)
         if same and ask.number <= entry.number:
             self.ignored += 1
             return None
@@ -85,7 +85,9 @@
             return Verdict(FULL)
         highest = max(entry.highest, ask.epoch)
         until = now + self._terms.term
-        self.entries[ask.resource] = Entry(sender, ask.life, ask.epoch, ask.number, until, "", ask.renewal, highest)
+        self.entries[ask.resource] = Entry(
+            sender, ask.boot_epoch, ask.epoch, ask.number, until, "", ask.renewal, highest
+        )
         return Verdict(GRANTED)
 
     def name(self, now: int, sender: str, word: NextIs) -> bool:
@@ -104,7 +106,7 @@
     def _of(self, sender: str, word: NextIs | Release) -> Entry | None:
         """The entry that a word of its holder is about; None: it is late, or about another ownership."""
         entry = self.entries.get(word.resource)
-        if entry is None or (entry.holder, entry.life, entry.epoch) != (sender, word.life, word.epoch):
+        if entry is None or (entry.holder, entry.boot_epoch, entry.epoch) != (sender, word.boot_epoch, word.epoch):
             return None
         if word.number <= entry.number:
             self.ignored += 1
--- a/yardbank/cluster/lease/votes.py
+++ b/yardbank/cluster/lease/votes.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection
 from random import Random
 
-from yardbank.cluster.lease.api import ENDED, OWNED, LeaseTurn, Terms
+from yardbank.cluster.lease.api import ENDED, OWNED, LeaseEvent, LeaseTerms
 from yardbank.cluster.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
 from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.epochs import Epochs
@@ -23,23 +23,42 @@
     cannot starve those who hold.
     """
 
-    __slots__ = ("_epochs", "_lists", "_long", "_number", "_random", "_short", "_terms", "_vote", "claims", "full",
-                 "hints", "life", "name", "news", "offered", "offers", "out", "stale", "turns",
-                 "turns_lost")  # fmt: skip
+    __slots__ = (
+        "_epochs",
+        "_lists",
+        "_long",
+        "_number",
+        "_random",
+        "_short",
+        "_terms",
+        "_vote",
+        "boot_epoch",
+        "claims",
+        "full",
+        "hints",
+        "name",
+        "news",
+        "offered",
+        "offers",
+        "out",
+        "stale",
+        "turns",
+        "turns_lost",
+    )  # fmt: skip
 
     def __init__(
-        self, name: str, life: int, terms: Terms, random: Random, lists: Lists, epochs: Epochs,
+        self, name: str, boot_epoch: int, terms: LeaseTerms, random: Random, lists: Lists, epochs: Epochs,
         out: list[tuple[str, Word, bool]],
     ) -> None:  # fmt: skip
-        self.name, self.life, self._terms, self._random = name, life, terms, random
+        self.name, self.boot_epoch, self._terms, self._random = name, boot_epoch, terms, random
         self._lists, self._epochs, self.out = lists, epochs, out
         self._long, self._short, self._vote = long_lease(terms), short_overlap(terms), vote_time(terms)
         self.claims: dict[str, Claim] = {}
         self.offers: dict[str, tuple[str, int, int]] = {}  # by resource: from whom, under which epoch, when
         self.offered: dict[str, str] = {}  # not yet told to the user: from whom
         self.hints: OrderedDict[str, tuple[str, int]] = OrderedDict()
-        self.turns: list[LeaseTurn] = []
-        self.news: deque[LeaseTurn] = deque(maxlen=MAX_NEWS)  # the same once more, for the log
+        self.turns: list[LeaseEvent] = []
+        self.news: deque[LeaseEvent] = deque(maxlen=MAX_NEWS)  # the same once more, for the log
         self.full = self.stale = self.turns_lost = 0
         self._number = 0
 
@@ -88,7 +107,7 @@
         claim.asked(now, number)
         done = claim.round_at + self._terms.held()
         again = claim.state != ASKING or self._offer(now, claim.resource)
-        word = Ask(claim.resource, self.life, number, claim.epoch, claim.state != ASKING, self._lists.hash,
+        word = Ask(claim.resource, self.boot_epoch, number, claim.epoch, claim.state != ASKING, self._lists.hash,
                    self._lists.known())  # fmt: skip
         for voter in [claim.lone] if claim.lone else self._voters(now, claim):
             if claim.grants.get(voter, 0) < done and (again or voter not in claim.refused):
@@ -100,7 +119,7 @@
 
     def _name(self, now: int, claim: Claim) -> None:
         """Tell the voters, and the next one, who is next."""
-        word = NextIs(claim.resource, self.life, claim.named, claim.epoch, claim.to)
+        word = NextIs(claim.resource, self.boot_epoch, claim.named, claim.epoch, claim.to)
         claim.at = min(now + max(1, self._terms.overlap // 8), claim.back)
         for voter in self._voters(now, claim):
             if voter not in claim.told:
@@ -148,7 +167,7 @@
         """Tell all voters that may be bound that this epoch is over."""
         if claim.state == WAITING:
             return
-        word = Release(claim.resource, self.life, self._next(), claim.epoch)
+        word = Release(claim.resource, self.boot_epoch, self._next(), claim.epoch)
         for voter in sorted({*self._voters(now, claim), *claim.grants}.difference(but)):
             self._say(voter, word, claim.state != ASKING)
 
@@ -184,5 +203,5 @@
         if len(self.turns) >= MAX_TURNS:
             self.turns_lost += 1
             del self.turns[0]
-        self.turns.append(LeaseTurn(resource, what, epoch, why))
+        self.turns.append(LeaseEvent(resource, what, epoch, why))
         self.news.append(self.turns[-1])
--- a/yardbank/cluster/list_distribution/part.py
+++ b/yardbank/cluster/list_distribution/part.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.list_distribution.options import Options
 from yardbank.cluster.list_distribution.replica import Adoption, FencedError, Replica
 from yardbank.cluster.list_distribution.table import Table, shown
-from yardbank.cluster.peers.parts import Letter, Sight
+from yardbank.cluster.peers.parts import MembershipView, Message
 
 RESOURCE = "list-publisher"  # the lease whose holder may publish
 RATE, BURST = 4000, 64 * 1024  # octets a second on average, and at once, of all that one gateway sends for this
@@ -25,11 +25,16 @@
     rate: tuple[int, int] | None = (RATE, BURST)
 
     def __init__(
-        self, sight: Sight, leases: Leases, random: Random, options: Options | None = None, table: Table | None = None
+        self,
+        membership_view: MembershipView,
+        leases: Leases,
+        random: Random,
+        options: Options | None = None,
+        table: Table | None = None,
     ) -> None:
-        self._sight, self._leases = sight, leases
+        self._membership_view, self._leases = membership_view, leases
         self._options = options or Options()
-        self.replica = Replica(sight.name, random, self._options, table)
+        self.replica = Replica(membership_view.name, random, self._options, table)
         self.heard_epoch: Any = None  # told of the epochs of versions, so that later leases are above them
         self._source: Mapping[str, str] | None = None
         self._held_since: int | None = None
@@ -40,7 +45,7 @@
     def source(self, now: int, entries: Mapping[str, str]) -> None:
         """What is to be published from now on, by whoever holds the lease; this gateway would hold it."""
         if self._source is None:
-            self._leases.want(now, RESOURCE)
+            self._leases.acquire(now, RESOURCE)
         self._source = dict(entries)
         self._next_look = now
 
@@ -57,7 +62,7 @@
         """The list of gateways has changed."""
         self._look_around()
 
-    def receive(self, now: int, sender: str, life: int, body: bytes) -> None:
+    def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A message of a peer. Raises ``DroppedError`` on one that cannot be read."""
         self.replica.receive(now, sender, decode(body))
         self._tell_epoch(now)
@@ -76,9 +81,9 @@
         due = self.replica.next_at()
         return min(due, self._next_look) if self._source is not None else due
 
-    def letters(self) -> list[Letter]:
+    def outgoing_messages(self) -> list[Message]:
         """What is to be sent; taken off."""
-        return [Letter(out.to, encode(out.message)) for out in self.replica.outgoing()]
+        return [Message(out.to, encode(out.message)) for out in self.replica.outgoing()]
 
     def view(self, now: int) -> dict[str, Any]:
         """What an operator should see."""
@@ -90,7 +95,7 @@
         }  # fmt: skip
 
     def _look_around(self) -> None:
-        self.replica.peers(self._sight.alive(), self._sight.zones())
+        self.replica.peers(self._membership_view.alive(), self._membership_view.zones())
 
     def _publish(self, now: int, source: Mapping[str, str]) -> None:
         """Publish the source, once the lease has been held for long enough to have heard of newer versions."""
--- a/yardbank/cluster/peers/batch.py
+++ b/yardbank/cluster/peers/batch.py
@@ -25,11 +25,11 @@
 
 
 class Parcel(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram. ``life`` and ``sequence`` are the sender's, as in its other datagrams."""
+    """One datagram. ``boot_epoch`` and ``sequence`` are the sender's, as in its other datagrams."""
 
     fleet: str
     sender: str
-    life: int
+    boot_epoch: int
     sequence: int
     items: tuple[Item, ...] = ()
 
@@ -78,7 +78,7 @@
         raise DroppedError("shape") from None
     if found.fleet != fleet:
         raise DroppedError("fleet")
-    sound = 0 < found.life <= MAX_INCARNATION and 0 < found.sequence < 1 << 62
+    sound = 0 < found.boot_epoch <= MAX_INCARNATION and 0 < found.sequence < 1 << 62
     sound = sound and len(found.sender) <= MAX_NAME and len(found.items) <= MAX_ITEMS
     if not sound or not all(0 < len(item.topic) <= MAX_TOPIC for item in found.items):
         raise DroppedError("shape")
--- a/yardbank/cluster/peers/counters.py
+++ b/yardbank/cluster/peers/counters.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from yardbank.cluster.peers.datagram import MAX_NAME, Count
+from yardbank.cluster.peers.datagram import MAX_NAME, CounterValue
 
 MAX_KEYS = 512  # of one gateway; more are not told, and not taken
 FRESH = 15_000_000_000  # so old (ns), a gateway's figures no longer count
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class _Told:
-    life: int
+    boot_epoch: int
     heard_at: int
     values: dict[str, tuple[int, int]] = field(default_factory=dict)  # by key: version, value
 
@@ -60,7 +60,7 @@
                 self._version += 1
                 self._own[key] = self._version, value
 
-    def some(self, most: int) -> list[Count]:
+    def some(self, most: int) -> list[CounterValue]:
         """What to tell next: what changed last first, then all by turns."""
         newest = sorted(self._own, key=lambda key: -self._own[key][0])[: most // 2]
         names = list(newest)
@@ -72,15 +72,15 @@
                 names.append(key)
             elif not self._turn and len(names) >= len(self._own):
                 break
-        return [Count(key, *self._own[key]) for key in names]
+        return [CounterValue(key, *self._own[key]) for key in names]
 
-    def heard(self, now: int, sender: str, life: int, counts: Iterable[Count]) -> None:
+    def heard(self, now: int, sender: str, boot_epoch: int, counts: Iterable[CounterValue]) -> None:
         """A peer's own figures."""
         told = self._told.get(sender)
-        if sender not in self._peers or (told is not None and life < told.life):
+        if sender not in self._peers or (told is not None and boot_epoch < told.boot_epoch):
             return
-        if told is None or life > told.life:
-            told = self._told[sender] = _Told(life, now)
+        if told is None or boot_epoch > told.boot_epoch:
+            told = self._told[sender] = _Told(boot_epoch, now)
         told.heard_at = now
         for one in counts:
             known = told.values.get(one.key)
--- a/yardbank/cluster/peers/datagram.py
+++ b/yardbank/cluster/peers/datagram.py
@@ -26,7 +26,7 @@
 REASONS = ("size", "magic", "version", "digest", "shape", "fleet", "stranger", "old")
 
 
-class News(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What is said of one peer, and who first said so."""
 
     name: str
@@ -35,7 +35,7 @@
     witness: str
 
 
-class Count(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class CounterValue(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """One of the sender's own figures; ``version`` rises with each change in one incarnation."""
 
     key: str
@@ -43,11 +43,11 @@
     value: int
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class HealthReport(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What a witness said of one start of a server, and how long ago (ms). ``number`` rises in the witness's life."""
 
     witness: str
-    life: int
+    boot_epoch: int
     number: int
     server: str
     started: int  # ms since 1970 as the list says; 0: long ago
@@ -58,20 +58,20 @@
 class Datagram(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """One datagram. ``number`` names the probe it belongs to, ``target`` whom an ASK or its answer is about.
 
-    ``life`` is the sender's since its start, ``incarnation`` rises within it with each accusation refuted.
+    ``boot_epoch`` is the sender's since its start, ``incarnation`` rises within it with each accusation refuted.
     """
 
     fleet: str
     sender: str
-    life: int
+    boot_epoch: int
     incarnation: int
     sequence: int
     kind: str
     number: int = 0
     target: str = ""
-    news: tuple[News, ...] = ()
-    counts: tuple[Count, ...] = ()
-    words: tuple[Word, ...] = ()
+    news: tuple[MembershipUpdate, ...] = ()
+    counts: tuple[CounterValue, ...] = ()
+    words: tuple[HealthReport, ...] = ()
 
 
 class DroppedError(Exception):
@@ -155,9 +155,9 @@
         raise DroppedError("shape") from None
     if found.fleet != fleet:
         raise DroppedError("fleet")
-    numbers = [found.life, found.incarnation, *(news.incarnation for news in found.news)]
+    numbers = [found.boot_epoch, found.incarnation, *(news.incarnation for news in found.news)]
     sound = all(0 < number <= MAX_INCARNATION for number in numbers) and 0 < found.sequence < 1 << 62
-    sound = sound and found.life <= found.incarnation
+    sound = sound and found.boot_epoch <= found.incarnation
     sound = sound and found.kind in (PING, ACK, ASK, NACK) and 0 <= found.number < 1 << 62
     sound = sound and all(news.state in STATES for news in found.news)
     sound = sound and all(_sound_word(word) for word in found.words)
@@ -169,8 +169,8 @@
     return found
 
 
-def _sound_word(word: Word) -> bool:
-    numbers = 0 < word.life <= MAX_INCARNATION and 0 < word.number < 1 << 62
+def _sound_word(word: HealthReport) -> bool:
+    numbers = 0 < word.boot_epoch <= MAX_INCARNATION and 0 < word.number < 1 << 62
     return numbers and 0 <= word.started < 1 << 62 and 1 <= word.kind <= MAX_KIND and 0 <= word.age < 1 << 31
 
 
@@ -180,12 +180,12 @@
     def __init__(self) -> None:
         self._seen: dict[str, tuple[int, int, int]] = {}  # by sender: life, highest sequence, bits below it
 
-    def take(self, sender: str, life: int, sequence: int) -> None:
+    def take(self, sender: str, boot_epoch: int, sequence: int) -> None:
         """Raises ``DroppedError`` for one that was taken before, or is too old to tell."""
         known, highest, bits = self._seen.get(sender, (0, 0, 0))
-        if life < known:
+        if boot_epoch < known:
             raise DroppedError("old")
-        if life > known:
+        if boot_epoch > known:
             highest, bits = 0, 0
         if sequence > highest:
             bits = (bits << (sequence - highest) | 1) & ((1 << WINDOW) - 1) if sequence - highest < WINDOW else 1
@@ -195,7 +195,7 @@
             if not bit or bits & bit:
                 raise DroppedError("old")
             bits |= bit
-        self._seen[sender] = life, highest, bits
+        self._seen[sender] = boot_epoch, highest, bits
 
     def keep(self, names: set[str]) -> None:
         """Forget all but these senders."""
--- a/yardbank/cluster/peers/file_store.py
+++ b/yardbank/cluster/peers/file_store.py
@@ -1,4 +1,4 @@
-"""A part's few octets on disk: whole or not at all, checked when read. See ``parts.Keep``."""
+"""A part's few octets on disk: whole or not at all, checked when read. See ``parts.KeyValueStore``."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 _SUM = 8
 
 
-class FileKeep:
+class FileStore:
     """One file. What is damaged, cut short or not there is taken for nothing, and said."""
 
     def __init__(self, path: Path, log: Any) -> None:
--- a/yardbank/cluster/peers/membership_state.py
+++ b/yardbank/cluster/peers/membership_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from yardbank.cluster.peers.datagram import ALIVE, GONE, MAX_INCARNATION, SUSPECT, News
+from yardbank.cluster.peers.datagram import ALIVE, GONE, MAX_INCARNATION, SUSPECT, MembershipUpdate
 from yardbank.cluster.peers.detector_types import (
     LEAP,
     MAX_SLOWNESS,
@@ -25,7 +25,7 @@
     """The state of the detector, and of each peer; ``detector`` puts probes and time to it."""
 
     def __init__(self, name: str, incarnation: int, random: Random, pace: Pace | None = None) -> None:
-        self.name, self.life, self.incarnation = name, incarnation, incarnation
+        self.name, self.boot_epoch, self.incarnation = name, incarnation, incarnation
         self.pace, self.random = pace or Pace(), random
         self.peers: dict[str, Peer] = {}
         self.out: list[Out] = []
@@ -62,7 +62,7 @@
 
     # What others say
 
-    def told(self, now: int, sender: str, news: Iterable[News]) -> None:
+    def told(self, now: int, sender: str, news: Iterable[MembershipUpdate]) -> None:
         """What a peer says of others, and of oneself."""
         if sender not in self.peers:
             return
@@ -80,12 +80,12 @@
                 else:  # told that it is gone: a voice more, and no more, or a liar could have the living forgotten
                     self._told_suspect(now, peer, one)
 
-    def _about_oneself(self, one: News) -> None:
+    def _about_oneself(self, one: MembershipUpdate) -> None:
         """An accusation, or an earlier life's higher incarnation: be newer than it."""
         newer = one.incarnation > self.incarnation or (one.state != ALIVE and one.incarnation == self.incarnation)
         if newer and one.incarnation <= self.incarnation + LEAP and one.incarnation < MAX_INCARNATION:
             if one.incarnation > self.incarnation:  # an earlier life's, whose clock was ahead, or whose store is gone
-                self.life = one.incarnation + 1
+                self.boot_epoch = one.incarnation + 1
                 self.overtaken += 1
             self.incarnation = one.incarnation + 1
             self._own_news = 0
@@ -93,7 +93,7 @@
             if one.state != ALIVE:  # somebody waited for an answer in vain: the fault may be here
                 self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
 
-    def _told_suspect(self, now: int, peer: Peer, one: News) -> None:
+    def _told_suspect(self, now: int, peer: Peer, one: MembershipUpdate) -> None:
         if peer.state == GONE:
             peer.incarnation = max(peer.incarnation, one.incarnation)
             return
@@ -139,7 +139,7 @@
 
     # What goes out
 
-    def news_for(self, to: str, count: int) -> list[News]:
+    def news_for(self, to: str, count: int) -> list[MembershipUpdate]:
         """What to say in a datagram, at most so much: changes told least often first, then others by turns."""
         most = max(1, math.ceil(3 * math.log2(len(self.peers) + 2)))  # tellings until all have most likely heard
         names: list[str] = []
@@ -159,13 +159,13 @@
                 self.random.shuffle(self._rest)
             if self._rest and (name := self._rest.pop()) in self.peers and name not in names and name != to:
                 names.append(name)
-        found = [News(self.name, ALIVE, self.incarnation, self.name)] if self._own_news < most else []
+        found = [MembershipUpdate(self.name, ALIVE, self.incarnation, self.name)] if self._own_news < most else []
         self._own_news += 1
         for name in names:
             peer = self.peers[name]
             if not peer.incarnation:  # never heard of, though missed: there is nothing to say
                 continue
-            found += [News(name, peer.state, peer.incarnation, voice) for voice in self._voices(peer)]
+            found += [MembershipUpdate(name, peer.state, peer.incarnation, voice) for voice in self._voices(peer)]
         return found[: max(0, count)]
 
     def _voices(self, peer: Peer) -> list[str]:
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -18,7 +18,7 @@
 from yardbank.cluster.peers import datagram as wire
 from yardbank.cluster.peers.batch import Item, Parcel
 from yardbank.cluster.peers.counters import Register, Sum
-from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, News, Replays
+from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, MembershipUpdate, Replays
 from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, Out, Pace
 from yardbank.cluster.peers.outbox import Post, Rate
 from yardbank.cluster.peers.parts import Part
@@ -43,7 +43,7 @@
 
 
 class _Sight:
-    """What parts may know; see ``parts.Sight``."""
+    """What parts may know; see ``parts.MembershipView``."""
 
     def __init__(self, node: GossipNode) -> None:
         self._node = node
@@ -53,8 +53,8 @@
         return self._node.name
 
     @property
-    def life(self) -> int:
-        return self._node.detector.life
+    def boot_epoch(self) -> int:
+        return self._node.detector.boot_epoch
 
     def zones(self) -> Mapping[str, str]:
         return self._node.zones
@@ -73,12 +73,12 @@
     """One gateway among its peers."""
 
     def __init__(
-        self, name: str, fleet: str, keys: Sequence[bytes], life: int, random: Random, pace: Pace | None = None
+        self, name: str, fleet: str, keys: Sequence[bytes], boot_epoch: int, random: Random, pace: Pace | None = None
     ) -> None:
         self.name, self.fleet, self.keys = name, fleet, list(keys)
-        self.detector = Detector(name, life, random, pace)
+        self.detector = Detector(name, boot_epoch, random, pace)
         self.register = Register()
-        self.evidence = Evidence(name, life)
+        self.evidence = Evidence(name, boot_epoch)
         self.dropped: Counter[str] = Counter()
         self.withheld = 0  # datagrams not sent, to keep the rate
         self.sent = self.sent_octets = 0
@@ -88,7 +88,7 @@
         self._largest = wire.MAX_OCTETS
         self.zones: Mapping[str, str] = {name: ""}
         self.list_hash = 0
-        self.sight = _Sight(self)
+        self.membership_view = _Sight(self)
         self.post = Post(fleet, name)
         self.on_round_trip: list[Callable[[int, str, int], None]] = []  # told of each: now, to whom, how long (ns)
         self._pings: OrderedDict[int, tuple[str, int]] = OrderedDict()  # by number: to whom, when
@@ -104,7 +104,7 @@
         self.zones = {name: told.get(name, "") for name in sorted({*known, self.name})}
         self.list_hash = xxhash.xxh3_64_intdigest(repr(sorted(self.zones.items())).encode())
         longest = max(known | {self.name}, key=len)
-        self._largest = wire.size_of(News(longest, ALIVE, wire.MAX_INCARNATION, longest))
+        self._largest = wire.size_of(MembershipUpdate(longest, ALIVE, wire.MAX_INCARNATION, longest))
         self.detector.listed(now, known)
         self.register.listed(known)
         self.evidence.listed(known)
@@ -121,7 +121,7 @@
             found = wire.decode(data, self.keys, self.fleet)
             if found.sender == self.name or found.sender not in self.detector.peers:
                 raise DroppedError("stranger")  # the list says who is a peer; two of one name are seen here too
-            self._replays.take(found.sender, found.life, found.sequence)
+            self._replays.take(found.sender, found.boot_epoch, found.sequence)
         except DroppedError as problem:
             self.dropped[problem.reason] += 1
             return []
@@ -131,8 +131,8 @@
                 told(now, found.sender, now - ping[1])
         self.detector.received(now, found.sender, found.incarnation, found.kind, found.number, found.target)
         self.detector.told(now, found.sender, found.news)
-        self.register.heard(now, found.sender, found.life, found.counts)
-        self.evidence.life = self.detector.life
+        self.register.heard(now, found.sender, found.boot_epoch, found.counts)
+        self.evidence.boot_epoch = self.detector.boot_epoch
         self.evidence.heard(now, found.words)
         return self._flush(now)
 
@@ -142,7 +142,7 @@
             found = parcel.decode(data, self.keys, self.fleet)
             if found.sender == self.name or found.sender not in self.detector.peers:
                 raise DroppedError("stranger")
-            self._replays.take(found.sender, found.life, found.sequence)
+            self._replays.take(found.sender, found.boot_epoch, found.sequence)
         except DroppedError as problem:
             self.dropped[problem.reason] += 1
             return
@@ -175,7 +175,7 @@
 
     def _sealed(self, to: str, items: tuple[Item, ...]) -> bytes:
         self._sequences[to] += 1
-        found = Parcel(self.fleet, self.name, self.detector.life, self._sequences[to], items)
+        found = Parcel(self.fleet, self.name, self.detector.boot_epoch, self._sequences[to], items)
         data = parcel.encode(found, self.keys)
         self.sent, self.sent_octets = self.sent + 1, self.sent_octets + len(data)
         return data
@@ -197,7 +197,7 @@
                 self._pings.popitem(last=False)
         detector = self.detector
         data = wire.encode(
-            Datagram(self.fleet, self.name, detector.life, detector.incarnation, self._sequences[order.to], order.kind,
+            Datagram(self.fleet, self.name, detector.boot_epoch, detector.incarnation, self._sequences[order.to], order.kind,
                      order.number, order.target, tuple(news), tuple(counts), tuple(words)),
             self.keys,
         )  # fmt: skip
--- a/yardbank/cluster/peers/outbox.py
+++ b/yardbank/cluster/peers/outbox.py
@@ -58,7 +58,7 @@
                 dropped["topic"] += 1  # a part that this gateway does not have
                 continue
             try:
-                part.receive(now, found.sender, found.life, item.body)
+                part.receive(now, found.sender, found.boot_epoch, item.body)
             except DroppedError as problem:
                 dropped[f"{item.topic} {problem.reason}"] += 1
 
@@ -71,7 +71,7 @@
         """
         by: dict[tuple[str, int, str], list[Item]] = {}  # to whom, urgent ones first, at whose rate
         for topic, part in self.parts.items():
-            for letter in part.letters():
+            for letter in part.outgoing_messages():
                 if letter.to in peers:
                     key = letter.to, int(not letter.urgent), topic if topic in self._own else ""
                     by.setdefault(key, []).append(Item(topic, letter.body))
--- a/yardbank/cluster/peers/parts.py
+++ b/yardbank/cluster/peers/parts.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Letter:
+class Message:
     """One message of a part for the same part of another gateway. ``urgent``: does not wait for the rate."""
 
     to: str
@@ -20,7 +20,7 @@
     urgent: bool = False
 
 
-class Sight(Protocol):
+class MembershipView(Protocol):
     """What a part may know of the fleet: the list, and the link's own finding of who is there."""
 
     @property
@@ -28,7 +28,7 @@
         """This gateway."""
 
     @property
-    def life(self) -> int:
+    def boot_epoch(self) -> int:
         """The number of this start; higher than that of any start before, as far as anybody remembers."""
 
     def zones(self) -> Mapping[str, str]:
@@ -44,7 +44,7 @@
         """0: this gateway finds itself well; above: it was stopped or starved lately, or others miss it."""
 
 
-class Keep(Protocol):
+class KeyValueStore(Protocol):
     """A few octets that outlive the process, for one part."""
 
     def load(self) -> bytes | None:
@@ -61,9 +61,9 @@
     rate: tuple[int, int] | None  # octets a second and at once, for a feed's letters; None: those of all other parts
 
     def listed(self, now: int) -> None:
-        """The list has changed: ``Sight`` tells the new one."""
+        """The list has changed: ``MembershipView`` tells the new one."""
 
-    def receive(self, now: int, sender: str, life: int, body: bytes) -> None:
+    def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A letter of a peer of the list. May come twice, late, in any order. Raises ``DroppedError`` on odd ones."""
 
     def tick(self, now: int) -> None:
@@ -72,15 +72,15 @@
     def next_at(self) -> int | None:
         """When ``tick`` is due; None: not before something comes in."""
 
-    def letters(self) -> list[Letter]:
+    def outgoing_messages(self) -> list[Message]:
         """What is to be sent; taken off."""
 
     def view(self, now: int) -> dict[str, Any]:
         """What an operator should see, as plain values."""
 
 
-class Forgetful:
-    """A ``Keep`` for a gateway without a store."""
+class NullStore:
+    """A ``KeyValueStore`` for a gateway without a store."""
 
     def load(self) -> bytes | None:
         """Nothing."""
--- a/yardbank/cluster/peers/report_store.py
+++ b/yardbank/cluster/peers/report_store.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from yardbank.cluster.peers.datagram import MAX_NAME, Word
+from yardbank.cluster.peers.datagram import MAX_NAME, HealthReport
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LIFE = 15 * SECOND
@@ -30,7 +30,7 @@
 class Kept:
     """A word as it lies here."""
 
-    word: Word
+    word: HealthReport
     since: int  # when what it says was so, on this gateway's clock
     told: int = 0  # how often it was passed on
 
@@ -42,8 +42,8 @@
 class Evidence:
     """One gateway's words, and the others' that have reached it."""
 
-    def __init__(self, name: str, life: int) -> None:
-        self._name, self.life = name, life
+    def __init__(self, name: str, boot_epoch: int) -> None:
+        self._name, self.boot_epoch = name, boot_epoch
         self._words: dict[str, dict[str, Kept]] = {}  # by server and witness
         self._peers: set[str] = set()
         self._number = 0
@@ -92,29 +92,31 @@
             self.not_kept += 1
             return
         self._number += 1
-        self._keep(now, Word(self._name, self.life, self._number, server, started, kind, 0))
+        self._keep(now, HealthReport(self._name, self.boot_epoch, self._number, server, started, kind, 0))
 
-    def heard(self, now: int, words: Iterable[Word]) -> None:
+    def heard(self, now: int, words: Iterable[HealthReport]) -> None:
         """Words that came with a datagram, whoever sent it."""
         for word in words:
             if word.witness == self._name:
                 self._of_oneself(now, word)
             elif word.witness in self._peers and word.age < LIFE // MS:
                 known = self._words.get(word.server, {}).get(word.witness)
-                if known is None or (word.life, word.number) > (known.word.life, known.word.number):
+                if known is None or (word.boot_epoch, word.number) > (known.word.boot_epoch, known.word.number):
                     self._keep(now, word)
 
-    def _of_oneself(self, now: int, word: Word) -> None:
-        if (word.life, word.number) <= (self.life, self._number):
+    def _of_oneself(self, now: int, word: HealthReport) -> None:
+        if (word.boot_epoch, word.number) <= (self.boot_epoch, self._number):
             return
-        if word.life > self.life:  # of an earlier life, or made up; the detector finds a newer one where it must
+        if (
+            word.boot_epoch > self.boot_epoch
+        ):  # of an earlier start, or made up: the detector decides
             return
         self._number = word.number
         self.corrected += 1
         own = self._words.get(word.server, {}).get(self._name)
         self._say(now, word.server, own.word.kind if own else NOTHING, own.word.started if own else word.started)
 
-    def _keep(self, now: int, word: Word) -> None:
+    def _keep(self, now: int, word: HealthReport) -> None:
         by = self._words.get(word.server)
         if by is None:
             if len(self._words) >= MAX_SERVERS:
@@ -131,7 +133,7 @@
         for server, by in list(self._words.items()):
             self._set(server, {witness: one for witness, one in by.items() if one.age(now) < LIFE})
 
-    def some(self, now: int, most: int) -> list[Word]:
+    def some(self, now: int, most: int) -> list[HealthReport]:
         """What to tell next: words that were told least often, with their ages as they are now."""
         enough = math.ceil(3 * math.log2(len(self._peers) + 2))
         fresh = [one for by in self._words.values() for one in by.values() if one.told < enough and one.age(now) < LIFE]
@@ -140,7 +142,7 @@
         for one in fresh[:most]:
             one.told += 1
             word = one.word
-            found.append(Word(word.witness, word.life, word.number, word.server, word.started, word.kind,
+            found.append(HealthReport(word.witness, word.boot_epoch, word.number, word.server, word.started, word.kind,
                               one.age(now) // MS))  # fmt: skip
         return found
 
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -64,10 +64,10 @@
         self._block, self._folder, self._state = block, folder, state
         self._reactor, self._now, self._log, self._sharing = reactor, now, log, sharing
         self._wall = wall
-        life = self._begin_life()
+        boot_epoch = self._begin_life()
         pace = Pace(period=block.period, timeout=block.timeout, suspicion=block.suspicion)
         keys = load_keys(folder / block.key)
-        self.node = GossipNode(block.name, block.fleet, keys, life, Random(f"{seed}/{life}"), pace)
+        self.node = GossipNode(block.name, block.fleet, keys, boot_epoch, Random(f"{seed}/{boot_epoch}"), pace)
         self.places: dict[str, tuple[str, int]] = {}
         self._list = PeerList()
         self._watcher = Watcher(folder / block.list, self._list, self._take, reactor=reactor, now=now, log=log)
@@ -90,14 +90,14 @@
         if path is not None:
             with contextlib.suppress(OSError):  # none yet
                 stored = path.read_text(encoding="utf-8", errors="replace")
-        life = next_life(stored_life(stored), self._wall())
+        boot_epoch = next_life(stored_life(stored), self._wall())
         if path is not None:
             try:
                 path.parent.mkdir(parents=True, exist_ok=True)
-                write_whole(path, str(life))
+                write_whole(path, str(boot_epoch))
             except OSError as problem:
                 self._log.warning("peers_life_not_kept", path=str(path), error=str(problem))
-        return life
+        return boot_epoch
 
     def start(self) -> None:
         """Listen, read the list, begin. Raises ``OSError`` if the address cannot be had."""
@@ -108,7 +108,7 @@
             raise PeersError(f"peers: cannot listen at {place[0]}:{place[1]}: {problem.socketError}") from None
         self.port = self._port.getHost().port
         self._log.info("peers_listening", peer=self._block.name, address=self._block.address, port=self.port,
-                       life=self.node.detector.life)  # fmt: skip
+                       life=self.node.detector.boot_epoch)  # fmt: skip
         self._watcher.start()
         self._teller = self._reactor.callLater(TELL_DROPPED, self._tell_dropped)
         self._write()
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -15,7 +15,7 @@
     """Peers, words on servers, counts, and what each part has to show."""
     detector, evidence = node.detector, node.evidence
     return {
-        "name": node.name, "fleet": node.fleet, "life": detector.life, "incarnation": detector.incarnation,
+        "name": node.name, "fleet": node.fleet, "life": detector.boot_epoch, "incarnation": detector.incarnation,
         "slowness": detector.slowness, "dropped": dict(node.dropped),
         "peers": {
             seen.name: {"state": seen.state, "incarnation": seen.incarnation, "changed_ms": seen.changed // MS,
--- a/yardbank/cluster/rollout/active_version.py
+++ b/yardbank/cluster/rollout/active_version.py
@@ -38,7 +38,7 @@
         return given.parent / self.settings if self.settings else given
 
 
-class Force(msgspec.Struct, frozen=True, omit_defaults=True):
+class ActiveVersion(msgspec.Struct, frozen=True, omit_defaults=True):
     """``now`` is in force; ``before`` is gone back to. Equal: nothing is under way."""
 
     now: Version = Version()
@@ -48,19 +48,19 @@
     fell: str = ""  # why the last one was left by itself; its rollout:
     fell_from: str = ""
 
-    def gone_over(self, to: Version, wall: float = 0.0) -> Force:
+    def gone_over(self, to: Version, wall: float = 0.0) -> ActiveVersion:
         """Another version, with the way back."""
-        return Force(to, self.now, changed=wall)
+        return ActiveVersion(to, self.now, changed=wall)
 
-    def gone_back(self, why: str = "") -> Force:
+    def gone_back(self, why: str = "") -> ActiveVersion:
         """The one before; ``why``: not as a rollout wanted it, but by itself."""
-        return Force(self.before, self.before, fell=why, fell_from=self.now.rollout if why else "")
+        return ActiveVersion(self.before, self.before, fell=why, fell_from=self.now.rollout if why else "")
 
-    def kept(self) -> Force:
+    def kept(self) -> ActiveVersion:
         """There is no way back any more."""
-        return Force(self.now, self.now, self.restarts, self.changed)
+        return ActiveVersion(self.now, self.now, self.restarts, self.changed)
 
-    def restarted(self) -> Force:
+    def restarted(self) -> ActiveVersion:
         """The process died, and is started again."""
         return msgspec.structs.replace(self, restarts=self.restarts + 1)
 
@@ -70,17 +70,17 @@
         return self.now != self.before
 
 
-def decoded(data: bytes | str) -> Force:
+def decoded(data: bytes | str) -> ActiveVersion:
     """Raises ``ValueError``."""
     if len(data) > MAX_OCTETS:
         raise ValueError(f"{len(data)} octets, {MAX_OCTETS} allowed")
     try:
-        return msgspec.json.decode(data, type=Force)
+        return msgspec.json.decode(data, type=ActiveVersion)
     except msgspec.DecodeError as problem:
         raise ValueError(f"not what is in force: {problem}") from None
 
 
-def encoded(force: Force) -> str:
+def encoded(force: ActiveVersion) -> str:
     """As it stands in the file."""
     return msgspec.json.encode(force).decode()
 
@@ -92,7 +92,7 @@
     ``leave`` ends the process in good order, for its supervisor to start it anew; None: nobody would.
     """
 
-    force: Force
+    force: ActiveVersion
     given: Path
     supervised: bool
     leave: Callable[[], None] | None = None
@@ -105,7 +105,7 @@
     return Started(read(file.parent), file, False)
 
 
-def read(folder: Path) -> Force:
+def read(folder: Path) -> ActiveVersion:
     """What is in force by the file; without one what the gateway was started with.
 
     Raises ``ValueError`` naming the file if it cannot be used: to guess would be to choose a version.
@@ -115,14 +115,14 @@
         with path.open("rb") as file:
             return decoded(file.read(MAX_OCTETS + 1))
     except FileNotFoundError:
-        return Force()
+        return ActiveVersion()
     except OSError as problem:
         raise ValueError(f"{path}: {problem.strerror or problem}") from None
     except ValueError as problem:
         raise ValueError(f"{path}:1: {problem}") from None
 
 
-def write(folder: Path, force: Force) -> None:
+def write(folder: Path, force: ActiveVersion) -> None:
     """Raises ``OSError``; then what was in force still is."""
     part = folder / (FILE + ".part")
     with part.open("w", encoding="utf-8") as file:
--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from yardbank.cluster.rollout import active_version as forces
-from yardbank.cluster.rollout.active_version import Force, Version
+from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, version_of, word_file
-from yardbank.cluster.rollout.local_state import GoBack, GoOver, Stay
+from yardbank.cluster.rollout.local_state import Activate, Commit, RollBack
 from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.config import Config, ConfigError, load
 from yardbank.config.blocks import RolloutBlock
@@ -43,7 +43,7 @@
         part: RolloutPart,
         given: Path,
         block: RolloutBlock,
-        force: Force,
+        force: ActiveVersion,
         *,
         reactor: Any,
         now: Callable[[], int],
@@ -115,17 +115,17 @@
         sound(load(file), file)
         return name_of(file, version.program)
 
-    def _carry_out(self, order: GoOver | GoBack | Stay) -> None:
-        if isinstance(order, Stay):
+    def _carry_out(self, order: Activate | RollBack | Commit) -> None:
+        if isinstance(order, Commit):
             kept = self._force.kept()
             if self._write(kept):  # else a start may still go back: it says so
                 self._force = kept
             return
-        to = order.version if isinstance(order, GoOver) else self._force.before
-        force = self._force.gone_over(to, self._wall()) if isinstance(order, GoOver) else self._force.gone_back()
+        to = order.version if isinstance(order, Activate) else self._force.before
+        force = self._force.gone_over(to, self._wall()) if isinstance(order, Activate) else self._force.gone_back()
         try:
             config = load(to.file(self._given))
-            if isinstance(order, GoOver) and name_of(to.file(self._given), to.program) != to.name:
+            if isinstance(order, Activate) and name_of(to.file(self._given), to.program) != to.name:
                 raise ConfigError([f"{to.file(self._given)}: not what was asked for any more"])
         except ConfigError as problem:
             self._fail(problem.faults[0])
@@ -158,7 +158,7 @@
         self._log.error("rollout_failed", why=why)
         self._part.failed(self._now(), why)
 
-    def _write(self, force: Force) -> bool:
+    def _write(self, force: ActiveVersion) -> bool:
         try:
             forces.write(self._given.parent, force)
         except OSError as problem:
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -4,31 +4,31 @@
 
 from msgspec.structs import replace
 
-from yardbank.cluster.peers.parts import Letter, Sight
+from yardbank.cluster.peers.parts import MembershipView, Message
 from yardbank.cluster.rollout.local_state import Options
 from yardbank.cluster.rollout.metrics import Figures, cells
-from yardbank.cluster.rollout.record import MAX_RECORD, MAX_WHY, Cell, Said, encoded
-from yardbank.cluster.rollout.record_log import Book, passed_on_often
+from yardbank.cluster.rollout.record import MAX_RECORD, MAX_WHY, Cell, GatewayRecord, encoded
+from yardbank.cluster.rollout.record_log import RecordLog, passed_on_often
 from yardbank.cluster.rollout.stage_plan import Order
-from yardbank.cluster.rollout.state_machine import Mover
+from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 SECOND = 1_000_000_000
-SLOW = 3  # of ``Sight.slowness``: from here on this gateway's view and figures are not gone by
+SLOW = 3  # of ``MembershipView.slowness``: from here on this gateway's view and figures are not gone by
 LEAST_BEAT = 3 * SECOND
 ROUNDS = 3  # in which a stop is told at once; afterwards it rides on each letter
 PACE = 5  # records that one gateway passes on in a second
 
 
-class Teller:
+class Announcer:
     """Writes this gateway's record.
 
     Figures are read at beats, which all enter at nearly the same time though no clock is compared: by one's own, or on
     hearing that two others have entered a later one.
     """
 
-    def __init__(self, sight: Sight, book: Book, options: Options) -> None:
-        self._sight, self._book, self._options = sight, book, options
-        self.told = Said(sight.name, 1, 1)  # last
+    def __init__(self, membership_view: MembershipView, book: RecordLog, options: Options) -> None:
+        self._membership_view, self._book, self._options = membership_view, book, options
+        self.told = GatewayRecord(membership_view.name, 1, 1)  # last
         self.beat = 0
         self.left_out: tuple[str, ...] = ()  # classes that a record has no room for
         self._at = 0  # of the next beat
@@ -48,7 +48,7 @@
         self._at = now + (self._options.beat or least)
         before, self._figures = self._figures, self._options.figures()
         self.forget()
-        if any(self._sight.name in (pair.new, pair.old) for pair in pairs):
+        if any(self._membership_view.name in (pair.new, pair.old) for pair in pairs):
             self._cells, self.left_out = cells(before, self._figures)
         return bool(self._cells)
 
@@ -56,15 +56,15 @@
         """The figures are not of where this gateway is now."""
         self._cells, self.left_out = (), ()
 
-    def tell(self, mover: Mover, beat: bool) -> list[Letter]:
+    def tell(self, mover: RolloutStateMachine, beat: bool) -> list[Message]:
         """Write the record anew, if it says something else; letters with it, if others should know at once."""
-        change, name = mover.change, self._sight.name
+        change, name = mover.change, self._membership_view.name
         stop = mover.stopped(change.id) if change is not None else ""
-        said = Said(
-            name, self._sight.life, 0, change.id if change else "", change.mark() if change else 0, mover.place,
+        said = GatewayRecord(
+            name, self._membership_view.boot_epoch, 0, change.id if change else "", change.mark() if change else 0, mover.place,
             mover.running, stop[:MAX_WHY],
             self.beat if self._cells else self.told.beat,  # who is not compared says nothing new at each beat
-            int(self._sight.slowness() >= SLOW), mover.restarts,
+            int(self._membership_view.slowness() >= SLOW), mover.restarts,
             self._figures.memory >> 20 if self._cells else self.told.memory, self._cells,
         )  # fmt: skip
         while said.cells and len(encoded(said)) > MAX_RECORD - 16:
@@ -76,7 +76,7 @@
             self._number += 1
             self.told = replace(said, number=self._number)
             self._book.say(self.told)
-        alive = self._sight.alive()
+        alive = self._membership_view.alive()
         urgent = self._rounds > 0 and bool(alive)
         self._rounds -= urgent
         moved, mover.moved = mover.moved, False
--- a/yardbank/cluster/rollout/canary_analysis.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -13,14 +13,14 @@
 from yardbank.cluster.rollout import sequential_test as judge
 from yardbank.cluster.rollout.document import SHARES, Change
 from yardbank.cluster.rollout.phase import DUE, FELL, NEW, OLD
-from yardbank.cluster.rollout.record import MAX_CELLS, Cell, Said
+from yardbank.cluster.rollout.record import MAX_CELLS, Cell, GatewayRecord
 from yardbank.cluster.rollout.record_log import same_course
 from yardbank.cluster.rollout.sequential_test import Floats
 from yardbank.cluster.rollout.stage_plan import Order, Pair
 
 LEAST_P99 = 100  # requests of a window, of each side, for its p99 to say anything
 SWOLLEN = 3  # windows one after another with too much memory
-Past = Callable[[str], Mapping[int, Said]]
+Past = Callable[[str], Mapping[int, GatewayRecord]]
 Key = TypeVar("Key")
 What = tuple[str, str]  # what is compared, of which class
 
@@ -29,8 +29,8 @@
 class _Course:
     """One pair so far."""
 
-    new: Said | None = None  # at the end of the last window
-    old: Said | None = None
+    new: GatewayRecord | None = None  # at the end of the last window
+    old: GatewayRecord | None = None
     windows: int = 0
     swollen: int = 0
 
@@ -72,7 +72,7 @@
         if fresh:
             self._weigh()
 
-    def _window(self, pair: Pair, new: Mapping[int, Said], old: Mapping[int, Said]) -> bool:
+    def _window(self, pair: Pair, new: Mapping[int, GatewayRecord], old: Mapping[int, GatewayRecord]) -> bool:
         """One more window of a pair, up to the last beat that both have told."""
         beats = [
             beat for beat in new.keys() & old.keys()
@@ -97,7 +97,7 @@
         course.swollen = course.swollen + 1 if swollen else 0
         return True
 
-    def _compare(self, pair: Pair, new_before: Said, old_before: Said, single: bool) -> None:
+    def _compare(self, pair: Pair, new_before: GatewayRecord, old_before: GatewayRecord, single: bool) -> None:
         course = self._courses[pair]
         if course.new is None or course.old is None:
             return
@@ -178,7 +178,7 @@
         """What of its requests says that it does worse; empty: nothing."""
         return self.why if self.evidence >= math.log(len(self.change.stages) / self.change.false_stop) else ""
 
-    def broken(self, said: Mapping[str, Said]) -> str:
+    def broken(self, said: Mapping[str, GatewayRecord]) -> str:
         """Which two of its processes end, or swell, while the old ones do not; empty: fewer."""
         if "restarts" in self.change.worse and len(down := self._down(said)) >= 2:
             return f"restarts of {', '.join(sorted(down)[:2])}"[:40]
@@ -188,14 +188,14 @@
                 return f"memory of {', '.join(swollen[:2])}"[:40]
         return ""
 
-    def _down(self, said: Mapping[str, Said]) -> list[str]:
+    def _down(self, said: Mapping[str, GatewayRecord]) -> list[str]:
         """New ones that end though the old one that each is compared with does not; others, if no such old one does."""
         bad = {name for name in self._members if name in said and self._broken(said[name])}
         old = {pair.new: said.get(pair.old) for pair in self.pairs}
         sound = {name for name, one in old.items() if one is not None and one.place in (OLD, DUE) and not one.restarts}
         return sorted(bad & sound) + (sorted(bad - old.keys()) if sound and len(sound) == len(old) else [])
 
-    def _broken(self, said: Said) -> bool:
+    def _broken(self, said: GatewayRecord) -> bool:
         return said.place == FELL or said.restarts >= self.change.restarts
 
     def well(self) -> bool:
@@ -216,7 +216,7 @@
     kept[key] = kept[key] + found if key in kept else found
 
 
-def _gained(before: Said, after: Said) -> dict[str, Cell]:
+def _gained(before: GatewayRecord, after: GatewayRecord) -> dict[str, Cell]:
     """What came to each class between two records of one course; what runs backwards is no figure."""
     old = {cell.name: cell for cell in before.cells}
     found: dict[str, Cell] = {}
--- a/yardbank/cluster/rollout/local_state.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from yardbank.cluster.peers.parts import Keep
-from yardbank.cluster.rollout.active_version import Force, Version
+from yardbank.cluster.peers.parts import KeyValueStore
+from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.metrics import Figures
 from yardbank.cluster.rollout.phase import BACK_OUT, MOVED, NEW, OLD, OUT, TABLE
@@ -21,13 +21,13 @@
     """What the part is made with."""
 
     figures: Callable[[], Figures] = Figures  # this gateway's, at this time
-    force: Force = field(default_factory=Force)  # what is in force as the process starts
+    force: ActiveVersion = field(default_factory=ActiveVersion)  # what is in force as the process starts
     name: str = ""  # a short hash of that
     beat: int = 0  # ns between two readings of figures; 0: by the size of the fleet
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class Transition:
     """One thing that happened, for the log."""
 
     rollout: str
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GoOver:
+class Activate:
     """Change to this version; ``RolloutPart.up`` or ``failed`` when that is done, or a start anew.
 
     ``down``: it may be started anew; if it may not, and must be: ``RolloutPart.not_in_service``.
@@ -49,14 +49,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GoBack:
+class RollBack:
     """Change back to the version before; ``down`` as above."""
 
     down: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Stay:
+class Commit:
     """The rollout is finished: there is no way back from it any more."""
 
 
@@ -71,7 +71,7 @@
     finished: str = ""
 
 
-def remembered(keep: Keep) -> Memory:
+def remembered(keep: KeyValueStore) -> Memory:
     """What was kept; what cannot be read is nothing."""
     data = keep.load()
     if data is None:
@@ -85,7 +85,7 @@
     return found
 
 
-def reconciled(memory: Memory, force: Force) -> tuple[int, str]:
+def reconciled(memory: Memory, force: ActiveVersion) -> tuple[int, str]:
     """Where this gateway stands as it starts, and why if it fell back: by what it remembers and what is in force."""
     try:
         change = Change.of(memory.change)
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -7,16 +7,16 @@
 from typing import Any
 
 from yardbank.cluster.lease import Leases
-from yardbank.cluster.peers.parts import Keep, Letter, Sight
-from yardbank.cluster.rollout.announcer import SLOW, Teller
+from yardbank.cluster.peers.parts import KeyValueStore, MembershipView, Message
+from yardbank.cluster.rollout.announcer import SLOW, Announcer
 from yardbank.cluster.rollout.document import Change, Word
-from yardbank.cluster.rollout.local_state import GoBack, GoOver, Options, Stay, Turn
+from yardbank.cluster.rollout.local_state import Activate, Commit, Options, RollBack, Transition
 from yardbank.cluster.rollout.phase import ASKING, AWAY, DUE, FELL, MOVED, NEW, OLD
 from yardbank.cluster.rollout.progress import Progress
-from yardbank.cluster.rollout.record import MAX_WHY, Said
-from yardbank.cluster.rollout.record_log import Book, passed_on_often
+from yardbank.cluster.rollout.record import MAX_WHY, GatewayRecord
+from yardbank.cluster.rollout.record_log import RecordLog, passed_on_often
 from yardbank.cluster.rollout.stage_plan import Order
-from yardbank.cluster.rollout.state_machine import Mover
+from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 from yardbank.cluster.rollout.view import rollout_view
 
 SECOND = 1_000_000_000
@@ -28,10 +28,12 @@
     topic = "rollout"
     rate: tuple[int, int] | None = None
 
-    def __init__(self, sight: Sight, leases: Leases, random: Random, keep: Keep, options: Options) -> None:
-        self._sight, self._options = sight, options
-        self._book = Book(sight.name, random)
-        self._mover = Mover(leases, keep, options)
+    def __init__(
+        self, membership_view: MembershipView, leases: Leases, random: Random, keep: KeyValueStore, options: Options
+    ) -> None:
+        self._membership_view, self._options = membership_view, options
+        self._book = RecordLog(membership_view.name, random)
+        self._mover = RolloutStateMachine(leases, keep, options)
         self._order: Order | None = None
         self._progress: Progress | None = None
         self._next: tuple[Change | None, str] | None = None  # asked for, once this gateway is back
@@ -39,8 +41,8 @@
         self._word = Word((), ())
         self._recall = ""
         self._held = ""
-        self._teller = Teller(sight, self._book, options)
-        self._out: list[Letter] = []
+        self._teller = Announcer(membership_view, self._book, options)
+        self._out: list[Message] = []
         self._tick_at = 0
         self._begun = False
 
@@ -92,7 +94,7 @@
         if change is None:
             self._order = self._progress = None
             return
-        self._order = Order(change.id, self._sight.zones(), change.stages)
+        self._order = Order(change.id, self._membership_view.zones(), change.stages)
         if self._progress is None or self._progress.change.mark() != change.mark():
             self._progress = Progress(now, change, self._order, fresh)
             self._progress.finished = self._mover.finished
@@ -103,13 +105,13 @@
 
     def listed(self, now: int) -> None:
         """The list has changed."""
-        self._book.listed(self._sight.zones())
+        self._book.listed(self._membership_view.zones())
         self._lay_out(now)
         if not self._begun:
             self._begun, self._tick_at = True, now
             self._mover.begun(now)
 
-    def receive(self, now: int, sender: str, life: int, body: bytes) -> None:
+    def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A letter of a peer. Raises ``DroppedError``."""
         for said in self._book.take(sender, body):
             if said.stop:
@@ -120,17 +122,17 @@
         busy = self._mover.change is not None or self._teller.told.mark
         return self._tick_at if self._begun and busy else None
 
-    def letters(self) -> list[Letter]:
+    def outgoing_messages(self) -> list[Message]:
         """Taken off."""
         found, self._out = self._out, []
         return found
 
-    def orders(self) -> list[GoOver | GoBack | Stay]:
+    def orders(self) -> list[Activate | RollBack | Commit]:
         """What the shell has to do; taken off."""
         found, self._mover.orders = self._mover.orders, []
         return found
 
-    def turns(self) -> list[Turn]:
+    def turns(self) -> list[Transition]:
         """What happened, for the log; taken off."""
         found, self._mover.turns = self._mover.turns, []
         return found
@@ -159,14 +161,14 @@
         change, mover = self._mover.change, self._mover
         if change is not None and self._order is not None and self._progress is not None:
             # One that has just gone over may not know yet how far the others are: its own stage is under way at least
-            own = self._order.stage_of(self._sight.name) if mover.place in MOVED else 0
+            own = self._order.stage_of(self._membership_view.name) if mover.place in MOVED else 0
             beat = self._teller.enter(now, self._order, max(own, self._progress.open))
             told = {n: said for n, said in self._book.all().items() if said.mark == change.mark()}
-            alive = self._sight.alive() | {self._sight.name}
+            alive = self._membership_view.alive() | {self._membership_view.name}
             self._judge(now, change, self._progress, told, alive)
             mover.stage = self._progress.open
             place = mover.place
-            stage = self._order.stage_of(self._sight.name)
+            stage = self._order.stage_of(self._membership_view.name)
             turn = not self._recall and not self._held and 0 < stage <= mover.stage
             mover.step(now, turn, self._recall, self._ahead(self._order, told, alive))
             if mover.place not in (place, DUE) and place != DUE:
@@ -177,16 +179,16 @@
         elif self._teller.told.mark:
             self._out += self._teller.tell(mover, False)
         if self._teller.told.mark:
-            often = passed_on_often(len(self._sight.zones()))
-            self._out += self._book.passed_on(now, self._sight.alive(), often)
+            often = passed_on_often(len(self._membership_view.zones()))
+            self._out += self._book.passed_on(now, self._membership_view.alive(), often)
 
     def _judge(
-        self, now: int, change: Change, progress: Progress, told: Mapping[str, Said], alive: frozenset[str]
+        self, now: int, change: Change, progress: Progress, told: Mapping[str, GatewayRecord], alive: frozenset[str]
     ) -> None:
         mover = self._mover
         progress.step(now, told, alive, self._book.past)
         if not mover.stopped(change.id) and not mover.finished:
-            says = sorted(name for name, said in told.items() if said.stop and name != self._sight.name)
+            says = sorted(name for name, said in told.items() if said.stop and name != self._membership_view.name)
             why = progress.worse(told)
             if not why and len(says) >= 2:
                 why = f"{', '.join(says[:2])}: {told[says[0]].stop.rpartition(': ')[2]}"
@@ -209,24 +211,32 @@
             mover.say("held", held)
         self._held = held
 
-    def _reason(self, progress: Progress, told: Mapping[str, Said], alive: frozenset[str]) -> str:
+    def _reason(self, progress: Progress, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
         """Why nobody should go over now, as far as this gateway can see; empty: nothing is in the way."""
         for name, said in sorted(self._book.all().items()):
-            if said.stop and said.mark == progress.change.mark() and name != self._sight.name:
+            if said.stop and said.mark == progress.change.mark() and name != self._membership_view.name:
                 return f"{name} says stop: {said.stop}"
-            if name in alive and said.mark and said.mark != progress.change.mark() and name != self._sight.name:
+            if (
+                name in alive
+                and said.mark
+                and said.mark != progress.change.mark()
+                and name != self._membership_view.name
+            ):
                 return f"{name} is on another rollout, {said.rollout}"
-        if self._sight.slowness() >= SLOW:
+        if self._membership_view.slowness() >= SLOW:
             return "slow itself"
         if progress.undecided:
             return "undecided"
         return progress.lacking(told, alive)
 
-    def _ahead(self, order: Order, told: Mapping[str, Said], alive: frozenset[str]) -> int:
+    def _ahead(self, order: Order, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> int:
         """Its place in the order, where few ask for a permit before it; below 0: so many that it need not yet."""
-        own, limit = order.place(self._sight.name), 2 * (self._mover.change.most_at_once if self._mover.change else 1)
+        own, limit = (
+            order.place(self._membership_view.name),
+            2 * (self._mover.change.most_at_once if self._mover.change else 1),
+        )
         asking = [n for n, said in told.items() if n in alive and (said.place in ASKING or said.place in AWAY)]
-        ahead = sum(order.place(name) < own for name in asking if name != self._sight.name)
+        ahead = sum(order.place(name) < own for name in asking if name != self._membership_view.name)
         return own if ahead < limit else -1
 
     def changed(self) -> frozenset[str]:
--- a/yardbank/cluster/rollout/phase.py
+++ b/yardbank/cluster/rollout/phase.py
@@ -72,7 +72,7 @@
             self.release(now)
         if self.number is None:
             self.number, self._asked_at = turn % self._most, now
-            self._leases.want(now, self._resource(self.number))
+            self._leases.acquire(now, self._resource(self.number))
 
     def may_go(self, now: int, down: bool) -> bool:
         """Whether it is held at this very time, and this gateway may change; ``down``: by a start anew."""
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -7,7 +7,7 @@
 from yardbank.cluster.rollout.canary_analysis import Past, Trial
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.phase import FELL, NEW
-from yardbank.cluster.rollout.record import Said
+from yardbank.cluster.rollout.record import GatewayRecord
 from yardbank.cluster.rollout.stage_plan import Order
 
 STAGE, WELL, UNDECIDED, FINISHED = "stage", "well", "undecided", "finished"
@@ -44,7 +44,7 @@
         self.trial.relisted(order)
         self._moved_at = now
 
-    def step(self, now: int, told: Mapping[str, Said], alive: frozenset[str], past: Past) -> None:
+    def step(self, now: int, told: Mapping[str, GatewayRecord], alive: frozenset[str], past: Past) -> None:
         """What follows from what is known by now."""
         if self.finished:
             return
@@ -66,7 +66,7 @@
             self.undecided = True
             self.events.append((UNDECIDED, self.open, self.trial.lacking()))
 
-    def _follow(self, now: int, told: Mapping[str, Said]) -> None:
+    def _follow(self, now: int, told: Mapping[str, GatewayRecord]) -> None:
         """Most of a later stage have gone, each by its own judgement: this gateway was away."""
         for stage in range(self.order.stages, self.open, -1):
             members = self.order.of(stage)
@@ -76,21 +76,21 @@
                 return
 
     @staticmethod
-    def _on_new(names: tuple[str, ...], told: Mapping[str, Said]) -> int:
+    def _on_new(names: tuple[str, ...], told: Mapping[str, GatewayRecord]) -> int:
         return sum(name in told and told[name].place == NEW for name in names)
 
-    def _through(self, told: Mapping[str, Said], alive: frozenset[str]) -> bool:
+    def _through(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> bool:
         """Whether most have gone over, and all of them that are there."""
         members = self.order.upto(self.open)
         news = self._on_new(tuple(name for name in members if name in alive), told)
         rest = [name for name in members if name in alive and name in told and told[name].place not in (NEW, FELL)]
         return news >= min(2, len(members)) and 2 * news > len(members) and not rest
 
-    def worse(self, told: Mapping[str, Said]) -> str:
+    def worse(self, told: Mapping[str, GatewayRecord]) -> str:
         """Why it has to stop, by this gateway's own judgement; empty: it has not."""
         return (self.trial.worse() if self._seen else "") or self.trial.broken(told)
 
-    def lacking(self, told: Mapping[str, Said], alive: frozenset[str]) -> str:
+    def lacking(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
         """Why what is known is too little to go on by; empty: it is enough."""
         size = len(self.order.names)
         if not self.order.can_be_judged:
