--- a/yardbank/cluster/rollout/record.py
+++ b/yardbank/cluster/rollout/record.py
@@ -32,11 +32,11 @@
         return self.good, self.late, self.refused, self.failed, self.left
 
 
-class Said(msgspec.Struct, array_like=True, frozen=True):
+class GatewayRecord(msgspec.Struct, array_like=True, frozen=True):
     """One record; of its owner's the highest life and number counts."""
 
     owner: str
-    life: int
+    boot_epoch: int
     number: int
     rollout: str = ""
     mark: int = 0  # of the request: ``Change.mark``
@@ -50,13 +50,13 @@
     cells: tuple[Cell, ...] = ()
 
 
-_said = msgspec.msgpack.Decoder(Said)
+_said = msgspec.msgpack.Decoder(GatewayRecord)
 _letter = msgspec.msgpack.Decoder(list[msgspec.Raw])
 _encoder = msgspec.msgpack.Encoder()
 KIND = _encoder.encode("said")
 
 
-def encoded(said: Said) -> bytes:
+def encoded(said: GatewayRecord) -> bytes:
     """A record's octets."""
     return _encoder.encode(said)
 
@@ -66,7 +66,7 @@
     return _encoder.encode([msgspec.Raw(KIND), *(msgspec.Raw(one) for one in records)])
 
 
-def records(body: bytes) -> list[tuple[Said, bytes]]:
+def records(body: bytes) -> list[tuple[GatewayRecord, bytes]]:
     """The records of a letter, each with its octets; none, if it is of a kind that a later program has.
 
     Raises ``DroppedError``.
@@ -86,13 +86,13 @@
     return found
 
 
-def _sound(said: Said) -> bool:
+def _sound(said: GatewayRecord) -> bool:
     words = [(said.owner, MAX_NAME), (said.rollout, MAX_NAME), (said.version, MAX_NAME), (said.stop, MAX_WHY)]
     counts = [said.place, said.beat, said.slow, said.restarts, said.memory]
     counts += [number for cell in said.cells for number in (*cell.counts(), cell.p99)]
     names = [cell.name for cell in said.cells]
     return (
-        0 < said.life <= MAX_INCARNATION and 0 < said.number < MAX_COUNT and 0 <= said.mark < 1 << 64
+        0 < said.boot_epoch <= MAX_INCARNATION and 0 < said.number < MAX_COUNT and 0 <= said.mark < 1 << 64
         and all(len(word) <= most for word, most in words) and all(0 <= count < MAX_COUNT for count in counts)
         and len(said.cells) <= MAX_CELLS
         and all(0 < len(name) <= MAX_NAME for name in names) and len(set(names)) == len(names)
--- a/yardbank/cluster/rollout/record_log.py
+++ b/yardbank/cluster/rollout/record_log.py
@@ -12,8 +12,8 @@
 from random import Random
 
 from yardbank.cluster.peers.outbox import Rate
-from yardbank.cluster.peers.parts import Letter
-from yardbank.cluster.rollout.record import Said, encoded, letter, records
+from yardbank.cluster.peers.parts import Message
+from yardbank.cluster.rollout.record import GatewayRecord, encoded, letter, records
 
 MAX_PENDING = 4  # records of one owner that one voice has told
 MAX_PAST = 8  # beats of one owner that are remembered
@@ -25,13 +25,13 @@
 
 @dataclass(slots=True)
 class _Kept:
-    said: Said
+    said: GatewayRecord
     raw: bytes
     told: int = 0  # how often it was passed on
-    past: deque[Said] = field(default_factory=lambda: deque(maxlen=MAX_PAST))  # of this life and side, by beat
+    past: deque[GatewayRecord] = field(default_factory=lambda: deque(maxlen=MAX_PAST))  # of this life and side, by beat
 
 
-class Book:
+class RecordLog:
     """Records of all gateways of the list, this one's too."""
 
     def __init__(self, name: str, random: Random) -> None:
@@ -50,7 +50,7 @@
         self._kept = {name: kept for name, kept in self._kept.items() if name in self._names}
         self._pending = {name: found for name, found in self._pending.items() if name in self._names}
 
-    def take(self, sender: str, body: bytes) -> list[Said]:
+    def take(self, sender: str, body: bytes) -> list[GatewayRecord]:
         """A letter came: the records that count from now on. Raises ``DroppedError``."""
         found = []
         for said, raw in records(body):
@@ -58,7 +58,7 @@
                 continue
             if said.owner == self.name:
                 own = self._kept.get(self.name)
-                self.contested += own is not None and own.said.life == said.life and self._newer(said)
+                self.contested += own is not None and own.said.boot_epoch == said.boot_epoch and self._newer(said)
                 continue
             if not self._newer(said):
                 continue
@@ -68,11 +68,11 @@
                 found.append(said)
         return found
 
-    def _newer(self, said: Said) -> bool:
+    def _newer(self, said: GatewayRecord) -> bool:
         kept = self._kept.get(said.owner)
-        return kept is None or (said.life, said.number) > (kept.said.life, kept.said.number)
+        return kept is None or (said.boot_epoch, said.number) > (kept.said.boot_epoch, kept.said.number)
 
-    def _second_voice(self, said: Said, raw: bytes, sender: str) -> bool:
+    def _second_voice(self, said: GatewayRecord, raw: bytes, sender: str) -> bool:
         voices = self._pending.setdefault(said.owner, OrderedDict())
         by = voices.setdefault(raw, set())
         by.add(sender)
@@ -81,7 +81,7 @@
             voices.popitem(last=False)
         return len(by) >= 2
 
-    def _put(self, said: Said, raw: bytes) -> None:
+    def _put(self, said: GatewayRecord, raw: bytes) -> None:
         kept = self._kept.get(said.owner)
         made = _Kept(said, raw)
         if kept is not None and same_course(kept.said, said):
@@ -91,23 +91,23 @@
         made.past.append(said)
         self._kept[said.owner] = made
 
-    def say(self, said: Said) -> None:
+    def say(self, said: GatewayRecord) -> None:
         """This gateway's own, newest record."""
         kept = self._kept.get(self.name)
         if kept is not None and kept.said.stop != said.stop:
             self._own_told = 0
         self._put(said, encoded(said))
 
-    def said(self, name: str) -> Said | None:
+    def said(self, name: str) -> GatewayRecord | None:
         """A gateway's newest record; None: it is not known."""
         kept = self._kept.get(name)
         return None if kept is None else kept.said
 
-    def all(self) -> dict[str, Said]:
+    def all(self) -> dict[str, GatewayRecord]:
         """Every gateway's newest record."""
         return {name: kept.said for name, kept in self._kept.items()}
 
-    def past(self, name: str) -> Mapping[int, Said]:
+    def past(self, name: str) -> Mapping[int, GatewayRecord]:
         """A gateway's last records on the version that it is on, by beat."""
         kept = self._kept.get(name)
         return {} if kept is None else {said.beat: said for said in kept.past}
@@ -119,16 +119,16 @@
 
     # What goes out
 
-    def direct(self, alive: Iterable[str], urgent: bool) -> list[Letter]:
+    def direct(self, alive: Iterable[str], urgent: bool) -> list[Message]:
         """One's own record to some at once."""
         kept = self._kept.get(self.name)
         peers = sorted(alive)
         if kept is None or not peers:
             return []
         body = letter([kept.raw])
-        return [Letter(to, body, urgent) for to in self._random.sample(peers, min(DIRECT, len(peers)))]
+        return [Message(to, body, urgent) for to in self._random.sample(peers, min(DIRECT, len(peers)))]
 
-    def passed_on(self, now: int, alive: Iterable[str], often: int) -> list[Letter]:
+    def passed_on(self, now: int, alive: Iterable[str], often: int) -> list[Message]:
         """To one peer one's own record, news that were passed on less than ``often`` times, and others by turns.
 
         Who says stop goes first, then figures. Over the rate one's own goes alone.
@@ -151,7 +151,7 @@
                 octets += len(kept.raw)
                 kept.told += 1
             self._rate.spend(octets)
-        return [Letter(to, letter(found))]
+        return [Message(to, letter(found))]
 
     def _by_turns(self, to: str) -> list[str]:
         found: list[str] = []
@@ -164,9 +164,14 @@
         return found
 
 
-def same_course(one: Said, other: Said) -> bool:
+def same_course(one: GatewayRecord, other: GatewayRecord) -> bool:
     """Whether figures of the two may be taken from each other: the same start of the process, on the same version."""
-    return (one.life, one.mark, one.version, one.restarts) == (other.life, other.mark, other.version, other.restarts)
+    return (one.boot_epoch, one.mark, one.version, one.restarts) == (
+        other.boot_epoch,
+        other.mark,
+        other.version,
+        other.restarts,
+    )
 
 
 def passed_on_often(size: int) -> int:
--- a/yardbank/cluster/rollout/state_machine.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -8,16 +8,16 @@
 import msgspec
 
 from yardbank.cluster.lease import Leases
-from yardbank.cluster.peers.parts import Keep
+from yardbank.cluster.peers.parts import KeyValueStore
 from yardbank.cluster.rollout.active_version import Version
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.local_state import (
     MAX_STOPPED,
-    GoBack,
-    GoOver,
+    Activate,
+    Commit,
     Options,
-    Stay,
-    Turn,
+    RollBack,
+    Transition,
     reconciled,
     remembered,
 )
@@ -40,17 +40,17 @@
 AGAIN = 10_000_000_000  # between two tries to keep what could not be kept
 
 
-class Mover:
+class RolloutStateMachine:
     """The part's own state."""
 
-    def __init__(self, leases: Leases, keep: Keep, options: Options) -> None:
+    def __init__(self, leases: Leases, keep: KeyValueStore, options: Options) -> None:
         self._leases, self._keep, self._options = leases, keep, options
         self.force = options.force
         self._memory = remembered(keep)
         self.place, fell = reconciled(self._memory, options.force)
         self.change = Change.of(self._memory.change) if self._memory.change else None
-        self.orders: list[GoOver | GoBack | Stay] = []
-        self.turns: list[Turn] = []
+        self.orders: list[Activate | RollBack | Commit] = []
+        self.turns: list[Transition] = []
         self.name = ""  # of the version asked for
         self.stage = 0  # that is under way
         self.permit: Permit | None = None
@@ -87,7 +87,7 @@
     def say(self, what: str, why: str = "") -> None:
         """One line for the log."""
         rollout = self.change.id if self.change is not None else ""
-        self.turns.append(Turn(rollout, what, self.stage, self.name, why))
+        self.turns.append(Transition(rollout, what, self.stage, self.name, why))
 
     def _remember(self, now: int) -> bool:
         memory, change = self._memory, self.change
@@ -106,14 +106,14 @@
         self._memory.stopped = [*self._memory.stopped, (rollout, why)][-MAX_STOPPED:]
         self._remember(now)
         self.moved = True
-        self.turns.append(Turn(rollout, "stopped", self.stage, self.name, why))
+        self.turns.append(Transition(rollout, "stopped", self.stage, self.name, why))
 
     def finish(self, now: int) -> None:
         """The whole fleet is through with it."""
         if self.change is not None and not self.finished:
             self._memory.finished, self.force = self.change.id, self.force.kept()
             self._remember(now)
-            self.orders.append(Stay())
+            self.orders.append(Commit())
             self.say("finished")
 
     def adopt(self, now: int, change: Change | None, name: str) -> None:
@@ -186,7 +186,7 @@
         if not kept and before == DUE:  # what is not remembered would not be found again: it stays on the old one
             permit.release(now)
             return
-        self.orders.append(GoOver(self.version(), down) if before == DUE else GoBack(down))
+        self.orders.append(Activate(self.version(), down) if before == DUE else RollBack(down))
         self._go(now, "permit")
 
     def version(self) -> Version:
--- a/yardbank/cluster/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -7,11 +7,11 @@
 
 from yardbank.cluster.rollout.phase import NAMES
 from yardbank.cluster.rollout.progress import Progress
-from yardbank.cluster.rollout.record_log import Book
-from yardbank.cluster.rollout.state_machine import Mover
+from yardbank.cluster.rollout.record_log import RecordLog
+from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 
-def rollout_view(mover: Mover, progress: Progress, book: Book) -> dict[str, Any]:
+def rollout_view(mover: RolloutStateMachine, progress: Progress, book: RecordLog) -> dict[str, Any]:
     """The stage, this gateway's place and those that others tell, the evidence so far and what it has to reach."""
     change, trial = progress.change, progress.trial
     places: dict[str, list[str]] = {}
--- a/yardbank/daemon/versioned_supervisor.py
+++ b/yardbank/daemon/versioned_supervisor.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from yardbank.cluster.rollout import active_version as forces
-from yardbank.cluster.rollout.active_version import Force
+from yardbank.cluster.rollout.active_version import ActiveVersion
 from yardbank.daemon.versions import Versions
 
 
@@ -28,13 +28,13 @@
         self._keeper.ended(reason.value.exitCode, reason.value.signal)
 
 
-def in_force(folder: Path, log: Any) -> Force:
+def in_force(folder: Path, log: Any) -> ActiveVersion:
     """What the file says; where it cannot be used, what the gateway is started with."""
     try:
         return forces.read(folder)
     except ValueError as problem:
         log.error("in_force_unreadable", fault=str(problem))
-        return Force()
+        return ActiveVersion()
 
 
 class Keeper:
--- a/yardbank/daemon/versions.py
+++ b/yardbank/daemon/versions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from yardbank.cluster.rollout.active_version import EXIT_ANEW, Force
+from yardbank.cluster.rollout.active_version import EXIT_ANEW, ActiveVersion
 from yardbank.daemon.restarts import Restarts
 
 
@@ -12,7 +12,7 @@
 class Next:
     """What to start, after how many seconds; ``write``: it differs from what the file says; ``why``: it went back."""
 
-    force: Force
+    force: ActiveVersion
     wait: float
     write: bool = False
     why: str = ""
@@ -21,7 +21,7 @@
 class Versions:
     """One worker's. Times in seconds: steady ones, but for ``wall``."""
 
-    def __init__(self, force: Force, young: float) -> None:
+    def __init__(self, force: ActiveVersion, young: float) -> None:
         self.force, self._young = force, young
         self._restarts = Restarts()
         self._started = 0.0
@@ -31,7 +31,7 @@
         self._started = now
         self._restarts.started(now)
 
-    def ended(self, now: float, wall: float, how: str, code: int | None, file: Force) -> Next:
+    def ended(self, now: float, wall: float, how: str, code: int | None, file: ActiveVersion) -> Next:
         """The worker ended by itself; ``file``: what the file says is in force."""
         if code == EXIT_ANEW:
             self.force = file
@@ -43,7 +43,7 @@
             why = f"{how} {min(age, since):.1f} s after it came into force"
             self.force = file.gone_back(why)
             return Next(self.force, 0.0, True, why)
-        self.force = file.restarted() if changed else Force(
+        self.force = file.restarted() if changed else ActiveVersion(
             file.now, file.before, self.force.restarts + 1, file.changed, file.fell, file.fell_from
         )  # fmt: skip
         return Next(self.force, self._restarts.died(now), True)
--- a/yardbank/testing/rig/gossip.py
+++ b/yardbank/testing/rig/gossip.py
@@ -47,16 +47,21 @@
         self._order = count()
         self._ticks: dict[str, int] = {}
         self._held: dict[str, list[bytes]] = {}
-        self._lives = 0
+        self._boot_epochs = 0
 
-    def start(self, name: str, life: int | None = None, rate: float = 1.0) -> GossipNode:
-        """Start one, anew if it ran before; ``life``: as its store or its clock says."""
-        self._lives += 1
+    def start(self, name: str, boot_epoch: int | None = None, rate: float = 1.0) -> GossipNode:
+        """Start one, anew if it ran before; ``boot_epoch``: as its store or its clock says."""
+        self._boot_epochs += 1
         made = GossipNode(
-            name, FLEET, [KEY], life or self._lives, Random(f"{self.seed}/{name}/{self._lives}"), self.pace
+            name,
+            FLEET,
+            [KEY],
+            boot_epoch or self._boot_epochs,
+            Random(f"{self.seed}/{name}/{self._boot_epochs}"),
+            self.pace,
         )
         self.nodes[name], self.rates[name] = made, rate
-        for part in self._parts(made, Random(f"{self.seed}/{name}/{self._lives}/parts")):
+        for part in self._parts(made, Random(f"{self.seed}/{name}/{self._boot_epochs}/parts")):
             made.add(part)
         made.listed(self.own(name), self.names, self.zones)
         self._wind(name)
