--- /dev/null
+++ b/tests/golden/test_golden_atlas.py
@@ -0,0 +1,28 @@
+"""Letters of the map of round trips; figures are rounded on the way, so what is read differs from what was given."""
+
+from tests.golden.cases import each, load
+from yardbank.atlas.firsthand import DOUBTFUL, SLOW, WELL
+from yardbank.atlas.letter import Entry, Told, decode, digest, encode
+from yardbank.atlas.part import AtlasPart
+
+
+def entry(value, spread, age, witnesses):
+    return Entry(value=value, spread=spread, age=age, witnesses=witnesses)
+
+
+def rows(values):
+    return tuple((own, {zone: entry(*figures) for zone, figures in row.items()}) for own, row in values)
+
+
+@each("atlas", "letters")
+def test_a_letter_keeps_its_octets(octets, meaning):
+    number, state, given, read = meaning
+    zones = {zone for own, row in given for zone in (own, *row)}
+    told = decode(octets, {digest(zone): zone for zone in zones})
+    assert told == Told(number=number, state=state, own=given[0][0], rows=rows(read))
+    assert encode(number, state, rows(given)) == octets
+
+
+def test_topic_and_states_stay_the_same():
+    assert AtlasPart.topic == load("atlas")["topic"]
+    assert load("atlas")["states"] == [WELL, DOUBTFUL, SLOW]
--- /dev/null
+++ b/tests/golden/test_golden_channels.py
@@ -0,0 +1,52 @@
+"""Letters of channels."""
+
+from tests.golden.cases import each, load
+from yardbank.channels.members import Members
+from yardbank.channels.part import ChannelPart
+from yardbank.channels.wire import Again, AskEnd, Beat, EndedAt, Have, Item, Me, Sets, State, Subscribe, Take, What, Who
+from yardbank.channels.wire import decode as read
+from yardbank.channels.wire import encode as write
+
+
+def state(channel, epoch, sequence, age, owner, life, after):
+    place = after and tuple(after)
+    return State(channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, life=life, after=place)
+
+
+LETTERS = {
+    "item": lambda channel, epoch, sequence, data, owner, life, after: Item(
+        channel=channel, epoch=epoch, sequence=sequence, data=bytes.fromhex(data),
+        owner=owner, life=life, after=after and tuple(after),
+    ),
+    "heartbeat": lambda states: Beat(states=tuple(state(*values) for values in states)),
+    "subscribe": lambda channels: Subscribe(
+        channels=tuple(Have(channel=channel, epoch=epoch, sequence=sequence) for channel, epoch, sequence in channels)
+    ),
+    "retransmit request": lambda channel, epoch, first, last: Again(
+        channel=channel, epoch=epoch, first=first, last=last
+    ),
+    "end of epoch": lambda channel, epoch, sequence: EndedAt(channel=channel, epoch=epoch, sequence=sequence),
+    "end query": lambda channel, epoch: AskEnd(channel=channel, epoch=epoch),
+    "handover": lambda channel: Take(channel=channel),
+    "holder query": lambda channels: Who(channels=tuple(channels)),
+    "interest digest": lambda number, own, other: Me(version=number, sets=own, yours=other),
+    "interest query": lambda digest: What(sets=digest),
+    "interest set": lambda digest, part, parts, owns, follows: Sets(
+        sets=digest, part=part, parts=parts, owns=tuple(owns), follows=tuple(follows)
+    ),
+}  # fmt: skip
+
+
+@each("channels", "letters")
+def test_a_letter_keeps_its_octets(octets, meaning):
+    kind, *values = meaning
+    assert read(octets) == LETTERS[kind](*values)
+    assert write(LETTERS[kind](*values)) == octets
+
+
+def test_topic_and_digests_of_interests_stay_the_same():
+    assert ChannelPart.topic == load("channels")["topic"]
+    for owns, follows, digest in load("channels")["interests"]:
+        members = Members("g1")
+        members.change(owns, follows)
+        assert members.hash == digest
--- /dev/null
+++ b/tests/golden/test_golden_lease.py
@@ -0,0 +1,75 @@
+"""Letters of leases, and what a gateway stores of leases."""
+
+from random import Random
+from unittest.mock import Mock
+
+from tests.golden.cases import each, load
+from yardbank.lease import Terms
+from yardbank.lease.part import LeasePart
+from yardbank.lease.words import (
+    FAR,
+    FULL,
+    GRANTED,
+    HELD,
+    LIST,
+    LOW,
+    NAMED,
+    SILENT,
+    TAKEN,
+    Answer,
+    Ask,
+    Hello,
+    NextIs,
+    Offer,
+    Release,
+    Took,
+    decode,
+    encode,
+)
+from yardbank.peers.node import GossipNode
+from yardbank.peers.parts import Keep
+
+LETTERS = {
+    "vote request": lambda resource, life, number, epoch, renewal, current, past: Ask(
+        resource=resource, life=life, number=number, epoch=epoch, renewal=renewal, list=current, past=tuple(past)
+    ),
+    "vote reply": lambda resource, life, number, verdict, top, current, older, holder, left: Answer(
+        resource=resource, life=life, number=number, verdict=verdict, top=top,
+        list=current, older=tuple(older), holder=holder, left=left,
+    ),
+    "release": lambda resource, life, number, epoch: Release(resource=resource, life=life, number=number, epoch=epoch),
+    "successor": lambda resource, life, number, epoch, to: NextIs(
+        resource=resource, life=life, number=number, epoch=epoch, next=to
+    ),
+    "transfer offer": lambda resource, epoch: Offer(resource=resource, epoch=epoch),
+    "transfer done": lambda resource, epoch: Took(resource=resource, epoch=epoch),
+    "status": lambda resource, current, older, top, answer: Hello(
+        resource=resource, list=current, older=tuple(older), top=top, answer=answer
+    ),
+}  # fmt: skip
+
+
+@each("lease", "letters")
+def test_a_letter_keeps_its_octets(octets, meaning):
+    kind, *values = meaning
+    assert decode(octets) == LETTERS[kind](*values)
+    assert encode(LETTERS[kind](*values)) == octets
+
+
+@each("lease", "memory")
+def test_stored_memory_keeps_its_octets(octets, meaning):
+    life, (term, drift, overlap, voters), zones, epoch, lists, longest = meaning
+    storage = Mock(spec=Keep)
+    storage.load.return_value = octets
+    node = GossipNode("g1", "fleet", [], life, Random(1))
+    node.listed(0, zones, zones)
+    part = LeasePart(node.sight, Terms(term=term, drift=drift, overlap=overlap, voters=voters), Random(1), storage)
+    part.listed(0)
+    assert (part.epochs.top, part.lists.long) == (epoch, longest)
+    assert part.lists.kept() == [tuple(one) for one in lists]
+    storage.save.assert_called_once_with(octets)
+
+
+def test_topic_and_verdicts_stay_the_same():
+    assert LeasePart.topic == load("lease")["topic"]
+    assert load("lease")["verdicts"] == [GRANTED, HELD, TAKEN, SILENT, LOW, LIST, FULL, FAR, NAMED]
--- /dev/null
+++ b/tests/golden/test_golden_rollout.py
@@ -0,0 +1,79 @@
+"""What a gateway stores of rollouts, the file of the version in force, and letters of records."""
+
+from unittest.mock import Mock
+
+from tests.golden.cases import each, load
+from yardbank.peers.parts import Keep
+from yardbank.rollout.document import SHAPE, Change, taken
+from yardbank.rollout.force import Force, Version, read, write
+from yardbank.rollout.mover import Mover
+from yardbank.rollout.own import Memory, Options, remembered
+from yardbank.rollout.part import RolloutPart
+from yardbank.rollout.place import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
+from yardbank.rollout.said import Cell, Said, encoded, letter, records
+
+DATA = load("rollout")
+
+
+def memory(change, place, down, restarts, stopped, finished):
+    reasons = [tuple(one) for one in stopped]
+    return Memory(change=change, place=place, down=down, restarts=restarts, stopped=reasons, finished=finished)
+
+
+def version(rollout, mark, settings, program, name):
+    return Version(rollout=rollout, mark=mark, settings=settings, program=program, name=name)
+
+
+def cell(name, good, late, refused, failed, left, p99):
+    return Cell(name=name, good=good, late=late, refused=refused, failed=failed, left=left, p99=p99)
+
+
+def record(owner, life, number, rollout, mark, place, running, stop, beat, slow, restarts, memory, cells):
+    return Said(
+        owner=owner, life=life, number=number, rollout=rollout, mark=mark, place=place, version=running, stop=stop,
+        beat=beat, slow=slow, restarts=restarts, memory=memory, cells=tuple(cell(*values) for values in cells),
+    )  # fmt: skip
+
+
+@each("rollout", "changes")
+def test_a_rollout_is_stored_and_numbered_as_before(octets, meaning):
+    text, mark = meaning
+    change = taken(text.encode(), "rollout.hcl", SHAPE).change
+    assert change.kept().encode() == octets
+    assert Change.of(octets.decode()) == change
+    assert Change.of(octets.decode()).mark() == mark
+
+
+@each("rollout", "memory")
+def test_stored_memory_keeps_its_octets(octets, meaning):
+    values, (rollout, mark), stored = meaning
+    storage = Mock(spec=Keep)
+    storage.load.return_value = octets
+    assert remembered(storage) == memory(*values)
+    Mover(Mock(), storage, Options(force=Force(now=Version(rollout=rollout, mark=mark)))).begun(0)
+    storage.save.assert_called_once_with(bytes.fromhex(stored))  # a start changes at most the place
+
+
+@each("rollout", "in_force")
+def test_the_file_of_the_version_in_force_keeps_its_octets(octets, meaning, tmp_path):
+    now, before, restarts, changed, fell, fell_from = meaning
+    force = Force(
+        now=version(*now), before=version(*before), restarts=restarts, changed=changed, fell=fell, fell_from=fell_from
+    )
+    (tmp_path / DATA["file"]).write_bytes(octets)
+    assert read(tmp_path) == force
+    (tmp_path / DATA["file"]).unlink()
+    write(tmp_path, force)
+    assert (tmp_path / DATA["file"]).read_bytes() == octets
+
+
+@each("rollout", "letters")
+def test_a_letter_of_records_keeps_its_octets(octets, meaning):
+    said = [record(*values) for values in meaning]
+    assert [one for one, _ in records(octets)] == said
+    assert letter([encoded(one) for one in said]) == octets
+
+
+def test_topic_and_places_stay_the_same():
+    assert RolloutPart.topic == DATA["topic"]
+    assert DATA["places"] == [OLD, DUE, OUT, SETTLING, NEW, BACK_DUE, BACK_OUT, BACK_SETTLING, FELL]
