--- a/benchmarks/atlas.py
+++ b/benchmarks/atlas.py
@@ -67,10 +67,18 @@
     fleet.change(*pair, before * CHANGED)
     far = fleet.taken_up(*pair, own=False)
     return [
-        str(gateways), str(count), "yes" if probes else "no", both(own, 100, "%"), both(others, 100, "%"),
-        f"{unknown / max(1, unknown + len(others)):.1%}", both(upwards), both(down), both(far),
-        f"{mean(rates):.0f}", f"{max(rates):.0f}",
-    ]  # fmt: skip
+        str(gateways),
+        str(count),
+        "yes" if probes else "no",
+        both(own, 100, "%"),
+        both(others, 100, "%"),
+        f"{unknown / max(1, unknown + len(others)):.1%}",
+        both(upwards),
+        both(down),
+        both(far),
+        f"{mean(rates):.0f}",
+        f"{max(rates):.0f}",
+    ]
 
 
 def cost(asked: tuple[int, int, float]) -> list[str]:
@@ -160,8 +168,11 @@
         fitted = vivaldi(known, seed)
         zones = {zone for pair in trips for zone in pair}
         for a, b in hidden:
-            legs = [(known[pair_of(a, c)], known[pair_of(c, b)]) for c in zones - {a, b}
-                    if pair_of(a, c) in known and pair_of(c, b) in known]  # fmt: skip
+            legs = [
+                (known[pair_of(a, c)], known[pair_of(c, b)])
+                for c in zones - {a, b}
+                if pair_of(a, c) in known and pair_of(c, b) in known
+            ]
             if legs:
                 most, least = min(x + y for x, y in legs), max(abs(x - y) for x, y in legs)
                 trip = trips[a, b]
@@ -193,8 +204,19 @@
     chart(
         "atlas", "Seconds until half of a way's ends have its new round trip", [f"{g} in {z}" for g, z in sizes], bars
     )
-    head = ["gateways", "zones", "servers asked", "error of own ways", "of others'", "unknown", "longer way taken up, s",
-            "shorter, s", "by others, s", "octets/s, mean", "most"]  # fmt: skip
+    head = [
+        "gateways",
+        "zones",
+        "servers asked",
+        "error of own ways",
+        "of others'",
+        "unknown",
+        "longer way taken up, s",
+        "shorter, s",
+        "by others, s",
+        "octets/s, mean",
+        "most",
+    ]
     notes = [
         "Deciders on a virtual clock; two figures are the median and the 99th percentile over gateways and ways. Sites are"
         f" drawn on a plane of 80 ms; a round trip has up to {JITTER:.0%} on top, drawn for each, which is within the error."
@@ -203,8 +225,10 @@
     ]
     tables = [table("The map against the delays that were set", head, rows, notes)]
     head = ["gateways", "zones", "step", "chose it before", "after", "most gained in a second", "reached after, s"]
-    notes = ["All ways to the farthest zone become the shortest at once, and each gateway wants the nearest other zone; step 100 %: all"
-             " go over as soon as they know. The bound is the step."]  # fmt: skip
+    notes = [
+        "All ways to the farthest zone become the shortest at once, and each gateway wants the nearest other zone; step 100 %: all"
+        " go over as soon as they know. The bound is the step."
+    ]
     tables.append(table("No herd", head, herds, notes))
     head = ["zones", "ways hidden", "shortest through a third", "middle of its bounds", "Vivaldi with height"]
     notes = [
--- a/benchmarks/atlas_fleet.py
+++ b/benchmarks/atlas_fleet.py
@@ -34,9 +34,14 @@
     """Gateways in zones, with ways of given round trips, servers seen or not."""
 
     def __init__(
-        self, zones: Mapping[str, str], trips: Mapping[Pair, float], seed: int = 1, options: Options | None = None,
-        probes: float = 0.0, jitter: float = JITTER,
-    ) -> None:  # fmt: skip
+        self,
+        zones: Mapping[str, str],
+        trips: Mapping[Pair, float],
+        seed: int = 1,
+        options: Options | None = None,
+        probes: float = 0.0,
+        jitter: float = JITTER,
+    ) -> None:
         """``trips`` in ms; ``probes`` a second of each gateway at servers of each zone that ``trips`` names."""
         self.trips, self.jitter, self.probes = dict(trips), jitter, probes
         self.zones, self._random = dict(zones), Random(f"fleet/{seed}")
--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -54,11 +54,20 @@
     without = []
     for channel in channels:
         changes = [*found.owners[channel], (found.gossip.now, ())]
-        spans = [(at, until) for (at, names), (until, _) in pairwise(changes) if at >= since
-                 and not set(names) - ({victim} if not planned else set())]  # fmt: skip
+        spans = [
+            (at, until)
+            for (at, names), (until, _) in pairwise(changes)
+            if at >= since and not set(names) - ({victim} if not planned else set())
+        ]
         if not planned:  # the step at which it died counts
-            spans = [(since, next((at for at, names in changes if at > since and names and names != (victim,)),
-                                  found.gossip.now))]  # fmt: skip
+            spans = [
+                (
+                    since,
+                    next(
+                        (at for at, names in changes if at > since and names and names != (victim,)), found.gossip.now
+                    ),
+                )
+            ]
         without.append(sum(until - at for at, until in spans) / MS)
     lost = given = 0
     for listener in found.listeners:
@@ -67,8 +76,11 @@
         for channel, heard in listener.heard.items():
             items = [event for _, event in heard if isinstance(event, Delivered)]
             first = items[0]
-            count = sum(last if epoch > first.epoch else last - first.sequence + 1
-                        for (name, epoch), last in found.published.items() if name == channel and epoch >= first.epoch)  # fmt: skip
+            count = sum(
+                last if epoch > first.epoch else last - first.sequence + 1
+                for (name, epoch), last in found.published.items()
+                if name == channel and epoch >= first.epoch
+            )
             given, lost = given + count, lost + count - len(items)
     return without, found.two_owners() / MS, given, lost, len(found.gaps()), len(found.faults())
 
@@ -82,13 +94,32 @@
             label = f"{'planned' if planned else 'killed'}, {'10 % lost' if lossy else 'sound'}"
             figures = [median(times), times[int(0.99 * len(times))], times[-1]]
             bars[label] = figures
-            rows.append([
-                "planned" if planned else "killed", "10 % lost, 5 % doubled" if lossy else "sound", str(len(times)),
-                *(f"{one:.0f}" for one in figures), f"{max(run[1] for run in runs):.0f}", str(sum(run[2] for run in runs)),
-                str(sum(run[3] for run in runs)), str(sum(run[4] for run in runs)), str(sum(run[5] for run in runs)),
-            ])  # fmt: skip
-    head = ["end", "ways", "handings", "without an owner, ms, p50", "p99", "worst", "two owners, ms, most",
-            "items due", "lost", "gaps told", "doubled, out of order, or untold"]  # fmt: skip
+            rows.append(
+                [
+                    "planned" if planned else "killed",
+                    "10 % lost, 5 % doubled" if lossy else "sound",
+                    str(len(times)),
+                    *(f"{one:.0f}" for one in figures),
+                    f"{max(run[1] for run in runs):.0f}",
+                    str(sum(run[2] for run in runs)),
+                    str(sum(run[3] for run in runs)),
+                    str(sum(run[4] for run in runs)),
+                    str(sum(run[5] for run in runs)),
+                ]
+            )
+    head = [
+        "end",
+        "ways",
+        "handings",
+        "without an owner, ms, p50",
+        "p99",
+        "worst",
+        "two owners, ms, most",
+        "items due",
+        "lost",
+        "gaps told",
+        "doubled, out of order, or untold",
+    ]
     notes = [
         f"7 gateways, 6 channels, 20 items a second on each, {seeds} seeds a row; leases of 3 s, an overlap of 500 ms. Looked"
         " at each 5 ms. Items due are counted at each follower; what an owner that was killed had given out counts, heard"
@@ -113,10 +144,17 @@
     held[0] = sum(node.post.withheld for node in gossip)
     loads = sorted(found.loads().values())
     return [
-        str(size), str(items), "never" if up is None else f"{up / SECOND:.1f}", str(found.moved()), str(loads[-1]),
-        f"{mean(rates):.0f}", f"{rates[-1]:.0f}", f"{(sum(found.gossip.octets.values()) - before) / size / 10:.0f}",
-        str(held[0]), str(len(found.faults())),
-    ]  # fmt: skip
+        str(size),
+        str(items),
+        "never" if up is None else f"{up / SECOND:.1f}",
+        str(found.moved()),
+        str(loads[-1]),
+        f"{mean(rates):.0f}",
+        f"{rates[-1]:.0f}",
+        f"{(sum(found.gossip.octets.values()) - before) / size / 10:.0f}",
+        str(held[0]),
+        str(len(found.faults())),
+    ]
 
 
 class FedFleet(Fleet):
@@ -127,8 +165,10 @@
 
     def feed(self) -> None:
         """Each group's owner is one gateway; all deciders are the program's own."""
-        places = [Place(str(number), str(member.group), 1) for number, member in
-                  ((member.server, member) for member in self.members)]  # fmt: skip
+        places = [
+            Place(str(number), str(member.group), 1)
+            for number, member in ((member.server, member) for member in self.members)
+        ]
         self._deciders = [Positions(str(one.number), Random(one.number), Options()) for one in self.gateways]
         self._passed = [Passed(Random(one.number), 4 * SECOND) for one in self.gateways]
         self._primary = {member.group: member.server for member in self.members if member.primary}
@@ -207,10 +247,14 @@
         key: sum(span.counts[key] for span in spans) for key in ("probes", "feed", "miss", "ok", "good", "wanted")
     }
     return [
-        str(gateways), f"{1200 * thick:,}", "one for all" if fed else "each alone", f"{counts['probes'] / 8 / len(fleet.servers):.1f}",
-        f"{counts['feed'] / 8 / len(fleet.servers):.1f}", f"{1000 * counts['miss'] / max(1, counts['ok']):.2f}",
+        str(gateways),
+        f"{1200 * thick:,}",
+        "one for all" if fed else "each alone",
+        f"{counts['probes'] / 8 / len(fleet.servers):.1f}",
+        f"{counts['feed'] / 8 / len(fleet.servers):.1f}",
+        f"{1000 * counts['miss'] / max(1, counts['ok']):.2f}",
         f"{counts['good'] / max(1, counts['wanted']):.3f}",
-    ]  # fmt: skip
+    ]
 
 
 def main() -> None:
@@ -230,8 +274,18 @@
         tables, bars = [], {}
         first, bars = handing(pool, 4 if quick else SEEDS)
         tables.append(first)
-        head = ["gateways", "items a minute on each of 12 channels", "all owned, s", "times owned", "most at one gateway",
-                "feeds and leases, octets/s, mean", "most", "all of the link, mean", "withheld", "faults"]  # fmt: skip
+        head = [
+            "gateways",
+            "items a minute on each of 12 channels",
+            "all owned, s",
+            "times owned",
+            "most at one gateway",
+            "feeds and leases, octets/s, mean",
+            "most",
+            "all of the link, mean",
+            "withheld",
+            "faults",
+        ]
         rows = [one.result() for one in reversed(sent)]
         tables.append(
             table(
@@ -241,10 +295,19 @@
                 ["Over 10 s, 20 s after all were owned. Every gateway follows every channel."],
             )
         )
-        head = ["gateways", "requests a second, over all", "positions", "questions a second at one server, by all", "of them for the feed",
-                "stale reads, in 1,000", "served in time"]  # fmt: skip
-        notes = ["The virtual fleet: 12 groups of a primary and 5 copies, servers that"
-                 " check nothing. A stale read is one that met a copy without what its session or bound needs."]  # fmt: skip
+        head = [
+            "gateways",
+            "requests a second, over all",
+            "positions",
+            "questions a second at one server, by all",
+            "of them for the feed",
+            "stale reads, in 1,000",
+            "served in time",
+        ]
+        notes = [
+            "The virtual fleet: 12 groups of a primary and 5 copies, servers that"
+            " check nothing. A stale read is one that met a copy without what its session or bound needs."
+        ]
         tables.append(table("Questions where servers stand", head, [one.result() for one in asked], notes))
     if not quick:
         chart("channels", "Milliseconds without an owner", ["p50", "p99", "worst"], bars)
--- a/benchmarks/collapse.py
+++ b/benchmarks/collapse.py
@@ -26,8 +26,15 @@
 
 def world(gateways: int, shape: str, seed: int, tells_load: bool = True) -> World:
     """Ten groups of six servers; the fleet differs in size only, not in what it is asked."""
-    return World(seed=seed, gateways=gateways, groups=10, rate=10 * RATE_OF_A_GROUP, load=SHAPES[shape], length=END,
-                 tells_load=tells_load)  # fmt: skip
+    return World(
+        seed=seed,
+        gateways=gateways,
+        groups=10,
+        rate=10 * RATE_OF_A_GROUP,
+        load=SHAPES[shape],
+        length=END,
+        tells_load=tells_load,
+    )
 
 
 def play(asked: tuple[int, str, int, bool]) -> list[Span]:
@@ -40,12 +47,23 @@
 def row(asked: tuple[int, str, int, bool], spans: list[Span]) -> list[str]:
     gateways, shape, seed, tells = asked
     before = served_share(spans, BEFORE, BURST)
-    shares = [before, served_share(spans, BURST, AFTER), served_share(spans, AFTER + 2, AFTER + 4),
-              served_share(spans, END - 4, END)]  # fmt: skip
+    shares = [
+        before,
+        served_share(spans, BURST, AFTER),
+        served_share(spans, AFTER + 2, AFTER + 4),
+        served_share(spans, END - 4, END),
+    ]
     counts: Counter[str] = sum((span.counts for span in spans), Counter())
     each = [counts[name] / counts["wanted"] for name in ("attempts", "probes", "connections")]
-    return [str(gateways), shape, str(seed), "yes" if tells else "no", *(f"{share:.2f}" for share in shares),
-            f"{shares[2] / before:.2f}", *(f"{one:.2f}" for one in each)]  # fmt: skip
+    return [
+        str(gateways),
+        shape,
+        str(seed),
+        "yes" if tells else "no",
+        *(f"{share:.2f}" for share in shares),
+        f"{shares[2] / before:.2f}",
+        *(f"{one:.2f}" for one in each),
+    ]
 
 
 def main() -> None:
@@ -60,8 +78,20 @@
     ]
     with ProcessPoolExecutor() as pool:
         rows = [row(asked, spans) for asked, spans in zip(runs, pool.map(play, runs), strict=True)]
-    head = ["gateways", "burst", "seed", "load told", "before", "in it", "2 to 4 s after", "at the end", "after of before",
-            "attempts", "probes", "connections"]  # fmt: skip
+    head = [
+        "gateways",
+        "burst",
+        "seed",
+        "load told",
+        "before",
+        "in it",
+        "2 to 4 s after",
+        "at the end",
+        "after of before",
+        "attempts",
+        "probes",
+        "connections",
+    ]
     notes = ["Shares of worth served; attempts, probes and connections for each first try. A model, no sockets."]
     keep("collapse", "A burst over a fleet, and what comes after it", [table("By size and shape", head, rows, notes)])
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,10 +37,11 @@
 
 def servers(count: int, changed: int = -1) -> list[ServerSpec]:
     return [
-        ServerSpec(f"s{n}", f"g{n // 5}", "z", "127.0.0.1", 1024 + n, n % 5 == 0,
-                   "draining" if n == changed else "ready")
+        ServerSpec(
+            f"s{n}", f"g{n // 5}", "z", "127.0.0.1", 1024 + n, n % 5 == 0, "draining" if n == changed else "ready"
+        )
         for n in range(count)
-    ]  # fmt: skip
+    ]
 
 
 def gateway() -> Gateway:
@@ -146,14 +147,28 @@
     for count in (10, 1_000, 10_000):
         first, life, made = apply_cost(count)
         seen = sorted(seen_cost(count, 30 if count < 10_000 else 10))
-        rows.append([f"{count:,}", f"{first:.1f}", f"{life:.1f}", f"{made:.2f}", f"{statistics.median(seen):.0f}",
-                     f"{seen[-1]:.0f}"])  # fmt: skip
+        rows.append(
+            [
+                f"{count:,}",
+                f"{first:.1f}",
+                f"{life:.1f}",
+                f"{made:.2f}",
+                f"{statistics.median(seen):.0f}",
+                f"{seen[-1]:.0f}",
+            ]
+        )
         octets, write, read = snapshot_cost(count)
         kept.append([f"{count:,}", f"{octets:,}", f"{write:.1f}", f"{read:.1f}"])
     assert read_set({"l": render(servers(10)).encode()}, {"g0", "g1"}).servers
-    head = ["servers", "first read ms", "read with one line changed ms", "that change applied ms",
-            "renamed to applied, p50 ms", "most ms"]  # fmt: skip
-    notes = ["Medians of 5; renamed to applied over 30 changes (10 at 10,000), of which 20 ms are the settle time."]  # fmt: skip
+    head = [
+        "servers",
+        "first read ms",
+        "read with one line changed ms",
+        "that change applied ms",
+        "renamed to applied, p50 ms",
+        "most ms",
+    ]
+    notes = ["Medians of 5; renamed to applied over 30 changes (10 at 10,000), of which 20 ms are the settle time."]
     more = ["Sessions are not kept: floors stand in their place, so the size does not grow with them."]
     keep(
         "fleet",
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -31,13 +31,18 @@
     """The list as it now stands, renamed into place."""
     specs = [
         ServerSpec(
-            name, group, zone, "127.0.0.1", world.servers[name].port, name == world.listed_primary[group],
+            name,
+            group,
+            zone,
+            "127.0.0.1",
+            world.servers[name].port,
+            name == world.listed_primary[group],
             world.states[name],
             time.time() - (time.monotonic() - world.servers[name].started) if world.servers[name].started else 0.0,
         )
         for group, members in MEMBERS.items()
         for name, zone in members
-    ]  # fmt: skip
+    ]
     new = path.with_name("new")
     new.write_text(render(specs))
     new.replace(path)
@@ -134,8 +139,16 @@
         broken = {name: sum(not f["rules"][name]["held"] for f in good) for name in good[0]["rules"]}
         named = ", ".join(f"{name} {count}" for name, count in broken.items() if count) or "none"
         judged = sum(rule["judged"] for f in good for rule in f["rules"].values())
-        rows.append(["with" if durable else "without", str(len(good)), str(len(mine) - len(good)), f"{judged:,}", named,
-                     f"{served / total:.4f}"])  # fmt: skip
+        rows.append(
+            [
+                "with" if durable else "without",
+                str(len(good)),
+                str(len(mine) - len(good)),
+                f"{judged:,}",
+                named,
+                f"{served / total:.4f}",
+            ]
+        )
         for f in mine:
             if "error" in f:
                 print(f["seed"], f["error"])
@@ -149,9 +162,11 @@
         "seeds that broke a rule",
         "served",
     ]
-    notes = ["Each seed: a gateway process killed three times (kill -9) at random moments and started again with its last "
-             "list, under four clients whose sessions outlive their connections, with lagging copies, a drain by file and a "
-             "copy that returns cold; stand-in servers on loopback; judged from what crossed the sockets."]  # fmt: skip
+    notes = [
+        "Each seed: a gateway process killed three times (kill -9) at random moments and started again with its last "
+        "list, under four clients whose sessions outlive their connections, with lagging copies, a drain by file and a "
+        "copy that returns cold; stand-in servers on loopback; judged from what crossed the sockets."
+    ]
     keep("kills", "Gateways killed under load", [table("Rules over restarts", head, rows, notes)])
 
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -220,14 +220,22 @@
     middle = {name: [statistics.median(column) for column in zip(*rows, strict=True)] for name, rows in found.items()}
     rows = [
         [
-            name, f"{rate:,.0f}", f"{rate / middle['relay'][0]:.2f}", f"{failed:.0f}", f"{p50 / 1000:.2f}",
-            f"{p99 / 1000:.2f}", f"{(p50 - middle['direct'][2]) / 1000:+.2f}", f"{(p99 - middle['direct'][3]) / 1000:+.2f}",
+            name,
+            f"{rate:,.0f}",
+            f"{rate / middle['relay'][0]:.2f}",
+            f"{failed:.0f}",
+            f"{p50 / 1000:.2f}",
+            f"{p99 / 1000:.2f}",
+            f"{(p50 - middle['direct'][2]) / 1000:+.2f}",
+            f"{(p99 - middle['direct'][3]) / 1000:+.2f}",
         ]
         for name, (rate, failed, p50, p99) in middle.items()
-    ]  # fmt: skip
+    ]
     head = ["way", "searches/s", "of relay", "failed", "p50 ms", "p99 ms", "added p50 ms", "added p99 ms"]
-    notes = [f"Medians of {runs} runs of {seconds:g} s, ways in turn; {clients} clients, one search out each; servers that "
-             "answer at once. Each way and the load in a process of its own. Aim: at least half the relay."]  # fmt: skip
+    notes = [
+        f"Medians of {runs} runs of {seconds:g} s, ways in turn; {clients} clients, one search out each; servers that "
+        "answer at once. Each way and the load in a process of its own. Aim: at least half the relay."
+    ]
     one = statistics.median(scaled[1])
     worker_rows = [
         [str(n), f"{statistics.median(rates):,.0f}", f"{statistics.median(rates) / one / n:.2f}"]
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -63,10 +63,18 @@
     first = min((at for at, _, whom in gossip.told(GONE) if whom == dead and at >= killed), default=None)
     took = time.perf_counter() - began
     return [
-        str(size), f"{loss:.0%}", "yes" if slow else "no", _seconds(up, 0), _seconds(first, killed),
-        _seconds(known, killed), f"{suspected * HOUR / WATCHED:.0f}", f"{gone * HOUR / WATCHED:.0f}",
-        f"{mean(sent):.0f}", f"{max(sent):.0f}", f"{100 * took / (size * gossip.now / SECOND):.3f}",
-    ]  # fmt: skip
+        str(size),
+        f"{loss:.0%}",
+        "yes" if slow else "no",
+        _seconds(up, 0),
+        _seconds(first, killed),
+        _seconds(known, killed),
+        f"{suspected * HOUR / WATCHED:.0f}",
+        f"{gone * HOUR / WATCHED:.0f}",
+        f"{mean(sent):.0f}",
+        f"{max(sent):.0f}",
+        f"{100 * took / (size * gossip.now / SECOND):.3f}",
+    ]
 
 
 def _seconds(at: int | None, since: int) -> str:
@@ -119,8 +127,12 @@
         file, kept = Path(folder) / "s.hcl", Path(folder) / "kept"
         text = SCENARIO.format(gateways=gateways, peers=str(peers).lower(), rate=RATE * gateways, clients=4 * gateways)
         file.write_text(text)
-        done = subprocess.run([sys.executable, "-m", "yardbank", "rig", "run", str(file), "--keep", str(kept)],
-                              capture_output=True, text=True, check=False)  # fmt: skip
+        done = subprocess.run(
+            [sys.executable, "-m", "yardbank", "rig", "run", str(file), "--keep", str(kept)],
+            capture_output=True,
+            text=True,
+            check=False,
+        )
         if done.returncode == 2:
             raise SystemExit(done.stdout + done.stderr)
         facts = [json.loads(line) for line in (kept / "record.jsonl").read_text().splitlines()]
@@ -128,8 +140,11 @@
     end = next(f["at"] for f in facts if f["kind"] == "step" and f["phase"] == "end")
     load = next(f["at"] for f in facts if f["kind"] == "load_begun")
     gateway = {f["tag"]: f["gateway"] for f in facts if f["kind"] == "sent"}
-    met = [f for f in facts if f["kind"] == "received" and f["server"] == "numbers-4" and f["op"] != "probe"
-           and begin < f["at"] < end]  # fmt: skip
+    met = [
+        f
+        for f in facts
+        if f["kind"] == "received" and f["server"] == "numbers-4" and f["op"] != "probe" and begin < f["at"] < end
+    ]
     wanted = {f["want"] for f in facts if f["kind"] == "wanted" and begin < f["at"] < end}
     ends = [f for f in facts if f["kind"] == "done" and f["want"] in wanted]
     times = sorted(f["took"] for f in ends if f["end"] == "served")
@@ -138,10 +153,17 @@
     length = max(f["at"] for f in facts if f["kind"] == "load_over") - load
     late = sum(took > 0.5 for took in times)
     return [
-        str(gateways), "on" if peers else "off", str(len(met)), str(len({gateway.get(f["tag"]) for f in met})),
-        f"{len(times) / len(wanted):.4f}", f"{late / len(wanted):.4f}", f"{times[int(0.99 * len(times))] * 1e3:.0f}",
-        f"{sum(sent) / gateways / length:.0f}", f"{mean(cpu):.2f}", "held" if done.returncode == 0 else "BROKEN",
-    ]  # fmt: skip
+        str(gateways),
+        "on" if peers else "off",
+        str(len(met)),
+        str(len({gateway.get(f["tag"]) for f in met})),
+        f"{len(times) / len(wanted):.4f}",
+        f"{late / len(wanted):.4f}",
+        f"{times[int(0.99 * len(times))] * 1e3:.0f}",
+        f"{sum(sent) / gateways / length:.0f}",
+        f"{mean(cpu):.2f}",
+        "held" if done.returncode == 0 else "BROKEN",
+    ]
 
 
 def main() -> None:
@@ -152,8 +174,19 @@
     with ProcessPoolExecutor(6) as pool:
         rows = list(pool.map(virtual, runs))
     draw(rows)
-    head = ["gateways", "loss", "slow peers", "all found, s", "a death known first, s", "to all, s",
-            "suspicions an hour, false", "gone, false, an hour", "octets/s, mean", "most", "% of a core"]  # fmt: skip
+    head = [
+        "gateways",
+        "loss",
+        "slow peers",
+        "all found, s",
+        "a death known first, s",
+        "to all, s",
+        "suspicions an hour, false",
+        "gone, false, an hour",
+        "octets/s, mean",
+        "most",
+        "% of a core",
+    ]
     notes = [
         "Deciders on a virtual clock, one probe a second; a delay of 0.5 to 1.5 ms. False ones are counted over five"
         " minutes: suspicions once for each that was suspected and refuted, 'gone' once for each gateway that believed it.",
@@ -162,10 +195,22 @@
     tables = [table("Who is there, by size of the fleet", head, rows, notes)]
     if not alone:
         rows = [processes(gateways, peers) for gateways in PROCESSES for peers in (False, True)]
-        head = ["gateways", "sharing", "requests that met it", "of gateways", "served meanwhile", "later than 0.5 s",
-                "p99, ms", "octets/s a gateway", "CPU s a gateway", "five rules"]  # fmt: skip
-        notes = [f"Processes behind the rig, {RATE} requests a second at each gateway for 25 s; one of five copies hangs for"
-                 " 12 s. Shares are of what clients came to want in that time; all share this machine's cores."]  # fmt: skip
+        head = [
+            "gateways",
+            "sharing",
+            "requests that met it",
+            "of gateways",
+            "served meanwhile",
+            "later than 0.5 s",
+            "p99, ms",
+            "octets/s a gateway",
+            "CPU s a gateway",
+            "five rules",
+        ]
+        notes = [
+            f"Processes behind the rig, {RATE} requests a second at each gateway for 25 s; one of five copies hangs for"
+            " 12 s. Shares are of what clients came to want in that time; all share this machine's cores."
+        ]
         tables.append(table("One bad server, thin traffic, sharing off and on", head, rows, notes))
     keep("peers", "Gateways that know of each other", tables)
 
--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -68,8 +68,15 @@
                 reached[ring.names[place]] += 1
         assert all(len(one.weights) <= 20 for one in mine)
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-        rows.append([f"{count:,}", f"{statistics.median(times) * 1e3:.0f}", f"{peak:.0f}", f"{cut * 1e3:.0f}",
-                     f"{min(reached.values())} to {max(reached.values())}"])  # fmt: skip
+        rows.append(
+            [
+                f"{count:,}",
+                f"{statistics.median(times) * 1e3:.0f}",
+                f"{peak:.0f}",
+                f"{cut * 1e3:.0f}",
+                f"{min(reached.values())} to {max(reached.values())}",
+            ]
+        )
     return rows
 
 
@@ -126,8 +133,14 @@
     for way in ways:
         mean = [statistics.mean(row[n] for row in figures[way]) for n in range(5)]
         means[way] = mean
-        rows.append([way, f"{mean[0]:.1%}", f"{max(row[1] for row in figures[way]):.0%}",
-                     *(f"{value:.1%}" for value in mean[2:])])  # fmt: skip
+        rows.append(
+            [
+                way,
+                f"{mean[0]:.1%}",
+                f"{max(row[1] for row in figures[way]):.0%}",
+                *(f"{value:.1%}" for value in mean[2:]),
+            ]
+        )
     return rows, means
 
 
@@ -186,8 +199,15 @@
         yield one
     ordered = sorted(times)
     served = len([t for t in times if t < 0.5]) / (len(times) + bad[0])
-    rows.append(["by the plan" if planned else "equal", f"{rate:.0f}", f"{served:.1%}",
-                 f"{ordered[len(ordered) // 2] * 1e3:.1f}", f"{ordered[int(0.99 * len(ordered))] * 1e3:.1f}"])  # fmt: skip
+    rows.append(
+        [
+            "by the plan" if planned else "equal",
+            f"{rate:.0f}",
+            f"{served:.1%}",
+            f"{ordered[len(ordered) // 2] * 1e3:.1f}",
+            f"{ordered[int(0.99 * len(ordered))] * 1e3:.1f}",
+        ]
+    )
     for client in clients:
         client.leave()
     yield world.stop_gateway()
@@ -219,18 +239,46 @@
         raise SystemExit(failed[0].getTraceback())
     labels = ["crossing", "worst load", "unserved", "a server lost", "a zone lost"]
     chart("plan", "Mean over 30 fleets of 24 servers", labels, means)
-    keep("plan", "Plans", [
-        table("Cost", ["servers", "solve, p50 ms", "peak memory MiB", "own subset, ms", "gateways on one server"], by_size,
-              ["One group, 3 zones, 2 classes; 300 gateways of at most 20 servers each. Memory of the whole process. The "
-               "plan's shares are kept exactly whatever the counts of gateways: arcs differ in length."]),
-        table("Against other weights", ["weights", "reads that cross zones", "worst server's load", "unserved",
-                                        "unserved, largest server lost", "unserved, zone b lost"], rows,
-              ["30 random fleets of 24 servers of three sizes, demand at 60 %. After a loss the rest is shared as before.",
-               "![chart](plan.svg)"]),
-        table("Four copies of speeds 1, 1, 1/2, 1/4 at 75 %", ["weights", "reads/s", "served in 500 ms", "p50 ms", "p99 ms"],
-              live, ["Open loop, 8 s each, in turn; stand-in servers on loopback. Between equals the module follows weights; "
-                     "what it sees of a server's speed outranks them."]),
-    ])  # fmt: skip
+    keep(
+        "plan",
+        "Plans",
+        [
+            table(
+                "Cost",
+                ["servers", "solve, p50 ms", "peak memory MiB", "own subset, ms", "gateways on one server"],
+                by_size,
+                [
+                    "One group, 3 zones, 2 classes; 300 gateways of at most 20 servers each. Memory of the whole process. The "
+                    "plan's shares are kept exactly whatever the counts of gateways: arcs differ in length."
+                ],
+            ),
+            table(
+                "Against other weights",
+                [
+                    "weights",
+                    "reads that cross zones",
+                    "worst server's load",
+                    "unserved",
+                    "unserved, largest server lost",
+                    "unserved, zone b lost",
+                ],
+                rows,
+                [
+                    "30 random fleets of 24 servers of three sizes, demand at 60 %. After a loss the rest is shared as before.",
+                    "![chart](plan.svg)",
+                ],
+            ),
+            table(
+                "Four copies of speeds 1, 1, 1/2, 1/4 at 75 %",
+                ["weights", "reads/s", "served in 500 ms", "p50 ms", "p99 ms"],
+                live,
+                [
+                    "Open loop, 8 s each, in turn; stand-in servers on loopback. Between equals the module follows weights; "
+                    "what it sees of a server's speed outranks them."
+                ],
+            ),
+        ],
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -83,15 +83,28 @@
                 continue
             gateways, requests, stop, took, _ = found[size, late]
             once, fixed = without(size, False), without(size, True)
-            rows.append([str(size), name, str(gateways), f"{requests:,}", f"{stop:.0f}", f"{took:.0f}",
-                         f"{once[0]}", f"{once[1]:,}", f"{fixed[0]}", f"{fixed[1]:,}"])  # fmt: skip
+            rows.append(
+                [
+                    str(size),
+                    name,
+                    str(gateways),
+                    f"{requests:,}",
+                    f"{stop:.0f}",
+                    f"{took:.0f}",
+                    f"{once[0]}",
+                    f"{once[1]:,}",
+                    f"{fixed[0]}",
+                    f"{fixed[1]:,}",
+                ]
+            )
         bars["at once"].append(without(size, False)[1])
         bars["fixed waits"].append(without(size, True)[1])
         bars["judged"].append(found[size, BAD[SHORT]][1])
     good = [
         [str(size), str(at_once(size)), f"{found[size, 0.0][3]:.0f}", str(found[size, 0.0][4])]
-        for size in sizes if (size, 0.0) in found
-    ]  # fmt: skip
+        for size in sizes
+        if (size, 0.0) in found
+    ]
     notes = [
         f"{RATE:.0f} requests a second at each gateway, one class, 1 % late on the old version; {len(STAGES)} stages of"
         f" {', '.join(f'{share:.0%}' for share in STAGES)}, hold {HOLD} s, worse by 2 %. Deciders on a virtual clock with"
@@ -99,11 +112,30 @@
         f" judges there, and somebody notices after {NOTICED:.0f} s and takes it back.",
     ]
     tables = [
-        table("A bad version", ["gateways", "how bad", "met it", "requests that met it", "stopped after, s",
-              "all back after, s", "at once: met it", "requests", "fixed waits: met it", "requests"], rows, notes),
-        table("A sound version", ["gateways", "at most at once", "through after, s", "octets/s a gateway, all of the link"],
-              good, [""]),
-    ]  # fmt: skip
+        table(
+            "A bad version",
+            [
+                "gateways",
+                "how bad",
+                "met it",
+                "requests that met it",
+                "stopped after, s",
+                "all back after, s",
+                "at once: met it",
+                "requests",
+                "fixed waits: met it",
+                "requests",
+            ],
+            rows,
+            notes,
+        ),
+        table(
+            "A sound version",
+            ["gateways", "at most at once", "through after, s", "octets/s a gateway, all of the link"],
+            good,
+            [""],
+        ),
+    ]
     chart("rollout", "Requests that met a version of which 10 % come late", [str(size) for size in sizes], bars)
     keep("rollout", "A rolling change in stages", tables)
 
--- a/benchmarks/scale/decisions.py
+++ b/benchmarks/scale/decisions.py
@@ -44,8 +44,19 @@
 
 def settings(gateways: int = 1800) -> Settings:
     """Settings of a gateway of a large fleet."""
-    return Settings(1, "z1", gateways, CLASSES, checks="refuse", tokens="remembered", reports="probe", may_probe=True,
-                    tells_load=True, may_cancel=True, max_attempts=4)  # fmt: skip
+    return Settings(
+        1,
+        "z1",
+        gateways,
+        CLASSES,
+        checks="refuse",
+        tokens="remembered",
+        reports="probe",
+        may_probe=True,
+        tells_load=True,
+        may_cancel=True,
+        max_attempts=4,
+    )
 
 
 def specs(databases: int) -> list[ServerSpec]:
@@ -53,7 +64,7 @@
     return [
         ServerSpec(f"db-{n:05}", f"group-{n // MEMBERS:05}", f"z{n % 11}", "10.0.0.1", 1024 + n, n % MEMBERS == 0)
         for n in range(databases)
-    ]  # fmt: skip
+    ]
 
 
 def members(databases: int) -> tuple[Member, ...]:
@@ -107,8 +118,13 @@
 
     changed = processor_ms(change, 60)
     again = processor_ms(lambda: gateway.apply_list(listed, 3))
-    return {"memory": memory + more, "first list": first, "changed entry": changed, "whole list again": again,
-            "view": processor_ms(gateway.view, 5)}  # fmt: skip
+    return {
+        "memory": memory + more,
+        "first list": first,
+        "changed entry": changed,
+        "whole list again": again,
+        "view": processor_ms(gateway.view, 5),
+    }
 
 
 def module_by_sessions(sessions: int, seed: int) -> Values:
@@ -143,8 +159,15 @@
     """Idle connections of clients: memory without the sockets' own, and processor time of one sweep over them."""
     clock = Clock()
     clock.advance(100 + seed)
-    gateway = Gateway(settings(), None, reactor=clock, seconds=clock.seconds, log=SilentLog(),  # type: ignore[arg-type]
-                      limits=Limits(), positions=ClockPositions())  # fmt: skip
+    gateway = Gateway(
+        settings(),
+        None,
+        reactor=clock,
+        seconds=clock.seconds,
+        log=SilentLog(),  # type: ignore[arg-type]
+        limits=Limits(),
+        positions=ClockPositions(),
+    )
     kinds = {kind.name: kind for kind in CLASSES}
     factory = ClientFactory(
         gateway, Admission(AdmissionLimits()), Descriptors.of(4 * connections + 400), kinds, SilentLog()
@@ -166,37 +189,66 @@
 
 LINES = (
     Line(
-        "module-databases", "The decision module by databases", "databases", DATABASES, 3900,
-        (Quantity("memory", "KiB"), Quantity("first list", "ms"), Quantity("changed entry", "ms"),
-         Quantity("request", "µs")),
+        "module-databases",
+        "The decision module by databases",
+        "databases",
+        DATABASES,
+        3900,
+        (
+            Quantity("memory", "KiB"),
+            Quantity("first list", "ms"),
+            Quantity("changed entry", "ms"),
+            Quantity("request", "µs"),
+        ),
         module_by_databases,
         "One decision module; groups of three in eleven zones, 1,800 gateways named in its settings. A request is a third"
         " each bounded read, session read and write over all groups by turns, with its outcome.",
         small=(100,),
     ),
     Line(
-        "gateway-databases", "A gateway by databases", "databases", DATABASES, 3900,
-        (Quantity("memory", "KiB"), Quantity("first list", "ms"), Quantity("changed entry", "ms"),
-         Quantity("whole list again", "ms"), Quantity("view", "ms")),
+        "gateway-databases",
+        "A gateway by databases",
+        "databases",
+        DATABASES,
+        3900,
+        (
+            Quantity("memory", "KiB"),
+            Quantity("first list", "ms"),
+            Quantity("changed entry", "ms"),
+            Quantity("whole list again", "ms"),
+            Quantity("view", "ms"),
+        ),
         gateway_by_databases,
         "A gateway with its decision module and no open connection: its list taken, one entry moved to another address,"
         " the whole list put again (all of it as it was but what had been moved), and what it tells its log each 5 s.",
         small=(100,),
     ),
     Line(
-        "module-sessions", "The decision module by sessions", "sessions", (1000, 2500, 5000, 20_000, 50_000), 50_000,
+        "module-sessions",
+        "The decision module by sessions",
+        "sessions",
+        (1000, 2500, 5000, 20_000, 50_000),
+        50_000,
         (Quantity("memory", "KiB"), Quantity("write", "µs"), Quantity("remembered", "sessions", COUNTED)),
         module_by_sessions,
         "Each session writes once; 300 databases. Beyond 5,000 the oldest sessions fold into their group's floor.",
         small=(1000,),
     ),
     Line(
-        "gateway-connections", "A gateway by idle client connections", "connections", (250, 1000, 2000, 4056), 4056,
-        (Quantity("memory", "KiB"), Quantity("opened", "µs"), Quantity("sweep", "ms"),
-         Quantity("held", "connections", COUNTED)),
+        "gateway-connections",
+        "A gateway by idle client connections",
+        "connections",
+        (250, 1000, 2000, 4056),
+        4056,
+        (
+            Quantity("memory", "KiB"),
+            Quantity("opened", "µs"),
+            Quantity("sweep", "ms"),
+            Quantity("held", "connections", COUNTED),
+        ),
         gateway_by_connections,
         "Connections that were let in and say nothing, on transports without sockets: what Twisted and the system hold for"
         " a socket comes on top. A sweep for those whose time is up runs four times a second.",
         small=(250,),
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -78,8 +78,14 @@
     gossip.run(since + STEADY * SECOND)
     lossy = (sum(gossip.octets.values()) - sent) / STEADY / gateways
     death_lossy = _death(gossip, names[1:], [name for name in sample if name != names[1]])
-    return {"octets": rate, "octets at 5 % loss": lossy, "processor": processor, "memory": memory, "death": death,
-            "death at 5 % loss": death_lossy}  # fmt: skip
+    return {
+        "octets": rate,
+        "octets at 5 % loss": lossy,
+        "processor": processor,
+        "memory": memory,
+        "death": death,
+        "death at 5 % loss": death_lossy,
+    }
 
 
 def join_by_gateways(gateways: int, seed: int) -> Values:
@@ -117,29 +123,47 @@
 
 LINES = (
     Line(
-        "link-gateways", "The link between gateways by their number", "gateways", (8, 50, 200, 500, 1000, 1800), 1800,
-        (Quantity("octets", "octets/s", COUNTED), Quantity("octets at 5 % loss", "octets/s", COUNTED),
-         Quantity("processor", "% of a core"), Quantity("memory", "KiB"), Quantity("death", "s", COUNTED),
-         Quantity("death at 5 % loss", "s", COUNTED)),
+        "link-gateways",
+        "The link between gateways by their number",
+        "gateways",
+        (8, 50, 200, 500, 1000, 1800),
+        1800,
+        (
+            Quantity("octets", "octets/s", COUNTED),
+            Quantity("octets at 5 % loss", "octets/s", COUNTED),
+            Quantity("processor", "% of a core"),
+            Quantity("memory", "KiB"),
+            Quantity("death", "s", COUNTED),
+            Quantity("death at 5 % loss", "s", COUNTED),
+        ),
         link_by_gateways,
         "Deciders on a virtual clock, one probe a second, 0.5 to 1.5 ms of delay; all know all when it begins. Values are of"
         " one gateway, the mean over all. A death is known when each of 24 gateways drawn holds it. No counts, no words on"
         " servers. Processor time includes the virtual clock and the network between them.",
-        small=(8,), runs=1,
+        small=(8,),
+        runs=1,
     ),
     Line(
-        "join-gateways", "All gateways find each other, by their number", "gateways", (8, 50, 200, 500), 1800,
+        "join-gateways",
+        "All gateways find each other, by their number",
+        "gateways",
+        (8, 50, 200, 500),
+        1800,
         (Quantity("all found", "s", COUNTED),),
         join_by_gateways,
         "All start within a second and know nothing but the list of names. Found: 24 gateways drawn hold all others alive.",
-        small=(8,), runs=1,
+        small=(8,),
+        runs=1,
     ),
     Line(
-        "counts-gateways", "What one gateway holds of the others' counts, by gateways", "gateways",
-        (100, 250, 500, 1000, 1800), 1800,
+        "counts-gateways",
+        "What one gateway holds of the others' counts, by gateways",
+        "gateways",
+        (100, 250, 500, 1000, 1800),
+        1800,
         (Quantity("memory", "KiB"), Quantity("totals", "ms"), Quantity("kept", "counts", COUNTED)),
         counts_by_gateways,
         "Each tells two counts of each database, 512 at most. The totals are worked out for the view each 5 s.",
         small=(8,),
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -60,14 +60,21 @@
     servers = len(fleet.servers)
     held = sum(sum(gateway._idle.values()) for gateway in fleet.gateways)
     busiest = max(sum(gateway._idle[number] for gateway in fleet.gateways) for number in fleet.servers)
-    return {"asked": counts.get("probes", 0) / servers / LENGTH, "opened": counts.get("connections", 0) / servers / LENGTH,
-            "held": held / servers, "most held": busiest,
-            "asked by one gateway": counts.get("probes", 0) / gateways / LENGTH}  # fmt: skip
+    return {
+        "asked": counts.get("probes", 0) / servers / LENGTH,
+        "opened": counts.get("connections", 0) / servers / LENGTH,
+        "held": held / servers,
+        "most held": busiest,
+        "asked by one gateway": counts.get("probes", 0) / gateways / LENGTH,
+    }
 
 
 LINES = (
     Line(
-        "sharing-databases", "Words on databases: one gateway's judging and telling, by databases", "databases", DATABASES,
+        "sharing-databases",
+        "Words on databases: one gateway's judging and telling, by databases",
+        "databases",
+        DATABASES,
         3900,
         (Quantity("one judgement", "ms"), Quantity("figures", "ms"), Quantity("processor", "% of a core")),
         sharing_by_databases,
@@ -76,14 +83,22 @@
         small=(100,),
     ),
     Line(
-        "questions-gateways", "What databases are asked by the whole fleet, by gateways", "gateways",
-        (25, 50, 100, 200, 400), 1800,
-        (Quantity("asked", "questions/s a database", COUNTED), Quantity("opened", "connections/s a database", COUNTED),
-         Quantity("held", "connections a database", COUNTED), Quantity("most held", "connections", COUNTED),
-         Quantity("asked by one gateway", "questions/s", COUNTED)),
+        "questions-gateways",
+        "What databases are asked by the whole fleet, by gateways",
+        "gateways",
+        (25, 50, 100, 200, 400),
+        1800,
+        (
+            Quantity("asked", "questions/s a database", COUNTED),
+            Quantity("opened", "connections/s a database", COUNTED),
+            Quantity("held", "connections a database", COUNTED),
+            Quantity("most held", "connections", COUNTED),
+            Quantity("asked by one gateway", "questions/s", COUNTED),
+        ),
         questions_by_gateways,
         "The virtual fleet: 240 first tries a second over 24 databases in four groups, the same at each size; 12 s. So each"
         " gateway has less traffic, the more there are, and what each asks for itself adds up.",
-        small=(25,), runs=2,
+        small=(25,),
+        runs=2,
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/lines.py
+++ b/benchmarks/scale/lines.py
@@ -6,7 +6,5 @@
 from benchmarks.scale.line import Line
 
 LINES: dict[str, Line] = {
-    line.name: line
-    for module in (decisions, lists, health, gossip, together)
-    for line in module.LINES
-}  # fmt: skip
+    line.name: line for module in (decisions, lists, health, gossip, together) for line in module.LINES
+}
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -34,16 +34,29 @@
         (action,) = membership.seen(2 + turn, {"list": changed})
         times.append((time.process_time() - began) * 1e3)
         assert isinstance(action, Apply)
-    return {"whole": len(text) / 1024, "one entry": len(render(listed[:1])), "memory": memory, "first read": first,
-            "changed entry": sorted(times)[2]}  # fmt: skip
+    return {
+        "whole": len(text) / 1024,
+        "one entry": len(render(listed[:1])),
+        "memory": memory,
+        "first read": first,
+        "changed entry": sorted(times)[2],
+    }
 
 
 def _json(databases: int, reset: bool) -> bytes:
     entries = [
-        {"instanceId": f"s-{n:08x}", "hostPort": f"10.1.{n % 250}.{n % 200}:6432", "zone": f"z{n % 11}",
-         "machineType": "m2", "cell": n // MEMBERS, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 1767225600123}
+        {
+            "instanceId": f"s-{n:08x}",
+            "hostPort": f"10.1.{n % 250}.{n % 200}:6432",
+            "zone": f"z{n % 11}",
+            "machineType": "m2",
+            "cell": n // MEMBERS,
+            "lifecycle": "Ready",
+            "weight": 1.0,
+            "startedAtMs": 1767225600123,
+        }
         for n in range(databases)
-    ]  # fmt: skip
+    ]
     return msgspec.json.encode({"generation": 41, "reset": reset, "instances": entries})
 
 
@@ -56,25 +69,46 @@
     began = time.process_time()
     for _ in range(200):
         parse_listing(one)
-    return {"whole": len(whole) / 1024, "one entry": len(one), "whole read": first,
-            "one entry read": (time.process_time() - began) / 200 * 1e3}  # fmt: skip
+    return {
+        "whole": len(whole) / 1024,
+        "one entry": len(one),
+        "whole read": first,
+        "one entry read": (time.process_time() - began) / 200 * 1e3,
+    }
 
 
 LINES = (
     Line(
-        "list-files", "List files by databases", "databases", DATABASES, 3900,
-        (Quantity("whole", "KiB", COUNTED), Quantity("one entry", "octets", COUNTED), Quantity("memory", "KiB"),
-         Quantity("first read", "ms"), Quantity("changed entry", "ms")),
+        "list-files",
+        "List files by databases",
+        "databases",
+        DATABASES,
+        3900,
+        (
+            Quantity("whole", "KiB", COUNTED),
+            Quantity("one entry", "octets", COUNTED),
+            Quantity("memory", "KiB"),
+            Quantity("first read", "ms"),
+            Quantity("changed entry", "ms"),
+        ),
         files_by_databases,
         "The operator's list as `yardbank list` writes it, read and checked; then with one entry moved, written whole.",
         small=(100,),
     ),
     Line(
-        "list-discovery", "Discovery's lists by databases", "databases", DATABASES, 3900,
-        (Quantity("whole", "KiB", COUNTED), Quantity("one entry", "octets", COUNTED), Quantity("whole read", "ms"),
-         Quantity("one entry read", "ms")),
+        "list-discovery",
+        "Discovery's lists by databases",
+        "databases",
+        DATABASES,
+        3900,
+        (
+            Quantity("whole", "KiB", COUNTED),
+            Quantity("one entry", "octets", COUNTED),
+            Quantity("whole read", "ms"),
+            Quantity("one entry read", "ms"),
+        ),
         discovery_by_databases,
         "Messages of the operators' platform: a whole list, and a change of one entry as its watch brings it.",
         small=(100,),
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -127,8 +127,10 @@
         f"Real: {json.dumps(real)}",
         *(f"\n{name}: {json.dumps(model)}" for name, model in models.items()),
     ]
-    text = f"# Real processes beside hollow gateways: {gateways} of each\n\nTaken on {commit()}; {machine()}. Again:" \
-           f" `python -m benchmarks.scale.real --gateways {gateways}`.\n\n"  # fmt: skip
+    text = (
+        f"# Real processes beside hollow gateways: {gateways} of each\n\nTaken on {commit()}; {machine()}. Again:"
+        f" `python -m benchmarks.scale.real --gateways {gateways}`.\n\n"
+    )
     text += table("The same fleet twice", ["what", "real", "hollow", "differ by", "so it is"], rows, notes)
     FOLDER.mkdir(parents=True, exist_ok=True)
     (FOLDER / "real.md").write_text(text)
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -27,17 +27,33 @@
     for quantity in line.quantities:
         law = law_of(line, found, quantity)
         if law is not None:
-            laws.append([quantity.name, law.shape, law.formula(), _part(law.r_squared), _part(law.worst),
-                         *_at_target(line, found, quantity, law)])  # fmt: skip
+            laws.append(
+                [
+                    quantity.name,
+                    law.shape,
+                    law.formula(),
+                    _part(law.r_squared),
+                    _part(law.worst),
+                    *_at_target(line, found, quantity, law),
+                ]
+            )
     law_head = ["value", "law", "formula", "R²", "worst residual", f"at {line.target:,}", "how far"]
     command = f"`python -m benchmarks.scale {line.name}`"
-    return "\n".join([
-        f"# {line.title}", "",
-        f"Taken on {found.commit}; {found.machine}. Again: {command}. Medians, with the least and the most of"
-        f" {max(map(len, found.runs.values()))} runs where they differ.", "", line.note, "",
-        table("Measured", head, rows, []), table("Laws", law_head, laws, []),
-        f"![{line.title}]({line.name}.svg)", "",
-    ])  # fmt: skip
+    return "\n".join(
+        [
+            f"# {line.title}",
+            "",
+            f"Taken on {found.commit}; {found.machine}. Again: {command}. Medians, with the least and the most of"
+            f" {max(map(len, found.runs.values()))} runs where they differ.",
+            "",
+            line.note,
+            "",
+            table("Measured", head, rows, []),
+            table("Laws", law_head, laws, []),
+            f"![{line.title}]({line.name}.svg)",
+            "",
+        ]
+    )
 
 
 def _cell(found: Found, size: int, quantity: Quantity) -> str:
--- a/benchmarks/scale/together.py
+++ b/benchmarks/scale/together.py
@@ -43,8 +43,12 @@
     processor = (time.process_time() - began) / SPAN / MAP_GATEWAYS * 100
     part = next(iter(fleet.parts.values()))
     _, unknown = fleet.errors(own=False)
-    return {"octets": (sum(fleet.gossip.octets.values()) - sent) / SPAN / MAP_GATEWAYS, "processor": processor,
-            "unknown ways": unknown / len(fleet.parts), "ways": len(part.ways(fleet.gossip.own(next(iter(fleet.parts)))))}  # fmt: skip
+    return {
+        "octets": (sum(fleet.gossip.octets.values()) - sent) / SPAN / MAP_GATEWAYS,
+        "processor": processor,
+        "unknown ways": unknown / len(fleet.parts),
+        "ways": len(part.ways(fleet.gossip.own(next(iter(fleet.parts))))),
+    }
 
 
 def rollout_by_gateways(gateways: int, seed: int) -> Values:
@@ -52,38 +56,66 @@
     world = World(zoned(gateways, 3), seed=seed)
     world.run(30)
     sent, began = sum(world.gossip.octets.values()), world.gossip.now
-    world.ask(change(stages=STAGES, hold=20 * SECOND, most_at_once=max(1, gateways // 12), longest=1800 * SECOND,
-                     worse_by=0.02))  # fmt: skip
+    world.ask(
+        change(
+            stages=STAGES, hold=20 * SECOND, most_at_once=max(1, gateways // 12), longest=1800 * SECOND, worse_by=0.02
+        )
+    )
     over = world.until(lambda: len(world.said("finished")) == gateways, 3600)
     spent = (world.gossip.now - began) / SECOND
-    return {"over": float("inf") if over is None else (over - began) / SECOND,
-            "octets": (sum(world.gossip.octets.values()) - sent) / spent / gateways}  # fmt: skip
+    return {
+        "over": float("inf") if over is None else (over - began) / SECOND,
+        "octets": (sum(world.gossip.octets.values()) - sent) / spent / gateways,
+    }
 
 
 LINES = (
     Line(
-        "feeds-channels", "Leases and feeds by channels", "channels", (6, 12, 24, 48), 1300,
-        (Quantity("all owned", "s", COUNTED), Quantity("octets", "octets/s", COUNTED),
-         Quantity("processor", "% of a core"), Quantity("most carried", "channels", COUNTED)),
+        "feeds-channels",
+        "Leases and feeds by channels",
+        "channels",
+        (6, 12, 24, 48),
+        1300,
+        (
+            Quantity("all owned", "s", COUNTED),
+            Quantity("octets", "octets/s", COUNTED),
+            Quantity("processor", "% of a core"),
+            Quantity("most carried", "channels", COUNTED),
+        ),
         feeds_by_channels,
         "Twelve gateways that would all carry and that all follow every channel; an item of six octets a second on each,"
         " leases of 3 s. The target size is a channel for each group of three of 3,900 databases, which every gateway"
         " follows. Values are of one gateway.",
-        small=(6,), runs=1,
+        small=(6,),
+        runs=1,
     ),
     Line(
-        "map-zones", "The latency map by zones", "zones", (3, 6, 11, 22), 11,
-        (Quantity("octets", "octets/s", COUNTED), Quantity("processor", "% of a core"),
-         Quantity("unknown ways", "a gateway", COUNTED), Quantity("ways", "known", COUNTED)),
+        "map-zones",
+        "The latency map by zones",
+        "zones",
+        (3, 6, 11, 22),
+        11,
+        (
+            Quantity("octets", "octets/s", COUNTED),
+            Quantity("processor", "% of a core"),
+            Quantity("unknown ways", "a gateway", COUNTED),
+            Quantity("ways", "known", COUNTED),
+        ),
         map_by_zones,
         "44 gateways; each sees a round trip to each zone every two seconds. The link's own octets are in.",
-        small=(3,), runs=1,
+        small=(3,),
+        runs=1,
     ),
     Line(
-        "rollout-gateways", "A rollout by gateways", "gateways", (8, 16, 32, 64), 1800,
+        "rollout-gateways",
+        "A rollout by gateways",
+        "gateways",
+        (8, 16, 32, 64),
+        1800,
         (Quantity("over", "s", COUNTED), Quantity("octets", "octets/s", COUNTED)),
         rollout_by_gateways,
         "A sound change in four stages of 20 s each at least, a twelfth at once; the link's and the leases' octets are in.",
-        small=(8,), runs=1,
+        small=(8,),
+        runs=1,
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/whole.py
+++ b/benchmarks/scale/whole.py
@@ -97,15 +97,24 @@
     worst = max(octets for second, octets in fleet.seconds.items() if second > 5) / gateways
     returns = sorted(took for _, took in fleet.caught_up)
     return {
-        "gateways": gateways, "databases": databases, "seconds": seconds, "versions": len(fleet.versions),
-        "in force, most, s": max(times) / SECOND, "in force, median, s": sorted(times)[len(times) // 2] / SECOND,
-        "reachable and never": missed, "returns": len(returns), "return, most, s": returns[-1] if returns else 0.0,
+        "gateways": gateways,
+        "databases": databases,
+        "seconds": seconds,
+        "versions": len(fleet.versions),
+        "in force, most, s": max(times) / SECOND,
+        "in force, median, s": sorted(times)[len(times) // 2] / SECOND,
+        "reachable and never": missed,
+        "returns": len(returns),
+        "return, most, s": returns[-1] if returns else 0.0,
         "returned and not caught up": len(fleet.returned),
-        "octets/s, mean": sum(rates) / len(rates), "octets/s, most of one": rates[-1],
-        "octets/s, worst second, mean of all": worst, "processor, % of a core": processor / seconds / gateways * 100,
-        "memory, KiB": memory, "list as a file, octets": file,
+        "octets/s, mean": sum(rates) / len(rates),
+        "octets/s, most of one": rates[-1],
+        "octets/s, worst second, mean of all": worst,
+        "processor, % of a core": processor / seconds / gateways * 100,
+        "memory, KiB": memory,
+        "list as a file, octets": file,
         "list as a snapshot, octets": sum(len(piece.body) for piece in pieces),
-    }  # fmt: skip
+    }
 
 
 def _later(fleet: HollowFleet, version: Published, name: str) -> int | None:
@@ -120,21 +129,41 @@
     link = found["octets/s, mean"]
     before = found["list as a file, octets"] / per_change
     rows = [
-        ["a change in force", f"{found['in force, most, s']:.2f} s at the latest, {found['in force, median, s']:.2f} s"
-         " in the median", f"{BUDGET_SECONDS:g} s", f"{found['list as a file, octets'] / BUDGET_OCTETS:.0f} s: a whole"
-         " file at the whole budget of octets"],
-        ["octets sent, a gateway", f"{link:,.0f} octets/s in the mean, {found['octets/s, most of one']:,.0f} the most of"
-         f" one, {found['octets/s, worst second, mean of all']:,.0f} in the worst second", f"{BUDGET_OCTETS:,}"
-         " octets/s", f"{before:,.0f} octets/s for the list alone"],
-        ["processor", f"{found['processor, % of a core']:.2f} % of a core, the measurement's own clock and network in it",
-         f"{BUDGET_PROCESSOR} %", "-"],
+        [
+            "a change in force",
+            f"{found['in force, most, s']:.2f} s at the latest, {found['in force, median, s']:.2f} s in the median",
+            f"{BUDGET_SECONDS:g} s",
+            f"{found['list as a file, octets'] / BUDGET_OCTETS:.0f} s: a whole file at the whole budget of octets",
+        ],
+        [
+            "octets sent, a gateway",
+            f"{link:,.0f} octets/s in the mean, {found['octets/s, most of one']:,.0f} the most of"
+            f" one, {found['octets/s, worst second, mean of all']:,.0f} in the worst second",
+            f"{BUDGET_OCTETS:,} octets/s",
+            f"{before:,.0f} octets/s for the list alone",
+        ],
+        [
+            "processor",
+            f"{found['processor, % of a core']:.2f} % of a core, the measurement's own clock and network in it",
+            f"{BUDGET_PROCESSOR} %",
+            "-",
+        ],
         ["memory", f"{found['memory, KiB'] / 1024:.1f} MiB", "128 MB", "-"],
-        ["returned and caught up", f"{found['returns']:.0f} returns, {found['return, most, s']:.1f} s at the latest;"
-         f" {found['returned and not caught up']:.0f} not before the end", "-", "-"],
+        [
+            "returned and caught up",
+            f"{found['returns']:.0f} returns, {found['return, most, s']:.1f} s at the latest;"
+            f" {found['returned and not caught up']:.0f} not before the end",
+            "-",
+            "-",
+        ],
         ["reachable and never told", f"{found['reachable and never']:.0f}", "0", "-"],
-    ]  # fmt: skip
-    head = ["what", f"{found['gateways']:,.0f} hollow gateways, {found['databases']:,.0f} databases", "budget",
-            "with whole lists (reckoned)"]  # fmt: skip
+    ]
+    head = [
+        "what",
+        f"{found['gateways']:,.0f} hollow gateways, {found['databases']:,.0f} databases",
+        "budget",
+        "with whole lists (reckoned)",
+    ]
     notes = [
         f"{found['versions']:.0f} versions in {found['seconds']:g} s of virtual time: changes come four times, restarts ten"
         " times as often as on a day. Whole lists are reckoned from the file's octets and 4,600 changes a day.",
@@ -155,9 +184,11 @@
     (FOLDER / f"{name}.json").write_text(
         json.dumps({"commit": commit(), "machine": machine(), **found}, indent=1) + "\n"
     )
-    text = f"# The whole fleet: {asked.gateways:,} hollow gateways\n\nTaken on {commit()}; {machine()}. Again:" \
-           f" `python -m benchmarks.scale.whole --gateways {asked.gateways} --databases {asked.databases}" \
-           f" --seconds {asked.seconds:g}`.\n\n" + report(found)  # fmt: skip
+    text = (
+        f"# The whole fleet: {asked.gateways:,} hollow gateways\n\nTaken on {commit()}; {machine()}. Again:"
+        f" `python -m benchmarks.scale.whole --gateways {asked.gateways} --databases {asked.databases}"
+        f" --seconds {asked.seconds:g}`.\n\n" + report(found)
+    )
     (FOLDER / f"{name}.md").write_text(text)
     print(text)
     print(json.dumps(found, indent=1))
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -47,8 +47,16 @@
     groups = {f"g{i}": f"ou=g{i},{BASE}" for i in range(count)}
     members = {name: [(f"{name}-{i}", "norte") for i in range(2)] for name in groups}
     capacity = Capacity(slots=64, queue=1000, read_s=0.0005)
-    return World(reactor, Recorder(), daemon=True, groups=groups, members=members, classes=CLASSES, capacity=capacity,
-                 listener=f"  parts = {PARTS}\n")  # fmt: skip
+    return World(
+        reactor,
+        Recorder(),
+        daemon=True,
+        groups=groups,
+        members=members,
+        classes=CLASSES,
+        capacity=capacity,
+        listener=f"  parts = {PARTS}\n",
+    )
 
 
 def whole(client: Client) -> Deferred[Any]:
@@ -100,8 +108,14 @@
         hand.append(time.perf_counter() - began)
         assert found == wanted
     ratio = statistics.median(b / a for a, b in zip(spread, hand, strict=True))
-    rows.append([str(count), f"{wanted / statistics.median(spread):,.0f}", f"{wanted / statistics.median(hand):,.0f}",
-                 f"{ratio:.2f}"])  # fmt: skip
+    rows.append(
+        [
+            str(count),
+            f"{wanted / statistics.median(spread):,.0f}",
+            f"{wanted / statistics.median(hand):,.0f}",
+            f"{ratio:.2f}",
+        ]
+    )
     for name, factor in (("all well", 1.0), ("one group 200 times slower", 200.0)):
         for server in ("g0-0", "g0-1"):
             world.servers[server].faults.slow = factor
@@ -141,14 +155,28 @@
     reactor.run()
     if failed:
         raise SystemExit(failed[0].getTraceback())
-    notes = [f"Each group: two stand-ins, {ENTRIES} entries; one gateway process; client and stand-ins share the other. By "
-             f"hand: the client asks each group by itself, {PARTS} at once as the gateway does. Ratio: medians of pairs."]  # fmt: skip
-    keep("spread", "Searches that span groups", [
-        table("Entries a second", ["groups", "one search", "by hand", "time by hand / time of one search"], rows, notes),
-        table("Milliseconds to the first entry and the final answer",
-              ["groups", "", "first p50", "first p99", "final p50", "final p99"], slow,
-              ["The first entry is the glue entry's, which the gateway holds itself."]),
-    ])  # fmt: skip
+    notes = [
+        f"Each group: two stand-ins, {ENTRIES} entries; one gateway process; client and stand-ins share the other. By "
+        f"hand: the client asks each group by itself, {PARTS} at once as the gateway does. Ratio: medians of pairs."
+    ]
+    keep(
+        "spread",
+        "Searches that span groups",
+        [
+            table(
+                "Entries a second",
+                ["groups", "one search", "by hand", "time by hand / time of one search"],
+                rows,
+                notes,
+            ),
+            table(
+                "Milliseconds to the first entry and the final answer",
+                ["groups", "", "first p50", "first p99", "final p50", "final p99"],
+                slow,
+                ["The first entry is the glue entry's, which the gateway holds itself."],
+            ),
+        ],
+    )
 
 
 if __name__ == "__main__":
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -17,9 +17,13 @@
 
 @pytest.mark.parametrize(
     ("shape", "value"),
-    [("flat", lambda n: 7.0), ("log", lambda n: 3 + 2 * math.log2(n)), ("linear", lambda n: 5 + 0.5 * n),
-     ("square", lambda n: 5 + 0.01 * n * n)],
-)  # fmt: skip
+    [
+        ("flat", lambda n: 7.0),
+        ("log", lambda n: 3 + 2 * math.log2(n)),
+        ("linear", lambda n: 5 + 0.5 * n),
+        ("square", lambda n: 5 + 0.01 * n * n),
+    ],
+)
 def test_a_law_is_found_with_its_figures(shape, value):
     law = fit(SIZES, [value(size) for size in SIZES])
     assert law.shape == shape and law.at(1800) == pytest.approx(value(1800))
@@ -31,8 +35,10 @@
         fit([8, 8], [1, 1])
 
 
-QUICK = sorted(set(LINES) - {"link-gateways", "join-gateways", "rollout-gateways", "feeds-channels", "map-zones",
-                             "questions-gateways"})  # fmt: skip
+QUICK = sorted(
+    set(LINES)
+    - {"link-gateways", "join-gateways", "rollout-gateways", "feeds-channels", "map-zones", "questions-gateways"}
+)
 
 
 @pytest.mark.parametrize("name", QUICK)
--- a/tests/cluster/channels/test_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -180,10 +180,18 @@
         assert listener.heard[channel][-1][0] > found.gossip.now - SECOND
 
 
-@pytest.mark.parametrize("body", [b"", b"\x93\xa4item", msgspec.msgpack.encode(["item", "a", 1, 1, b"", "g", 1]),
-                                  msgspec.msgpack.encode(["beat", [["notices-0", 1 << 63, 1, 1, "g", 1]]]),
-                                  msgspec.msgpack.encode(["new kind", 1]), msgspec.msgpack.encode(["sets", 5, 3, 2, [], []]),
-                                  msgspec.msgpack.encode(["item", "notices-0", 1 << 60, (1 << 62), b"", "g", 1, None, "later"])])  # fmt: skip
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"\x93\xa4item",
+        msgspec.msgpack.encode(["item", "a", 1, 1, b"", "g", 1]),
+        msgspec.msgpack.encode(["beat", [["notices-0", 1 << 63, 1, 1, "g", 1]]]),
+        msgspec.msgpack.encode(["new kind", 1]),
+        msgspec.msgpack.encode(["sets", 5, 3, 2, [], []]),
+        msgspec.msgpack.encode(["item", "notices-0", 1 << 60, (1 << 62), b"", "g", 1, None, "later"]),
+    ],
+)
 def test_odd_letters_change_nothing(body: bytes) -> None:
     found = fleet(3, 1)
     part = found.running["g0"].part
--- a/tests/cluster/channels/test_fleet.py
+++ b/tests/cluster/channels/test_fleet.py
@@ -132,8 +132,9 @@
     cut(found, [owner], oneway)
     found.run(100 * MS)
     rest = [channel for channel in found.channels if found.owner(channel) != (owner,)]
-    assert found.run_until(lambda: all(found.owner(channel) not in ((), (owner,)) for channel in found.channels),
-                           TERM + 3 * SECOND), rest  # fmt: skip
+    assert found.run_until(
+        lambda: all(found.owner(channel) not in ((), (owner,)) for channel in found.channels), TERM + 3 * SECOND
+    ), rest
     found.gossip.network.end("cut")
     found.run(3 * SECOND)
     assert found.run_until(found.all_owned, TERM + SECOND)
--- a/tests/cluster/channels/test_large_fleet.py
+++ b/tests/cluster/channels/test_large_fleet.py
@@ -12,11 +12,16 @@
     assert found.run_until(found.all_owned, 30 * SECOND)
     assert found.moved() == 4
     found.run(3 * SECOND)
-    children = [len(listener.part.feed.edges.children(found.gossip.own(name), channel))
-                for name, listener in found.running.items() for channel in found.channels]  # fmt: skip
+    children = [
+        len(listener.part.feed.edges.children(found.gossip.own(name), channel))
+        for name, listener in found.running.items()
+        for channel in found.channels
+    ]
     assert max(children) <= 4 * found.options.fan_out
-    leaving, dying = found.owner("notices-0")[0], next(
-        owner for channel in found.channels if (owner := found.owner(channel)[0]) != found.owner("notices-0")[0])  # fmt: skip
+    leaving, dying = (
+        found.owner("notices-0")[0],
+        next(owner for channel in found.channels if (owner := found.owner(channel)[0]) != found.owner("notices-0")[0]),
+    )
     found.stop(leaving)
     assert found.all_owned()
     found.kill(dying)
--- a/tests/cluster/channels/test_positions.py
+++ b/tests/cluster/channels/test_positions.py
@@ -152,8 +152,16 @@
     assert all(one.alone() == [] for one in world.others)
 
 
-@pytest.mark.parametrize("data", [b"", b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x01", b"\x91\x92\xa2n0\x07", b"\xc1",
-                                  b"\x91\x93\xa3new\x07\x81\xa1a\x92\x01\xa1x"])  # fmt: skip
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x01",
+        b"\x91\x92\xa2n0\x07",
+        b"\xc1",
+        b"\x91\x93\xa3new\x07\x81\xa1a\x92\x01\xa1x",
+    ],
+)
 def test_odd_items_and_servers_that_the_list_does_not_name_change_nothing(data: bytes) -> None:
     world = World()
     world.others[0].took(world.now, Delivered(CHANNEL, 1, 1, data, "o", 1))
--- a/tests/cluster/channels/test_service.py
+++ b/tests/cluster/channels/test_service.py
@@ -45,9 +45,12 @@
         part = ChannelPart(node.membership_view, leases, random, self.options, lambda a, b: None)
         log = self.logs[node.name] = Log()
         self.faces[node.name] = Channels(
-            part, reactor=self.clock, now=lambda: self.gossip.own(node.name),
-            prompt=lambda: self.gossip.prompt(node.name), log=log,
-        )  # fmt: skip
+            part,
+            reactor=self.clock,
+            now=lambda: self.gossip.own(node.name),
+            prompt=lambda: self.gossip.prompt(node.name),
+            log=log,
+        )
         return [leases, part]
 
     def run(self, time: int) -> None:
@@ -139,8 +142,10 @@
 
 def test_the_example_publishes_what_it_owns_and_logs_what_it_takes() -> None:
     programs = Programs()
-    notices = {name: Notices(face, programs.clock, programs.logs[name], ["notices-1", "notices-2"], 0.1)
-               for name, face in programs.faces.items()}  # fmt: skip
+    notices = {
+        name: Notices(face, programs.clock, programs.logs[name], ["notices-1", "notices-2"], 0.1)
+        for name, face in programs.faces.items()
+    }
     programs.run(8 * SECOND)
     for log in programs.logs.values():
         items = [facts for event, facts in log.lines if event == "feed_item"]
@@ -174,15 +179,28 @@
     groups, feeds = {}, {}
     for name, face in programs.faces.items():
         group = groups[name] = Group(programs.clock, lambda: round(programs.clock.seconds() * SECOND))
-        feeds[name] = PositionFeeds(name, group, face, programs.options, Random(name), reactor=programs.clock,
-                                    now=group.now, log=programs.logs[name])  # fmt: skip
+        feeds[name] = PositionFeeds(
+            name,
+            group,
+            face,
+            programs.options,
+            Random(name),
+            reactor=programs.clock,
+            now=group.now,
+            log=programs.logs[name],
+        )
         feeds[name].listed(servers)
         feeds[name].start()
     programs.run(12 * SECOND)
     by_asked = sorted(groups.values(), key=lambda group: group.asked)
     assert by_asked[-1].asked > 100 and all(group.asked < 20 for group in by_asked[:2])
-    assert all({(server, started) for server, started, _ in group.told} == {(f"n{n}", 7000) for n in range(3)}
-               for group in by_asked[:2]) and not by_asked[-1].told  # fmt: skip
+    assert (
+        all(
+            {(server, started) for server, started, _ in group.told} == {(f"n{n}", 7000) for n in range(3)}
+            for group in by_asked[:2]
+        )
+        and not by_asked[-1].told
+    )
     for feed in feeds.values():
         feed.listed(servers[:0])
         feed.stop()
--- a/tests/cluster/latency_map/test_measurements.py
+++ b/tests/cluster/latency_map/test_measurements.py
@@ -94,8 +94,13 @@
 
 # Going over
 
-TARGETS = [(), (("b", 5 * MS, 6 * MS),), (("b", 90 * MS, 95 * MS),), (("b", 5 * MS, 6 * MS), ("c", 50 * MS, 60 * MS)),
-           (("b", 90 * MS, 95 * MS), ("c", 3 * MS, 4 * MS))]  # fmt: skip
+TARGETS = [
+    (),
+    (("b", 5 * MS, 6 * MS),),
+    (("b", 90 * MS, 95 * MS),),
+    (("b", 5 * MS, 6 * MS), ("c", 50 * MS, 60 * MS)),
+    (("b", 90 * MS, 95 * MS), ("c", 3 * MS, 4 * MS)),
+]
 GRAIN = 100  # looks a second
 
 
@@ -105,8 +110,11 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(0, 25), st.integers(0, len(TARGETS) - 1)), max_size=8), st.integers(0, 99),
-       st.sampled_from([0.05, 0.1, 0.34, 0.5]))  # fmt: skip
+@given(
+    st.lists(st.tuples(st.integers(0, 25), st.integers(0, len(TARGETS) - 1)), max_size=8),
+    st.integers(0, 99),
+    st.sampled_from([0.05, 0.1, 0.34, 0.5]),
+)
 def test_no_zone_gets_more_than_a_step_more_within_a_second_whatever_the_map_says(moves, seed, step):
     choice, now, picks = Choice(step, Random(seed)), 3600 * SECOND, []
     plan = [target for wait, target in moves for _ in range(wait + 1)] + [0] * 5
--- a/tests/cluster/latency_map/test_reports.py
+++ b/tests/cluster/latency_map/test_reports.py
@@ -42,9 +42,19 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.binary(max_size=80) | st.builds(lambda parts: msgspec.msgpack.encode(parts),
-       st.tuples(st.integers(0, 2), st.integers(-2, 5) | st.floats(), st.integers(0, 4) | st.none(),
-                 st.binary(max_size=24), st.binary(max_size=60))))  # fmt: skip
+@given(
+    st.binary(max_size=80)
+    | st.builds(
+        lambda parts: msgspec.msgpack.encode(parts),
+        st.tuples(
+            st.integers(0, 2),
+            st.integers(-2, 5) | st.floats(),
+            st.integers(0, 4) | st.none(),
+            st.binary(max_size=24),
+            st.binary(max_size=60),
+        ),
+    )
+)
 def test_whatever_comes_in_is_taken_whole_or_dropped_and_no_figure_is_odd(body):
     try:
         told = letter.decode(body, KNOWN)
@@ -71,8 +81,15 @@
 
 # What is believed
 
-CLAIMS = st.builds(Claim, st.integers(LEAST, MOST), st.integers(0, SECOND), st.integers(50 * SECOND, 99 * SECOND),
-                   st.integers(0, 7), st.booleans(), st.tuples(st.integers(1, 3), st.integers(0, 9)))  # fmt: skip
+CLAIMS = st.builds(
+    Claim,
+    st.integers(LEAST, MOST),
+    st.integers(0, SECOND),
+    st.integers(50 * SECOND, 99 * SECOND),
+    st.integers(0, 7),
+    st.booleans(),
+    st.tuples(st.integers(1, 3), st.integers(0, 9)),
+)
 TOLD = st.lists(
     st.tuples(st.sampled_from([("z0", "z1"), ("z1", "z2")]), st.sampled_from("abcdef"), CLAIMS), max_size=20
 )
--- a/tests/cluster/lease/test_electorate.py
+++ b/tests/cluster/lease/test_electorate.py
@@ -15,8 +15,11 @@
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
-@given(st.dictionaries(st.text(min_size=1, max_size=4), st.sampled_from(["", "x", "y", "z"]), min_size=1, max_size=20),
-       st.integers(1, 6), st.text(max_size=8))  # fmt: skip
+@given(
+    st.dictionaries(st.text(min_size=1, max_size=4), st.sampled_from(["", "x", "y", "z"]), min_size=1, max_size=20),
+    st.integers(1, 6),
+    st.text(max_size=8),
+)
 def test_voters_are_few_spread_and_nearly_the_same_when_one_goes(zones, count, resource):
     found = voters_of(resource, zones, count)
     assert len(set(found)) == len(found) == min(count, len(zones))
--- a/tests/cluster/list_distribution/test_files.py
+++ b/tests/cluster/list_distribution/test_files.py
@@ -39,9 +39,15 @@
 
 
 @pytest.mark.parametrize(
-    "spoil", [lambda t: t[:-20], lambda t: t.replace("10.0.0.1", "10.0.0.2", 1), lambda t: t.split("\n", 1)[1],
-              lambda t: t.replace("version 3", "version x"), lambda t: ""],
-)  # fmt: skip
+    "spoil",
+    [
+        lambda t: t[:-20],
+        lambda t: t.replace("10.0.0.1", "10.0.0.2", 1),
+        lambda t: t.split("\n", 1)[1],
+        lambda t: t.replace("version 3", "version x"),
+        lambda t: "",
+    ],
+)
 def test_a_copy_that_is_not_what_its_first_line_says_is_not_trusted(tmp_path, spoil):
     path, log = tmp_path / "list.hcl", Log()
     path.write_text(spoil(text_of(copy_of(SERVERS))))
@@ -115,8 +121,16 @@
     clock.callFromThread = lambda call: None  # the watcher's own look finds the change
     part = DistributionPart(Alone(), Holding(), Random(1), Options(settle=1))
     block = DistributionBlock(file="list.hcl", source="source.hcl")
-    files = DistributionFiles(block, tmp_path, GROUPS, part, reactor=clock, now=lambda: int(clock.seconds() * 1e9),
-                              log=log, prompt=lambda: asked.append(1))  # fmt: skip
+    files = DistributionFiles(
+        block,
+        tmp_path,
+        GROUPS,
+        part,
+        reactor=clock,
+        now=lambda: int(clock.seconds() * 1e9),
+        log=log,
+        prompt=lambda: asked.append(1),
+    )
     (tmp_path / "source.hcl").write_text(render(SERVERS))
     files.start()
     try:
--- a/tests/cluster/list_distribution/test_fleet.py
+++ b/tests/cluster/list_distribution/test_fleet.py
@@ -98,8 +98,14 @@
     assert away[-1][1] == lost[-1][1] == max(fleet.versions())
 
 
-@given(st.lists(st.tuples(st.sampled_from(["want", "kill", "lost", "start", "pause", "resume", "lose", "sound"]),
-                          st.integers(0, 7)), max_size=14))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["want", "kill", "lost", "start", "pause", "resume", "lose", "sound"]), st.integers(0, 7)
+        ),
+        max_size=14,
+    )
+)
 @settings(max_examples=25, deadline=None)
 def test_whatever_happens_to_gateways_the_invariants_hold_and_all_agree_in_the_end(steps):
     fleet = ListFleet(8)
--- a/tests/cluster/list_distribution/test_processes.py
+++ b/tests/cluster/list_distribution/test_processes.py
@@ -92,24 +92,56 @@
         ([holds(2, "g1", 2), holds(3, "g1", 1), OVER], False, "g1 goes back from 1.2 to 1.1"),
         ([holds(2, "g1", 1), step(3, "p"), OVER], False, "what was put up last was never published"),
         ([OVER], False, "what was put up last was never published"),
-        ([step(1, "p"), {"kind": "process", "at": 1.5, "name": "g2", "what": "pause"}, holds(2, "g1", 1),
-          {"kind": "process", "at": 20, "name": "g2", "what": "resume"}, holds(26, "g2", 1), OVER], True, "2 times"),
-        ([step(1, "p"), {"kind": "link", "at": 1.5, "from": "g1", "to": "g2", "sound": False}, holds(2, "g1", 1),
-          {"kind": "link", "at": 20, "from": "g1", "to": "g2", "sound": True}, holds(28, "g2", 1), OVER], False,
-         "g2 does not hold"),
-        ([step(1, "p"), holds(2, "g1", 1), {"kind": "process", "at": 3, "name": "g1", "what": "start"},
-          {"kind": "process", "at": 4, "name": "g1", "what": "ready"}, holds(5, "g1", 0, "z", 0), holds(6, "g1", 1),
-          holds(6, "g2", 1), OVER], True, "1 versions"),
+        (
+            [
+                step(1, "p"),
+                {"kind": "process", "at": 1.5, "name": "g2", "what": "pause"},
+                holds(2, "g1", 1),
+                {"kind": "process", "at": 20, "name": "g2", "what": "resume"},
+                holds(26, "g2", 1),
+                OVER,
+            ],
+            True,
+            "2 times",
+        ),
+        (
+            [
+                step(1, "p"),
+                {"kind": "link", "at": 1.5, "from": "g1", "to": "g2", "sound": False},
+                holds(2, "g1", 1),
+                {"kind": "link", "at": 20, "from": "g1", "to": "g2", "sound": True},
+                holds(28, "g2", 1),
+                OVER,
+            ],
+            False,
+            "g2 does not hold",
+        ),
+        (
+            [
+                step(1, "p"),
+                holds(2, "g1", 1),
+                {"kind": "process", "at": 3, "name": "g1", "what": "start"},
+                {"kind": "process", "at": 4, "name": "g1", "what": "ready"},
+                holds(5, "g1", 0, "z", 0),
+                holds(6, "g1", 1),
+                holds(6, "g2", 1),
+                OVER,
+            ],
+            True,
+            "1 versions",
+        ),
     ],
-)  # fmt: skip
+)
 def test_the_claim_on_its_own(facts, held, seen):
     found = distributed(facts, TWO, ["p"])
     assert found.held is held and seen in found.seen
 
 
 def test_time_begins_anew_with_the_end_of_each_disturbance():
-    facts = [{"kind": "process", "at": at, "name": "g1", "what": what}
-             for at, what in ((1, "pause"), (4, "resume"), (9, "kill"), (12, "ready"))]  # fmt: skip
+    facts = [
+        {"kind": "process", "at": at, "name": "g1", "what": what}
+        for at, what in ((1, "pause"), (4, "resume"), (9, "kill"), (12, "ready"))
+    ]
     spans = disturbed(facts, ["g1"])["g1"]
     assert [(span.begin, span.end) for span in spans] == [(1, 4), (9, 12)]
     assert due(2, 7, spans) == 19 and due(13, 7, spans) == 20 and due(0, 0.5, spans) == 0.5
--- a/tests/cluster/list_distribution/test_replica.py
+++ b/tests/cluster/list_distribution/test_replica.py
@@ -135,13 +135,18 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Have(Version(1, 1), b"short"), Have(Version(-1, 1), bytes(16)), Have(Version(1, 1 << 62), bytes(16)),
-        Fetch(NOTHING, bytes(16), Version(1, 1), -1, 1), Fetch(NOTHING, bytes(16), Version(1, 1), 0, MAX_ASKED + 1),
-        Fetch(NOTHING, bytes(16), Version(1, 1), 0, 0), Piece(Version(1, 1), bytes(16), NOTHING, 1, 1, b"x"),
-        Piece(Version(1, 1), bytes(16), NOTHING, 0, 1, b""), Piece(Version(1, 1), bytes(16), NOTHING, 0, 9999, b"x"),
+        Have(Version(1, 1), b"short"),
+        Have(Version(-1, 1), bytes(16)),
+        Have(Version(1, 1 << 62), bytes(16)),
+        Fetch(NOTHING, bytes(16), Version(1, 1), -1, 1),
+        Fetch(NOTHING, bytes(16), Version(1, 1), 0, MAX_ASKED + 1),
+        Fetch(NOTHING, bytes(16), Version(1, 1), 0, 0),
+        Piece(Version(1, 1), bytes(16), NOTHING, 1, 1, b"x"),
+        Piece(Version(1, 1), bytes(16), NOTHING, 0, 1, b""),
+        Piece(Version(1, 1), bytes(16), NOTHING, 0, 9999, b"x"),
         Piece(Version(1, 1), bytes(16), NOTHING, 0, 1, b"x" * (MAX_PIECE + 1)),
     ],
-)  # fmt: skip
+)
 def test_a_message_beyond_its_bounds_is_dropped(message):
     with pytest.raises(DroppedError) as caught:
         decode(encode(message))
--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -171,8 +171,17 @@
 
 
 def test_the_worst_spoken_of_are_doubted_first():
-    made = told(word("g1", "a-4"), word("g2", "a-4"), word("g3", "a-4"), word("g1", "a-2"), word("g2", "a-2"),
-                word("g1", "a-5"), word("g2", "a-5"), word("g3", "a-5"), word("g4", "a-5"))  # fmt: skip
+    made = told(
+        word("g1", "a-4"),
+        word("g2", "a-4"),
+        word("g3", "a-4"),
+        word("g1", "a-2"),
+        word("g2", "a-2"),
+        word("g1", "a-5"),
+        word("g2", "a-5"),
+        word("g3", "a-5"),
+        word("g4", "a-5"),
+    )
     assert doubted(made) == {"a-4", "a-5"}
 
 
@@ -191,10 +200,19 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.sampled_from(PEERS), st.sampled_from([s.name for s in GROUP]),
-                          st.sampled_from([WELL, SILENT, FAILING, FULL, NOTHING]), st.integers(0, 14_000)), max_size=60),
-       st.dictionaries(st.sampled_from([s.name for s in GROUP]), st.tuples(st.sampled_from([WELL, SILENT]), st.just(0))),
-       st.integers(0, 20))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(PEERS),
+            st.sampled_from([s.name for s in GROUP]),
+            st.sampled_from([WELL, SILENT, FAILING, FULL, NOTHING]),
+            st.integers(0, 14_000),
+        ),
+        max_size=60,
+    ),
+    st.dictionaries(st.sampled_from([s.name for s in GROUP]), st.tuples(st.sampled_from([WELL, SILENT]), st.just(0))),
+    st.integers(0, 20),
+)
 def test_bounds_of_belief_hold_whatever_is_said(words, own, second):
     made, now = evidence(), second * SECOND
     for number, (witness, server, kind, age) in enumerate(words, 1):
@@ -221,8 +239,9 @@
         gossip.at(gossip.now + SECOND // 2, look)
 
     def believers():
-        return [name for name, node in gossip.nodes.items()
-                if doubted(node.evidence, seen.get(name), now=gossip.own(name))]  # fmt: skip
+        return [
+            name for name, node in gossip.nodes.items() if doubted(node.evidence, seen.get(name), now=gossip.own(name))
+        ]
 
     look()
     assert gossip.run_until(lambda: len(believers()) == 28, 15 * SECOND)
--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -86,12 +86,22 @@
     assert sum(node.dropped.values()) == 2
 
 
-@pytest.mark.parametrize("change, reason", [
-    ({"fleet": "other"}, "fleet"), ({"sender": "g9"}, "stranger"), ({"sender": "g0"}, "stranger"),
-    ({"kind": "shout"}, "shape"), ({"boot_epoch": 0}, "shape"), ({"boot_epoch": 8}, "shape"), ({"incarnation": 2**60}, "shape"),
-    ({"sequence": 0}, "shape"), ({"news": (MembershipUpdate("g2", 4, 1, "g1"),)}, "shape"),
-    ({"news": (MembershipUpdate("g2", 1, 0, "g1"),)}, "shape"), ({"counts": (CounterValue("x", 1, -1),)}, "shape"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "change, reason",
+    [
+        ({"fleet": "other"}, "fleet"),
+        ({"sender": "g9"}, "stranger"),
+        ({"sender": "g0"}, "stranger"),
+        ({"kind": "shout"}, "shape"),
+        ({"boot_epoch": 0}, "shape"),
+        ({"boot_epoch": 8}, "shape"),
+        ({"incarnation": 2**60}, "shape"),
+        ({"sequence": 0}, "shape"),
+        ({"news": (MembershipUpdate("g2", 4, 1, "g1"),)}, "shape"),
+        ({"news": (MembershipUpdate("g2", 1, 0, "g1"),)}, "shape"),
+        ({"counts": (CounterValue("x", 1, -1),)}, "shape"),
+    ],
+)
 def test_what_is_signed_and_wrong_is_dropped_by_its_reason(change, reason):
     import msgspec
 
@@ -103,8 +113,12 @@
 
 def test_another_version_and_another_key_are_ignored():
     data = encode(PLAIN, [KEY])
-    for spoilt, reason in ((data[:2] + b"\x02" + data[3:], "version"), (b"zz" + data[2:], "magic"),
-                           (encode(PLAIN, [OTHER]), "digest"), (data + bytes(1200), "size")):  # fmt: skip
+    for spoilt, reason in (
+        (data[:2] + b"\x02" + data[3:], "version"),
+        (b"zz" + data[2:], "magic"),
+        (encode(PLAIN, [OTHER]), "digest"),
+        (data + bytes(1200), "size"),
+    ):
         with pytest.raises(DroppedError, match=reason):
             decode(spoilt, [KEY], FLEET)
     with pytest.raises(ValueError, match="1200 allowed"):
@@ -230,8 +244,7 @@
     gossip = fleet(seed=5)
     for number, (one, other) in enumerate(PARTITIONS[shape]):
         cut(gossip, f"{shape} {number}", one, other)
-    reach = {(a, b) for a in NAMES for b in NAMES
-             if gossip.network.effect(a, b) == Effect() and a != b}  # fmt: skip
+    reach = {(a, b) for a in NAMES for b in NAMES if gossip.network.effect(a, b) == Effect() and a != b}
 
     def sides_agree():
         return all(
@@ -385,8 +398,13 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.sampled_from(["set", "tell", "again", "restart"]), st.integers(0, 5), st.integers(0, 9)),
-                max_size=40), st.randoms(use_true_random=False))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["set", "tell", "again", "restart"]), st.integers(0, 5), st.integers(0, 9)),
+        max_size=40,
+    ),
+    st.randoms(use_true_random=False),
+)
 def test_nothing_is_counted_twice_whatever_comes_late_or_again(moves, random):
     here, there, boot_epoch, under_way = Register(), Register(), 1, []
     here.listed({"g1"})
--- a/tests/cluster/peers/test_processes.py
+++ b/tests/cluster/peers/test_processes.py
@@ -17,8 +17,10 @@
 
 SCENARIO = check_text(
     'title = "t"\nfleet {\n  gateways = 3\n  peers = true\n}\ngroup "a" {\n  suffix = "dc=a"\n}\n'
-    'claim "r" {\n  kind = "rules"\n}\n', "s", SHAPE,
-)  # fmt: skip
+    'claim "r" {\n  kind = "rules"\n}\n',
+    "s",
+    SHAPE,
+)
 SERVER = 'count = 1\nserver "a-1" {\n  group = "a"\n  address = "127.0.0.1"\n  port = 9\n  primary = true\n}\n'
 KEY = "ab" * 16
 
@@ -178,9 +180,10 @@
     made = Process(tmp_path / "g1")
     good = made.file.read_text()
     for change, fault in (
-        (('fleet = "rig"', 'fleet = "r g"'), "peers: fleet"), (('timeout = "50ms"', 'timeout = "150ms"'), "half of period"),
+        (('fleet = "rig"', 'fleet = "r g"'), "peers: fleet"),
+        (('timeout = "50ms"', 'timeout = "150ms"'), "half of period"),
         (('fleet = "rig"', "color = 3"), "peers: color: unknown key"),
-    ):  # fmt: skip
+    ):
         made.file.write_text(good.replace(*change))
         found = CliRunner().invoke(main, ["check", str(made.file)])
         assert found.exit_code == 2 and f"{made.file}:" in found.output and fault.split(": ")[-1] in found.output
@@ -197,8 +200,9 @@
             'fleet = "rig"\n  port = 0', f'fleet = "rig"\n  port = {taken.getsockname()[1]}'
         )
         made.file.write_text(text)
-        done = subprocess.run([sys.executable, "-m", "yardbank", "serve", str(made.file)], capture_output=True, text=True,
-                              check=False)  # fmt: skip
+        done = subprocess.run(
+            [sys.executable, "-m", "yardbank", "serve", str(made.file)], capture_output=True, text=True, check=False
+        )
     assert done.returncode == 2 and "cannot listen" in done.stderr and "Traceback" not in done.stderr
 
 
@@ -223,8 +227,13 @@
     (rejected,) = watch.seen(120, {"p": cut})
     assert rejected == Reject(("p:1: count: 2 peers are promised, 1 are there",))
     assert watch.seen(500, {"p": cut}) == [] and watch.due() is None and len(watch.places) == 2
-    for text, fault in ((b"\xff", "p:1: not UTF-8"), (b" \n", "p:1: is empty"), (b"peer {", "p:"), (good + good, "is given twice"),
-                        (good.replace(b"port = 2", b"port = 1"), 'has the address of peer "g1"')):  # fmt: skip
+    for text, fault in (
+        (b"\xff", "p:1: not UTF-8"),
+        (b" \n", "p:1: is empty"),
+        (b"peer {", "p:"),
+        (good + good, "is given twice"),
+        (good.replace(b"port = 2", b"port = 1"), 'has the address of peer "g1"'),
+    ):
         watch.seen(1000, {"p": text})
         (rejected,) = watch.seen(2000, {"p": text})
         assert any(fault in line for line in rejected.faults)
--- a/tests/cluster/rollout/test_actuator.py
+++ b/tests/cluster/rollout/test_actuator.py
@@ -50,8 +50,19 @@
     given.write_text(SETTINGS.read_text())
     (folder / "new.hcl").write_text(SETTINGS.read_text() + BLOCKS)
     part, log = Part(), Log()
-    made = Actuator(part, given, RolloutBlock(), force or ActiveVersion(), reactor=None, now=lambda: 5, wall=lambda: 9.0, log=log,
-                    prompt=lambda: None, reload=reload, leave=leave)  # fmt: skip
+    made = Actuator(
+        part,
+        given,
+        RolloutBlock(),
+        force or ActiveVersion(),
+        reactor=None,
+        now=lambda: 5,
+        wall=lambda: 9.0,
+        log=log,
+        prompt=lambda: None,
+        reload=reload,
+        leave=leave,
+    )
     return made, part, log, Version("a", 5, "new.hcl", "", name_of(folder / "new.hcl", ""))
 
 
--- a/tests/cluster/rollout/test_false_records.py
+++ b/tests/cluster/rollout/test_false_records.py
@@ -50,8 +50,11 @@
         world = worse(begun(8, asked=change(longest=200 * SECOND)), Kind(failed=0.15))
         assert moved(world)
         pair = world.processes["g000"].part._progress.trial.pairs[0]
-        good = lambda said: msgspec.structs.replace(said, cells=tuple(  # noqa: E731
-            Cell(c.name, sum(c.counts()), 0, 0, 0, 0) for c in said.cells))  # fmt: skip
+
+        def good(record):
+            cells = tuple(Cell(cell.name, sum(cell.counts()), 0, 0, 0, 0) for cell in record.cells)
+            return msgspec.structs.replace(record, cells=cells)
+
         lie(world, pair.old if liar else pair.new, bad if liar else good)
         world.run(250)
         assert not world.said("well") and len(world.on_new()) <= 2
@@ -79,9 +82,14 @@
     (found,) = records(letter([later]))
     assert found == (plain, later)
     assert records(msgspec.msgpack.encode(["another kind", 1])) == []
-    for odd in (b"", b"\xc1", msgspec.msgpack.encode([]), letter([encoded(msgspec.structs.replace(plain, boot_epoch=0))]),
-                letter([encoded(msgspec.structs.replace(plain, stop="x" * 99))]),
-                letter([encoded(msgspec.structs.replace(plain, cells=plain.cells * 2))])):  # fmt: skip
+    for odd in (
+        b"",
+        b"\xc1",
+        msgspec.msgpack.encode([]),
+        letter([encoded(msgspec.structs.replace(plain, boot_epoch=0))]),
+        letter([encoded(msgspec.structs.replace(plain, stop="x" * 99))]),
+        letter([encoded(msgspec.structs.replace(plain, cells=plain.cells * 2))]),
+    ):
         with pytest.raises(DroppedError):
             records(odd)
     data = letter([encoded(plain)])
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -69,8 +69,9 @@
     before = world.kinds
     if how == "under load":  # the load meets both versions
         world.kinds = lambda name, new, second: {
-            **before(name, new, second), WRITE: kind if new and second > 70 else Kind(rate=120 if second > 70 else 30)
-        }  # fmt: skip
+            **before(name, new, second),
+            WRITE: kind if new and second > 70 else Kind(rate=120 if second > 70 else 30),
+        }
     if how == "at the tail":
         world.kinds = lambda name, new, second: {WRITE: kind if new else Kind(rate=120)}
     assert stopped(world)
@@ -139,8 +140,9 @@
     """The new promise is easier to keep; what both have decides, and here it does worse."""
     world = begun(8)
     world.kinds = lambda name, new, second: {
-        "lookup:1" if new else "lookup:0": Kind(late=0.0), WRITE: Kind(late=0.12 if new else 0.01)
-    }  # fmt: skip
+        "lookup:1" if new else "lookup:0": Kind(late=0.0),
+        WRITE: Kind(late=0.12 if new else 0.01),
+    }
     assert stopped(world)
     assert {turn.why.rpartition(" ")[2] for _, _, turn in world.said("stopped")} == {"write"}
     alone = begun(8, asked=change(longest=60 * SECOND))
--- a/tests/cluster/rollout/test_processes.py
+++ b/tests/cluster/rollout/test_processes.py
@@ -43,8 +43,13 @@
                 ' timeout = "150ms"\n}\nstate {\n path = "state"\n}\nrollout {\n young = "2s"\n}\n'
             )
             put(name, "g.hcl", text)
-            put(name, "new.hcl", text.replace("limits {", "limits {\n  max_open = 9999", 1) if "limits {" in text
-                else text + "limits {\n  max_open = 9999\n}\n")  # fmt: skip
+            put(
+                name,
+                "new.hcl",
+                text.replace("limits {", "limits {\n  max_open = 9999", 1)
+                if "limits {" in text
+                else text + "limits {\n  max_open = 9999\n}\n",
+            )
 
         def events(name, event):
             lines = (tmp_path / name / "log").read_text().splitlines()
@@ -76,8 +81,11 @@
             assert first in on_new() and len(events(first, "worker_anew")) == 1
             assert events(first, "worker_started")[-1]["rollout"] == "r1"
             for name in NAMES[:2]:
-                done = subprocess.run([sys.executable, "-m", "yardbank", "rollout", "stop", str(tmp_path / name / "g.hcl"), "r1"],
-                                      check=False, capture_output=True)  # fmt: skip
+                done = subprocess.run(
+                    [sys.executable, "-m", "yardbank", "rollout", "stop", str(tmp_path / name / "g.hcl"), "r1"],
+                    check=False,
+                    capture_output=True,
+                )
                 assert done.returncode == 0, done.stderr
             wait_for(lambda: all("stopped" in whats(name) for name in NAMES), 60)
             wait_for(lambda: not on_new() and "old" in whats(first), 120)
--- a/tests/cluster/rollout/test_sequential_test.py
+++ b/tests/cluster/rollout/test_sequential_test.py
@@ -99,9 +99,11 @@
 
 # Who goes when
 
-FLEET = st.integers(1, 60).flatmap(
-    lambda size: st.lists(st.sampled_from("abcdefg"), min_size=size, max_size=size)
-).map(lambda zones: {f"g{number}": zone for number, zone in enumerate(zones)})  # fmt: skip
+FLEET = (
+    st.integers(1, 60)
+    .flatmap(lambda size: st.lists(st.sampled_from("abcdefg"), min_size=size, max_size=size))
+    .map(lambda zones: {f"g{number}": zone for number, zone in enumerate(zones)})
+)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -77,12 +77,15 @@
     assert caught.value.faults == [f"g.hcl:{line}: {block}: needs a peers block"]
 
 
-@pytest.mark.parametrize("change, fault", [
-    (('term    = "3s"', 'term    = "900ms"'), "leases: overlap is nothing, or more than half of term"),
-    (("voters  = 3", "voters  = 9"), "leases.voters: Input should be less than or equal to 7"),
-    (("drift   = 0.02", "drift   = 0.5"), "leases.drift: Input should be less than or equal to 0.2"),
-    (('young = "30s"', 'young = 30'), 'rollout.young: a duration such as "500ms" or "3s" is wanted'),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "change, fault",
+    [
+        (('term    = "3s"', 'term    = "900ms"'), "leases: overlap is nothing, or more than half of term"),
+        (("voters  = 3", "voters  = 9"), "leases.voters: Input should be less than or equal to 7"),
+        (("drift   = 0.02", "drift   = 0.5"), "leases.drift: Input should be less than or equal to 0.2"),
+        (('young = "30s"', "young = 30"), 'rollout.young: a duration such as "500ms" or "3s" is wanted'),
+    ],
+)
 def test_what_does_not_fit_is_one_fault_with_its_field(change, fault):
     with pytest.raises(ConfigError) as caught:
         load_text(TOGETHER.replace(*change), "g.hcl")
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -99,8 +99,12 @@
     made = build.settings(load_text(TEXT), workers=3)
     assert made.gateways == 6 and made.cold == 18 * 10**9 and made.zone == "norte"
     assert [kind.name for kind in made.classes] == [
-        "route-lookup", "request-status", "port-commit", "strict-read", "strict-write",
-    ]  # fmt: skip
+        "route-lookup",
+        "request-status",
+        "port-commit",
+        "strict-read",
+        "strict-write",
+    ]
 
 
 LOOKUP = m.SearchRequest("cn=1,OU=numbers, dc=porting", 0, filters.parse("(cn=1)"))
--- a/tests/gateway/test_race_attempts.py
+++ b/tests/gateway/test_race_attempts.py
@@ -161,9 +161,12 @@
 def test_a_repeat_after_what_never_ran_needs_no_window():
     place = Place(LONE, COPY, router=Scripted)
     place.router.script = lambda event: (
-        [Send(event.id, 1, 1 << 62)] if type(event).__name__ == "Request" else
-        [Send(event.id, 2, 1 << 62)] if isinstance(event, Outcome) else []
-    )  # fmt: skip
+        [Send(event.id, 1, 1 << 62)]
+        if type(event).__name__ == "Request"
+        else [Send(event.id, 2, 1 << 62)]
+        if isinstance(event, Outcome)
+        else []
+    )
     place.ask("write")
     place.backend.waiting[0][2]("refused")
     place.clock.rightNow += 60
--- a/tests/gateway/test_race_lists.py
+++ b/tests/gateway/test_race_lists.py
@@ -14,9 +14,12 @@
 def test_a_list_that_lies_unread_is_taken_in_before_the_write(turn, opens):
     place = Place(LONE, COPY, router=Scripted)
     place.router.script = lambda event: (
-        [Send(event.id, 1, event.expires)] if type(event).__name__ == "Request" else
-        [Send(event.id, 2, 1 << 62)] if isinstance(event, Outcome) and event.status == "moot" else []
-    )  # fmt: skip
+        [Send(event.id, 1, event.expires)]
+        if type(event).__name__ == "Request"
+        else [Send(event.id, 2, 1 << 62)]
+        if isinstance(event, Outcome) and event.status == "moot"
+        else []
+    )
     if not opens:
         place.ask()
         place.up().answer()
@@ -53,7 +56,7 @@
     place = Place(router=Scripted)
     place.router.script = lambda event: (
         [Send(place.number, 1, 1 << 62)] if isinstance(event, ServerList) and place.router.events[1:] else []
-    )  # fmt: skip
+    )
     place.ask()
     place.gateway.apply_changes({"p": DRAINS})
     place.up()
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -1,9 +1,9 @@
 """Letters of the map of round trips; figures are rounded on the way, so what is read differs from what was given."""
 
 from tests.golden.cases import each, load
-from yardbank.atlas.firsthand import DOUBTFUL, SLOW, WELL
-from yardbank.atlas.letter import Entry, Told, decode, digest, encode
-from yardbank.atlas.part import AtlasPart
+from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL
+from yardbank.cluster.latency_map.messages import Entry, Told, decode, digest, encode
+from yardbank.cluster.latency_map.part import AtlasPart
 
 
 def entry(value, spread, age, witnesses):
--- a/tests/golden/test_golden_channels.py
+++ b/tests/golden/test_golden_channels.py
@@ -1,22 +1,43 @@
 """Letters of channels."""
 
 from tests.golden.cases import each, load
-from yardbank.channels.members import Members
-from yardbank.channels.part import ChannelPart
-from yardbank.channels.wire import Again, AskEnd, Beat, EndedAt, Have, Item, Me, Sets, State, Subscribe, Take, What, Who
-from yardbank.channels.wire import decode as read
-from yardbank.channels.wire import encode as write
+from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.messages import (
+    Again,
+    AskEnd,
+    Beat,
+    EndedAt,
+    Have,
+    Item,
+    Me,
+    Sets,
+    State,
+    Subscribe,
+    Take,
+    What,
+    Who,
+)
+from yardbank.cluster.channels.messages import decode as read
+from yardbank.cluster.channels.messages import encode as write
+from yardbank.cluster.channels.part import ChannelPart
 
 
-def state(channel, epoch, sequence, age, owner, life, after):
+def state(channel, epoch, sequence, age, owner, boot_epoch, after):
     place = after and tuple(after)
-    return State(channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, life=life, after=place)
+    return State(
+        channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, boot_epoch=boot_epoch, after=place
+    )
 
 
 LETTERS = {
-    "item": lambda channel, epoch, sequence, data, owner, life, after: Item(
-        channel=channel, epoch=epoch, sequence=sequence, data=bytes.fromhex(data),
-        owner=owner, life=life, after=after and tuple(after),
+    "item": lambda channel, epoch, sequence, data, owner, boot_epoch, after: Item(
+        channel=channel,
+        epoch=epoch,
+        sequence=sequence,
+        data=bytes.fromhex(data),
+        owner=owner,
+        boot_epoch=boot_epoch,
+        after=after and tuple(after),
     ),
     "heartbeat": lambda states: Beat(states=tuple(state(*values) for values in states)),
     "subscribe": lambda channels: Subscribe(
@@ -34,7 +55,7 @@
     "interest set": lambda digest, part, parts, owns, follows: Sets(
         sets=digest, part=part, parts=parts, owns=tuple(owns), follows=tuple(follows)
     ),
-}  # fmt: skip
+}
 
 
 @each("channels", "letters")
--- a/tests/golden/test_golden_distribution.py
+++ b/tests/golden/test_golden_distribution.py
@@ -4,13 +4,13 @@
 from unittest.mock import Mock
 
 from tests.golden.cases import each, load
-from yardbank.distribution.document import entries_of, text_of
-from yardbank.distribution.messages import Fetch, Have, Piece, decode, encode
-from yardbank.distribution.part import RESOURCE, DistributionPart
-from yardbank.distribution.shell import stored_table
-from yardbank.distribution.table import Entry, Increment
-from yardbank.distribution.transfer import Assembly, split
-from yardbank.distribution.version import Version
+from yardbank.cluster.list_distribution.document import entries_of, text_of
+from yardbank.cluster.list_distribution.files import stored_table
+from yardbank.cluster.list_distribution.messages import Fetch, Have, Piece, decode, encode
+from yardbank.cluster.list_distribution.part import RESOURCE, DistributionPart
+from yardbank.cluster.list_distribution.table import Entry, Increment
+from yardbank.cluster.list_distribution.transfer import Assembly, split
+from yardbank.cluster.list_distribution.version import Version
 
 
 def version(values):
@@ -24,10 +24,14 @@
         base=version(base), base_digest=bytes.fromhex(digest), version=version(wanted), first=first, count=count
     ),
     "chunk": lambda held, digest, base, index, count, body: Piece(
-        version=version(held), digest=bytes.fromhex(digest), base=version(base),
-        index=index, count=count, body=bytes.fromhex(body),
+        version=version(held),
+        digest=bytes.fromhex(digest),
+        base=version(base),
+        index=index,
+        count=count,
+        body=bytes.fromhex(body),
     ),
-}  # fmt: skip
+}
 
 
 @each("distribution", "letters")
--- a/tests/golden/test_golden_lease.py
+++ b/tests/golden/test_golden_lease.py
@@ -4,9 +4,8 @@
 from unittest.mock import Mock
 
 from tests.golden.cases import each, load
-from yardbank.lease import Terms
-from yardbank.lease.part import LeasePart
-from yardbank.lease.words import (
+from yardbank.cluster.lease import LeaseTerms
+from yardbank.cluster.lease.messages import (
     FAR,
     FULL,
     GRANTED,
@@ -26,27 +25,43 @@
     decode,
     encode,
 )
-from yardbank.peers.node import GossipNode
-from yardbank.peers.parts import Keep
+from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.peers.node import GossipNode
+from yardbank.cluster.peers.parts import KeyValueStore
 
 LETTERS = {
-    "vote request": lambda resource, life, number, epoch, renewal, current, past: Ask(
-        resource=resource, life=life, number=number, epoch=epoch, renewal=renewal, list=current, past=tuple(past)
+    "vote request": lambda resource, boot_epoch, number, epoch, renewal, current, past: Ask(
+        resource=resource,
+        boot_epoch=boot_epoch,
+        number=number,
+        epoch=epoch,
+        renewal=renewal,
+        list=current,
+        past=tuple(past),
     ),
-    "vote reply": lambda resource, life, number, verdict, top, current, older, holder, left: Answer(
-        resource=resource, life=life, number=number, verdict=verdict, top=top,
-        list=current, older=tuple(older), holder=holder, left=left,
+    "vote reply": lambda resource, boot_epoch, number, verdict, top, current, older, holder, left: Answer(
+        resource=resource,
+        boot_epoch=boot_epoch,
+        number=number,
+        verdict=verdict,
+        top=top,
+        list=current,
+        older=tuple(older),
+        holder=holder,
+        left=left,
     ),
-    "release": lambda resource, life, number, epoch: Release(resource=resource, life=life, number=number, epoch=epoch),
-    "successor": lambda resource, life, number, epoch, to: NextIs(
-        resource=resource, life=life, number=number, epoch=epoch, next=to
+    "release": lambda resource, boot_epoch, number, epoch: Release(
+        resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch
+    ),
+    "successor": lambda resource, boot_epoch, number, epoch, to: NextIs(
+        resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch, next=to
     ),
     "transfer offer": lambda resource, epoch: Offer(resource=resource, epoch=epoch),
     "transfer done": lambda resource, epoch: Took(resource=resource, epoch=epoch),
     "status": lambda resource, current, older, top, answer: Hello(
         resource=resource, list=current, older=tuple(older), top=top, answer=answer
     ),
-}  # fmt: skip
+}
 
 
 @each("lease", "letters")
@@ -58,12 +73,14 @@
 
 @each("lease", "memory")
 def test_stored_memory_keeps_its_octets(octets, meaning):
-    life, (term, drift, overlap, voters), zones, epoch, lists, longest = meaning
-    storage = Mock(spec=Keep)
+    boot_epoch, (term, drift, overlap, voters), zones, epoch, lists, longest = meaning
+    storage = Mock(spec=KeyValueStore)
     storage.load.return_value = octets
-    node = GossipNode("g1", "fleet", [], life, Random(1))
+    node = GossipNode("g1", "fleet", [], boot_epoch, Random(1))
     node.listed(0, zones, zones)
-    part = LeasePart(node.sight, Terms(term=term, drift=drift, overlap=overlap, voters=voters), Random(1), storage)
+    part = LeasePart(
+        node.membership_view, LeaseTerms(term=term, drift=drift, overlap=overlap, voters=voters), Random(1), storage
+    )
     part.listed(0)
     assert (part.epochs.top, part.lists.long) == (epoch, longest)
     assert part.lists.kept() == [tuple(one) for one in lists]
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -3,38 +3,61 @@
 from unittest.mock import Mock
 
 from tests.golden.cases import each, load
+from yardbank.cluster.peers.batch import Item, Parcel
+from yardbank.cluster.peers.batch import decode as decode_parcel
+from yardbank.cluster.peers.batch import encode as encode_parcel
+from yardbank.cluster.peers.datagram import (
+    ACK,
+    ALIVE,
+    ASK,
+    GONE,
+    NACK,
+    PING,
+    SUSPECT,
+    CounterValue,
+    Datagram,
+    HealthReport,
+    MembershipUpdate,
+    read_keys,
+)
+from yardbank.cluster.peers.datagram import decode as decode_datagram
+from yardbank.cluster.peers.datagram import encode as encode_datagram
+from yardbank.cluster.peers.file_store import FileStore
+from yardbank.cluster.peers.report_store import FAILING, FULL, NOTHING, SILENT, WELL
+from yardbank.cluster.peers.transport import Peers
 from yardbank.config.blocks import PeersBlock
-from yardbank.peers.datagram import ACK, ALIVE, ASK, GONE, NACK, PING, SUSPECT, Count, Datagram, News, Word, read_keys
-from yardbank.peers.datagram import decode as decode_datagram
-from yardbank.peers.datagram import encode as encode_datagram
-from yardbank.peers.evidence import FAILING, FULL, NOTHING, SILENT, WELL
-from yardbank.peers.keeping import FileKeep
-from yardbank.peers.parcel import Item, Parcel
-from yardbank.peers.parcel import decode as decode_parcel
-from yardbank.peers.parcel import encode as encode_parcel
-from yardbank.peers.shell import Peers
 
 DATA = load("peers")
 KEYS = read_keys(DATA["key_file"])
 
 
-def word(witness, life, number, server, started, kind, age):
-    return Word(witness=witness, life=life, number=number, server=server, started=started, kind=kind, age=age)
+def word(witness, boot_epoch, number, server, started, kind, age):
+    return HealthReport(
+        witness=witness, boot_epoch=boot_epoch, number=number, server=server, started=started, kind=kind, age=age
+    )
 
 
-def datagram(fleet, sender, life, incarnation, sequence, kind, number, target, news, counts, words):
+def datagram(fleet, sender, boot_epoch, incarnation, sequence, kind, number, target, news, counts, words):
     return Datagram(
-        fleet=fleet, sender=sender, life=life, incarnation=incarnation, sequence=sequence,
-        kind=kind, number=number, target=target,
-        news=tuple(News(name=one, state=two, incarnation=three, witness=four) for one, two, three, four in news),
-        counts=tuple(Count(key=key, version=version, value=value) for key, version, value in counts),
+        fleet=fleet,
+        sender=sender,
+        boot_epoch=boot_epoch,
+        incarnation=incarnation,
+        sequence=sequence,
+        kind=kind,
+        number=number,
+        target=target,
+        news=tuple(
+            MembershipUpdate(name=one, state=two, incarnation=three, witness=four) for one, two, three, four in news
+        ),
+        counts=tuple(CounterValue(key=key, version=version, value=value) for key, version, value in counts),
         words=tuple(word(*values) for values in words),
-    )  # fmt: skip
+    )
 
 
-def parcel(fleet, sender, life, sequence, letters):
+def parcel(fleet, sender, boot_epoch, sequence, letters):
     items = tuple(Item(topic=topic, body=bytes.fromhex(body)) for topic, body in letters)
-    return Parcel(fleet=fleet, sender=sender, life=life, sequence=sequence, items=items)
+    return Parcel(fleet=fleet, sender=sender, boot_epoch=boot_epoch, sequence=sequence, items=items)
 
 
 @each("peers", "datagrams")
@@ -58,14 +81,14 @@
 @each("peers", "files")
 def test_the_file_of_a_part_keeps_its_octets(octets, meaning, tmp_path):
     (tmp_path / "old").write_bytes(octets)
-    assert FileKeep(tmp_path / "old", Mock()).load() == bytes.fromhex(meaning)
-    assert FileKeep(tmp_path / "new", Mock()).save(bytes.fromhex(meaning))
+    assert FileStore(tmp_path / "old", Mock()).load() == bytes.fromhex(meaning)
+    assert FileStore(tmp_path / "new", Mock()).save(bytes.fromhex(meaning))
     assert (tmp_path / "new").read_bytes() == octets
 
 
 @each("peers", "lives")
 def test_the_number_of_a_start_follows_the_stored_one(octets, meaning, tmp_path):
-    stored, wall, life = meaning
+    stored, wall, boot_epoch = meaning
     if stored is not None:
         (tmp_path / "peers-life").write_bytes(bytes.fromhex(stored))
     (tmp_path / "key").write_text(DATA["key_file"])
@@ -73,5 +96,5 @@
     peers = Peers(
         block, tmp_path, tmp_path, reactor=Mock(), now=Mock(), wall=lambda: wall, seed=1, log=Mock(), sharing=Mock()
     )
-    assert peers.node.detector.life == life
+    assert peers.node.detector.boot_epoch == boot_epoch
     assert (tmp_path / "peers-life").read_bytes() == octets
--- a/tests/golden/test_golden_rollout.py
+++ b/tests/golden/test_golden_rollout.py
@@ -3,14 +3,14 @@
 from unittest.mock import Mock
 
 from tests.golden.cases import each, load
-from yardbank.peers.parts import Keep
-from yardbank.rollout.document import SHAPE, Change, taken
-from yardbank.rollout.force import Force, Version, read, write
-from yardbank.rollout.mover import Mover
-from yardbank.rollout.own import Memory, Options, remembered
-from yardbank.rollout.part import RolloutPart
-from yardbank.rollout.place import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
-from yardbank.rollout.said import Cell, Said, encoded, letter, records
+from yardbank.cluster.peers.parts import KeyValueStore
+from yardbank.cluster.rollout.active_version import ActiveVersion, Version, read, write
+from yardbank.cluster.rollout.document import SHAPE, Change, taken
+from yardbank.cluster.rollout.local_state import Memory, Options, remembered
+from yardbank.cluster.rollout.part import RolloutPart
+from yardbank.cluster.rollout.phase import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
+from yardbank.cluster.rollout.record import Cell, GatewayRecord, encoded, letter, records
+from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 DATA = load("rollout")
 
@@ -28,11 +28,22 @@
     return Cell(name=name, good=good, late=late, refused=refused, failed=failed, left=left, p99=p99)
 
 
-def record(owner, life, number, rollout, mark, place, running, stop, beat, slow, restarts, memory, cells):
-    return Said(
-        owner=owner, life=life, number=number, rollout=rollout, mark=mark, place=place, version=running, stop=stop,
-        beat=beat, slow=slow, restarts=restarts, memory=memory, cells=tuple(cell(*values) for values in cells),
-    )  # fmt: skip
+def record(owner, boot_epoch, number, rollout, mark, place, running, stop, beat, slow, restarts, memory, cells):
+    return GatewayRecord(
+        owner=owner,
+        boot_epoch=boot_epoch,
+        number=number,
+        rollout=rollout,
+        mark=mark,
+        place=place,
+        version=running,
+        stop=stop,
+        beat=beat,
+        slow=slow,
+        restarts=restarts,
+        memory=memory,
+        cells=tuple(cell(*values) for values in cells),
+    )
 
 
 @each("rollout", "changes")
@@ -47,17 +58,17 @@
 @each("rollout", "memory")
 def test_stored_memory_keeps_its_octets(octets, meaning):
     values, (rollout, mark), stored = meaning
-    storage = Mock(spec=Keep)
+    storage = Mock(spec=KeyValueStore)
     storage.load.return_value = octets
     assert remembered(storage) == memory(*values)
-    Mover(Mock(), storage, Options(force=Force(now=Version(rollout=rollout, mark=mark)))).begun(0)
+    RolloutStateMachine(Mock(), storage, Options(force=ActiveVersion(now=Version(rollout=rollout, mark=mark)))).begun(0)
     storage.save.assert_called_once_with(bytes.fromhex(stored))  # a start changes at most the place
 
 
 @each("rollout", "in_force")
 def test_the_file_of_the_version_in_force_keeps_its_octets(octets, meaning, tmp_path):
     now, before, restarts, changed, fell, fell_from = meaning
-    force = Force(
+    force = ActiveVersion(
         now=version(*now), before=version(*before), restarts=restarts, changed=changed, fell=fell, fell_from=fell_from
     )
     (tmp_path / DATA["file"]).write_bytes(octets)
--- a/tests/golden/test_golden_state.py
+++ b/tests/golden/test_golden_state.py
@@ -11,16 +11,29 @@
 
 def server(name, group, zone, host, port, primary, state, started, weight, marks):
     return ServerState(
-        name=name, group=group, zone=zone, host=host, port=port, primary=primary, state=state, started=started,
-        weight=weight, marks=marks,
-    )  # fmt: skip
+        name=name,
+        group=group,
+        zone=zone,
+        host=host,
+        port=port,
+        primary=primary,
+        state=state,
+        started=started,
+        weight=weight,
+        marks=marks,
+    )
 
 
 def snapshot(written, version, digest, clean, servers, groups, generation):
     return Snapshot(
-        written=written, version=version, digest=digest, clean=clean, servers=[server(*values) for values in servers],
-        groups=[GroupState(name=name, marks=marks) for name, marks in groups], generation=generation,
-    )  # fmt: skip
+        written=written,
+        version=version,
+        digest=digest,
+        clean=clean,
+        servers=[server(*values) for values in servers],
+        groups=[GroupState(name=name, marks=marks) for name, marks in groups],
+        generation=generation,
+    )
 
 
 @each("state", "snapshots")
--- a/tests/ldap/test_codec.py
+++ b/tests/ldap/test_codec.py
@@ -44,8 +44,15 @@
     st.builds(m.BindRequest, TEXT, st.none(), NAME, st.none() | OCTETS),
     st.just(m.UnbindRequest()),
     st.builds(
-        m.SearchRequest, TEXT, st.integers(0, 2), FILTER, st.lists(NAME, max_size=3).map(tuple), COUNT, COUNT,
-        st.booleans(), st.integers(0, 3),
+        m.SearchRequest,
+        TEXT,
+        st.integers(0, 2),
+        FILTER,
+        st.lists(NAME, max_size=3).map(tuple),
+        COUNT,
+        COUNT,
+        st.booleans(),
+        st.integers(0, 3),
     ),
     st.builds(m.ModifyRequest, TEXT, st.lists(st.tuples(st.integers(0, 3), NAME, VALUES), max_size=3).map(tuple)),
     st.builds(m.AddRequest, TEXT, ATTRIBUTES),
@@ -60,7 +67,7 @@
     st.builds(m.Result, st.just(m.Tag.DONE), st.integers(0, 200), TEXT, TEXT, st.lists(TEXT, max_size=2).map(tuple)),
     st.builds(m.Result, st.just(m.Tag.EXTENDED_RESPONSE), COUNT, TEXT, TEXT, st.just(()), NAME, st.none() | OCTETS),
     st.builds(m.Result, st.just(m.Tag.BIND_RESPONSE), COUNT, TEXT, TEXT, st.just(()), st.none(), st.none() | OCTETS),
-)  # fmt: skip
+)
 CONTROLS = st.lists(st.builds(m.Control, NAME, st.booleans(), st.none() | OCTETS), max_size=2).map(tuple)
 MESSAGE = st.builds(m.Message, COUNT, OPERATION, CONTROLS)
 THOROUGH = settings(max_examples=300, deadline=None, derandomize=True)
@@ -95,13 +102,25 @@
 @pytest.mark.parametrize(
     "text",
     [
-        "(cn=Babs Jensen)", "(!(cn=Tim Howes))", "(&(objectClass=Person)(|(sn=Jensen)(cn=Babs J*)))",
-        "(o=univ*of*mich*)", "(seeAlso=)", "(cn:caseExactMatch:=Fred Flintstone)", "(cn:=Betty Rubble)",
-        "(sn:dn:2.4.6.8.10:=Barney Rubble)", "(o:dn:=Ace Industry)", "(:1.2.3:=Wilma Flintstone)",
-        "(:dn:2.4.6.8.10:=Dino)", "(o=Parens R Us \\28for all your parenthetical needs\\29)", "(cn=*\\2a*)",
-        "(filename=C:\\5cMyFile)", "(sn=Lu\\c4\\8di\\c4\\87)", "(&)", "(|)",
+        "(cn=Babs Jensen)",
+        "(!(cn=Tim Howes))",
+        "(&(objectClass=Person)(|(sn=Jensen)(cn=Babs J*)))",
+        "(o=univ*of*mich*)",
+        "(seeAlso=)",
+        "(cn:caseExactMatch:=Fred Flintstone)",
+        "(cn:=Betty Rubble)",
+        "(sn:dn:2.4.6.8.10:=Barney Rubble)",
+        "(o:dn:=Ace Industry)",
+        "(:1.2.3:=Wilma Flintstone)",
+        "(:dn:2.4.6.8.10:=Dino)",
+        "(o=Parens R Us \\28for all your parenthetical needs\\29)",
+        "(cn=*\\2a*)",
+        "(filename=C:\\5cMyFile)",
+        "(sn=Lu\\c4\\8di\\c4\\87)",
+        "(&)",
+        "(|)",
     ],
-)  # fmt: skip
+)
 def test_examples_of_rfc_4515_and_4526(text):
     found = filters.parse(text)
     data = codec.encode_filter(found)
--- a/tests/ldap/test_cross_group_search.py
+++ b/tests/ldap/test_cross_group_search.py
@@ -296,10 +296,13 @@
     ]
     search = frozenset({"search"})
     rules = (
-        Rule("wide", search, "ou=a,dc=x"), Rule("tight", search, "ou=t,ou=a,dc=x"),
-        Rule("wide", search, "ou=b,dc=x"), Rule("own", search, "ou=s,ou=b,dc=x"),
-        Rule("all", search, "ou=c,dc=x"), Rule("own", search, "ou=s,ou=c,dc=x", identities=frozenset({"cn=desk"})),
-    )  # fmt: skip
+        Rule("wide", search, "ou=a,dc=x"),
+        Rule("tight", search, "ou=t,ou=a,dc=x"),
+        Rule("wide", search, "ou=b,dc=x"),
+        Rule("own", search, "ou=s,ou=b,dc=x"),
+        Rule("all", search, "ou=c,dc=x"),
+        Rule("own", search, "ou=s,ou=c,dc=x", identities=frozenset({"cn=desk"})),
+    )
     suffixes = {name: f"ou={name},dc=x" for name in "abc"}
     made = Classifier(rules, suffixes, "strict-read", "strict-write", {k.name: k for k in kinds})
 
--- a/tests/ldap/test_end_to_end.py
+++ b/tests/ldap/test_end_to_end.py
@@ -166,9 +166,10 @@
         assert desk.modify().code == 0
         run(place.servers["n1"].hang)
         answers = run(
-            lambda: gatherResults([desk.ask(m.ModifyRequest(f"cn=1,{NUMBERS}", ((2, "description", (b"x",)),)))
-                                   for _ in range(3)])
-        )  # fmt: skip
+            lambda: gatherResults(
+                [desk.ask(m.ModifyRequest(f"cn=1,{NUMBERS}", ((2, "description", (b"x",)),))) for _ in range(3)]
+            )
+        )
         assert {answer.code for answer in answers} <= {Code.OTHER, Code.BUSY}
         until(lambda: place.clusters["numbers"].primary not in (None, "n1"))
         run(place.tell_primaries)
@@ -301,10 +302,14 @@
         assert desk.modify().code == 0
         for server in place.servers.values():
             server.faults.hang = True
-        waiting = run(lambda: [[
-            desk.ask(m.ModifyRequest(f"cn=1,{NUMBERS}", ((2, "description", (b"x",)),))),
-            desk.ask(m.SearchRequest(f"cn=1,{NUMBERS}", 0, m.Present("cn")), "bounded", staleness=0.8),
-        ]])[0]  # fmt: skip
+        waiting = run(
+            lambda: [
+                [
+                    desk.ask(m.ModifyRequest(f"cn=1,{NUMBERS}", ((2, "description", (b"x",)),))),
+                    desk.ask(m.SearchRequest(f"cn=1,{NUMBERS}", 0, m.Present("cn")), "bounded", staleness=0.8),
+                ]
+            ]
+        )[0]
         until(lambda: facts(place, "received", tag="desk/2"))
         run(place.stop_gateway)
         codes = [run(lambda one=one: one).code for one in waiting]
--- a/tests/ldap/test_race_clients.py
+++ b/tests/ldap/test_race_clients.py
@@ -30,8 +30,9 @@
         self.out, self.opening, self.held = [], [], False
 
     def connect(self, server, ready, lost):
-        way = SimpleNamespace(submit=self.submit, abandon=lambda n: None, probe=lambda d: d(None), fit=lambda: True,
-                              close=lambda: None)  # fmt: skip
+        way = SimpleNamespace(
+            submit=self.submit, abandon=lambda n: None, probe=lambda d: d(None), fit=lambda: True, close=lambda: None
+        )
         self.opening.append(lambda: ready(way))
         if not self.held:
             self.open()
@@ -62,9 +63,14 @@
         clock.advance(1000)
         settings = Settings(1, "a", 1, (LOOKUP,), reports="none", checks="refuse", max_attempts=4)
         self.gateway = Gateway(
-            settings, self.backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds, log=self.log,
+            settings,
+            self.backend,
+            reactor=clock,
+            seconds=clock.seconds,
+            wall=clock.seconds,
+            log=self.log,
             limits=Limits(multiplex=multiplex, connections=1),
-        )  # fmt: skip
+        )
         groups = {"x": f"ou=x,{TOP}", "y": f"ou=y,{TOP}"}
         self.gateway.apply_list([ServerSpec(f"{name}1", name, "a", "h", at, True) for at, name in enumerate(groups)])
         self.backend.out.clear()
@@ -145,8 +151,11 @@
         place.reactor.iterate(0)
 
 
-ASKED = {"one request": (search(1),), "200 requests": tuple(map(search, range(1, 201))),
-         "a search over groups": (search(1, TOP, Scope.SUBTREE),)}  # fmt: skip
+ASKED = {
+    "one request": (search(1),),
+    "200 requests": tuple(map(search, range(1, 201))),
+    "a search over groups": (search(1, TOP, Scope.SUBTREE),),
+}
 each_asked = pytest.mark.parametrize("asked", ASKED.values(), ids=ASKED)
 
 
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -282,8 +282,14 @@
         return CliRunner().invoke(main, ["plan", *map(str, words)])
 
     model = tmp_path / "model.hcl"
-    blocks = [f'server "n{n}" {{\n group = "numbers"\n zone = "{z}"\n capacity = {c}\n taken = {t}\n primary = {p}\n kind = "{k}"\n}}\n'
-              for n, z, c, t, p, k in ((0, "norte", 10, 9, "true", "big"), (1, "norte", 10, 0, "false", "big"), (2, "sur", 30, 0, "false", ""))]  # fmt: skip
+    blocks = [
+        f'server "n{n}" {{\n group = "numbers"\n zone = "{z}"\n capacity = {c}\n taken = {t}\n primary = {p}\n kind = "{k}"\n}}\n'
+        for n, z, c, t, p, k in (
+            (0, "norte", 10, 9, "true", "big"),
+            (1, "norte", 10, 0, "false", "big"),
+            (2, "sur", 30, 0, "false", ""),
+        )
+    ]
     model.write_text("".join(blocks) + 'demand "read" {\n group = "numbers"\n zone = "norte"\n rate = 20\n}\n')
     out = tmp_path / "made.hcl"
     assert call("solve", model, "--zone", "norte", "--out", out, "--fade", "2h").exit_code == 0
@@ -319,11 +325,19 @@
         def listed():
             wall = time.time() - time.monotonic()
             return [
-                ServerSpec(name, group, zone, "127.0.0.1", place.servers[name].port, name in ("n1", "r1"), "ready",
-                           wall + place.servers[name].started if place.servers[name].started else 0.0)
+                ServerSpec(
+                    name,
+                    group,
+                    zone,
+                    "127.0.0.1",
+                    place.servers[name].port,
+                    name in ("n1", "r1"),
+                    "ready",
+                    wall + place.servers[name].started if place.servers[name].started else 0.0,
+                )
                 for group, members in place.members.items()
                 for name, zone in members
-            ]  # fmt: skip
+            ]
 
         specs = listed()
         (folder / "servers.hcl").write_text(render(specs))
--- a/tests/plan/test_solver.py
+++ b/tests/plan/test_solver.py
@@ -29,10 +29,16 @@
         return float(f"{10 ** chance.uniform(low, high):.{chance.choice((1, 3, 6))}g}")
 
     servers = tuple(
-        PlanServer(f"s{n}", "g", chance.choice("abc"), chance.choice((0.0, scale(-3, 6), scale(-1, 4))),
-                   chance.choice((1.0, 0.3, 0.001)), chance.choice((0.0, 0.0, scale(-3, 2))))
+        PlanServer(
+            f"s{n}",
+            "g",
+            chance.choice("abc"),
+            chance.choice((0.0, scale(-3, 6), scale(-1, 4))),
+            chance.choice((1.0, 0.3, 0.001)),
+            chance.choice((0.0, 0.0, scale(-3, 2))),
+        )
         for n in range(chance.randint(1, 7))
-    )  # fmt: skip
+    )
     demands = [Demand("read", "g", zone, scale(-3, 4)) for zone in "abc" if chance.random() < 0.8]
     limits = Limits(spill={zone: chance.choice((0.0, 1.0, round(chance.random(), 4))) for zone in "ab"})
     if demands and chance.random() < 0.4:  # exactly what there is, or the least bit more
@@ -133,8 +139,10 @@
     problem = Problem(servers, (Demand("read", "g", "a", 20),), Limits(spill={"a": 0.5}))
     (conflict,) = solve(problem).conflicts
     assert set(conflict.limits) == {
-        "demand of read in a: 20/s", "capacity of s1: 5/s", "spill out of a: at most 50% of 20/s",
-    }  # fmt: skip
+        "demand of read in a: 20/s",
+        "capacity of s1: 5/s",
+        "spill out of a: at most 50% of 20/s",
+    }
     assert abs(conflict.unserved - 5) < 1e-3
     assert solve(problem).shares == {}
     for easier in (
--- a/tests/platform/test_broken_settings.py
+++ b/tests/platform/test_broken_settings.py
@@ -18,26 +18,73 @@
 from yardbank.platform.service import Service
 
 SERVICES = [
-    {"name": "look", "aim": SECOND, "hard_limit": 2 * SECOND, "credit": 1.0, "late_worth": 0.0, "effect": "pure",
-     "key_scope": "all", "window": 0},
+    {
+        "name": "look",
+        "aim": SECOND,
+        "hard_limit": 2 * SECOND,
+        "credit": 1.0,
+        "late_worth": 0.0,
+        "effect": "pure",
+        "key_scope": "all",
+        "window": 0,
+    },
     {"name": "book", "aim": SECOND, "hard_limit": 2 * SECOND, "effect": "token", "key_scope": "cell", "window": SECOND},
-]  # fmt: skip
+]
 FULL = {
-    "name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "5",
+    "name": "n",
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "5",
     "limits": {"memory_mb": 64, "sockets": 256},
     "settings": {
-        "zone": "a", "fleet_size": 3, "period": 1_000_000, "registry_mode": "automatic", "services": SERVICES,
-        "domain": {"checks": "bounce", "class_read": ["lag_bound", "mutate"], "lag_allowed": [800_000_000, 0], "patience": 0,
-                   "session_marks": "brought", "tells_position": False},
-        "ceilings": {"idle_close": 10 * SECOND, "max_attempts": 3, "cancel": True, "probes": True, "connect_timeout": 10**8,
-                     "retry_after": True, "max_retry_after": SECOND},
+        "zone": "a",
+        "fleet_size": 3,
+        "period": 1_000_000,
+        "registry_mode": "automatic",
+        "services": SERVICES,
+        "domain": {
+            "checks": "bounce",
+            "class_read": ["lag_bound", "mutate"],
+            "lag_allowed": [800_000_000, 0],
+            "patience": 0,
+            "session_marks": "brought",
+            "tells_position": False,
+        },
+        "ceilings": {
+            "idle_close": 10 * SECOND,
+            "max_attempts": 3,
+            "cancel": True,
+            "probes": True,
+            "connect_timeout": 10**8,
+            "retry_after": True,
+            "max_retry_after": SECOND,
+        },
         "rules": {"cold": SECOND, "start_capacity": 0.3, "dropped_stay_open": False},
         "reporting": {"via": "pull", "names": ["x0"]},
     },
     "known": {"generation": 1, "reset": True, "instances": [ENTRY]},
-}  # fmt: skip
-ODD = (b"null", b"-1", b"0", b"1.5", b"true", b'"x"', b'""', b"[]", b"{}", b"NaN", b"Infinity", b"1e999", b"1e300", b"-1e300",
-       b"1" + b"0" * 30, b"9" * 400, b"[1]", b"[null]", b'{"a":1}')  # fmt: skip
+}
+ODD = (
+    b"null",
+    b"-1",
+    b"0",
+    b"1.5",
+    b"true",
+    b'"x"',
+    b'""',
+    b"[]",
+    b"{}",
+    b"NaN",
+    b"Infinity",
+    b"1e999",
+    b"1e300",
+    b"-1e300",
+    b"1" + b"0" * 30,
+    b"9" * 400,
+    b"[1]",
+    b"[null]",
+    b'{"a":1}',
+)
 
 
 def paths(told, where=()):
@@ -59,9 +106,19 @@
 
 @pytest.mark.parametrize("where", list(paths(FULL)), ids=lambda where: ".".join(map(str, where)))
 def test_any_value_in_any_place_is_taken_or_refused_in_one_line_that_names_it(where):
-    named = {str(name) for name in where} | {"JSON", *{"credit": ("worth",), "hard_limit": ("deadline",), "fleet_size": ("gateways",),
-        "key_scope": ("scope",), "start_capacity": ("cold_share",), "lag_allowed": ("staleness_bound",), "services": ("classes",),
-    }.get(str(where[-1]), ()), *(("staleness_bound",) if "lag_allowed" in where else ())}  # fmt: skip
+    named = {str(name) for name in where} | {
+        "JSON",
+        *{
+            "credit": ("worth",),
+            "hard_limit": ("deadline",),
+            "fleet_size": ("gateways",),
+            "key_scope": ("scope",),
+            "start_capacity": ("cold_share",),
+            "lag_allowed": ("staleness_bound",),
+            "services": ("classes",),
+        }.get(str(where[-1]), ()),
+        *(("staleness_bound",) if "lag_allowed" in where else ()),
+    }
     for octets in ODD:
         try:
             config = read_config(spoilt(where, octets))
@@ -101,9 +158,12 @@
     file = tmp_path / "config.json"
     file.write_bytes(octets)
     ended = subprocess.run(
-        [sys.executable, "-m", "yardbank.platform"], env={**os.environ, "NODE_CONFIG": str(file)}, capture_output=True,
-        timeout=60, check=False,
-    )  # fmt: skip
+        [sys.executable, "-m", "yardbank.platform"],
+        env={**os.environ, "NODE_CONFIG": str(file)},
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
     (line,) = ended.stderr.decode().splitlines()
     assert ended.returncode == 2 and line.startswith(f"yardbank: {file}: ") and name in line
 
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -22,8 +22,11 @@
 
 
 def test_a_list_becomes_servers():
-    got = told(ENTRY, {**ENTRY, "instanceId": "s-2", "lifecycle": "Terminating", "part": "replica"},
-               {"instanceId": "s-3", "lifecycle": "Gone"})  # fmt: skip
+    got = told(
+        ENTRY,
+        {**ENTRY, "instanceId": "s-2", "lifecycle": "Terminating", "part": "replica"},
+        {"instanceId": "s-3", "lifecycle": "Gone"},
+    )
     assert got.generation == 41 and got.reset
     assert got.entries["s-1"] == ServerSpec("s-1", "3", "a", "127.0.0.1", 6432, True, "ready", 1.5)
     assert got.entries["s-2"].state == "draining" and not got.entries["s-2"].primary
@@ -33,12 +36,29 @@
 @pytest.mark.parametrize(
     ("key", "wrong"),
     [
-        ("instanceId", 7), ("instanceId", ""), ("hostPort", "nowhere"), ("hostPort", "h:0"), ("hostPort", "h:99999"),
-        ("hostPort", 8), ("hostPort", "h:\u0664"), ("lifecycle", "Lost"), ("lifecycle", None), ("lifecycle", ["Gone"]),
-        ("zone", 1), ("zone", None), ("cell", "x"), ("cell", True), ("cell", 3.0), ("cell", None), ("weight", "heavy"),
-        ("weight", True), ("startedAtMs", "then"), ("startedAtMs", -1), ("startedAtMs", True),
+        ("instanceId", 7),
+        ("instanceId", ""),
+        ("hostPort", "nowhere"),
+        ("hostPort", "h:0"),
+        ("hostPort", "h:99999"),
+        ("hostPort", 8),
+        ("hostPort", "h:\u0664"),
+        ("lifecycle", "Lost"),
+        ("lifecycle", None),
+        ("lifecycle", ["Gone"]),
+        ("zone", 1),
+        ("zone", None),
+        ("cell", "x"),
+        ("cell", True),
+        ("cell", 3.0),
+        ("cell", None),
+        ("weight", "heavy"),
+        ("weight", True),
+        ("startedAtMs", "then"),
+        ("startedAtMs", -1),
+        ("startedAtMs", True),
     ],
-)  # fmt: skip
+)
 def test_a_fault_in_a_list_names_entry_and_field(key, wrong):
     with pytest.raises(ListingError, match=rf"^instances\[1\]\.{key}: "):
         told(ENTRY, {**ENTRY, "instanceId": "b", key: wrong})
@@ -50,11 +70,18 @@
 @pytest.mark.parametrize(
     ("change", "started"),
     [
-        ({"weight": None}, 1.5), ({"weight": 0}, 1.5), ({"weight": -2.5}, 1.5), ({"weight": 7}, 1.5), ({"part": 5}, 1.5),
-        ({"startedAtMs": None}, 0), ({"startedAtMs": 0}, 0), ({"startedAtMs": 2500.5}, 2.5005), ({"more": {"a": [1]}}, 1.5),
+        ({"weight": None}, 1.5),
+        ({"weight": 0}, 1.5),
+        ({"weight": -2.5}, 1.5),
+        ({"weight": 7}, 1.5),
+        ({"part": 5}, 1.5),
+        ({"startedAtMs": None}, 0),
+        ({"startedAtMs": 0}, 0),
+        ({"startedAtMs": 2500.5}, 2.5005),
+        ({"more": {"a": [1]}}, 1.5),
         ({"hostPort": "[::1]:06432"}, 1.5),
     ],
-)  # fmt: skip
+)
 def test_what_older_and_other_senders_send_is_taken(change, started):
     got = told({**ENTRY, **change}, more=None).entries["s-1"]
     assert got.started == started and got.port == 6432
@@ -65,11 +92,18 @@
 
 
 def test_a_server_listed_twice_and_what_is_no_list():
-    for wrong, name in (({"instances": [ENTRY, ENTRY]}, "twice"), ([], "object"), ({"instances": 3}, "instances"), ({}, "instances"),
-                        ({"instances": [], "generation": "x"}, "generation"), ({"instances": [], "reset": 1}, "reset"),
-                        ({"instances": [], "generation": None}, "generation"), ({"instances": [1]}, r"instances\[0\]"),
-                        ({"instances": [{"lifecycle": "Gone", "instanceId": 4}]}, r"instances\[0\]\.instanceId"),
-                        ({"instances": [ENTRY] * (MAX_ENTRIES + 1)}, "more than")):  # fmt: skip
+    for wrong, name in (
+        ({"instances": [ENTRY, ENTRY]}, "twice"),
+        ([], "object"),
+        ({"instances": 3}, "instances"),
+        ({}, "instances"),
+        ({"instances": [], "generation": "x"}, "generation"),
+        ({"instances": [], "reset": 1}, "reset"),
+        ({"instances": [], "generation": None}, "generation"),
+        ({"instances": [1]}, r"instances\[0\]"),
+        ({"instances": [{"lifecycle": "Gone", "instanceId": 4}]}, r"instances\[0\]\.instanceId"),
+        ({"instances": [ENTRY] * (MAX_ENTRIES + 1)}, "more than"),
+    ):
         with pytest.raises(ListingError, match=name):
             parse_listing(orjson.dumps(wrong))
     for noise in (
@@ -97,15 +131,22 @@
 @pytest.mark.parametrize(
     ("change", "name"),
     [
-        ({"seed": "zz"}, "seed"), ({"seed": 7}, "seed"), ({"listen": "here"}, "listen"), ({"discovery": 4}, "discovery"),
-        ({"settings": None}, "settings"), ({"limits": {"sockets": 8}}, r"limits\.sockets"),
-        ({"limits": {"sockets": 512.0}}, r"limits\.sockets"), ({"limits": 3}, "limits"), ({"name": 3}, "name"),
-        ({"limits": {"memory_mb": "x"}}, r"limits\.memory_mb"), ({"known": []}, "known"),
+        ({"seed": "zz"}, "seed"),
+        ({"seed": 7}, "seed"),
+        ({"listen": "here"}, "listen"),
+        ({"discovery": 4}, "discovery"),
+        ({"settings": None}, "settings"),
+        ({"limits": {"sockets": 8}}, r"limits\.sockets"),
+        ({"limits": {"sockets": 512.0}}, r"limits\.sockets"),
+        ({"limits": 3}, "limits"),
+        ({"name": 3}, "name"),
+        ({"limits": {"memory_mb": "x"}}, r"limits\.memory_mb"),
+        ({"known": []}, "known"),
         ({"known": {"instances": [{}]}}, r"known: instances\[0\]\.instanceId"),
         ({"settings": {**ENV, "services": []}}, "settings: .*classes"),
         ({"settings": {**ENV, "ceilings": {"idle_close": 1.5}}}, r"settings\.ceilings\.idle_close"),
     ],
-)  # fmt: skip
+)
 def test_a_fault_in_the_configuration_names_file_and_field(tmp_path, change, name):
     file = tmp_path / "config.json"
     file.write_bytes(orjson.dumps({**CONFIG, **change}))
@@ -115,8 +156,11 @@
 
 def test_null_and_absent_fields_of_the_configuration_stand_for_their_defaults():
     bare = {name: held for name, held in CONFIG.items() if name not in ("name", "limits", "known")}
-    for document in (bare, {**CONFIG, "name": None, "limits": None, "known": None, "more": [1]},
-                     {**CONFIG, "name": None, "limits": {"sockets": None, "memory_mb": None}, "known": None}):  # fmt: skip
+    for document in (
+        bare,
+        {**CONFIG, "name": None, "limits": None, "known": None, "more": [1]},
+        {**CONFIG, "name": None, "limits": {"sockets": None, "memory_mb": None}, "known": None},
+    ):
         config = read_config(orjson.dumps(document))
         assert (config.name, config.sockets, config.memory_mb, config.known.entries) == ("", 1024, 128, {})
     assert read_config(orjson.dumps({**CONFIG, "limits": {"memory_mb": 96.5}})).memory_mb == 96
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -57,11 +57,19 @@
 @pytest.mark.parametrize(
     "stream",
     [
-        b"HTTP/1.1 503 Busy\r\n\r\n", b"SMTP\r\n\r\n", b"x" * 20000, HEAD + b"zz\r\n", HEAD + b"-1\r\n",
-        HEAD + b"1\r\n\nxyz", b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", b"HTTP/1.1 200 OK\r\nodd\r\n\r\n",
-        HEAD + b"1" * 20000, b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 5000, HEAD + b"0\r\n" + b"a: b\r\n" * 5000,
+        b"HTTP/1.1 503 Busy\r\n\r\n",
+        b"SMTP\r\n\r\n",
+        b"x" * 20000,
+        HEAD + b"zz\r\n",
+        HEAD + b"-1\r\n",
+        HEAD + b"1\r\n\nxyz",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nodd\r\n\r\n",
+        HEAD + b"1" * 20000,
+        b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 5000,
+        HEAD + b"0\r\n" + b"a: b\r\n" * 5000,
     ],
-)  # fmt: skip
+)
 def test_what_is_no_http_is_an_error(stream):
     with pytest.raises(HttpError):
         list(Watch("h:1", 41).receive(stream))
--- a/tests/platform/test_drawn_settings.py
+++ b/tests/platform/test_drawn_settings.py
@@ -29,30 +29,55 @@
     return st.integers(least, most).map(milliseconds)
 
 
-SERVICE = st.fixed_dictionaries({
-    "aim": of_ms(100, 900), "hard_limit": of_ms(500, 3000), "effect": st.sampled_from(EFFECTS),
-    "credit": some(st.sampled_from((0, 1, 1.5, 4))), "late_worth": some(st.sampled_from((0.0, 0.3, 1))),
-    "key_scope": some(st.sampled_from(("all", "cell", "zone"))), "window": some(of_ms(50, 3000)),
-}).map(present)  # fmt: skip
-CEILINGS = st.fixed_dictionaries({
-    "max_attempts": some(st.integers(1, 8)), "cancel": some(st.booleans()), "probes": st.sampled_from((True, True, False, None)),
-    "retry_after": some(st.booleans()), "max_retry_after": some(of_ms(0, 2000)), "connect_timeout": some(of_ms(100, 400)),
-}).map(present)  # fmt: skip
-REPORTING = st.fixed_dictionaries({
-    "via": st.sampled_from(("pull", "pull", "piggyback", "silent", None)),
-    "names": some(st.permutations(("utilization", "x0", "x1", "backlog")).flatmap(
-        lambda names: st.integers(0, 4).map(lambda most: names[:most]))),
-}).map(present)  # fmt: skip
+SERVICE = st.fixed_dictionaries(
+    {
+        "aim": of_ms(100, 900),
+        "hard_limit": of_ms(500, 3000),
+        "effect": st.sampled_from(EFFECTS),
+        "credit": some(st.sampled_from((0, 1, 1.5, 4))),
+        "late_worth": some(st.sampled_from((0.0, 0.3, 1))),
+        "key_scope": some(st.sampled_from(("all", "cell", "zone"))),
+        "window": some(of_ms(50, 3000)),
+    }
+).map(present)
+CEILINGS = st.fixed_dictionaries(
+    {
+        "max_attempts": some(st.integers(1, 8)),
+        "cancel": some(st.booleans()),
+        "probes": st.sampled_from((True, True, False, None)),
+        "retry_after": some(st.booleans()),
+        "max_retry_after": some(of_ms(0, 2000)),
+        "connect_timeout": some(of_ms(100, 400)),
+    }
+).map(present)
+REPORTING = st.fixed_dictionaries(
+    {
+        "via": st.sampled_from(("pull", "pull", "piggyback", "silent", None)),
+        "names": some(
+            st.permutations(("utilization", "x0", "x1", "backlog")).flatmap(
+                lambda names: st.integers(0, 4).map(lambda most: names[:most])
+            )
+        ),
+    }
+).map(present)
 STEP = st.one_of(
-    st.tuples(st.just("ask"), st.integers(0, 4), st.integers(0, 5), st.integers(0, 2), st.integers(0, 3), st.integers(1, 3000)),
-    st.tuples(st.just("answer"), st.integers(0, 9), st.sampled_from((0, 0, 0, 0, *range(1, 9))), st.integers(0, 1),
-              st.integers(0, 900), st.integers(0, 120)),
+    st.tuples(
+        st.just("ask"), st.integers(0, 4), st.integers(0, 5), st.integers(0, 2), st.integers(0, 3), st.integers(1, 3000)
+    ),
+    st.tuples(
+        st.just("answer"),
+        st.integers(0, 9),
+        st.sampled_from((0, 0, 0, 0, *range(1, 9))),
+        st.integers(0, 1),
+        st.integers(0, 900),
+        st.integers(0, 120),
+    ),
     st.tuples(st.just("burst"), st.integers(4, 24), st.integers(0, 5), st.integers(0, 2), st.integers(300, 3000)),
     st.tuples(st.just("wait"), st.one_of(st.integers(1, 40), st.integers(1, 700))),
     st.tuples(st.just("leave"), st.integers(0, 4)),
     st.tuples(st.just("refuse"), st.integers(0, 11)),
     st.tuples(st.just("change"), st.integers(0, 11), st.integers(0, 4)),
-)  # fmt: skip
+)
 
 
 @st.composite
@@ -69,11 +94,17 @@
         "tells_position": draw(some(st.booleans())),
     }
     told = {
-        "services": services, "domain": present(domain), "ceilings": draw(some(CEILINGS)), "reporting": draw(some(REPORTING)),
-        "fleet_size": draw(some(st.sampled_from((1, 3, 40, 200)))), "period": draw(some(of_ms(1, 10))),
-        "rules": draw(some(st.fixed_dictionaries({"cold": of_ms(1000, 9000), "start_capacity": st.sampled_from((0.2, 0.5, 1))}))),
+        "services": services,
+        "domain": present(domain),
+        "ceilings": draw(some(CEILINGS)),
+        "reporting": draw(some(REPORTING)),
+        "fleet_size": draw(some(st.sampled_from((1, 3, 40, 200)))),
+        "period": draw(some(of_ms(1, 10))),
+        "rules": draw(
+            some(st.fixed_dictionaries({"cold": of_ms(1000, 9000), "start_capacity": st.sampled_from((0.2, 0.5, 1))}))
+        ),
         "unheard_of": draw(some(st.just({"more": [1]}))),
-    }  # fmt: skip
+    }
     zones, groups = draw(st.integers(1, 3)), draw(st.integers(1, 3))
     sizes = draw(st.lists(st.integers(1, 4), min_size=groups, max_size=groups))
     servers = [
@@ -107,8 +138,14 @@
     @given(deployments(), st.data())
     def plays(drawn, data):
         told, script = drawn
-        sizes = {"class": len(told["settings"]["services"]), "zone": told["zones"], "group": told["groups"],
-                 "server": len(told["servers"]), "number": len(told["servers"]), "tenant": 2}  # fmt: skip
+        sizes = {
+            "class": len(told["settings"]["services"]),
+            "zone": told["zones"],
+            "group": told["groups"],
+            "server": len(told["servers"]),
+            "number": len(told["servers"]),
+            "tenant": 2,
+        }
         kinds = {kind: cells if kind in ("group", "number") else NAMED for kind in sizes}
         names = {kind: called(data.draw, sizes[kind], kinds[kind]) for kind in sizes}
         others = {kind: called(data.draw, sizes[kind], kinds[kind]) for kind in sizes}
--- a/tests/platform/test_json_stream.py
+++ b/tests/platform/test_json_stream.py
@@ -11,9 +11,12 @@
 TEXTS = st.text(max_size=6) | st.sampled_from(['"', "\\", "}", "{[", '\\"}', "\n"])
 LEAVES = st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False, allow_infinity=False) | TEXTS
 OBJECTS = st.dictionaries(
-    TEXTS, st.recursive(LEAVES, lambda held: st.lists(held, max_size=3) | st.dictionaries(TEXTS, held, max_size=3), max_leaves=8),
+    TEXTS,
+    st.recursive(
+        LEAVES, lambda held: st.lists(held, max_size=3) | st.dictionaries(TEXTS, held, max_size=3), max_leaves=8
+    ),
     max_size=4,
-)  # fmt: skip
+)
 BLANKS = st.text(alphabet=" \t\r\n", max_size=4)
 
 
@@ -42,9 +45,22 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt", [b"[", b"x", b"\xef\xbb\xbf{}", b"}", b'"', b"{nonsense", b"{]", b'{"a":[}', b'{"a\n', b'{"a":"\x00', b"{\xff",
-               b'{"a":' * (MAX_DEPTH + 1)],
-)  # fmt: skip
+    "spoilt",
+    [
+        b"[",
+        b"x",
+        b"\xef\xbb\xbf{}",
+        b"}",
+        b'"',
+        b"{nonsense",
+        b"{]",
+        b'{"a":[}',
+        b'{"a\n',
+        b'{"a":"\x00',
+        b"{\xff",
+        b'{"a":' * (MAX_DEPTH + 1),
+    ],
+)
 def test_what_can_be_no_object_is_told_at_once_and_what_came_before_stands(spoilt):
     values, got = Values(), []
     with pytest.raises(SplitError):
--- a/tests/platform/test_race_descriptors.py
+++ b/tests/platform/test_race_descriptors.py
@@ -14,12 +14,16 @@
 from tests.support.platform import AUTHENTICATED, CONFIG, ENTRY, ENV, HEAD, READ, READY, START, chunk, query, row
 from yardbank.gateway.api import MS
 
-EXEC = "import os, resource, sys; n = int(sys.argv[1]); resource.setrlimit(resource.RLIMIT_NOFILE, (n, n));" \
-    "os.execv(sys.executable, [sys.executable, '-m', 'yardbank.platform'])"  # fmt: skip
+EXEC = (
+    "import os, resource, sys; n = int(sys.argv[1]); resource.setrlimit(resource.RLIMIT_NOFILE, (n, n));"
+    "os.execv(sys.executable, [sys.executable, '-m', 'yardbank.platform'])"
+)
 
 
-SERVICES = [{"name": "lookup", "aim": 500 * MS, "hard_limit": 1500 * MS, "effect": "pure"},
-            {"name": "commit", "aim": 500 * MS, "hard_limit": 3000 * MS, "effect": "side_effect"}]  # fmt: skip
+SERVICES = [
+    {"name": "lookup", "aim": 500 * MS, "hard_limit": 1500 * MS, "effect": "pure"},
+    {"name": "commit", "aim": 500 * MS, "hard_limit": 3000 * MS, "effect": "side_effect"},
+]
 
 
 def run(tmp_path, sockets, discovery, known):
@@ -27,13 +31,22 @@
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     (tmp_path / "config.json").write_bytes(
-        orjson.dumps({**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "known": known,
-                      "limits": {"sockets": sockets}, "settings": {**ENV, "services": SERVICES}})
-    )  # fmt: skip
+        orjson.dumps(
+            {
+                **CONFIG,
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{discovery}",
+                "known": known,
+                "limits": {"sockets": sockets},
+                "settings": {**ENV, "services": SERVICES},
+            }
+        )
+    )
     process = subprocess.Popen(
-        [sys.executable, "-c", EXEC, str(sockets)], env={**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")},
+        [sys.executable, "-c", EXEC, str(sockets)],
+        env={**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")},
         stderr=subprocess.PIPE,
-    )  # fmt: skip
+    )
     lines = []
     for line in process.stderr:
         lines.append(line)
--- a/tests/platform/test_race_signals.py
+++ b/tests/platform/test_race_signals.py
@@ -76,15 +76,20 @@
     )
     path = os.pathsep.join([str(tmp_path), os.environ.get("PYTHONPATH", "")])
     ended = subprocess.run(
-        [sys.executable, "-m", "yardbank.platform"], env={**os.environ, "PYTHONPATH": path}, capture_output=True,
-        timeout=60, check=False,
-    )  # fmt: skip
+        [sys.executable, "-m", "yardbank.platform"],
+        env={**os.environ, "PYTHONPATH": path},
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
     assert ended.returncode == 7, ended.stderr.decode()
 
 
 def test_the_decision_module_is_loaded_when_it_is_asked_for():
-    told = "import sys, yardbank; assert 'yardbank.policy' not in sys.modules; from yardbank import Router, Settings;" \
-        "assert Router.__module__.startswith('yardbank.') and Settings.__name__ == 'Settings'"  # fmt: skip
+    told = (
+        "import sys, yardbank; assert 'yardbank.policy' not in sys.modules; from yardbank import Router, Settings;"
+        "assert Router.__module__.startswith('yardbank.') and Settings.__name__ == 'Settings'"
+    )
     subprocess.run([sys.executable, "-c", told], check=True, timeout=60)
     with pytest.raises(ImportError):
         from yardbank import nothing_of_the_kind  # noqa: F401
--- a/tests/platform/test_race_writes.py
+++ b/tests/platform/test_race_writes.py
@@ -126,8 +126,14 @@
 def test_a_connection_that_ends_right_behind_its_welcome_is_written_nothing():
     clock, servers, ends = Clock(), Servers(), []
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-    way = Way(ServerSpec("p", "2", "a", "h", 1, True), servers, Limits(multiplex=1), Deadlines(now, clock.callLater), now,
-              Log())  # fmt: skip
+    way = Way(
+        ServerSpec("p", "2", "a", "h", 1, True),
+        servers,
+        Limits(multiplex=1),
+        Deadlines(now, clock.callLater),
+        now,
+        Log(),
+    )
     asked = operation()
     way.submit(Attempt(asked, now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
     servers.made[0].far.shutdown(socket.SHUT_WR)  # in good order: a write would succeed
@@ -138,8 +144,14 @@
 def test_an_unsafe_request_of_which_nothing_was_taken_never_ran_and_its_connection_is_let_go():
     clock, servers, ends = Clock(), Servers(), []
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-    way = Way(ServerSpec("p", "2", "a", "h", 1, True), servers, Limits(multiplex=1), Deadlines(now, clock.callLater), now,
-              Log())  # fmt: skip
+    way = Way(
+        ServerSpec("p", "2", "a", "h", 1, True),
+        servers,
+        Limits(multiplex=1),
+        Deadlines(now, clock.callLater),
+        now,
+        Log(),
+    )
     asked = operation()
 
     def ended(status, reply, reason):
--- a/tests/platform/test_server_links.py
+++ b/tests/platform/test_server_links.py
@@ -41,8 +41,14 @@
 def one_way():
     clock = Clock()
     servers = Servers(lambda: int(clock.seconds() * SECOND))
-    way = Way(ServerSpec("p", "2", "a", "h", 1, True), servers, Limits(multiplex=1),
-              Deadlines(servers.now, clock.callLater), servers.now, Log())  # fmt: skip
+    way = Way(
+        ServerSpec("p", "2", "a", "h", 1, True),
+        servers,
+        Limits(multiplex=1),
+        Deadlines(servers.now, clock.callLater),
+        servers.now,
+        Log(),
+    )
     return clock, servers, way
 
 
@@ -88,10 +94,16 @@
     clock, bound = Clock(), 2
     servers = Servers(lambda: int(clock.seconds() * SECOND))
     gateway = Gateway(
-        Settings(1, "a", 1, tuple(KINDS.values()), checks="refuse"), servers, reactor=clock, seconds=clock.seconds,
-        wall=clock.seconds, log=Log(), limits=Limits(multiplex=1), positions=ClockPositions(),
+        Settings(1, "a", 1, tuple(KINDS.values()), checks="refuse"),
+        servers,
+        reactor=clock,
+        seconds=clock.seconds,
+        wall=clock.seconds,
+        log=Log(),
+        limits=Limits(multiplex=1),
+        positions=ClockPositions(),
         connections_bound=lambda: bound,
-    )  # fmt: skip
+    )
     gateway.apply_list([ServerSpec(name, name, "a", "h", 1, True) for name in "123"])
     got = []
     sink = SimpleNamespace(served=lambda p: got.append("served"), refused=lambda w, r: got.append("refused"))
@@ -128,8 +140,9 @@
     clock, ends = Clock(), []
     doors = Doors()
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-    way = Way(ServerSpec("p", "2", "a", "h", 1, True), doors, Limits(multiplex=1), Deadlines(now, clock.callLater), now,
-              Log())  # fmt: skip
+    way = Way(
+        ServerSpec("p", "2", "a", "h", 1, True), doors, Limits(multiplex=1), Deadlines(now, clock.callLater), now, Log()
+    )
     way.submit(Attempt("x", now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
     return clock, ends, doors, way
 
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -35,11 +35,18 @@
 @pytest.mark.parametrize(
     "noise",
     [
-        b"\0\0\0\0\0", b"\xff" * 64, b"Q\x7f\xff\xff\xff", b"Q\0\0\0\0", b"Q" + int32(60 << 20), b"\0" + int32(8) + b"ab\0\0",
-        b"Q" + int32(8) + b"abcd", b"Q" + int32(8) + b"\xff\xfea\0",
-        pg.encode_client(pg.Parse("", "SELECT 1")).encode(), b"Q" + int32(MAX_MESSAGE + 100),
+        b"\0\0\0\0\0",
+        b"\xff" * 64,
+        b"Q\x7f\xff\xff\xff",
+        b"Q\0\0\0\0",
+        b"Q" + int32(60 << 20),
+        b"\0" + int32(8) + b"ab\0\0",
+        b"Q" + int32(8) + b"abcd",
+        b"Q" + int32(8) + b"\xff\xfea\0",
+        pg.encode_client(pg.Parse("", "SELECT 1")).encode(),
+        b"Q" + int32(MAX_MESSAGE + 100),
     ],
-)  # fmt: skip
+)
 def test_noise_after_a_good_query_is_answered_in_its_turn(noise):
     session = ClientSession(KINDS, set())
     session.receive(START + query(READ) + noise, 0)
@@ -101,14 +108,22 @@
 
 
 SPOILT = [
-    b"\xff" * 40, b"D" + int32(3 << 29) + b"xx", row()[:-12] + b"C\0\0\0\x09ab", row(tag="SELECT 2") + READY,
-    row(tag="INSERT 0 1") + READY, row() + row() + READY, DESCRIPTION.encode() + READY, READY,
-    Frame(ord("D"), int16(1) + value(b"x")).encode(), Frame(ord("T"), int16(9) + text("content") + bytes(18)).encode(),
+    b"\xff" * 40,
+    b"D" + int32(3 << 29) + b"xx",
+    row()[:-12] + b"C\0\0\0\x09ab",
+    row(tag="SELECT 2") + READY,
+    row(tag="INSERT 0 1") + READY,
+    row() + row() + READY,
+    DESCRIPTION.encode() + READY,
+    READY,
+    Frame(ord("D"), int16(1) + value(b"x")).encode(),
+    Frame(ord("T"), int16(9) + text("content") + bytes(18)).encode(),
     DESCRIPTION.encode() + Frame(ord("D"), int16(2) + value(b"x") + value(b"y")).encode(),
     DESCRIPTION.encode() + Frame(ord("D"), int16(1) + int32(900) + b"short").encode(),
-    b"S" + int32(8) + b"part", pg.error("XX000", "no").encode() + row() + READY,
+    b"S" + int32(8) + b"part",
+    pg.error("XX000", "no").encode() + row() + READY,
     row() + Frame(ord("Z"), b"?").encode(),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("spoilt", SPOILT)
--- a/tests/platform/test_statements.py
+++ b/tests/platform/test_statements.py
@@ -15,8 +15,13 @@
 def test_a_read_and_a_write_are_understood():
     read = read_statement(READ, KINDS)
     assert (read.id, read.kind, read.group, read.key, read.time_limit, read.write) == (
-        "a1", LOOKUP, "2", "7f3a", 480 * MS, False,
-    )  # fmt: skip
+        "a1",
+        LOOKUP,
+        "2",
+        "7f3a",
+        480 * MS,
+        False,
+    )
     write = read_statement(WRITE, KINDS)
     assert (write.id, write.kind, write.key, write.write) == ("a2", COMMIT, "7f3a", True)
 
@@ -38,13 +43,29 @@
 @pytest.mark.parametrize(
     "change",
     [
-        ("id=a1,", ""), ("id=a1", "id="), ("c=lookup", "c=none"), ("c=lookup", "c=commit"), ("d=480", "d=soon"),
-        ("d=480", "d=-1"), ("d=480", "d=86400001"), ("d=480", "d=1e3"), ("d=480", "d=" + "9" * 30), ("d=480,", ""),
-        (",cluster=2", ""), ("cluster=2", "cluster=x"), ("d=480", "d=480,d=481"), ("'7f3a'", "'7f3a"),
-        ("'7f3a'", "'7f3a' OR 1=1"), ("'7f3a'", "'7f3a'; DROP TABLE kv"), ("/* ", ""), ("kv", "other"),
-        ("cluster=2", "cluster=2,after=now"), ("'7f3a'", "'" + "7" * 300 + "'"), ("d=480", "d=٤٨٠"),
+        ("id=a1,", ""),
+        ("id=a1", "id="),
+        ("c=lookup", "c=none"),
+        ("c=lookup", "c=commit"),
+        ("d=480", "d=soon"),
+        ("d=480", "d=-1"),
+        ("d=480", "d=86400001"),
+        ("d=480", "d=1e3"),
+        ("d=480", "d=" + "9" * 30),
+        ("d=480,", ""),
+        (",cluster=2", ""),
+        ("cluster=2", "cluster=x"),
+        ("d=480", "d=480,d=481"),
+        ("'7f3a'", "'7f3a"),
+        ("'7f3a'", "'7f3a' OR 1=1"),
+        ("'7f3a'", "'7f3a'; DROP TABLE kv"),
+        ("/* ", ""),
+        ("kv", "other"),
+        ("cluster=2", "cluster=2,after=now"),
+        ("'7f3a'", "'" + "7" * 300 + "'"),
+        ("d=480", "d=٤٨٠"),
     ],
-)  # fmt: skip
+)
 def test_what_is_not_of_the_form_is_an_error_naming_it(change):
     with pytest.raises(StatementError) as problem:
         read_statement(READ.replace(*change), KINDS)
@@ -91,14 +112,22 @@
 
 def test_a_fault_names_the_field_or_the_part():
     for old, new, name in (
-        ("id=a1", "id=a 1", "the comment is not"), ("cluster=2", "cluster=2,,x=1", "the comment is not"),
-        ("cluster=2", "cluster=2" + ",k=1" * 16, "the comment is not"), ("FROM kv", "FROM other", "behind the comment"),
-        ("'7f3a'", "'7f3a';", "behind the comment"), ("id=a1,", "", "the comment lacks id"),
-        ("c=lookup", "c=look up", "c: no such class"), ("c=lookup", "c=lookup ", "c: no such class"),
-        ("c=lookup", "c=commit", "c: the class is not one of reads"), ("d=480", "d=86400001", "d: between"),
-        ("d=480", "d=-1", "d: not a number"), ("d=480", "d=86400001", "d: between"), ("cluster=2", "cluster=-2", "cluster: not"),
-        ("cluster=2", "cluster=2,after=-1", "after: not a number"), ("cluster=2", "cluster=2,id=a2", "names id twice"),
-    ):  # fmt: skip
+        ("id=a1", "id=a 1", "the comment is not"),
+        ("cluster=2", "cluster=2,,x=1", "the comment is not"),
+        ("cluster=2", "cluster=2" + ",k=1" * 16, "the comment is not"),
+        ("FROM kv", "FROM other", "behind the comment"),
+        ("'7f3a'", "'7f3a';", "behind the comment"),
+        ("id=a1,", "", "the comment lacks id"),
+        ("c=lookup", "c=look up", "c: no such class"),
+        ("c=lookup", "c=lookup ", "c: no such class"),
+        ("c=lookup", "c=commit", "c: the class is not one of reads"),
+        ("d=480", "d=86400001", "d: between"),
+        ("d=480", "d=-1", "d: not a number"),
+        ("d=480", "d=86400001", "d: between"),
+        ("cluster=2", "cluster=-2", "cluster: not"),
+        ("cluster=2", "cluster=2,after=-1", "after: not a number"),
+        ("cluster=2", "cluster=2,id=a2", "names id twice"),
+    ):
         with pytest.raises(StatementError, match=f"^(the comment )?{name}"):
             read_statement(READ.replace(old, new), KINDS)
 
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -129,9 +129,12 @@
         made.dataReceived(chunk(drip))
     assert reactor.begun == [0]  # the list under way has its time from its first octet
     reactor.pass_time(0.3)
-    assert transport.disconnecting and reactor.begun == [0, 4] and log.lines == [
-        ("discovery_silent", {"address": "127.0.0.9:8500", "waiting": len(begun) + 28, "left_out": 0})
-    ]  # fmt: skip
+    assert (
+        transport.disconnecting
+        and reactor.begun == [0, 4]
+        and log.lines
+        == [("discovery_silent", {"address": "127.0.0.9:8500", "waiting": len(begun) + 28, "left_out": 0})]
+    )
     _, transport = reactor.accept(1, HEAD + chunk(LINE))
     assert b"index=0 " in transport.value() and len(got) == 1  # one was lost: the whole list is asked for
 
--- a/tests/policy/test_fleet_recovery.py
+++ b/tests/policy/test_fleet_recovery.py
@@ -10,8 +10,10 @@
 
 def shares(**more):
     """Worth served before a burst of half as much again, and from two to four seconds after it."""
-    world = World(**({"gateways": 200, "groups": 4, "rate": 520.0, "length": 11.0} | more),
-                  load=lambda second: 1.6 if 3 <= second < 6 else 1.0)  # fmt: skip
+    world = World(
+        **({"gateways": 200, "groups": 4, "rate": 520.0, "length": 11.0} | more),
+        load=lambda second: 1.6 if 3 <= second < 6 else 1.0,
+    )
     fleet = Fleet(world, Router)
     spans = fleet.run()
     return served_share(spans, 1, 3), served_share(spans, 8, 10), spans
@@ -28,9 +30,16 @@
 
 
 def test_a_fleet_comes_back_after_all_servers_were_gone_for_three_seconds():
-    world = World(gateways=200, groups=4, rate=400.0, length=14.0,
-                  faults=((3, lambda fleet: fleet.every(EmulatedServer.stop)),
-                          (6, lambda fleet: fleet.every(EmulatedServer.start))))  # fmt: skip
+    world = World(
+        gateways=200,
+        groups=4,
+        rate=400.0,
+        length=14.0,
+        faults=(
+            (3, lambda fleet: fleet.every(EmulatedServer.stop)),
+            (6, lambda fleet: fleet.every(EmulatedServer.start)),
+        ),
+    )
     spans = Fleet(world, Router).run()
     before = served_share(spans, 1, 3)
     assert served_share(spans, 4, 6) < 0.6 * before < 0.85 * before < served_share(spans, 11, 14)
--- a/tests/server_list/test_server_list.py
+++ b/tests/server_list/test_server_list.py
@@ -330,10 +330,12 @@
         file = tmp_path / "list.hcl"
         specs = [
             ServerSpec(n, g, z, "127.0.0.1", place.servers[n].port, n in ("n1", "r1"))
-            for g, members in {"numbers": (("n1", "norte"), ("n2", "norte"), ("n3", "sur")),
-                               "requests": (("r1", "norte"), ("r2", "norte"), ("r3", "sur"))}.items()
+            for g, members in {
+                "numbers": (("n1", "norte"), ("n2", "norte"), ("n3", "sur")),
+                "requests": (("r1", "norte"), ("r2", "norte"), ("r3", "sur")),
+            }.items()
             for n, z in members
-        ]  # fmt: skip
+        ]
         good = []
         for number, left_out in enumerate([(), ("n3",), ("r2",), ("n2", "r3")]):
             kept = [spec for spec in specs if spec.name not in left_out]
@@ -456,11 +458,16 @@
     groups = {"n": "numbers", "r": "requests"}
     return [
         ServerSpec(
-            name, groups[name[0]], "norte", "127.0.0.1",
-            place.servers[name].port if name in place.servers else 1, name in ("n1", "r1"), **more.get(name, {}),
+            name,
+            groups[name[0]],
+            "norte",
+            "127.0.0.1",
+            place.servers[name].port if name in place.servers else 1,
+            name in ("n1", "r1"),
+            **more.get(name, {}),
         )
         for name in names
-    ]  # fmt: skip
+    ]
 
 
 def test_ghosts_drains_by_file_then_gone_and_a_return_under_the_old_name(tmp_path):
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -29,10 +29,14 @@
 NAME = st.text(max_size=8)
 MARKS = st.dictionaries(NAME, st.lists(st.integers(0, 2**60) | NAME, max_size=3), max_size=2)
 SNAPSHOT = st.builds(
-    Snapshot, st.floats(0, 1e10), st.integers(0, 2**40), NAME, st.booleans(),
+    Snapshot,
+    st.floats(0, 1e10),
+    st.integers(0, 2**40),
+    NAME,
+    st.booleans(),
     st.lists(st.builds(ServerState, NAME, NAME, NAME, NAME, st.integers(0, 65535), marks=MARKS), max_size=3),
     st.lists(st.builds(GroupState, NAME, MARKS), max_size=2),
-)  # fmt: skip
+)
 PLAIN = Snapshot(1e9, 3, "d", True, [ServerState("p", "g", "a", "h", 1, True)], [GroupState("g", {"": [7]})])
 
 
@@ -329,8 +333,10 @@
             truth[chance.choice("cd")] = truth["log"]
         elif step == "list":
             drained = chance.choice(["", "c", "d"])
-            specs = [s if s.name != drained else ServerSpec(s.name, s.group, s.zone, s.host, s.port, state="draining")
-                     for s in SERVERS]  # fmt: skip
+            specs = [
+                s if s.name != drained else ServerSpec(s.name, s.group, s.zone, s.host, s.port, state="draining")
+                for s in SERVERS
+            ]
             (tmp_path / "list.hcl").write_text(render(specs))
             life.pass_time(1.5)
             gone = {drained} - {""}
--- a/tests/support/channels_fleet.py
+++ b/tests/support/channels_fleet.py
@@ -30,10 +30,17 @@
     """Gateways that would all carry and all follow the same channels, and publish a number on what they carry."""
 
     def __init__(
-        self, gateways: int, channels: int, seed: int = 1, *, options: Options | None = None,
-        zones: Mapping[str, str] | None = None, distance: Callable[[str, str], int | None] = lambda a, b: None,
-        every: int = 100 * MS, step: int = 20 * MS,
-    ) -> None:  # fmt: skip
+        self,
+        gateways: int,
+        channels: int,
+        seed: int = 1,
+        *,
+        options: Options | None = None,
+        zones: Mapping[str, str] | None = None,
+        distance: Callable[[str, str], int | None] = lambda a, b: None,
+        every: int = 100 * MS,
+        step: int = 20 * MS,
+    ) -> None:
         self.names = [f"g{number}" for number in range(gateways)]
         self.channels = [f"notices-{number}" for number in range(channels)]
         self.options, self._distance = options or Options(), distance
@@ -141,8 +148,11 @@
         """Each channel has one owner, those apart of whose voters most are dead."""
         leases = next(iter(self.running.values())).leases
         voters = {channel: leases.lists.voters(resource(channel)) for channel in self.channels}
-        return all(len(self.owner(channel)) == 1 for channel in self.channels
-                   if 2 * sum(name in self.running for name in voters[channel]) > len(voters[channel]))  # fmt: skip
+        return all(
+            len(self.owner(channel)) == 1
+            for channel in self.channels
+            if 2 * sum(name in self.running for name in voters[channel]) > len(voters[channel])
+        )
 
     def loads(self) -> dict[str, int]:
         found = dict.fromkeys(self.running, 0)
@@ -158,8 +168,12 @@
 
     def faults(self) -> list[str]:
         """Whatever a listener must not see: twice, out of order, or missing and not told."""
-        return [fault for listener in self.listeners for channel, heard in listener.heard.items()
-                for fault in self._faults(listener.name, channel, [event for _, event in heard])]  # fmt: skip
+        return [
+            fault
+            for listener in self.listeners
+            for channel, heard in listener.heard.items()
+            for fault in self._faults(listener.name, channel, [event for _, event in heard])
+        ]
 
     def _faults(self, name: str, channel: str, events: Iterable[Event]) -> Iterable[str]:
         last, gap = (0, 0), True  # one begins wherever it is
@@ -189,5 +203,10 @@
         return longest
 
     def gaps(self) -> list[Gap]:
-        return [event for listener in self.listeners for heard in listener.heard.values()
-                for _, event in heard if isinstance(event, Gap)]  # fmt: skip
+        return [
+            event
+            for listener in self.listeners
+            for heard in listener.heard.values()
+            for _, event in heard
+            if isinstance(event, Gap)
+        ]
--- a/tests/support/delayed_gateway.py
+++ b/tests/support/delayed_gateway.py
@@ -54,9 +54,16 @@
             return self.router
 
         self.gateway = Gateway(
-            settings, self.backend, reactor=self.clock, seconds=self.clock.seconds, wall=self.clock.seconds,
-            log=self.log, router=made, before_send=self.catch_up, **more,
-        )  # fmt: skip
+            settings,
+            self.backend,
+            reactor=self.clock,
+            seconds=self.clock.seconds,
+            wall=self.clock.seconds,
+            log=self.log,
+            router=made,
+            before_send=self.catch_up,
+            **more,
+        )
         self.gateway.apply_list(servers or [LONE])
 
     def catch_up(self):
--- a/tests/support/drawn_adapter_play.py
+++ b/tests/support/drawn_adapter_play.py
@@ -49,13 +49,21 @@
 
     def member(self, number, mode="live", started=None):
         group, zone, part = self.told["servers"][number]
-        return {"server": self.names["number"][number], "zone": self.names["zone"][zone], "mode": mode, "up_since": started,
-                "shard": self.names["group"][group], "head": int(part == "master")}  # fmt: skip
+        return {
+            "server": self.names["number"][number],
+            "zone": self.names["zone"][zone],
+            "mode": mode,
+            "up_since": started,
+            "shard": self.names["group"][group],
+            "head": int(part == "master"),
+        }
 
     def listed(self, scope, members):
         self.table += 1
-        self.tell({"kind": "snapshot_rows", "table": self.table, "members": members},
-                  {"kind": "topology", "scope": scope, "stamp": self.table, "table": self.table})  # fmt: skip
+        self.tell(
+            {"kind": "snapshot_rows", "table": self.table, "members": members},
+            {"kind": "topology", "scope": scope, "stamp": self.table, "table": self.table},
+        )
 
     def settled(self, sent, verdict, part, behind):
         self.out.remove(sent)
@@ -63,8 +71,18 @@
         if verdict == "Ok":
             self.open.pop(number, None)
         mark = (self.now // MS - behind) << 2 | 1 + part % 2
-        self.tell({"kind": "settled", "rid": number, "trial": trial, "server": server, "verdict": verdict,
-                   "took": self.now - sent_at, "finished": number not in self.open, "mark": mark})  # fmt: skip
+        self.tell(
+            {
+                "kind": "settled",
+                "rid": number,
+                "trial": trial,
+                "server": server,
+                "verdict": verdict,
+                "took": self.now - sent_at,
+                "finished": number not in self.open,
+                "mark": mark,
+            }
+        )
 
     # Steps
 
@@ -74,13 +92,18 @@
         number = f"q{self.asked}"
         self.open[number] = 0
         read = self.told["settings"]["domain"]["class_read"][kind]
-        self.tell({
-            "kind": "call", "rid": number, "priority": self.names["class"][kind], "expires": self.now + limit * MS,
-            "partition_no": self.names["group"][group % len(self.names["group"])],
-            "customer": self.names["tenant"][client % len(self.names["tenant"])],
-            "session": f"k{key}" if read in ("causal", "mutate") else None,
-            "since_write_ms": 40.5 if read == "causal" and key % 2 else 0,
-        })  # fmt: skip
+        self.tell(
+            {
+                "kind": "call",
+                "rid": number,
+                "priority": self.names["class"][kind],
+                "expires": self.now + limit * MS,
+                "partition_no": self.names["group"][group % len(self.names["group"])],
+                "customer": self.names["tenant"][client % len(self.names["tenant"])],
+                "session": f"k{key}" if read in ("causal", "mutate") else None,
+                "since_write_ms": 40.5 if read == "causal" and key % 2 else 0,
+            }
+        )
 
     def burst(self, count, kind, group, limit):
         for at in range(count):
--- a/tests/support/drawn_platform_play.py
+++ b/tests/support/drawn_platform_play.py
@@ -87,9 +87,15 @@
         self.kinds = {kind.name: kind for kind in config.settings.classes}
         backend = PlatformBackend(self.reactor, lambda: self.gateway.now(), config.settings.report_fields, self.log)
         self.gateway = Gateway(
-            config.settings, backend, reactor=self.reactor, seconds=self.reactor.seconds, wall=self.reactor.seconds,
-            log=self.log, limits=Limits(multiplex=1, connections=50), positions=ClockPositions(),
-        )  # fmt: skip
+            config.settings,
+            backend,
+            reactor=self.reactor,
+            seconds=self.reactor.seconds,
+            wall=self.reactor.seconds,
+            log=self.log,
+            limits=Limits(multiplex=1, connections=50),
+            positions=ClockPositions(),
+        )
         self.gateway.apply_list(specs(config.known), 1)
         self.factory = ClientFactory(
             self.gateway, Admission(AdmissionLimits()), Descriptors(90, 0), self.kinds, self.log
@@ -98,8 +104,15 @@
 
     def entry(self, number, **change):
         group, zone, part = self.told["servers"][number]
-        return {"instanceId": self.names["server"][number], "hostPort": f"h:{1000 + number}", "lifecycle": "Ready",
-                "zone": self.names["zone"][zone], "cell": self.names["group"][group], "part": part, **change}  # fmt: skip
+        return {
+            "instanceId": self.names["server"][number],
+            "hostPort": f"h:{1000 + number}",
+            "lifecycle": "Ready",
+            "zone": self.names["zone"][zone],
+            "cell": self.names["group"][group],
+            "part": part,
+            **change,
+        }
 
     def run(self, script):
         for step, *numbers in script:
--- a/tests/support/plan_brute_force.py
+++ b/tests/support/plan_brute_force.py
@@ -1,4 +1,4 @@
-"""Exact brute force of plans by other code than the solver's; the whole grid: python -m tests.bruteforce."""
+"""Exact brute force of plans by other code than the solver's; the whole grid: python -m tests.support.plan_brute_force."""
 
 import itertools
 from concurrent.futures import ProcessPoolExecutor
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -33,20 +33,41 @@
 )
 
 
-ENTRY = {"instanceId": "s-1", "hostPort": "127.0.0.1:6432", "zone": "a", "cell": 3, "lifecycle": "Ready", "part": "master",
-         "machineType": "m2", "weight": 1.5, "startedAtMs": 1500}  # fmt: skip
+ENTRY = {
+    "instanceId": "s-1",
+    "hostPort": "127.0.0.1:6432",
+    "zone": "a",
+    "cell": 3,
+    "lifecycle": "Ready",
+    "part": "master",
+    "machineType": "m2",
+    "weight": 1.5,
+    "startedAtMs": 1500,
+}
 
 
 ENV = {
-    "domain": {"checks": "bounce", "class_read": ["lag_bound", "mutate"], "lag_allowed": [800000000, 0],
-               "session_marks": "brought"},
-    "services": [{"name": "lookup", "aim": 1, "hard_limit": 2, "effect": "pure"},
-                 {"name": "commit", "aim": 1, "hard_limit": 2, "effect": "side_effect"}],
+    "domain": {
+        "checks": "bounce",
+        "class_read": ["lag_bound", "mutate"],
+        "lag_allowed": [800000000, 0],
+        "session_marks": "brought",
+    },
+    "services": [
+        {"name": "lookup", "aim": 1, "hard_limit": 2, "effect": "pure"},
+        {"name": "commit", "aim": 1, "hard_limit": 2, "effect": "side_effect"},
+    ],
     "ceilings": {"idle_close": 20_000_000_000},
-}  # fmt: skip
-CONFIG = {"name": "n3", "listen": "127.0.0.4:6432", "discovery": "127.0.0.9:8500", "seed": "8c1f30d27a5be964",
-          "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": ENV,
-          "known": {"generation": 41, "reset": True, "instances": [ENTRY]}}  # fmt: skip
+}
+CONFIG = {
+    "name": "n3",
+    "listen": "127.0.0.4:6432",
+    "discovery": "127.0.0.9:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
+    "settings": ENV,
+    "known": {"generation": 41, "reset": True, "instances": [ENTRY]},
+}
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -103,8 +124,15 @@
         self.out = []
 
     def connect(self, server, ready, lost):
-        ready(SimpleNamespace(submit=self.submit, abandon=lambda n: None, probe=lambda d: d(None), fit=lambda: True,
-                              close=lambda: None))  # fmt: skip
+        ready(
+            SimpleNamespace(
+                submit=self.submit,
+                abandon=lambda n: None,
+                probe=lambda d: d(None),
+                fit=lambda: True,
+                close=lambda: None,
+            )
+        )
         return lambda: None
 
     def submit(self, operation, receiver):
@@ -120,12 +148,27 @@
     def __init__(self, connections=90, replicas=1):
         self.clock, self.backend, self.log = Clock(), Backend(), Log()
         self.clock.advance(1000)
-        settings = Settings(1, "a", 1, tuple(KINDS.values()), checks="refuse", tokens="carried", may_cancel=True,
-                            max_attempts=4, max_retry_after=2 * SECOND)  # fmt: skip
+        settings = Settings(
+            1,
+            "a",
+            1,
+            tuple(KINDS.values()),
+            checks="refuse",
+            tokens="carried",
+            may_cancel=True,
+            max_attempts=4,
+            max_retry_after=2 * SECOND,
+        )
         self.gateway = Gateway(
-            settings, self.backend, reactor=self.clock, seconds=self.clock.seconds, wall=self.clock.seconds,
-            log=self.log, limits=Limits(multiplex=1, connections=50), positions=ClockPositions(),
-        )  # fmt: skip
+            settings,
+            self.backend,
+            reactor=self.clock,
+            seconds=self.clock.seconds,
+            wall=self.clock.seconds,
+            log=self.log,
+            limits=Limits(multiplex=1, connections=50),
+            positions=ClockPositions(),
+        )
         copies = [ServerSpec(f"r{n}" if n else "r", "2", "a", "h", 2 + n) for n in range(replicas)]
         self.gateway.apply_list([ServerSpec("p", "2", "a", "h", 1, True), *copies])
         descriptors = Descriptors(connections, 0)
@@ -176,9 +219,10 @@
     here = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}"}
     file.write_bytes(orjson.dumps({**CONFIG, **here, **change}))
     process = subprocess.Popen(
-        [sys.executable, *flags, "-m", "yardbank.platform"], env={**os.environ, "NODE_CONFIG": str(file)},
+        [sys.executable, *flags, "-m", "yardbank.platform"],
+        env={**os.environ, "NODE_CONFIG": str(file)},
         stderr=subprocess.PIPE,
-    )  # fmt: skip
+    )
     lines = []
     for line in process.stderr:
         lines.append(line)
--- a/tests/support/rare_moment_faults.py
+++ b/tests/support/rare_moment_faults.py
@@ -1,4 +1,4 @@
-"""Gateways with the guard of one term taken out, for ``tests.rig_runner``: the claims on rare moments must find them."""
+"""Gateways with the guard of one term taken out, for ``tests.support.rig_runner``: the claims on rare moments must find them."""
 
 
 def keeps_the_gone():
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -1,6 +1,6 @@
-"""Plays a scenario with one gateway that has a fault of its own: python -m tests.rig_runner FAULT SCENARIO FOLDER.
+"""Plays a scenario with one gateway that has a fault of its own: python -m tests.support.rig_runner FAULT SCENARIO FOLDER.
 
-Prints the claims as JSON. As ``python -m tests.rig_runner serve FAULT ...`` it is that gateway.
+Prints the claims as JSON. As ``python -m tests.support.rig_runner serve FAULT ...`` it is that gateway.
 """
 
 import json
@@ -216,7 +216,7 @@
         if gateway != "g1" and fault not in EVERYWHERE:
             return usual
         if "--supervised" in usual:  # the fault is the worker's
-            made.places[gateway].start_with(f"{sys.executable} -m tests.rig_runner serve {fault}")
+            made.places[gateway].start_with(f"{sys.executable} -m tests.support.rig_runner serve {fault}")
             return usual
         rest = usual[1:] if usual[1].endswith(".py") else usual[3:]
         return [sys.executable, "-m", "tests.support.rig_runner", "serve", fault, *rest]
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -225,6 +225,15 @@
 
 def change(**more):
     """One that is through in minutes."""
-    given = {"id": "c1", "settings": "new.hcl", "stages": (0.1, 0.5, 1.0), "hold": 20 * SECOND, "settle": 3 * SECOND,
-             "outage": 8 * SECOND, "longest": 300 * SECOND, "most_at_once": 2, "worse_by": 0.03}  # fmt: skip
+    given = {
+        "id": "c1",
+        "settings": "new.hcl",
+        "stages": (0.1, 0.5, 1.0),
+        "hold": 20 * SECOND,
+        "settle": 3 * SECOND,
+        "outage": 8 * SECOND,
+        "longest": 300 * SECOND,
+        "most_at_once": 2,
+        "worse_by": 0.03,
+    }
     return Change.model_construct(None, **{**given, **more})
--- a/tests/support/virtual_gateway.py
+++ b/tests/support/virtual_gateway.py
@@ -112,9 +112,15 @@
         base |= {"may_probe": True, "may_cancel": True, "max_attempts": 4, "max_retry_after": 100 * MS}
         self.facts = []
         self.gateway = Gateway(
-            Settings(**(base | more)), self.backend, reactor=self.clock, limits=limits, seconds=self.clock.seconds,
-            wall=self.clock.seconds, record=self.facts.append, router=router,
-        )  # fmt: skip
+            Settings(**(base | more)),
+            self.backend,
+            reactor=self.clock,
+            limits=limits,
+            seconds=self.clock.seconds,
+            wall=self.clock.seconds,
+            record=self.facts.append,
+            router=router,
+        )
         self.gateway.apply_list(SERVERS)
 
     def ask(self, class_name="read", operation="op", session="s"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -61,6 +61,9 @@
         (tmp_path / "KNOWN-RED.txt").write_text(f"tests/test_x.py::{listed} | a cause | 38\n")
     ran = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"],
-        cwd=tmp_path, capture_output=True, text=True, check=False,
-    )  # fmt: skip
+        cwd=tmp_path,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert ran.returncode == code and said in ran.stdout + ran.stderr
--- a/tests/testing/audit/test_frames.py
+++ b/tests/testing/audit/test_frames.py
@@ -30,14 +30,27 @@
         for at in range(0, len(data), size):
             found += frames.push(float(at), data[at : at + size])
         assert [(one.operation, one.tag, one.number) for one in found] == [
-            ("search", "c1/1", 1), ("probe", "", 2), ("modify", "c1/2", 3), ("abandon", "", 4)
-        ]  # fmt: skip
+            ("search", "c1/1", 1),
+            ("probe", "", 2),
+            ("modify", "c1/2", 3),
+            ("abandon", "", 4),
+        ]
         assert found[3].target == 3
         assert [one.at for one in found] == [start // size * size for start in starts]
 
 
-@pytest.mark.parametrize("data", [b"GET / HTTP/1.1", b"\x30\x80ab", b"\x30\x85\1\1\1\1\1", b"\x30\x84\x7f\1\1\1",
-                                  b"\x30\x03\x02\x01\x01", b"\x30\x03\x02\x09\x01", b"\x30\x04\x04\x01\x01\x42\x00"])  # fmt: skip
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1",
+        b"\x30\x80ab",
+        b"\x30\x85\1\1\1\1\1",
+        b"\x30\x84\x7f\1\1\1",
+        b"\x30\x03\x02\x01\x01",
+        b"\x30\x03\x02\x09\x01",
+        b"\x30\x04\x04\x01\x01\x42\x00",
+    ],
+)
 def test_nothing_is_told_of_garbled_octets_nor_after_them(data):
     frames = Frames()
     assert frames.push(1.0, data + bytes(9)) == [] and frames.garbled
--- a/tests/testing/audit/test_operator_terms.py
+++ b/tests/testing/audit/test_operator_terms.py
@@ -11,8 +11,10 @@
 
 
 def taken(tag, at=1.0, client="c1", port=4001, message=2):
-    return [{"at": at - 0.1, "kind": "opened", "client": client, "port": port},
-            {"at": at, "kind": "sent", "client": client, "tag": tag, "gateway": "g1", "message": message}]  # fmt: skip
+    return [
+        {"at": at - 0.1, "kind": "opened", "client": client, "port": port},
+        {"at": at, "kind": "sent", "client": client, "tag": tag, "gateway": "g1", "message": message},
+    ]
 
 
 def begun(tag, at, gateway="g1", server="a-1", op="search"):
--- a/tests/testing/rig/test_claims.py
+++ b/tests/testing/rig/test_claims.py
@@ -11,8 +11,18 @@
 
 def sent(at, tag="c1/1", gateway="g1", **more):
     need = {"read": "bounded", "request_class": "lookup", "staleness": 1.0}
-    return {"at": at, "kind": "sent", "client": "c1", "tag": tag, "gateway": gateway, "deadline": 1.0, "need": need,
-            "suffix": "dc=a", "want": 1, **more}  # fmt: skip
+    return {
+        "at": at,
+        "kind": "sent",
+        "client": "c1",
+        "tag": tag,
+        "gateway": gateway,
+        "deadline": 1.0,
+        "need": need,
+        "suffix": "dc=a",
+        "want": 1,
+        **more,
+    }
 
 
 def lost(at):
@@ -74,13 +84,17 @@
 
 
 def wanted(at, number, end):
-    return [{"at": at, "kind": "wanted", "want": number, "request_class": "lookup"},
-            {"at": at + 0.1, "kind": "done", "want": number, "end": end}]  # fmt: skip
+    return [
+        {"at": at, "kind": "wanted", "want": number, "request_class": "lookup"},
+        {"at": at + 0.1, "kind": "done", "want": number, "end": end},
+    ]
 
 
 def test_claims_on_shares_can_fail_and_say_where():
-    facts = [{"at": 1.0, "kind": "step", "name": "x", "phase": "begin"},
-             {"at": 3.0, "kind": "step", "name": "x", "phase": "end"}]  # fmt: skip
+    facts = [
+        {"at": 1.0, "kind": "step", "name": "x", "phase": "begin"},
+        {"at": 3.0, "kind": "step", "name": "x", "phase": "end"},
+    ]
     for number in range(20):
         facts += wanted(number * 0.25, number, "refused" if 1 <= number * 0.25 < 3 else "served")
     facts.sort(key=lambda fact: fact["at"])
@@ -94,8 +108,10 @@
     facts = [process(0, "ready"), process(0, "ready", "g2"), {"at": 1.0, "kind": "step", "name": "x", "phase": "begin"}]
     for number, kind in enumerate(("lookup", "status", "commit")):
         need = {"read": "bounded", "request_class": kind}
-        facts += [{**sent(2.0 + number, f"c1/{number}"), "need": need},
-                  {"at": 2.1 + number, "kind": "answer", "client": "c1", "tag": f"c1/{number}", "code": 0}]  # fmt: skip
+        facts += [
+            {**sent(2.0 + number, f"c1/{number}"), "need": need},
+            {"at": 2.1 + number, "kind": "answer", "client": "c1", "tag": f"c1/{number}", "code": 0},
+        ]
     assert serves_again(facts, "x", ["g1"]).held
     both = serves_again(facts, "x", ["g1", "g2"])
     assert not both.held and "g2 lookup, g2 status, g2 commit" in both.seen
--- a/tests/testing/rig/test_cluster_claims.py
+++ b/tests/testing/rig/test_cluster_claims.py
@@ -62,11 +62,18 @@
     whole = [taken(1 + n / 10, *place) for n, place in enumerate(places)]
     assert feeds.followers(by_time(crossed, whole)).held
     for more, held in (
-        ([taken(2, 1, 3)], False), ([taken(2, 1, 2)], False), ([taken(2, 1, 5)], False), ([gap, taken(2, 1, 5)], True),
-        ([taken(2, 2, 1)], False), ([gap, taken(2, 2, 1)], True), ([taken(2, 1, 4), taken(3, 1, 5), taken(4, 2, 1)], True),
-        ([taken(2, 1, 2, gateway="other")], True), ([fact(1.9, "peer_start", gateway="f"), taken(2, 1, 1)], True),
-        ([gap, taken(2, 2, 1), taken(3, 1, 4)], False), ([gap, taken(2, 1, 5), taken(3, 2, 2)], False),
-    ):  # fmt: skip
+        ([taken(2, 1, 3)], False),
+        ([taken(2, 1, 2)], False),
+        ([taken(2, 1, 5)], False),
+        ([gap, taken(2, 1, 5)], True),
+        ([taken(2, 2, 1)], False),
+        ([gap, taken(2, 2, 1)], True),
+        ([taken(2, 1, 4), taken(3, 1, 5), taken(4, 2, 1)], True),
+        ([taken(2, 1, 2, gateway="other")], True),
+        ([fact(1.9, "peer_start", gateway="f"), taken(2, 1, 1)], True),
+        ([gap, taken(2, 2, 1), taken(3, 1, 4)], False),
+        ([gap, taken(2, 1, 5), taken(3, 2, 2)], False),
+    ):
         assert feeds.followers(by_time(crossed, whole, more)).held == held, more
     assert not feeds.followers(crossed).held
 
@@ -101,9 +108,15 @@
 
 UP = [process(0, name, "ready") for name in ZONES]
 GOOD = [
-    *over(1, "g1", 1), *over(2, "g2", 1), said(3, "g3", "well", 1), said(3, "g3", "stage", 2), said(3, "g4", "well", 1),
-    *over(4, "g3", 2), *over(5, "g4", 2), fact(9, "load_over"),
-]  # fmt: skip
+    *over(1, "g1", 1),
+    *over(2, "g2", 1),
+    said(3, "g3", "well", 1),
+    said(3, "g3", "stage", 2),
+    said(3, "g4", "well", 1),
+    *over(4, "g3", 2),
+    *over(5, "g4", 2),
+    fact(9, "load_over"),
+]
 
 
 def without(facts, *gone):
@@ -143,8 +156,10 @@
 
 def test_a_map_is_right_within_what_is_claimed():
     way = [fact(1, "way", **{"from": a, "to": b, "ms": 80.0}) for a, b in ("ns", "sn")]
-    say = [fact(3, "map", gateway=g, how="seen", ms=83.0, **{"from": z, "to": "s" if z == "n" else "n"})
-           for g, z in ZONES.items()]  # fmt: skip
+    say = [
+        fact(3, "map", gateway=g, how="seen", ms=83.0, **{"from": z, "to": "s" if z == "n" else "n"})
+        for g, z in ZONES.items()
+    ]
     assert charted([*UP, *way, *say], ZONES, 0.05, 0).held and charted([*UP, *way, *say], ZONES, 0, 4).held
     off = charted([*UP, *way, *say, {**say[1], "ms": 20.0}], ZONES, 0.05, 5)
     assert not off.held and "g2 says 20.0 ms from s to n, 80.0 are set" in off.seen
@@ -194,7 +209,7 @@
     ('claim "m" {\n  kind = "map"\n  within = "9ms"\n}\n', "kind: map needs fleet { atlas = true }"),
     ('claim "m" {\n  kind = "owners"\n}\n', "kind: owners needs fleet { channels = true }"),
     ('claim "m" {\n  kind = "followers"\n  most = 3\n}\n', 'most: not for kind = "followers"'),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("text, fault", FAULTY)
--- a/tests/testing/rig/test_fleet.py
+++ b/tests/testing/rig/test_fleet.py
@@ -72,20 +72,45 @@
 FAULTS = [
     ("Forgets", "rules", "one final answer in time", "", ""),
     ("Dies", "alive", "g1 ended with code 3", "", ""),
-    ("RefusesAll", "again", "nothing served after x: g1 lookup, g1 status, g1 commit", "",
-     'step "x" {\n  do = "cut"\n  lasts = "100ms"\n  from = ["g2"]\n  to = ["numbers-2"]\n}\n'
-     'claim "again" {\n  kind = "serves_again"\n  after = "x"\n}\n'),
-    ("Resends", "rules", "no effect twice", "  writes = 0.8\n",
-     'step "x" {\n  do = "lose_answers"\n  count = 40\n  at = "300ms"\n  who = ["numbers-1"]\n}\n'),
-    ("IgnoresDrains", "rules", "drains kept", "  writes = 0.1\n",
-     'step "x" {\n  do = "tell"\n  at = "300ms"\n  who = ["numbers-2"]\n  state = "draining"\n}\n'),
+    (
+        "RefusesAll",
+        "again",
+        "nothing served after x: g1 lookup, g1 status, g1 commit",
+        "",
+        'step "x" {\n  do = "cut"\n  lasts = "100ms"\n  from = ["g2"]\n  to = ["numbers-2"]\n}\n'
+        'claim "again" {\n  kind = "serves_again"\n  after = "x"\n}\n',
+    ),
+    (
+        "Resends",
+        "rules",
+        "no effect twice",
+        "  writes = 0.8\n",
+        'step "x" {\n  do = "lose_answers"\n  count = 40\n  at = "300ms"\n  who = ["numbers-1"]\n}\n',
+    ),
+    (
+        "IgnoresDrains",
+        "rules",
+        "drains kept",
+        "  writes = 0.1\n",
+        'step "x" {\n  do = "tell"\n  at = "300ms"\n  who = ["numbers-2"]\n  state = "draining"\n}\n',
+    ),
     ("DeafToPeers", "views", "sees g", "", ""),
-    ("Credulous", "belief", "g1 spares ", "  writes = 0.1\n",
-     'step "x" {\n  do = "cut"\n  how = "reset"\n  at = "300ms"\n  from = ["g2", "g3", "g4"]\n'
-     '  to = ["numbers-2", "numbers-3"]\n}\n'),
-    ("ReadsAnywhere", "rules", "no stale read", "  writes = 0.5\n  entries = 5\n",
-     'step "x" {\n  do = "lag"\n  who = ["numbers-2"]\n  factor = 200\n}\n'),
-]  # fmt: skip
+    (
+        "Credulous",
+        "belief",
+        "g1 spares ",
+        "  writes = 0.1\n",
+        'step "x" {\n  do = "cut"\n  how = "reset"\n  at = "300ms"\n  from = ["g2", "g3", "g4"]\n'
+        '  to = ["numbers-2", "numbers-3"]\n}\n',
+    ),
+    (
+        "ReadsAnywhere",
+        "rules",
+        "no stale read",
+        "  writes = 0.5\n  entries = 5\n",
+        'step "x" {\n  do = "lag"\n  who = ["numbers-2"]\n  factor = 200\n}\n',
+    ),
+]
 
 
 OFTEN = {"Forgets", "Resends", "IgnoresDrains", "Credulous"}
@@ -112,8 +137,12 @@
 @contextmanager
 def playing(kept):
     """The rig in the middle of a play."""
-    rig = subprocess.Popen([sys.executable, "-m", "yardbank", "rig", "run", "partition", "--keep", str(kept)],
-                           stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)  # fmt: skip
+    rig = subprocess.Popen(
+        [sys.executable, "-m", "yardbank", "rig", "run", "partition", "--keep", str(kept)],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     try:
         while "partition" not in rig.stdout.readline():  # the load is on
             assert rig.poll() is None
