--- a/tests/testing/rig/test_network.py
+++ b/tests/testing/rig/test_network.py
@@ -14,8 +14,9 @@
 from yardbank.testing.rig.roster import Roster
 
 PIECES = st.lists(st.binary(min_size=1, max_size=300), min_size=1, max_size=30)
-EFFECTS = st.builds(Effect, st.sampled_from(["", "silent"]), st.floats(0, 0.2), st.floats(0, 0.2),
-                    st.sampled_from([0.0, 1000.0]))  # fmt: skip
+EFFECTS = st.builds(
+    Effect, st.sampled_from(["", "silent"]), st.floats(0, 0.2), st.floats(0, 0.2), st.sampled_from([0.0, 1000.0])
+)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -100,8 +101,13 @@
     made = scenario("")
     by_read = {a.read: a for a in draw(made.load, made.group, 1)}
     random = Random(1)
-    for outcome, again in {"refused": "bounded session write", "lost": "bounded session", "failed": "bounded session",
-                           "silent": "", "served": ""}.items():  # fmt: skip
+    for outcome, again in {
+        "refused": "bounded session write",
+        "lost": "bounded session",
+        "failed": "bounded session",
+        "silent": "",
+        "served": "",
+    }.items():
         for read, arrival in by_read.items():
             wait = try_again(arrival, made.load, 1, outcome, 0.1, random)
             assert (wait is not None) == (read in again.split())
@@ -126,5 +132,9 @@
         members.move("g1", "pause")
     assert members.member("g1").starts == 3 and not members.ready()
     assert {state for before, _, after in r.TABLE for state in (before, after)} == {
-        r.DOWN, r.STARTING, r.READY, r.PAUSED, r.ENDING
-    }  # fmt: skip
+        r.DOWN,
+        r.STARTING,
+        r.READY,
+        r.PAUSED,
+        r.ENDING,
+    }
--- a/tests/testing/rig/test_rare_moments.py
+++ b/tests/testing/rig/test_rare_moments.py
@@ -39,8 +39,18 @@
 @pytest.mark.parametrize("name", SMALL)
 def test_a_small_fleet_stands_it(name, tmp_path):
     out, kept = tmp_path / "out.json", tmp_path / "kept"
-    command = [sys.executable, "-m", "yardbank", "rig", "run", str(small(name, tmp_path)), "--json", str(out), "--keep",
-               str(kept)]  # fmt: skip
+    command = [
+        sys.executable,
+        "-m",
+        "yardbank",
+        "rig",
+        "run",
+        str(small(name, tmp_path)),
+        "--json",
+        str(out),
+        "--keep",
+        str(kept),
+    ]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     facts = [json.loads(line) for line in (kept / "record.jsonl").read_text().splitlines()]
@@ -48,8 +58,12 @@
     for index, fact in enumerate(facts):
         first.setdefault((fact["kind"], fact.get("gateway"), fact.get("server"), fact.get("reached")), index)
     for late in ("g2", "g3"):  # out of reach: listed meanwhile, told by its return
-        order = [("discovery", late, None, False), ("listed", late, "numbers-2", None),
-                 ("discovery", late, None, True), ("told", late, "numbers-2", None)]  # fmt: skip
+        order = [
+            ("discovery", late, None, False),
+            ("listed", late, "numbers-2", None),
+            ("discovery", late, None, True),
+            ("told", late, "numbers-2", None),
+        ]
         assert [first[key] for key in order] == sorted(first[key] for key in order)
     for late in ("g4", "g5"):
         assert first["listed", late, "requests-3", None] < first["told", late, "requests-3", None]
@@ -86,9 +100,11 @@
   kind = "gone_clients"
 }
 """
-FAULTS = {"keeps_the_gone": (None, "gone_clients", "attempts more than 0.1 s later"),
-          "never_cold": ("moments-cold", "cold_sum", "calls within 2 s, from "),
-          "hears_late": ("moments-drain", "told", "after it counts as told that it is draining")}  # fmt: skip
+FAULTS = {
+    "keeps_the_gone": (None, "gone_clients", "attempts more than 0.1 s later"),
+    "never_cold": ("moments-cold", "cold_sum", "calls within 2 s, from "),
+    "hears_late": ("moments-drain", "told", "after it counts as told that it is draining"),
+}
 OFTEN = ["keeps_the_gone"]
 
 
--- a/tests/testing/rig/test_scenarios.py
+++ b/tests/testing/rig/test_scenarios.py
@@ -43,11 +43,16 @@
     (step("x", 'do = "kill"\nwho = ["g1"]\nlasts = "1s"\nuntil = "elected:a"'), "lasts and until: one of both"),
     (step("x", 'do = "kill"\nwho = ["g1"]\nafter = "y"'), 's.hcl:11: step "x": after: no step or event "y"'),
     (step("x", 'do = "kill"\nwho = ["g1"]\nafter = "x"'), 'step "x": after: is the step itself'),
-    (step("x", 'do = "kill"\nwho = ["g1"]\nafter = "y"') + step("y", 'do = "kill"\nwho = ["g1"]\nafter = "x"'),
-     'step "x": after: waits for itself in the end'),
+    (
+        step("x", 'do = "kill"\nwho = ["g1"]\nafter = "y"') + step("y", 'do = "kill"\nwho = ["g1"]\nafter = "x"'),
+        'step "x": after: waits for itself in the end',
+    ),
     (step("x", 'do = "crash"\nwho = ["g1"]'), 'step "x": who: nothing is called "g1"'),
     (step("x", 'do = "burn"\nwho = ["g1"]'), 'step "x": do: Input should be'),
-    (step("x", 'do = "lose"\nshare = 0.5\nfrom = ["g1"]\nto = ["a-1"]'), 's.hcl:9: step "x": do: lose is for datagrams'),
+    (
+        step("x", 'do = "lose"\nshare = 0.5\nfrom = ["g1"]\nto = ["a-1"]'),
+        's.hcl:9: step "x": do: lose is for datagrams',
+    ),
     ('clock "g9" {\n  rate = 1.1\n}\n', 's.hcl:8: clock "g9": there is no such gateway'),
     ('claim "r" {\n  kind = "rules"\n}\n', 's.hcl:8: claim "r" is given twice'),
     ('claim "s" {\n  kind = "served"\n}\n', 'claim "s": least: missing for kind = "served"'),
@@ -55,7 +60,7 @@
     ("fleet {\n  gateways = 0\n}\n", "s.hcl:9: fleet"),
     ("load {\n  speed = 3\n}\n", "s.hcl:9: load"),
     ("nonsense", ": this is not HCL"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("text, fault", FAULTY)
@@ -115,8 +120,10 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.booleans()), min_size=1, max_size=6),
-       st.lists(st.floats(0, 20), max_size=20))  # fmt: skip
+@given(
+    st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.booleans()), min_size=1, max_size=6),
+    st.lists(st.floats(0, 20), max_size=20),
+)
 def test_steps_only_move_as_the_table_says_and_each_once(rows, moments):
     text = ""
     for index, (at, lasts, follows) in enumerate(rows):
@@ -131,9 +138,7 @@
         seen.update(names(plan.due(at)))
     lasting = {f"s{index}" for index, (_, lasts, _) in enumerate(rows) if lasts}
     assert seen == Counter({(f"s{i}", True): 1 for i in range(len(rows))} | {(name, False): 1 for name in lasting})
-    assert {(before, after) for before, _, after in TABLE} == {
-        (WAITING, HOLDING), (HOLDING, OVER), (WAITING, OVER)
-    }  # fmt: skip
+    assert {(before, after) for before, _, after in TABLE} == {(WAITING, HOLDING), (HOLDING, OVER), (WAITING, OVER)}
 
 
 def test_the_scenarios_lie_with_the_package():
--- a/tests/testing/rig/test_seeded_faults.py
+++ b/tests/testing/rig/test_seeded_faults.py
@@ -52,7 +52,7 @@
     ("eager", "rollout", "6s", 'kind = "stages"\n  most = 4', ASK, "g1 went in stage 2 and had not found stage 1 well"),
     ("deaf_to_stop", "rollout", "12s", 'kind = "stopped"', ASK + STOP, "g1"),
     ("all_near", "atlas", "10s", 'kind = "map"\n  within = "5ms"\n  share = 0.2', FAR, "g1 says "),
-]  # fmt: skip
+]
 OFTEN = {"eager"}  # "keeps_on" needs that gateway to own something when it is cut off, which no step waits for
 
 
--- a/tests/testing/rig/test_taps.py
+++ b/tests/testing/rig/test_taps.py
@@ -175,15 +175,18 @@
     (step("x", 'do = "leave"\nshare = 0.5\ngateways = ["g9"]'), 'step "x": gateways: nothing is called "g9"'),
     (step("x", 'do = "leave"\nshare = 0.5\nmeans = "shout"'), 'step "x": means: Input should be'),
     (step("x", 'do = "kill"\nwho = ["g1"]\nlate = "1s"'), 'step "x": late: not for do = "kill"'),
-    (step("x", 'do = "tell"\nwho = ["a-1"]\nstate = "draining"\nlate = "3s"')
-     + 'claim "t" {\n  kind = "told"\n  bound = "3s"\n}\n', 'claim "t": bound: step "x" tells later than that'),
+    (
+        step("x", 'do = "tell"\nwho = ["a-1"]\nstate = "draining"\nlate = "3s"')
+        + 'claim "t" {\n  kind = "told"\n  bound = "3s"\n}\n',
+        'claim "t": bound: step "x" tells later than that',
+    ),
     ('claim "s" {\n  kind = "gone_clients"\n  bound = "3s"\n}\n', 'claim "s": bound: not for kind = "gone_clients"'),
     ('claim "s" {\n  kind = "cold_sum"\n  cases = 2\n}\n', 'claim "s": cases: not for kind = "cold_sum"'),
     ('claim "s" {\n  kind = "gone_clients"\n  cases = 0\n}\n', 'claim "s": cases: Input should be greater than 0'),
     ('claim "s" {\n  kind = "cold_sum"\n  window = "0s"\n}\n', 'claim "s": window: Input should be greater than 0'),
     ('claim "s" {\n  kind = "told"\n  grace = "soon"\n}\n', "claim \"s\": grace: 'soon' is no duration"),
     ("load {\n  uneven = 0.5\n}\n", "load.uneven: Input should be greater than or equal to 1"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("text, fault", FAULTY)
@@ -198,8 +201,10 @@
 
 
 def test_a_claims_fields_reach_the_judge():
-    begun = [{"at": 10.0 + n / 100, "kind": "begun", "gateway": "g1", "server": "a-1", "tag": f"{n}", "op": "search"}
-             for n in range(40)]  # fmt: skip
+    begun = [
+        {"at": 10.0 + n / 100, "kind": "begun", "gateway": "g1", "server": "a-1", "tag": f"{n}", "op": "search"}
+        for n in range(40)
+    ]
     start = {"at": 10.0, "kind": "start", "server": "a-1", "cold_s": 4.0, "cold_share": 0.5, "per_s": 20.0}
     listed = {"at": 3.8, "kind": "listed", "gateway": "g1", "server": "a-1", "state": "draining"}
     text = ('claim "c" {\n  kind = "cold_sum"\n%s}\n', 'claim "t" {\n  kind = "told"\n%s}\n')
--- a/yardbank/cli/peers.py
+++ b/yardbank/cli/peers.py
@@ -46,9 +46,13 @@
         return
     console = Console(width=120)
     dropped = ", ".join(f"{count} {reason}" for reason, count in view["dropped"].items()) or "none"
-    console.print(f"{view['name']} of fleet {view['fleet']}, life {view['life']}, incarnation {view['incarnation']}, "
-                  f"slowness {view['slowness']}; written {time.time() - view['written']:.1f} s ago; datagrams dropped: "
-                  f"{dropped}", markup=False, highlight=False)  # fmt: skip
+    console.print(
+        f"{view['name']} of fleet {view['fleet']}, life {view['life']}, incarnation {view['incarnation']}, "
+        f"slowness {view['slowness']}; written {time.time() - view['written']:.1f} s ago; datagrams dropped: "
+        f"{dropped}",
+        markup=False,
+        highlight=False,
+    )
     table = Table()
     for column in ("peer", "state", "incarnation", "for", "heard itself"):
         table.add_column(column)
--- a/yardbank/cli/rig.py
+++ b/yardbank/cli/rig.py
@@ -44,8 +44,10 @@
     """Check a scenario: a FILE, or the name of one that comes with the program."""
     scenario = _load(file)
     steps = "\n".join(f"  {step.name}: {step.do}" for step in scenario.step)
-    click.echo(f"{scenario.title}: {scenario.fleet.gateways} gateways, {len(scenario.servers())} servers, "
-               f"{len(scenario.claim)} claims\n{steps}".rstrip())  # fmt: skip
+    click.echo(
+        f"{scenario.title}: {scenario.fleet.gateways} gateways, {len(scenario.servers())} servers, "
+        f"{len(scenario.claim)} claims\n{steps}".rstrip()
+    )
 
 
 @rig.command()
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -143,9 +143,13 @@
         table.add_row(place, ", ".join(names))
     console.print(table)
     seen = view["evidence"]
-    console.print(f"evidence that it is worse {seen['worse']} (stops at {seen['stops_at']}), that it is not "
-                  f"{seen['well']} (goes on at {seen['passes_at']}), of {seen['windows']} windows; classes compared: "
-                  f"{', '.join(seen['classes']) or 'none yet'}", markup=False, highlight=False)  # fmt: skip
+    console.print(
+        f"evidence that it is worse {seen['worse']} (stops at {seen['stops_at']}), that it is not "
+        f"{seen['well']} (goes on at {seen['passes_at']}), of {seen['windows']} windows; classes compared: "
+        f"{', '.join(seen['classes']) or 'none yet'}",
+        markup=False,
+        highlight=False,
+    )
     if seen["not_compared"]:
         console.print(f"not compared: {', '.join(seen['not_compared'])}", markup=False, highlight=False)
 
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -27,8 +27,14 @@
         log.error("in_force_unreadable", fault=str(problem))
         started = Started(ActiveVersion(), file, False)
     if not started.supervised and started.force.now.program:
-        log.error("rollout", rollout=started.force.now.rollout, what="not_in_force", stage=0,
-                  version=started.force.now.name, why="another program runs only under --supervised")  # fmt: skip
+        log.error(
+            "rollout",
+            rollout=started.force.now.rollout,
+            what="not_in_force",
+            stage=0,
+            version=started.force.now.name,
+            why="another program runs only under --supervised",
+        )
         started = Started(ActiveVersion(), file, False)
     now = started.force.now.file(started.given)
     return (started, file, config) if now == file else (started, now, load_or_exit(now))
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -34,9 +34,15 @@
     """All channels that this gateway would carry."""
 
     def __init__(
-        self, membership_view: MembershipView, leases: Leases, members: Members, placement: Placement, feed: Feed,
-        options: Options, random: Random,
-    ) -> None:  # fmt: skip
+        self,
+        membership_view: MembershipView,
+        leases: Leases,
+        members: Members,
+        placement: Placement,
+        feed: Feed,
+        options: Options,
+        random: Random,
+    ) -> None:
         self.channels: dict[str, Own] = {}
         self.stopping = False
         self.moves: Counter[tuple[str, str]] = Counter()  # of ``TABLE``
--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -101,7 +101,7 @@
         return [
             Sets(wanted.sets, number, len(parts), tuple(own), tuple(follow))
             for number, (own, follow) in enumerate(parts)
-        ]  # fmt: skip
+        ]
 
     def told(self, part: Sets) -> None:
         """A part of the answer; it counts once it is whole and fits the hash."""
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -205,15 +205,22 @@
         return {
             "carried": {name: {"epoch": one.epoch, "sequence": one.sequence} for name, one in feed.carried.items()},
             "channels": {
-                channel: {"owner": known.owner, "epoch": known.epoch, "sequence": known.sequence,
-                          "heard_ms": (now - known.heard_at) // MS, "over": known.over}
+                channel: {
+                    "owner": known.owner,
+                    "epoch": known.epoch,
+                    "sequence": known.sequence,
+                    "heard_ms": (now - known.heard_at) // MS,
+                    "over": known.over,
+                }
                 for channel, known in feed.known.items()
             },
             "states": {channel: own.state for channel, own in self.ownership.channels.items()},
             "moves": {f"{old} {new}": count for (old, new), count in self.ownership.moves.items()},
-            "broken_parents": feed.edges.broken, "refused_children": feed.edges.refused, "odd": feed.odd,
+            "broken_parents": feed.edges.broken,
+            "refused_children": feed.edges.refused,
+            "odd": feed.odd,
             "lost_events": self.lost_events,
-        }  # fmt: skip
+        }
 
     def _look_around(self, now: int) -> None:
         self.members.here(self._neighbours.look(now, self.members))
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -27,9 +27,17 @@
     """Asks for all what this gateway owns, hands on what others ask. From ``start`` to ``stop``."""
 
     def __init__(
-        self, name: str, gateway: Gateway, channels: Channels, options: Options, random: Random, *,
-        reactor: Any, now: Callable[[], int], log: Any,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        gateway: Gateway,
+        channels: Channels,
+        options: Options,
+        random: Random,
+        *,
+        reactor: Any,
+        now: Callable[[], int],
+        log: Any,
+    ) -> None:
         self.decider = Positions(name, random, options)
         self._gateway, self._channels = gateway, channels
         self._reactor, self._now, self._log = reactor, now, log
@@ -69,8 +77,12 @@
     def view(self) -> dict[str, Any]:
         """What an operator should see."""
         trust = self.decider.trust
-        return {"alone": self.decider.alone(), "went_back": trust.back(), "not_believed": dict(trust.not_believed),
-                "malformed": self.decider.malformed}  # fmt: skip
+        return {
+            "alone": self.decider.alone(),
+            "went_back": trust.back(),
+            "not_believed": dict(trust.not_believed),
+            "malformed": self.decider.malformed,
+        }
 
     def _owned(self, channel: str, epoch: int) -> None:
         self.decider.owned(self._now(), channel.removeprefix(PREFIX))
@@ -96,8 +108,12 @@
         """Carry out what the decider said."""
         asks, self.decider.asks = self.decider.asks, []
         for server in asks:
-            self._gateway.ask(server, lambda position, sent_at, status, server=server: self._answered(  # type: ignore[misc]
-                server, position, sent_at))  # fmt: skip
+            self._gateway.ask(
+                server,
+                lambda position, sent_at, status, server=server: self._answered(  # type: ignore[misc]
+                    server, position, sent_at
+                ),
+            )
         items, self.decider.items = self.decider.items, []
         for channel, data in items:
             self._channels.publish(channel, data)  # not the owner any more, or full: the next one stands for itself
--- a/yardbank/cluster/channels/positions.py
+++ b/yardbank/cluster/channels/positions.py
@@ -205,8 +205,9 @@
 
     def alone(self) -> list[str]:
         """Servers of which nothing believed was heard lately: this gateway asks them itself."""
-        return sorted(name for name, server in self._servers.items()
-                      if server.alone and server.place.group not in self._owned)  # fmt: skip
+        return sorted(
+            name for name, server in self._servers.items() if server.alone and server.place.group not in self._owned
+        )
 
     def _draw(self) -> int:
         return round(self._options.alone_after * (1 + self._random.random()))
--- a/yardbank/cluster/channels/service.py
+++ b/yardbank/cluster/channels/service.py
@@ -147,10 +147,12 @@
     def view(self) -> dict[str, Any]:
         """Listeners and what waits for them."""
         return {
-            name: {"waiting": [len(one.queue) for one in channel.listeners],
-                   "lost": sum(one.queue.lost for one in channel.listeners)}
+            name: {
+                "waiting": [len(one.queue) for one in channel.listeners],
+                "lost": sum(one.queue.lost for one in channel.listeners),
+            }
             for name, channel in self._channels.items()
-        }  # fmt: skip
+        }
 
     # Telling
 
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -121,9 +121,13 @@
         block = config.channels
         assert block is not None
         options = Options(
-            fan_out=block.fan_out, most_queued=block.most_queued, every=block.every, alone_after=block.alone_after,
-            term=self._terms.term, overlap=self._terms.overlap,
-        )  # fmt: skip
+            fan_out=block.fan_out,
+            most_queued=block.most_queued,
+            every=block.every,
+            alone_after=block.alone_after,
+            term=self._terms.term,
+            overlap=self._terms.overlap,
+        )
         node, now = self._peers.node, self._gateway.now
         part = ChannelPart(node.membership_view, self.leases, self._random("channels"), options, distance)
         node.add(part)
@@ -131,9 +135,15 @@
         self.channels = Channels(part, reactor=self._reactor, now=now, prompt=self._peers.prompt, log=self._log)
         if block.positions:
             self._feeds = PositionFeeds(
-                node.name, self._gateway, self.channels, options, self._random("positions"),
-                reactor=self._reactor, now=now, log=self._log,
-            )  # fmt: skip
+                node.name,
+                self._gateway,
+                self.channels,
+                options,
+                self._random("positions"),
+                reactor=self._reactor,
+                now=now,
+                log=self._log,
+            )
 
     def _make_rollout(self, config: Config, started: Started | None) -> None:
         from yardbank.cluster.rollout.actuator import Actuator, name_of
@@ -152,9 +162,18 @@
         part = RolloutPart(node.membership_view, self.leases, self._random("rollout"), self._keep("rollout"), options)
         node.add(part)
         self._actuator = Actuator(
-            part, started.given, block, started.force, reactor=self._reactor, now=self._gateway.now, wall=self._wall,
-            log=self._log, prompt=self._peers.prompt, reload=self._reload, leave=started.leave,
-        )  # fmt: skip
+            part,
+            started.given,
+            block,
+            started.force,
+            reactor=self._reactor,
+            now=self._gateway.now,
+            wall=self._wall,
+            log=self._log,
+            prompt=self._peers.prompt,
+            reload=self._reload,
+            leave=started.leave,
+        )
         if self.channels is not None:
             self.channels.part.prefer(lambda names: self._changed_first(part, names))
 
@@ -167,15 +186,24 @@
         block, node = config.distribution, self._peers.node
         assert block is not None
         part = DistributionPart(
-            node.membership_view, self.leases, self._random("distribution"), Options(heartbeat=block.heartbeat),
+            node.membership_view,
+            self.leases,
+            self._random("distribution"),
+            Options(heartbeat=block.heartbeat),
             stored_table(folder / block.file, self._log),
-        )  # fmt: skip
+        )
         part.heard_epoch = self.leases.epochs.hear
         node.add(part)
         self._distribution = DistributionFiles(
-            block, folder, fleet_groups(config), part, reactor=self._reactor, now=self._gateway.now, log=self._log,
+            block,
+            folder,
+            fleet_groups(config),
+            part,
+            reactor=self._reactor,
+            now=self._gateway.now,
+            log=self._log,
             prompt=self._peers.prompt,
-        )  # fmt: skip
+        )
 
     def _changed_first(self, part: RolloutPart, names: Iterable[str]) -> Sequence[str]:
         """Channels go on to where the change has been already, so that they are not handed on at each stage."""
--- a/yardbank/cluster/latency_map/estimates.py
+++ b/yardbank/cluster/latency_map/estimates.py
@@ -137,11 +137,18 @@
     def view(self, now: int) -> list[dict[str, Any]]:
         """Every pair that is known, as plain values; times in ms, ages in seconds."""
         return [
-            {"from": one, "to": other, "ms": round(level.value / MS, 3), "spread": round(level.spread / MS, 3),
-             "how": NAMES[level.how], "age": round((now - level.seen_at) / SECOND, 1) if level.how == SEEN else None,
-             "witnesses": level.witnesses}
-            for (one, other), level in self.by.items() if level.how != UNKNOWN
-        ]  # fmt: skip
+            {
+                "from": one,
+                "to": other,
+                "ms": round(level.value / MS, 3),
+                "spread": round(level.spread / MS, 3),
+                "how": NAMES[level.how],
+                "age": round((now - level.seen_at) / SECOND, 1) if level.how == SEEN else None,
+                "witnesses": level.witnesses,
+            }
+            for (one, other), level in self.by.items()
+            if level.how != UNKNOWN
+        ]
 
     def legs(self, pair: Pair) -> tuple[int, int] | None:
         """Between what the ways through third zones put a pair: the least and the most; None: there are none.
--- a/yardbank/cluster/latency_map/messages.py
+++ b/yardbank/cluster/latency_map/messages.py
@@ -94,8 +94,9 @@
     nothing = bytes(ENTRY.size)
     body = b"".join(
         bytes((zones.index(zone),)) + b"".join(packed(row[other]) if other in row else nothing for other in zones)
-        for zone, row in rows if zone in zones
-    )  # fmt: skip
+        for zone, row in rows
+        if zone in zones
+    )
     return msgspec.msgpack.encode(_Letter(KIND, number, state, b"".join(map(digest, zones)), body))
 
 
@@ -123,8 +124,9 @@
             own = zone
         if zone is not None:
             row = {
-                other: entry for place, other in enumerate(zones)
+                other: entry
+                for place, other in enumerate(zones)
                 if other is not None and (entry := unpacked(found.rows, at + 1 + place * ENTRY.size)) is not None
-            }  # fmt: skip
+            }
             rows.append((zone, row))
     return Told(found.number, found.state, own, tuple(rows))
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -170,8 +170,9 @@
         known = sorted(self._known.values())
         row = {
             zone: Entry(figure.low, figure.spread, now - figure.seen_at, 1)
-            for zone, figure in self.seen.row(now).items() if zone in known
-        }  # fmt: skip
+            for zone, figure in self.seen.row(now).items()
+            if zone in known
+        }
         others = [zone for zone in known if zone != self._zone]
         chosen = self._random.sample(others, min(OTHERS, len(others)))
         rows = [(self._zone, row)] + [(zone, self._believed_row(now, zone, others)) for zone in chosen]
@@ -245,7 +246,13 @@
             for zone, beyond, longest in self.ways(now)
         ]
         return {
-            "zone": self._zone, "state": firsthand.NAMES[self.seen.state], "ways": ways, "pairs": self.levels.view(now),
-            "odd": self.seen.odd, "apart": self.seen.apart, "crowded": self.claims.crowded, "left_out": self.left_out,
+            "zone": self._zone,
+            "state": firsthand.NAMES[self.seen.state],
+            "ways": ways,
+            "pairs": self.levels.view(now),
+            "odd": self.seen.odd,
+            "apart": self.seen.apart,
+            "crowded": self.claims.crowded,
+            "left_out": self.left_out,
             "turned_away": self.turned_away,
-        }  # fmt: skip
+        }
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -159,5 +159,10 @@
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
-        return min((min(claim.at, claim.until) if claim.state in (HOLDING, HANDING) else claim.at
-                    for claim in self.claims.values()), default=None)  # fmt: skip
+        return min(
+            (
+                min(claim.at, claim.until) if claim.state in (HOLDING, HANDING) else claim.at
+                for claim in self.claims.values()
+            ),
+            default=None,
+        )
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -44,8 +44,21 @@
 class Lists:
     """The lists of one gateway, and what it has heard of its peers'."""
 
-    __slots__ = ("_cache", "_greet_at", "_last", "_terms", "forgotten", "fresh", "hash", "heard",
-                 "long", "name", "older", "past", "zones")  # fmt: skip
+    __slots__ = (
+        "_cache",
+        "_greet_at",
+        "_last",
+        "_terms",
+        "forgotten",
+        "fresh",
+        "hash",
+        "heard",
+        "long",
+        "name",
+        "older",
+        "past",
+        "zones",
+    )
 
     def __init__(self, name: str, terms: LeaseTerms) -> None:
         self.name, self._terms = name, terms
--- a/yardbank/cluster/lease/messages.py
+++ b/yardbank/cluster/lease/messages.py
@@ -1,7 +1,8 @@
 """Letters of leases: MessagePack arrays ``[kind, resource, ...]``; elements beyond those known here are ignored.
 
-``boot_epoch`` and ``number`` are the asker's: its start, and a count that rises with each thing it says since then. A
-voter takes nothing of one asker and resource that is not above what it took last, so late and doubled letters change nothing.
+``boot_epoch`` and ``number`` are the asker's: its start, and a count that rises with each thing it says since then.
+A voter takes nothing of one asker and resource that is not above what it took last, so late and doubled letters change
+nothing.
 """
 
 from __future__ import annotations
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -77,13 +77,29 @@
         sent = [(number, at + held - now) for number, at in claim.sent.items() if at + held > now]
         numbers += [(part.name, part.boot_epoch, number) for number, _ in sent]
         numbers.append((part.name, part.boot_epoch, claim.named))
-        claims.append((
-            claim.resource, claim.state, claim.epoch, ahead(claim.until), ahead(claim.at), ahead(claim.deadline),
-            ahead(claim.since + overlap), claim.until - claim.round_at, ahead(claim.round_at + held), claim.raised,
-            claim.to, claim.contested, claim.lone, ahead(claim.cap), ahead(claim.back), tuple(left for _, left in sent),
-            tuple(sorted((voter, end - now) for voter, end in claim.grants.items() if end > now)),
-            tuple(sorted((voter, ahead(at)) for voter, at in claim.refused.items())), tuple(sorted(claim.told)),
-        ))  # fmt: skip
+        claims.append(
+            (
+                claim.resource,
+                claim.state,
+                claim.epoch,
+                ahead(claim.until),
+                ahead(claim.at),
+                ahead(claim.deadline),
+                ahead(claim.since + overlap),
+                claim.until - claim.round_at,
+                ahead(claim.round_at + held),
+                claim.raised,
+                claim.to,
+                claim.contested,
+                claim.lone,
+                ahead(claim.cap),
+                ahead(claim.back),
+                tuple(left for _, left in sent),
+                tuple(sorted((voter, end - now) for voter, end in claim.grants.items() if end > now)),
+                tuple(sorted((voter, ahead(at)) for voter, at in claim.refused.items())),
+                tuple(sorted(claim.told)),
+            )
+        )
     entries = []
     for name, entry in part.voter.entries.items():
         numbers.append((entry.holder, entry.boot_epoch, entry.number))
@@ -97,7 +113,20 @@
     )
     older = tuple((one.hash, ahead(one.since + long)) for one in lists.older)
     found = (
-        part.boot_epoch, tuple(claims), tuple(entries), offers, ahead(part.voter.silent_until), lists.hash, older,
-        lists.past, heard, lists.fresh, ahead(lists._greet_at), lists._last, epochs.top, epochs.floor, epochs.kept,
-    )  # fmt: skip
+        part.boot_epoch,
+        tuple(claims),
+        tuple(entries),
+        offers,
+        ahead(part.voter.silent_until),
+        lists.hash,
+        older,
+        lists.past,
+        heard,
+        lists.fresh,
+        ahead(lists._greet_at),
+        lists._last,
+        epochs.top,
+        epochs.floor,
+        epochs.kept,
+    )
     return found, tuple(numbers)
--- a/yardbank/cluster/lease/model_check/scenes.py
+++ b/yardbank/cluster/lease/model_check/scenes.py
@@ -39,18 +39,35 @@
         Scene("crash", ("a",), (ONE,), ("a", "b"), {"pass": 3, "tick": 1, "restart": 1, "forget": 1}, prefix=HELD),
         Scene("hand", ("a",), (ONE,), ("a", "b"), {"pass": 3, "tick": 3, "hand": 1}, step=2 * FINE, prefix=_settled(2)),
         Scene("handed", ("a",), (ONE,), ("a", "b"), {"pass": 6, "tick": 3, "double": 1}, step=FINE, prefix=_handed(4)),
-        Scene("hand-crash", ("a",), (ONE,), ("a", "b"), {"pass": 4, "tick": 2, "forget": 1, "stall": 1}, step=2 * FINE,
-              depth=5, prefix=_handed(2)),
+        Scene(
+            "hand-crash",
+            ("a",),
+            (ONE,),
+            ("a", "b"),
+            {"pass": 4, "tick": 2, "forget": 1, "stall": 1},
+            step=2 * FINE,
+            depth=5,
+            prefix=_handed(2),
+        ),
         Scene("over", ("a",), (ONE,), ("a", "b"), {"pass": 4, "tick": 1}, step=2 * FINE, depth=7, prefix=_handed(2)),
         Scene("lists", ("a",), (OLD, NEW), ("a", "b"), {"pass": 3, "tick": 1, "list": 4}, depth=5, prefix=OLD_HELD),
-        Scene("left", ("a",), (OLD, NEW), ("a", "b"), {"pass": 5, "tick": 2, "list": 1}, hellos=True, depth=5,
-              prefix=LEFT),
+        Scene(
+            "left", ("a",), (OLD, NEW), ("a", "b"), {"pass": 5, "tick": 2, "list": 1}, hellos=True, depth=5, prefix=LEFT
+        ),
         Scene("back", ("a",), (OLD, NEW, OLD), ("a", "b"), {"pass": 3, "tick": 1, "list": 4}, depth=5, prefix=LEFT),
         # For walks: all that may happen together. Memory of lists is not lost where lists change: see the design note.
         Scene("all", ("a", "c"), (ONE,), ("a", "b", "c"), ALL | {"forget": 1}, step=FINE, depth=3),
-        Scene("all-lists", ("a", "c"), (OLD, NEW, OLD, THIRD, NEW, SMALL, OLD, NEW), ("a", "b", "e"), ALL | {"list": 1},
-              step=FINE, hellos=True, depth=2),
+        Scene(
+            "all-lists",
+            ("a", "c"),
+            (OLD, NEW, OLD, THIRD, NEW, SMALL, OLD, NEW),
+            ("a", "b", "e"),
+            ALL | {"list": 1},
+            step=FINE,
+            hellos=True,
+            depth=2,
+        ),
     )
-}  # fmt: skip
+}
 # Where each of the faults is found soonest.
 FINDS = {"drift": "held", "forgets": "crash", "wakes": "held", "epoch": "held", "one-set": "lists", "uncapped": "over"}
--- a/yardbank/cluster/lease/model_check/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -82,8 +82,20 @@
     return tuple(reversed(found))
 
 
-LIKELY = {"deliver": 8.0, "tick": 4.0, "want": 4.0, "wake": 1.0, "double": 0.5, "pass": 3.0, "hand": 0.5, "stall": 0.2,
-          "list": 0.1, "restart": 0.05, "forget": 0.05, "release": 0.05}  # fmt: skip
+LIKELY = {
+    "deliver": 8.0,
+    "tick": 4.0,
+    "want": 4.0,
+    "wake": 1.0,
+    "double": 0.5,
+    "pass": 3.0,
+    "hand": 0.5,
+    "stall": 0.2,
+    "list": 0.1,
+    "restart": 0.05,
+    "forget": 0.05,
+    "release": 0.05,
+}
 
 
 def walk(scene: Scene, seed: int, length: int) -> tuple[World, list[Action], int]:
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -55,7 +55,7 @@
         "not_kept",
         "terms",
         "voter",
-    )  # fmt: skip
+    )
 
     def __init__(self, membership_view: MembershipView, terms: LeaseTerms, random: Random, keep: KeyValueStore) -> None:
         self._membership_view, self.terms, self._keep = membership_view, terms, keep
@@ -213,8 +213,17 @@
 
     def _answer(self, to: str, ask: Ask | NextIs, verdict: int, holder: str = "", left: int = 0) -> None:
         lists = self.lists
-        answer = Answer(ask.resource, ask.boot_epoch, ask.number, verdict, self.epochs.top, lists.hash, lists.binding(),
-                        holder, left)  # fmt: skip
+        answer = Answer(
+            ask.resource,
+            ask.boot_epoch,
+            ask.number,
+            verdict,
+            self.epochs.top,
+            lists.hash,
+            lists.binding(),
+            holder,
+            left,
+        )
         self._out.append((to, answer, verdict in (GRANTED, LOW, NAMED)))
 
     def _hello(self, answer: bool) -> Hello:
@@ -248,23 +257,40 @@
         """What an operator should see; times in ms."""
         claims, entries = self.claims.claims, self.voter.entries
         held = {
-            claim.resource: {"epoch": claim.epoch, "left": (claim.until - now) // MS, "state": STATES[claim.state],
-                             "voters": list(self.lists.voters(claim.resource))}
-            for claim in claims.values() if claim.state in (HOLDING, HANDING) and claim.holds(now)
-        }  # fmt: skip
+            claim.resource: {
+                "epoch": claim.epoch,
+                "left": (claim.until - now) // MS,
+                "state": STATES[claim.state],
+                "voters": list(self.lists.voters(claim.resource)),
+            }
+            for claim in claims.values()
+            if claim.state in (HOLDING, HANDING) and claim.holds(now)
+        }
         granted: Mapping[str, Any] = {
             resource: {"holder": entry.holder, "epoch": entry.epoch, "left": (entry.until - now) // MS}
-            for resource, entry in entries.items() if now < entry.until
-        }  # fmt: skip
+            for resource, entry in entries.items()
+            if now < entry.until
+        }
         counts = {
-            "epochs_too_far": self.epochs.refused, "full": self.voter.full + self.claims.full,
-            "late": self.voter.ignored + self.claims.stale, "clashes": self.voter.clashes,
-            "lists_forgotten": self.lists.forgotten, "not_kept": self.not_kept, "turns_lost": self.claims.turns_lost,
-        }  # fmt: skip
+            "epochs_too_far": self.epochs.refused,
+            "full": self.voter.full + self.claims.full,
+            "late": self.voter.ignored + self.claims.stale,
+            "clashes": self.voter.clashes,
+            "lists_forgotten": self.lists.forgotten,
+            "not_kept": self.not_kept,
+            "turns_lost": self.claims.turns_lost,
+        }
         return {
-            "held": dict(list(held.items())[:SHOWN]), "held_count": len(held), "wanted": len(claims),
-            "granted": dict(list(granted.items())[:SHOWN]), "granted_count": len(granted),
-            "silent": max(0, self.voter.silent_until - now) // MS, "epoch": self.epochs.top,
-            "list": f"{self.lists.hash:016x}", "older_lists": len(self.lists.older), "doubt": self.lists.doubt(now),
-            "clash": self.voter.clash, "counts": counts,
-        }  # fmt: skip
+            "held": dict(list(held.items())[:SHOWN]),
+            "held_count": len(held),
+            "wanted": len(claims),
+            "granted": dict(list(granted.items())[:SHOWN]),
+            "granted_count": len(granted),
+            "silent": max(0, self.voter.silent_until - now) // MS,
+            "epoch": self.epochs.top,
+            "list": f"{self.lists.hash:016x}",
+            "older_lists": len(self.lists.older),
+            "doubt": self.lists.doubt(now),
+            "clash": self.voter.clash,
+            "counts": counts,
+        }
--- a/yardbank/cluster/lease/votes.py
+++ b/yardbank/cluster/lease/votes.py
@@ -44,12 +44,18 @@
         "stale",
         "turns",
         "turns_lost",
-    )  # fmt: skip
+    )
 
     def __init__(
-        self, name: str, boot_epoch: int, terms: LeaseTerms, random: Random, lists: Lists, epochs: Epochs,
+        self,
+        name: str,
+        boot_epoch: int,
+        terms: LeaseTerms,
+        random: Random,
+        lists: Lists,
+        epochs: Epochs,
         out: list[tuple[str, Word, bool]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.name, self.boot_epoch, self._terms, self._random = name, boot_epoch, terms, random
         self._lists, self._epochs, self.out = lists, epochs, out
         self._long, self._short, self._vote = long_lease(terms), short_overlap(terms), vote_time(terms)
@@ -107,8 +113,15 @@
         claim.asked(now, number)
         done = claim.round_at + self._terms.held()
         again = claim.state != ASKING or self._offer(now, claim.resource)
-        word = Ask(claim.resource, self.boot_epoch, number, claim.epoch, claim.state != ASKING, self._lists.hash,
-                   self._lists.known())  # fmt: skip
+        word = Ask(
+            claim.resource,
+            self.boot_epoch,
+            number,
+            claim.epoch,
+            claim.state != ASKING,
+            self._lists.hash,
+            self._lists.known(),
+        )
         for voter in [claim.lone] if claim.lone else self._voters(now, claim):
             if claim.grants.get(voter, 0) < done and (again or voter not in claim.refused):
                 self._say(voter, word, again)
--- a/yardbank/cluster/list_distribution/files.py
+++ b/yardbank/cluster/list_distribution/files.py
@@ -56,15 +56,24 @@
     """One gateway's files."""
 
     def __init__(
-        self, block: DistributionBlock, folder: Path, groups: Iterable[str], part: DistributionPart, *,
-        reactor: Any, now: Callable[[], int], log: Any, prompt: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        block: DistributionBlock,
+        folder: Path,
+        groups: Iterable[str],
+        part: DistributionPart,
+        *,
+        reactor: Any,
+        now: Callable[[], int],
+        log: Any,
+        prompt: Callable[[], None],
+    ) -> None:
         self._path, self._part = folder / block.file, part
         self._now, self._log, self._prompt = now, log, prompt
         self._watcher = (
             Watcher(folder / block.source, Source(groups), self._source, reactor=reactor, now=now, log=log)
-            if block.source else None
-        )  # fmt: skip
+            if block.source
+            else None
+        )
 
     def start(self) -> None:
         """Watch the source, if there is one."""
@@ -80,8 +89,14 @@
         """The link has had a turn: write and log what was adopted."""
         adoptions = self._part.adoptions()
         for adoption in adoptions:
-            self._log.info("list_distributed", version=shown(adoption.version), digest=adoption.digest.hex(),
-                           source=adoption.source, changed=adoption.changed, whole=adoption.whole)  # fmt: skip
+            self._log.info(
+                "list_distributed",
+                version=shown(adoption.version),
+                digest=adoption.digest.hex(),
+                source=adoption.source,
+                changed=adoption.changed,
+                whole=adoption.whole,
+            )
         for fault in self._part.replica.faults:
             self._log.error("list_increment_rejected", fault=fault)
         self._part.replica.faults.clear()
--- a/yardbank/cluster/list_distribution/model_check.py
+++ b/yardbank/cluster/list_distribution/model_check.py
@@ -173,15 +173,26 @@
     """A replica's state without its clock's absolute values."""
     fetching, pushed = replica._fetching, replica._pushed
     return (
-        replica.table.version, replica.table.digest, len(replica._history), replica._documents.keys(),
-        replica._rounds, replica._news,
-        None if fetching is None else (
-            fetching.version, fetching.source, fetching.tries, fetching.asked_to, fetching.whole, fetching.sources,
+        replica.table.version,
+        replica.table.digest,
+        len(replica._history),
+        replica._documents.keys(),
+        replica._rounds,
+        replica._news,
+        None
+        if fetching is None
+        else (
+            fetching.version,
+            fetching.source,
+            fetching.tries,
+            fetching.asked_to,
+            fetching.whole,
+            fetching.sources,
             None if fetching.assembly is None else (fetching.assembly.key, fetching.assembly.received),
         ),
         None if pushed is None else (pushed.key, pushed.received),
         replica.next_at() > now,
-    )  # fmt: skip
+    )
 
 
 def first_world(ticks: int) -> World:
--- a/yardbank/cluster/list_distribution/part.py
+++ b/yardbank/cluster/list_distribution/part.py
@@ -89,10 +89,14 @@
         """What an operator should see."""
         table = self.replica.table
         return {
-            "version": shown(table.version), "digest": table.digest.hex(), "entries": len(table.entries),
-            "publishes": self.publishes, "fenced": self.fenced, "refusal": self.refusal,
+            "version": shown(table.version),
+            "digest": table.digest.hex(),
+            "entries": len(table.entries),
+            "publishes": self.publishes,
+            "fenced": self.fenced,
+            "refusal": self.refusal,
             "counts": dict(self.replica.counts),
-        }  # fmt: skip
+        }
 
     def _look_around(self) -> None:
         self.replica.peers(self._membership_view.alive(), self._membership_view.zones())
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -197,10 +197,21 @@
                 self._pings.popitem(last=False)
         detector = self.detector
         data = wire.encode(
-            Datagram(self.fleet, self.name, detector.boot_epoch, detector.incarnation, self._sequences[order.to], order.kind,
-                     order.number, order.target, tuple(news), tuple(counts), tuple(words)),
+            Datagram(
+                self.fleet,
+                self.name,
+                detector.boot_epoch,
+                detector.incarnation,
+                self._sequences[order.to],
+                order.kind,
+                order.number,
+                order.target,
+                tuple(news),
+                tuple(counts),
+                tuple(words),
+            ),
             self.keys,
-        )  # fmt: skip
+        )
         self._rate.spend(len(data))
         self.sent, self.sent_octets = self.sent + 1, self.sent_octets + len(data)
         return data
@@ -208,10 +219,15 @@
     def view(self, now: int) -> list[Seen]:
         """Every peer as it is seen here."""
         return [
-            Seen(peer.name, NAMES[peer.state], peer.incarnation, now - peer.changed_at,
-                 now - peer.heard_at if peer.heard_at else None)
+            Seen(
+                peer.name,
+                NAMES[peer.state],
+                peer.incarnation,
+                now - peer.changed_at,
+                now - peer.heard_at if peer.heard_at else None,
+            )
             for peer in self.detector.peers.values()
-        ]  # fmt: skip
+        ]
 
     def totals(self, now: int) -> dict[str, Sum]:
         """Every count summed over those heard lately."""
--- a/yardbank/cluster/peers/report_store.py
+++ b/yardbank/cluster/peers/report_store.py
@@ -107,9 +107,7 @@
     def _of_oneself(self, now: int, word: HealthReport) -> None:
         if (word.boot_epoch, word.number) <= (self.boot_epoch, self._number):
             return
-        if (
-            word.boot_epoch > self.boot_epoch
-        ):  # of an earlier start, or made up: the detector decides
+        if word.boot_epoch > self.boot_epoch:  # of an earlier start, or made up: the detector decides
             return
         self._number = word.number
         self.corrected += 1
@@ -142,16 +140,20 @@
         for one in fresh[:most]:
             one.told += 1
             word = one.word
-            found.append(HealthReport(word.witness, word.boot_epoch, word.number, word.server, word.started, word.kind,
-                              one.age(now) // MS))  # fmt: skip
+            found.append(
+                HealthReport(
+                    word.witness, word.boot_epoch, word.number, word.server, word.started, word.kind, one.age(now) // MS
+                )
+            )
         return found
 
     def about(self, now: int, server: str, started: int) -> dict[str, Kept]:
         """Words on this start of a server that still count, by witness, one's own left out."""
         return {
-            witness: one for witness, one in self._words.get(server, {}).items()
+            witness: one
+            for witness, one in self._words.get(server, {}).items()
             if witness != self._name and one.word.started == started and one.age(now) < LIFE
-        }  # fmt: skip
+        }
 
     def words(self, server: str) -> Mapping[str, Kept]:
         """All that is said of a server, by witness, one's own word too."""
--- a/yardbank/cluster/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -48,9 +48,10 @@
     def listed(self) -> list[Listed]:
         """The servers that may be sent to."""
         return [
-            Listed(name, spec.group, round(spec.started * 1000)) for name, spec in self._specs.items()
+            Listed(name, spec.group, round(spec.started * 1000))
+            for name, spec in self._specs.items()
             if spec.state == "ready"
-        ]  # fmt: skip
+        ]
 
     def first_hand(self, now: int) -> dict[str, tuple[int, int]]:
         """What this gateway has found of servers itself, lately: a kind, and the start that it is true of."""
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -107,8 +107,13 @@
         except CannotListenError as problem:
             raise PeersError(f"peers: cannot listen at {place[0]}:{place[1]}: {problem.socketError}") from None
         self.port = self._port.getHost().port
-        self._log.info("peers_listening", peer=self._block.name, address=self._block.address, port=self.port,
-                       life=self.node.detector.boot_epoch)  # fmt: skip
+        self._log.info(
+            "peers_listening",
+            peer=self._block.name,
+            address=self._block.address,
+            port=self.port,
+            life=self.node.detector.boot_epoch,
+        )
         self._watcher.start()
         self._teller = self._reactor.callLater(TELL_DROPPED, self._tell_dropped)
         self._write()
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -15,11 +15,19 @@
     """Peers, words on servers, counts, and what each part has to show."""
     detector, evidence = node.detector, node.evidence
     return {
-        "name": node.name, "fleet": node.fleet, "life": detector.boot_epoch, "incarnation": detector.incarnation,
-        "slowness": detector.slowness, "dropped": dict(node.dropped),
+        "name": node.name,
+        "fleet": node.fleet,
+        "life": detector.boot_epoch,
+        "incarnation": detector.incarnation,
+        "slowness": detector.slowness,
+        "dropped": dict(node.dropped),
         "peers": {
-            seen.name: {"state": seen.state, "incarnation": seen.incarnation, "changed_ms": seen.changed // MS,
-                        "heard_ms": None if seen.heard is None else seen.heard // MS}
+            seen.name: {
+                "state": seen.state,
+                "incarnation": seen.incarnation,
+                "changed_ms": seen.changed // MS,
+                "heard_ms": None if seen.heard is None else seen.heard // MS,
+            }
             for seen in node.view(now)
         },
         "servers": {
@@ -33,9 +41,8 @@
             for server in evidence.servers()
         },
         "totals": {
-            key: {"value": total.value, "parts": total.parts, "missing": total.missing,
-                  "oldest_ms": total.oldest // MS}
+            key: {"value": total.value, "parts": total.parts, "missing": total.missing, "oldest_ms": total.oldest // MS}
             for key, total in node.totals(now).items()
         },
         "parts": {topic: part.view(now) for topic, part in node.post.parts.items()},
-    }  # fmt: skip
+    }
--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -66,8 +66,9 @@
     def start(self) -> None:
         """Begin."""
         if not self._force.now.rollout and self._force.fell:
-            self._log.warning("rollout", rollout=self._force.fell_from, what="left", stage=0, version="",
-                              why=self._force.fell)  # fmt: skip
+            self._log.warning(
+                "rollout", rollout=self._force.fell_from, what="left", stage=0, version="", why=self._force.fell
+            )
         self._look()
 
     def stop(self) -> None:
@@ -85,8 +86,9 @@
             self._watchers.append(made)
             made.start()
         for turn in self._part.turns():
-            self._log.info("rollout", rollout=turn.rollout, what=turn.what, stage=turn.stage, version=turn.version,
-                           why=turn.why)  # fmt: skip
+            self._log.info(
+                "rollout", rollout=turn.rollout, what=turn.what, stage=turn.stage, version=turn.version, why=turn.why
+            )
         for order in self._part.orders():
             if not self._left:
                 self._carry_out(order)
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -61,12 +61,20 @@
         change, name = mover.change, self._membership_view.name
         stop = mover.stopped(change.id) if change is not None else ""
         said = GatewayRecord(
-            name, self._membership_view.boot_epoch, 0, change.id if change else "", change.mark() if change else 0, mover.place,
-            mover.running, stop[:MAX_WHY],
+            name,
+            self._membership_view.boot_epoch,
+            0,
+            change.id if change else "",
+            change.mark() if change else 0,
+            mover.place,
+            mover.running,
+            stop[:MAX_WHY],
             self.beat if self._cells else self.told.beat,  # who is not compared says nothing new at each beat
-            int(self._membership_view.slowness() >= SLOW), mover.restarts,
-            self._figures.memory >> 20 if self._cells else self.told.memory, self._cells,
-        )  # fmt: skip
+            int(self._membership_view.slowness() >= SLOW),
+            mover.restarts,
+            self._figures.memory >> 20 if self._cells else self.told.memory,
+            self._cells,
+        )
         while said.cells and len(encoded(said)) > MAX_RECORD - 16:
             said = replace(said, cells=said.cells[:-1])
         if said.stop and not self.told.stop:
--- a/yardbank/cluster/rollout/canary_analysis.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -75,9 +75,10 @@
     def _window(self, pair: Pair, new: Mapping[int, GatewayRecord], old: Mapping[int, GatewayRecord]) -> bool:
         """One more window of a pair, up to the last beat that both have told."""
         beats = [
-            beat for beat in new.keys() & old.keys()
+            beat
+            for beat in new.keys() & old.keys()
             if new[beat].place == NEW and new[beat].cells and old[beat].place in (OLD, DUE) and old[beat].cells
-        ]  # fmt: skip
+        ]
         course = self._courses[pair]
         if not beats:
             return False
@@ -223,9 +224,7 @@
     for cell in after.cells:
         if (before_it := old.get(cell.name)) is None:
             continue
-        good, late, refused, failed, left = (
-            a - b for a, b in zip(cell.counts(), before_it.counts(), strict=True)
-        )  # fmt: skip
+        good, late, refused, failed, left = (a - b for a, b in zip(cell.counts(), before_it.counts(), strict=True))
         if min(good, late, refused, failed, left) >= 0:
             found[cell.name] = Cell(cell.name, good, late, refused, failed, left, cell.p99)
     return found
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -112,8 +112,9 @@
             raise ValueError("no rollout")
         known: dict[str, Any] = {
             key: tuple(value) if isinstance(value, list) else value
-            for key, value in found.items() if key in cls.model_fields
-        }  # fmt: skip
+            for key, value in found.items()
+            if key in cls.model_fields
+        }
         return cls.model_construct(None, **known)
 
 
--- a/yardbank/cluster/rollout/metrics.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -105,11 +105,16 @@
     """A gateway's figures; ``beyond``: the latency that ends a bucket; ``promises``: what is promised for a class."""
     classes = {
         class_key(name, promises[name]): ClassFigures(
-            one.in_time, one.late, one.refused, one.failed, one.left,
+            one.in_time,
+            one.late,
+            one.refused,
+            one.failed,
+            one.left,
             {beyond(index): count for index, count in enumerate(one.latencies) if count},
         )
-        for name, one in tallies.items() if name in promises
-    }  # fmt: skip
+        for name, one in tallies.items()
+        if name in promises
+    }
     return Figures(classes, memory)
 
 
--- a/yardbank/cluster/rollout/record.py
+++ b/yardbank/cluster/rollout/record.py
@@ -92,8 +92,12 @@
     counts += [number for cell in said.cells for number in (*cell.counts(), cell.p99)]
     names = [cell.name for cell in said.cells]
     return (
-        0 < said.boot_epoch <= MAX_INCARNATION and 0 < said.number < MAX_COUNT and 0 <= said.mark < 1 << 64
-        and all(len(word) <= most for word, most in words) and all(0 <= count < MAX_COUNT for count in counts)
+        0 < said.boot_epoch <= MAX_INCARNATION
+        and 0 < said.number < MAX_COUNT
+        and 0 <= said.mark < 1 << 64
+        and all(len(word) <= most for word, most in words)
+        and all(0 <= count < MAX_COUNT for count in counts)
         and len(said.cells) <= MAX_CELLS
-        and all(0 < len(name) <= MAX_NAME for name in names) and len(set(names)) == len(names)
-    )  # fmt: skip
+        and all(0 < len(name) <= MAX_NAME for name in names)
+        and len(set(names)) == len(names)
+    )
--- a/yardbank/cluster/rollout/stage_plan.py
+++ b/yardbank/cluster/rollout/stage_plan.py
@@ -85,7 +85,10 @@
         rows = [list(zip(new[zone], reversed(old[zone]), strict=False)) for zone in sorted(new)]
         most = min(MOST_PAIRS, max(PAIRS, len(rows)))
         found = [
-            Pair(self.zones[a], a, b) for turn in range(max(map(len, rows), default=0))
-            for row in rows if turn < len(row) for a, b in (row[turn],)
-        ]  # fmt: skip
+            Pair(self.zones[a], a, b)
+            for turn in range(max(map(len, rows), default=0))
+            for row in rows
+            if turn < len(row)
+            for a, b in (row[turn],)
+        ]
         return tuple(found[:most])
--- a/yardbank/cluster/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -19,12 +19,23 @@
         if said.mark == change.mark():
             places.setdefault(NAMES[said.place] if said.place < len(NAMES) else "unknown", []).append(name)
     return {
-        "rollout": change.id, "stage": progress.open, "stages": len(change.stages), "place": NAMES[mover.place],
-        "version": mover.name, "stopped": mover.stopped(change.id), "finished": mover.finished,
-        "undecided": progress.undecided, "places": places, "contested": book.contested,
+        "rollout": change.id,
+        "stage": progress.open,
+        "stages": len(change.stages),
+        "place": NAMES[mover.place],
+        "version": mover.name,
+        "stopped": mover.stopped(change.id),
+        "finished": mover.finished,
+        "undecided": progress.undecided,
+        "places": places,
+        "contested": book.contested,
         "evidence": {
-            "worse": round(trial.evidence, 2), "stops_at": round(math.log(len(change.stages) / change.false_stop), 2),
-            "well": round(trial.soundness, 2), "passes_at": round(math.log(1 / change.false_pass), 2),
-            "windows": trial.windows, "classes": sorted(trial.classes), "not_compared": sorted(trial.apart),
+            "worse": round(trial.evidence, 2),
+            "stops_at": round(math.log(len(change.stages) / change.false_stop), 2),
+            "well": round(trial.soundness, 2),
+            "passes_at": round(math.log(1 / change.false_pass), 2),
+            "windows": trial.windows,
+            "classes": sorted(trial.classes),
+            "not_compared": sorted(trial.apart),
         },
-    }  # fmt: skip
+    }
--- a/yardbank/config/load.py
+++ b/yardbank/config/load.py
@@ -26,9 +26,12 @@
     """What no single field shows: names given twice, names that lead nowhere, classes that match alike."""
     found: list[tuple[tuple[Any, ...], str]] = []
     for kind, items in (
-        ("group", config.group), ("server", config.server), ("class", config.classes), ("identity", config.identity),
+        ("group", config.group),
+        ("server", config.server),
+        ("class", config.classes),
+        ("identity", config.identity),
         ("backend", config.backend),
-    ):  # fmt: skip
+    ):
         seen: set[str] = set()
         for index, item in enumerate(items):
             label = getattr(item, LABELS[kind])
--- a/yardbank/config/schema.py
+++ b/yardbank/config/schema.py
@@ -209,9 +209,19 @@
     "identity": "name",
 }
 SINGLE = (
-    "gateway", "limits", "logging", "strict", "membership", "state", "peers", "leases", "channels", "rollout", "atlas",
+    "gateway",
+    "limits",
+    "logging",
+    "strict",
+    "membership",
+    "state",
+    "peers",
+    "leases",
+    "channels",
+    "rollout",
+    "atlas",
     "distribution",
-)  # fmt: skip
+)
 
 
 def match_key(match: Match, operation: str) -> tuple[Any, ...]:
--- a/yardbank/daemon/versioned_supervisor.py
+++ b/yardbank/daemon/versioned_supervisor.py
@@ -82,8 +82,9 @@
             except OSError as problem:  # the worker is told by its environment all the same
                 self._log.error("rollout_not_written", path=str(self._file.parent / forces.FILE), error=str(problem))
         if found.why:
-            self._log.error("rollout", rollout=found.force.fell_from, what="left", stage=0, version=before.name,
-                            why=found.why)  # fmt: skip
+            self._log.error(
+                "rollout", rollout=found.force.fell_from, what="left", stage=0, version=before.name, why=found.why
+            )
         elif code == forces.EXIT_ANEW:
             self._log.info("worker_anew", worker=0, version=found.force.now.name)
         else:
--- a/yardbank/daemon/versions.py
+++ b/yardbank/daemon/versions.py
@@ -43,7 +43,9 @@
             why = f"{how} {min(age, since):.1f} s after it came into force"
             self.force = file.gone_back(why)
             return Next(self.force, 0.0, True, why)
-        self.force = file.restarted() if changed else ActiveVersion(
-            file.now, file.before, self.force.restarts + 1, file.changed, file.fell, file.fell_from
-        )  # fmt: skip
+        self.force = (
+            file.restarted()
+            if changed
+            else ActiveVersion(file.now, file.before, self.force.restarts + 1, file.changed, file.fell, file.fell_from)
+        )
         return Next(self.force, self._restarts.died(now), True)
--- a/yardbank/gateway/attempt.py
+++ b/yardbank/gateway/attempt.py
@@ -16,9 +16,19 @@
     """One attempt on its way to a server. Ends once, whatever happens; a ``Receiver`` of its connection."""
 
     __slots__ = (
-        "_ended", "list_seen", "look", "number", "on_end", "on_part", "operation", "sent_at", "slot", "timer", "until",
+        "_ended",
+        "list_seen",
+        "look",
+        "number",
+        "on_end",
+        "on_part",
+        "operation",
+        "sent_at",
+        "slot",
+        "timer",
+        "until",
         "way",
-    )  # fmt: skip
+    )
 
     def __init__(
         self,
--- a/yardbank/gateway/passed.py
+++ b/yardbank/gateway/passed.py
@@ -49,11 +49,18 @@
 
 def well_formed(marks: Any) -> bool:
     """Whether a word that came from elsewhere is marks at all, of a bounded size."""
-    return isinstance(marks, Mapping) and 0 < len(marks) <= MOST_ORIGINS and all(
-        isinstance(origin, str) and len(origin) <= MOST_TEXT and isinstance(mark, tuple) and 0 < len(mark) <= MOST_MARK
-        and all(type(part) is int or (isinstance(part, str) and len(part) <= MOST_TEXT) for part in mark)
-        for origin, mark in marks.items()
-    )  # fmt: skip
+    return (
+        isinstance(marks, Mapping)
+        and 0 < len(marks) <= MOST_ORIGINS
+        and all(
+            isinstance(origin, str)
+            and len(origin) <= MOST_TEXT
+            and isinstance(mark, tuple)
+            and 0 < len(mark) <= MOST_MARK
+            and all(type(part) is int or (isinstance(part, str) and len(part) <= MOST_TEXT) for part in mark)
+            for origin, mark in marks.items()
+        )
+    )
 
 
 def _has(vector: Vector, other: Vector) -> bool:
--- a/yardbank/gateway/reach.py
+++ b/yardbank/gateway/reach.py
@@ -93,9 +93,15 @@
                 self._retire(number)
             if number not in self._ways:
                 self._ways[number] = Way(
-                    spec, self._backend, self.limits, self._deadlines, self._clock.now, self.log, self._has_room,
+                    spec,
+                    self._backend,
+                    self.limits,
+                    self._deadlines,
+                    self._clock.now,
+                    self.log,
+                    self._has_room,
                     self._way_seen,
-                )  # fmt: skip
+                )
             self._positions.listed(number, group, spec.primary, now)
             started = started_at(now, wall, spec.started)
             if old and old.started == spec.started:
--- a/yardbank/gateway/request.py
+++ b/yardbank/gateway/request.py
@@ -13,9 +13,22 @@
     """A request that is owed its answer, or whose attempts are still out."""
 
     __slots__ = (
-        "answering", "attempts", "call", "ended", "event", "gathered", "id", "kind", "list_version", "missed", "out",
-        "parts", "ran_at", "stream_timer", "taken_at",
-    )  # fmt: skip
+        "answering",
+        "attempts",
+        "call",
+        "ended",
+        "event",
+        "gathered",
+        "id",
+        "kind",
+        "list_version",
+        "missed",
+        "out",
+        "parts",
+        "ran_at",
+        "stream_timer",
+        "taken_at",
+    )
 
     def __init__(self, number: str, call: Call, kind: api.RequestClass, now: int, list_version: int) -> None:
         self.id, self.call, self.kind, self.taken_at = number, call, kind, now
--- a/yardbank/gateway/tallies.py
+++ b/yardbank/gateway/tallies.py
@@ -53,10 +53,13 @@
     def since(self, earlier: Tally) -> Tally:
         """What came after an earlier copy was taken."""
         return Tally(
-            self.in_time - earlier.in_time, self.late - earlier.late, self.refused - earlier.refused,
-            self.failed - earlier.failed, self.left - earlier.left,
+            self.in_time - earlier.in_time,
+            self.late - earlier.late,
+            self.refused - earlier.refused,
+            self.failed - earlier.failed,
+            self.left - earlier.left,
             [now - then for now, then in zip(self.latencies, earlier.latencies, strict=True)],
-        )  # fmt: skip
+        )
 
 
 class Tallies:
@@ -90,8 +93,13 @@
         """The same as plain values, for a log or a page; latencies in ms."""
         return {
             name: {
-                "in_time": tally.in_time, "late": tally.late, "refused": tally.refused, "failed": tally.failed,
-                "left": tally.left, "p50": tally.quantile(0.5) / 1e6, "p99": tally.quantile(0.99) / 1e6,
+                "in_time": tally.in_time,
+                "late": tally.late,
+                "refused": tally.refused,
+                "failed": tally.failed,
+                "left": tally.left,
+                "p50": tally.quantile(0.5) / 1e6,
+                "p99": tally.quantile(0.99) / 1e6,
             }
             for name, tally in self.by_class.items()
-        }  # fmt: skip
+        }
--- a/yardbank/ldap/front.py
+++ b/yardbank/ldap/front.py
@@ -286,8 +286,10 @@
     def _unheld(self, message: m.Message, operation: m.Request, entry: str) -> None:
         """What is asked of a name that no group holds: a glue entry, or none at all."""
         code, matched = of_unheld(self._factory.classifier.tree, operation, entry)
-        reason = {Code.NO_SUCH_OBJECT: f"no group holds {entry!r}",
-                  Code.UNWILLING: f"{entry!r} stands above the groups and cannot be changed"}  # fmt: skip
+        reason = {
+            Code.NO_SUCH_OBJECT: f"no group holds {entry!r}",
+            Code.UNWILLING: f"{entry!r} stands above the groups and cannot be changed",
+        }
         return self._answer(message, code, reason.get(code, ""), matched=matched)
 
     def _search_many(self, message: m.Message, request: m.SearchRequest, raw: codec.Envelope, reach: Reach) -> None:
--- a/yardbank/ldap/spread.py
+++ b/yardbank/ldap/spread.py
@@ -323,8 +323,9 @@
         if self._sorted:  # entries came as they were found: say so (RFC 2891 section 2)
             controls = (*controls, m.Control(m.Oid.SORT_RESULT, False, codec.sort_result(Code.UNWILLING)))
         if missing:
-            self._gateway.log.warning("spread_search_incomplete", code=int(code), missing=missing[:20],
-                                      parts=len(self._sent))  # fmt: skip
+            self._gateway.log.warning(
+                "spread_search_incomplete", code=int(code), missing=missing[:20], parts=len(self._sent)
+            )
         self._close()
         self._client.finish(self._id, m.Result(m.Tag.DONE, code, diagnostic=diagnostic), controls)
         self._fan.pump()
--- a/yardbank/plan/active_plan.py
+++ b/yardbank/plan/active_plan.py
@@ -142,10 +142,7 @@
 
 def _subset(members: list[ServerSpec], place: Place) -> list[ServerSpec]:
     """One group's servers within the bound. Primaries and those that drain are always told of."""
-    shares = {
-        s.name: Fraction(s.weight) if s.state == "ready" and not s.primary else Fraction(0)
-        for s in members
-    }  # fmt: skip
+    shares = {s.name: Fraction(s.weight) if s.state == "ready" and not s.primary else Fraction(0) for s in members}
     if not any(shares.values()):
         return members
     mine = aperture(shares, place.index, place.gateways, place.most, place.spares)
@@ -164,5 +161,14 @@
     weight = max(LEAST_WEIGHT, round(weight, 4))
     if weight == server.weight:
         return server
-    return ServerSpec(server.name, server.group, server.zone, server.host, server.port, server.primary, server.state,
-                      server.started, weight)  # fmt: skip
+    return ServerSpec(
+        server.name,
+        server.group,
+        server.zone,
+        server.host,
+        server.port,
+        server.primary,
+        server.state,
+        server.started,
+        weight,
+    )
--- a/yardbank/plan/document.py
+++ b/yardbank/plan/document.py
@@ -87,16 +87,28 @@
         return Problem(
             tuple(
                 PlanServer(
-                    label, s.group, s.zone, s.capacity,
-                    1.0 if s.age is None else warmth_of(s.age, limits.cold, limits.cold_share), s.taken,
-                    s.primary, s.kind,
+                    label,
+                    s.group,
+                    s.zone,
+                    s.capacity,
+                    1.0 if s.age is None else warmth_of(s.age, limits.cold, limits.cold_share),
+                    s.taken,
+                    s.primary,
+                    s.kind,
                 )
                 for label, s in found["server"]
             ),
             tuple(Demand(label, d.group, d.zone, d.rate) for label, d in found["demand"]),
-            Limits(limits.most_used, spill, limits.survive_server, limits.survive_zone, prices, limits.most_moved,
-                   before or {}),
-        )  # fmt: skip
+            Limits(
+                limits.most_used,
+                spill,
+                limits.survive_server,
+                limits.survive_zone,
+                prices,
+                limits.most_moved,
+                before or {},
+            ),
+        )
     except ValueError as problem:
         raise PlanError([f"{name}: {problem}"]) from None
 
--- a/yardbank/plan/solver.py
+++ b/yardbank/plan/solver.py
@@ -177,10 +177,15 @@
             for i, rate in enumerate(float(self.asked[zone]) / self.scale for zone in self.asking)
         ]
         rows += [
-            Row(columns[:, j], ones[: columns.shape[0]], -np.inf, float(self.zone_room[zone]) / self.scale,
-                 self.zone_words(zone))
+            Row(
+                columns[:, j],
+                ones[: columns.shape[0]],
+                -np.inf,
+                float(self.zone_room[zone]) / self.scale,
+                self.zone_words(zone),
+            )
             for j, zone in enumerate(self.serving)
-        ]  # fmt: skip
+        ]
         for zone, most in sorted(self.spill.items()):
             mine = columns[self.asking.index(zone), [other != zone for other in self.serving]]
             if len(mine):
@@ -315,10 +320,16 @@
         total = sum(kept.values(), Fraction(0))
         before.append({name: share / total for name, share in kept.items()} if total else target)
     whole = sum(group.rates, Fraction(0))
-    moved = sum(
-        (rate * sum((abs(b.get(n, Fraction(0)) - a.get(n, Fraction(0))) for n in {*a, *b}), Fraction(0)) / 2
-         for rate, a, b in zip(group.rates, before, wanted, strict=True)), Fraction(0),
-    ) / whole  # fmt: skip
+    moved = (
+        sum(
+            (
+                rate * sum((abs(b.get(n, Fraction(0)) - a.get(n, Fraction(0))) for n in {*a, *b}), Fraction(0)) / 2
+                for rate, a, b in zip(group.rates, before, wanted, strict=True)
+            ),
+            Fraction(0),
+        )
+        / whole
+    )
     most = written(group.limits.most_moved)
     if moved <= most:
         return wanted
@@ -328,10 +339,13 @@
         limit = f"moved: at most {float(most):.0%} of reads, and {float(needed * moved):.0%} must go elsewhere"
         return Conflict(group.group, (limit, words), 0.0)
     return [
-        {n: part for n in sorted({*a, *b})
-         if (part := a.get(n, Fraction(0)) * (1 - allowed) + b.get(n, Fraction(0)) * allowed) > 0}
+        {
+            n: part
+            for n in sorted({*a, *b})
+            if (part := a.get(n, Fraction(0)) * (1 - allowed) + b.get(n, Fraction(0)) * allowed) > 0
+        }
         for a, b in zip(before, wanted, strict=True)
-    ]  # fmt: skip
+    ]
 
 
 def _needed_part(group: _Group, before: Shares, wanted: Shares) -> tuple[Fraction, str]:
--- a/yardbank/policy/picking.py
+++ b/yardbank/policy/picking.py
@@ -139,6 +139,9 @@
 
     def order(self) -> list[tuple[str, bool]]:
         """Classes, in time and late, by worth for their work: late work must not make more late."""
-        worth = {(kind.name, late): kind.worth * (kind.late_worth if late else 1) / self.usual[kind.name]
-                 for kind in self.set.classes for late in (False, True)}  # fmt: skip
+        worth = {
+            (kind.name, late): kind.worth * (kind.late_worth if late else 1) / self.usual[kind.name]
+            for kind in self.set.classes
+            for late in (False, True)
+        }
         return sorted(worth, key=lambda key: -worth[key])
--- a/yardbank/proxy.py
+++ b/yardbank/proxy.py
@@ -99,9 +99,16 @@
 
             state = folder / config.state.path / f"worker-{worker}" if config.state is not None else None
             self._peers = Peers(
-                config.peers, folder, state, reactor=reactor, now=self.gateway.now, wall=wall,
-                seed=self.gateway.settings.seed, log=self.log, sharing=self.gateway.shared(Sharing),
-            )  # fmt: skip
+                config.peers,
+                folder,
+                state,
+                reactor=reactor,
+                now=self.gateway.now,
+                wall=wall,
+                seed=self.gateway.settings.seed,
+                log=self.log,
+                sharing=self.gateway.shared(Sharing),
+            )
             self._join(config, state, wall, started, folder)
         if config.membership is None:
             self.gateway.apply_list(build.servers(config))
@@ -126,9 +133,17 @@
         assert self._peers is not None
         if joint.wanted(config):
             self._joint = joint.Joint(
-                config, self.gateway, self._peers, state, reactor=self._reactor, wall=wall, log=self.log,
-                reload=self.reload, started=started, folder=folder,
-            )  # fmt: skip
+                config,
+                self.gateway,
+                self._peers,
+                state,
+                reactor=self._reactor,
+                wall=wall,
+                log=self.log,
+                reload=self.reload,
+                started=started,
+                folder=folder,
+            )
 
     @property
     def channels(self) -> Channels:
--- a/yardbank/server_list/comparison.py
+++ b/yardbank/server_list/comparison.py
@@ -28,9 +28,13 @@
     def lines(self) -> list[str]:
         """The change in words."""
         words = {
-            "added": self.added, "removed": self.removed, "drains": self.drained,
-            "moved to another group or zone": self.moved, "started anew": self.restarted, "changed": self.other,
-        }  # fmt: skip
+            "added": self.added,
+            "removed": self.removed,
+            "drains": self.drained,
+            "moved to another group or zone": self.moved,
+            "started anew": self.restarted,
+            "changed": self.other,
+        }
         return [f"{word}: {', '.join(sorted(names))}" for word, names in words.items() if names]
 
 
@@ -74,8 +78,9 @@
     primaries = any(was and was.primary and not (_ready(now) and now.primary) for was, now in changes.values())
     if primaries or len(lost) > 2:
         return None
-    for group in sorted({s.group for s in lost} | {was.group for was, now in changes.values() if was and now
-                                                   and was.group != now.group}):  # fmt: skip
+    for group in sorted(
+        {s.group for s in lost} | {was.group for was, now in changes.values() if was and now and was.group != now.group}
+    ):
         if not any(s.group == group and s.state == "ready" for s in new):
             return f"group {group!r} would have no server left"
     return ""
--- a/yardbank/server_list/document.py
+++ b/yardbank/server_list/document.py
@@ -142,8 +142,14 @@
         faults.append(f"the list names {len(servers)} servers, {MAX_SERVERS} allowed")
     if faults:
         raise FleetError(faults)
-    return Fleet(tuple(spec for spec, _ in servers.values()), digest_of(texts), next(iter(sets.values()), ""), force,
-                 tuple(classes.values()), tuple(plans))  # fmt: skip
+    return Fleet(
+        tuple(spec for spec, _ in servers.values()),
+        digest_of(texts),
+        next(iter(sets.values()), ""),
+        force,
+        tuple(classes.values()),
+        tuple(plans),
+    )
 
 
 def server_of(block: Body, groups: Iterable[str]) -> ServerSpec | None:
@@ -266,9 +272,17 @@
     if not faults:
         by_server = {server: weight for server, weight, _ in weights}
         plans.append(
-            MadePlan(block.label, block.attributes["list"], float(block.attributes["made"]), fade / 1e9, by_server,
-                     block.attributes.get("proven", True), switchover, block.attributes.get("relaxed", ""))
-        )  # fmt: skip
+            MadePlan(
+                block.label,
+                block.attributes["list"],
+                float(block.attributes["made"]),
+                fade / 1e9,
+                by_server,
+                block.attributes.get("proven", True),
+                switchover,
+                block.attributes.get("relaxed", ""),
+            )
+        )
 
 
 def _weights(name: str, block: Body, weights: list[tuple[str, float, str]], faults: list[str]) -> None:
--- a/yardbank/server_list/incremental_reader.py
+++ b/yardbank/server_list/incremental_reader.py
@@ -115,9 +115,14 @@
         }
         last = known.fleet
         known.fleet = Fleet(
-            tuple(known.servers.values()), digest_of(texts), last.set_name, last.force, last.classes,
-            last.plans, Delta(last.digest, changes),
-        )  # fmt: skip
+            tuple(known.servers.values()),
+            digest_of(texts),
+            last.set_name,
+            last.force,
+            last.classes,
+            last.plans,
+            Delta(last.digest, changes),
+        )
         known.texts = dict(texts)
         return known.fleet
 
--- a/yardbank/spread/merge.py
+++ b/yardbank/spread/merge.py
@@ -14,8 +14,15 @@
 
 NAMES_KEPT = 100_000  # entries passed on of one part; beyond it, a part that breaks off is not asked again
 NAMED = 8  # suffixes named in a diagnostic; the rest are counted
-_RANK = (Code.UNAVAILABLE, Code.OTHER, Code.OPERATIONS_ERROR, Code.BUSY, Code.ADMIN_LIMIT, Code.TIME_LIMIT,
-         Code.SIZE_LIMIT)  # fmt: skip
+_RANK = (
+    Code.UNAVAILABLE,
+    Code.OTHER,
+    Code.OPERATIONS_ERROR,
+    Code.BUSY,
+    Code.ADMIN_LIMIT,
+    Code.TIME_LIMIT,
+    Code.SIZE_LIMIT,
+)
 
 _SIZE = "the search's size limit, over all suffixes together"
 
@@ -178,9 +185,13 @@
         """A part failed. One that broke off after entries were passed on is asked once more, if there is time."""
         progress = self._progress[index]
         if (
-            self.ending is None and progress.state is _State.OUT and not progress.again
-            and progress.counted and progress.counted <= len(progress.passed) and now < self.until
-        ):  # fmt: skip
+            self.ending is None
+            and progress.state is _State.OUT
+            and not progress.again
+            and progress.counted
+            and progress.counted <= len(progress.passed)
+            and now < self.until
+        ):
             progress.state, progress.again = _State.WAITING, True
             return
         self._close(index, _State.MISSING, Code.UNAVAILABLE, reason)
--- a/yardbank/testing/audit/changes.py
+++ b/yardbank/testing/audit/changes.py
@@ -97,8 +97,11 @@
             whole = [zone for zone, size in sizes.items() if there[zone] == size]
             if whole and stage < last and len(sizes) > 1:
                 return Finding(False, f"zone {whole[0]} has gone as a whole in stage {stage} of {last}", fact)
-            if len(set(sizes.values())) == 1 and stage < last and max(there.values()) - min(
-                    there[zone] for zone in sizes) > 1:  # fmt: skip
+            if (
+                len(set(sizes.values())) == 1
+                and stage < last
+                and max(there.values()) - min(there[zone] for zone in sizes) > 1
+            ):
                 return Finding(False, f"stage {stage} is not spread over zones: {dict(there)}", fact)
     moves = sum(map(len, over.values()))  # who tries in service first, and then goes down, went once
     return Finding(moves > 0, f"{moves} went over in {last} stages, {worst} out of service together at most")
--- a/yardbank/testing/audit/claims.py
+++ b/yardbank/testing/audit/claims.py
@@ -46,18 +46,21 @@
     if window is None:
         return Finding(False, "a step that it names never came")
     wanted = {
-        fact["want"]: fact for fact in facts
-        if fact["kind"] == "wanted" and window[0] <= fact["at"] <= window[1]
+        fact["want"]: fact
+        for fact in facts
+        if fact["kind"] == "wanted"
+        and window[0] <= fact["at"] <= window[1]
         and request_class in ("", fact["request_class"])
-    }  # fmt: skip
+    }
     ends = Counter(fact["end"] for fact in facts if fact["kind"] == "done" and fact["want"] in wanted)
     if not wanted:
         return Finding(False, "nothing was wanted in its span")
     share = ends["served"] / len(wanted)
     rest = ", ".join(f"{count} {end}" for end, count in sorted(ends.items()) if end != "served")
     seen = f"{share:.3f} of {len(wanted)} served, {least:.3f} wanted" + (f" ({rest})" if rest else "")
-    worst = next((fact for fact in facts if fact["kind"] == "done" and fact["want"] in wanted
-                  and fact["end"] != "served"), None)  # fmt: skip
+    worst = next(
+        (fact for fact in facts if fact["kind"] == "done" and fact["want"] in wanted and fact["end"] != "served"), None
+    )
     return Finding(share >= least, seen, None if share >= least else worst)
 
 
--- a/yardbank/testing/audit/cold_sum.py
+++ b/yardbank/testing/audit/cold_sum.py
@@ -42,8 +42,10 @@
     starts = [fact for fact in facts if fact["kind"] == "start"]
     judged, nearest, seen = 0, 0.0, ""
     for start in starts:
-        again = min((one["at"] for one in starts if one["server"] == start["server"] and one["at"] > start["at"]),
-                    default=float("inf"))  # fmt: skip
+        again = min(
+            (one["at"] for one in starts if one["server"] == start["server"] and one["at"] > start["at"]),
+            default=float("inf"),
+        )
         sent = calls[start["server"]]
         times = [fact["at"] for fact in sent]
         first = bisect_left(times, start["at"])
@@ -59,9 +61,11 @@
                 continue
             senders = Counter(fact["gateway"] for fact in sent[index:until])
             most, count = senders.most_common(1)[0]
-            text = (f"{start['server']}: {until - index} calls within {bounds.window:g} s, from {len(senders)} "
-                    f"gateways ({count} from {most}), {times[index] - start['at']:.3f} s after its start; the "
-                    f"budget is {budget:.1f}, with chance {allowed:.1f}")  # fmt: skip
+            text = (
+                f"{start['server']}: {until - index} calls within {bounds.window:g} s, from {len(senders)} "
+                f"gateways ({count} from {most}), {times[index] - start['at']:.3f} s after its start; the "
+                f"budget is {budget:.1f}, with chance {allowed:.1f}"
+            )
             return Finding(False, text, sent[until - 1])
     text = f"{judged} calls to {len(starts)} cold servers, nearest to the bound: {seen or 'none'}"
     return Finding(judged > 0, text)
--- a/yardbank/testing/audit/distributed.py
+++ b/yardbank/testing/audit/distributed.py
@@ -91,9 +91,14 @@
 
 
 def _in_time(
-    facts: Sequence[Fact], gateways: Sequence[str], published: Sequence[str], within: float,
-    held: dict[str, list[tuple[float, Held]]], first: dict[Held, Fact], over: float,
-) -> Finding:  # fmt: skip
+    facts: Sequence[Fact],
+    gateways: Sequence[str],
+    published: Sequence[str],
+    within: float,
+    held: dict[str, list[tuple[float, Held]]],
+    first: dict[Held, Fact],
+    over: float,
+) -> Finding:
     """The rest of the claim: who held each version by when."""
     steps = [
         fact for fact in facts if fact["kind"] == "step" and fact["phase"] == "begin" and fact["name"] in published
--- a/yardbank/testing/audit/feeds.py
+++ b/yardbank/testing/audit/feeds.py
@@ -137,5 +137,7 @@
         if before not in (None, reign.owner) and window[0] <= at <= min(window[1], over):
             moves.append(moves[-1] + 1)
         current[reign.channel] = reign.owner
-    return Finding(bool(current) and moves[-1] <= most, f"{moves[-1]} changes of owner over {len(current)} channels, "
-                   f"{most} allowed")  # fmt: skip
+    return Finding(
+        bool(current) and moves[-1] <= most,
+        f"{moves[-1]} changes of owner over {len(current)} channels, {most} allowed",
+    )
--- a/yardbank/testing/audit/gossip_messages.py
+++ b/yardbank/testing/audit/gossip_messages.py
@@ -37,6 +37,14 @@
     for sender, topic, body in letters(data):
         if topic == "feed" and body[0] == "item" and len(body) >= 6:
             _, channel, epoch, sequence, _, owner, *_ = body
-            found.append({"kind": "item", "channel": channel, "epoch": epoch, "sequence": sequence, "sender": sender,
-                          "owner": owner})  # fmt: skip
+            found.append(
+                {
+                    "kind": "item",
+                    "channel": channel,
+                    "epoch": epoch,
+                    "sequence": sequence,
+                    "sender": sender,
+                    "owner": owner,
+                }
+            )
     return found
--- a/yardbank/testing/audit/notification_deadline.py
+++ b/yardbank/testing/audit/notification_deadline.py
@@ -86,11 +86,16 @@
                 continue
             judged += 1
             due = excuses.told_from(gateway, told) + bounds.grace
-            broken += [(fact, drain, told) for fact in begun[gateway, server]
-                       if due < rig.earliest(fact["at"]) and fact["at"] < drain.until]  # fmt: skip
+            broken += [
+                (fact, drain, told)
+                for fact in begun[gateway, server]
+                if due < rig.earliest(fact["at"]) and fact["at"] < drain.until
+            ]
     if not broken:
         return Finding(judged > 0, f"{judged} drains kept")
     fact, drain, told = min(broken, key=lambda one: float(one[0]["at"]))
-    text = (f"{fact['gateway']} sends {fact.get('tag') or fact['op']} to {fact['server']} {fact['at'] - told:.3f} s "
-            f"after it counts as told that it is {drain.listed['state']}; {len(broken)} such attempts")  # fmt: skip
+    text = (
+        f"{fact['gateway']} sends {fact.get('tag') or fact['op']} to {fact['server']} {fact['at'] - told:.3f} s "
+        f"after it counts as told that it is {drain.listed['state']}; {len(broken)} such attempts"
+    )
     return Finding(False, text, fact)
--- a/yardbank/testing/audit/record.py
+++ b/yardbank/testing/audit/record.py
@@ -15,14 +15,26 @@
 
 Fact = dict[str, Any]
 KINDS = {
-    "sent": ("tag", "client"), "answer": ("tag", "client", "code"), "unasked": ("client",), "lost": ("client",),
-    "left": ("client",), "received": ("server", "tag", "op"), "full": ("server", "tag"),
-    "applied": ("server", "suffix", "csn", "tag"), "answered": ("server", "tag", "code"),
-    "elected": ("server", "suffix", "lost"), "start": ("server", "cold_s", "cold_share", "per_s"),
-    "told": ("server", "state"), "opened": ("client", "port"), "cancelled": ("client", "tag"),
-    "reached": ("gateway", "port", "what", "message"), "begun": ("gateway", "server", "tag", "op"),
-    "listed": ("gateway", "server", "state"), "discovery": ("gateway", "reached"), "rig_late": ("by",),
-}  # fmt: skip
+    "sent": ("tag", "client"),
+    "answer": ("tag", "client", "code"),
+    "unasked": ("client",),
+    "lost": ("client",),
+    "left": ("client",),
+    "received": ("server", "tag", "op"),
+    "full": ("server", "tag"),
+    "applied": ("server", "suffix", "csn", "tag"),
+    "answered": ("server", "tag", "code"),
+    "elected": ("server", "suffix", "lost"),
+    "start": ("server", "cold_s", "cold_share", "per_s"),
+    "told": ("server", "state"),
+    "opened": ("client", "port"),
+    "cancelled": ("client", "tag"),
+    "reached": ("gateway", "port", "what", "message"),
+    "begun": ("gateway", "server", "tag", "op"),
+    "listed": ("gateway", "server", "state"),
+    "discovery": ("gateway", "reached"),
+    "rig_late": ("by",),
+}
 
 
 def read_record(path: Path) -> list[Fact]:
--- a/yardbank/testing/audit/rules.py
+++ b/yardbank/testing/audit/rules.py
@@ -47,11 +47,16 @@
         elif kind == "lost":
             owed = open_by.pop(client, {})
             excused = fact.get("excused") or any(at - 0.2 <= fact["at"] <= at + 2 for at in killed)
-            rule.found += [] if excused else [
-                f"connection lost with no final answer: {frame(asked)}; {frame(fact)}" for asked in owed.values()
-                if not excuses.silence(asked.get("gateway", ""), asked["at"], fact["at"])
-                and (asked["tag"] in reached or not excuses.loss(asked.get("gateway", ""), asked["at"], fact["at"]))
-            ]  # fmt: skip
+            rule.found += (
+                []
+                if excused
+                else [
+                    f"connection lost with no final answer: {frame(asked)}; {frame(fact)}"
+                    for asked in owed.values()
+                    if not excuses.silence(asked.get("gateway", ""), asked["at"], fact["at"])
+                    and (asked["tag"] in reached or not excuses.loss(asked.get("gateway", ""), asked["at"], fact["at"]))
+                ]
+            )
     for owed in open_by.values():
         for asked in owed.values():
             due = asked["at"] + asked.get("deadline", 0.0) + bounds.answer_slack
--- a/yardbank/testing/audit/summary.py
+++ b/yardbank/testing/audit/summary.py
@@ -64,8 +64,16 @@
 def table(rows: Sequence[ClassRow], reads: dict[str, str]) -> Table:
     """The rows as a table; ``reads`` tells each class's kind of read by its name."""
     made = Table(title="By class", title_justify="left")
-    for column in ("class", "requests", "served", "reads from copies", "from the primary", "held over 10 ms", "p50",
-                   "p99"):  # fmt: skip
+    for column in (
+        "class",
+        "requests",
+        "served",
+        "reads from copies",
+        "from the primary",
+        "held over 10 ms",
+        "p50",
+        "p99",
+    ):
         made.add_column(column, justify="left" if column == "class" else "right")
     for row in rows:
         reading = reads.get(row.name, row.name) != "write"
--- a/yardbank/testing/demo/runner.py
+++ b/yardbank/testing/demo/runner.py
@@ -43,10 +43,15 @@
 
 def _row(row: ClassRow) -> dict[str, Any]:
     return {
-        "class": row.name, "requests": row.asked, "served": row.served, "from_copies": row.by_copy,
-        "from_primary": row.by_primary, "held": row.waited,
-        "p50_ms": round(row.quantile(0.5) * 1e3, 3), "p99_ms": round(row.quantile(0.99) * 1e3, 3),
-    }  # fmt: skip
+        "class": row.name,
+        "requests": row.asked,
+        "served": row.served,
+        "from_copies": row.by_copy,
+        "from_primary": row.by_primary,
+        "held": row.waited,
+        "p50_ms": round(row.quantile(0.5) * 1e3, 3),
+        "p99_ms": round(row.quantile(0.99) * 1e3, 3),
+    }
 
 
 def run_day(seed: int, seconds: float, daemon: bool, json_file: Path | None, record_file: Path | None) -> int:
@@ -59,8 +64,10 @@
     world.load(ENTRIES)
     day = Day(world, scale)
     failed: list[Any] = []
-    click.echo(f"A bad day of {seconds:g} s: 6 stand-ins in 2 groups, {len(day.sessions)} clients, "
-               f"the gateway {'as a process' if daemon else 'embedded'}.")  # fmt: skip
+    click.echo(
+        f"A bad day of {seconds:g} s: 6 stand-ins in 2 groups, {len(day.sessions)} clients, "
+        f"the gateway {'as a process' if daemon else 'embedded'}."
+    )
     done = day.play(click.echo)
     done.addErrback(failed.append)
     done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
@@ -74,8 +81,16 @@
     rows = by_class(record.facts)
     Console(width=140).print(table(rows, {kind.name: kind.read for kind in load_text(world.settings()).classes}))
     if json_file:
-        write_json(json_file, {**as_dict(verdict), "troubles": day.played, "seed": seed, "seconds": seconds,
-                               "classes": [_row(row) for row in rows]})  # fmt: skip
+        write_json(
+            json_file,
+            {
+                **as_dict(verdict),
+                "troubles": day.played,
+                "seed": seed,
+                "seconds": seconds,
+                "classes": [_row(row) for row in rows],
+            },
+        )
     return 0 if verdict.held else 1
 
 
--- a/yardbank/testing/rig/changes.py
+++ b/yardbank/testing/rig/changes.py
@@ -29,10 +29,17 @@
     """The file that asks for it."""
     ms = lambda ns: f'"{ns / 1e6:.0f}ms"'  # noqa: E731
     rows = {
-        "settings": f'"{file_name(step)}"', "stages": list(step.stages), "hold": ms(step.hold), "settle": f'"{SETTLE}"',
-        "most_at_once": step.most, "outage": ms(step.outage), "longest": ms(step.longest), "worse_by": step.worse_by,
-        "false_stop": step.chance, "false_pass": step.chance,
-    }  # fmt: skip
+        "settings": f'"{file_name(step)}"',
+        "stages": list(step.stages),
+        "hold": ms(step.hold),
+        "settle": f'"{SETTLE}"',
+        "most_at_once": step.most,
+        "outage": ms(step.outage),
+        "longest": ms(step.longest),
+        "worse_by": step.worse_by,
+        "false_stop": step.chance,
+        "false_pass": step.chance,
+    }
     return f'rollout "{step.rollout}" {{\n' + "".join(f"  {key} = {value}\n" for key, value in rows.items()) + "}\n"
 
 
--- a/yardbank/testing/rig/claim.py
+++ b/yardbank/testing/rig/claim.py
@@ -13,25 +13,63 @@
 ROLLOUT = ("stages", "stopped", "advanced")
 DISTRIBUTION = ("distributed",)
 TERMS = ("gone_clients", "cold_sum", "told")  # judged by single octets: the rig's own lateness is noted for them
-_NEEDS = {"served": ("least",), "serves_again": ("after",), "owned_again": ("after",), "stages": ("most",),
-          "steady": ("most",), "map": ("within",)}  # fmt: skip
+_NEEDS = {
+    "served": ("least",),
+    "serves_again": ("after",),
+    "owned_again": ("after",),
+    "stages": ("most",),
+    "steady": ("most",),
+    "map": ("within",),
+}
 _MAY = {
-    "least": ("served",), "request_class": ("served",), "who": ("alive", "serves_again", "stopped", "advanced"),
-    "after": ("served", "serves_again", "owned_again", "steady"), "until": ("served", "steady"),
-    "most": ("stages", "steady"), "overlap": ("owners",), "slack": ("owners",), "tail": ("owned_again",),
-    "share": ("map", "gone_clients"), "within": ("map", "gone_clients", "distributed"), "late": ("gone_clients",),
-    "cases": ("gone_clients",), "fewest": ("gone_clients",), "multiple": ("cold_sum",), "window": ("cold_sum",),
-    "roots": ("cold_sum",), "spare": ("cold_sum",), "bound": ("told",), "grace": ("told",),
-}  # fmt: skip
+    "least": ("served",),
+    "request_class": ("served",),
+    "who": ("alive", "serves_again", "stopped", "advanced"),
+    "after": ("served", "serves_again", "owned_again", "steady"),
+    "until": ("served", "steady"),
+    "most": ("stages", "steady"),
+    "overlap": ("owners",),
+    "slack": ("owners",),
+    "tail": ("owned_again",),
+    "share": ("map", "gone_clients"),
+    "within": ("map", "gone_clients", "distributed"),
+    "late": ("gone_clients",),
+    "cases": ("gone_clients",),
+    "fewest": ("gone_clients",),
+    "multiple": ("cold_sum",),
+    "window": ("cold_sum",),
+    "roots": ("cold_sum",),
+    "spare": ("cold_sum",),
+    "bound": ("told",),
+    "grace": ("told",),
+}
 
 
 class Claim(Model):
     """What must hold, judged from the record when all is over."""
 
     name: str
-    kind: Literal["rules", "alive", "served", "serves_again", "views", "belief", "unmoved", "owners", "followers",
-                  "owned_again", "steady", "stages", "stopped", "advanced", "map", "gone_clients", "cold_sum",
-                  "told", "distributed"]  # fmt: skip
+    kind: Literal[
+        "rules",
+        "alive",
+        "served",
+        "serves_again",
+        "views",
+        "belief",
+        "unmoved",
+        "owners",
+        "followers",
+        "owned_again",
+        "steady",
+        "stages",
+        "stopped",
+        "advanced",
+        "map",
+        "gone_clients",
+        "cold_sum",
+        "told",
+        "distributed",
+    ]
     least: Annotated[float, Field(ge=0, le=1)] = 0.0  # share, for "served"
     after: str = ""  # a step: counted from its end
     until: str = ""  # a step: counted up to its beginning
--- a/yardbank/testing/rig/cross_checks.py
+++ b/yardbank/testing/rig/cross_checks.py
@@ -30,16 +30,21 @@
     for kind, given in names.items():
         found += [
             ((kind, index), f'{kind} "{name}" is given twice')
-            for index, name in enumerate(given) if name in given[:index]
-        ]  # fmt: skip
+            for index, name in enumerate(given)
+            if name in given[:index]
+        ]
     gateways, servers, ends = scenario.gateways(), list(scenario.servers()), scenario.ends()
     for index, clock in enumerate(scenario.clock):
         if clock.gateway not in gateways:
             found.append((("clock", index), f'clock "{clock.gateway}": there is no such gateway'))
     for index, step in enumerate(scenario.step):
         kinds = gateways if step.do in (*GATEWAY, *ROLLOUT, "hold") else servers
-        words = (("from", step.from_, ends), ("to", step.to, ends), ("who", step.who, kinds),
-                 ("gateways", step.gateways, gateways))  # fmt: skip
+        words = (
+            ("from", step.from_, ends),
+            ("to", step.to, ends),
+            ("who", step.who, kinds),
+            ("gateways", step.gateways, gateways),
+        )
         for field, patterns, known in words:
             for pattern in patterns:
                 moving = pattern in scenario.words() and known is not servers
--- a/yardbank/testing/rig/gossip.py
+++ b/yardbank/testing/rig/gossip.py
@@ -151,8 +151,10 @@
         running = {name for name in self.nodes if name not in self.paused}
         return all(
             self.believes(name, other) == (ALIVE if other in running else GONE)
-            for name in running for other in self.names if other != name
-        )  # fmt: skip
+            for name in running
+            for other in self.names
+            if other != name
+        )
 
     def run_until(self, condition: Callable[[], bool], most: int, step: int = SECOND // 10) -> int | None:
         """Let time pass until something holds; when, or None if it never did."""
--- a/yardbank/testing/rig/load.py
+++ b/yardbank/testing/rig/load.py
@@ -15,8 +15,13 @@
 DEADLINE = {"lookup": 1.5, "status": 2.0, "commit": 3.0}
 STALENESS = 0.8
 GIVE_UP = 2.0  # so long after its deadline a client stops waiting and goes elsewhere
-AGAIN = {"refused": ("bounded", "session", "write"), "lost": ("bounded", "session"), "failed": ("bounded", "session"),
-         "silent": (), "gone": ()}  # fmt: skip
+AGAIN = {
+    "refused": ("bounded", "session", "write"),
+    "lost": ("bounded", "session"),
+    "failed": ("bounded", "session"),
+    "silent": (),
+    "gone": (),
+}
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/testing/rig/load_driver.py
+++ b/yardbank/testing/rig/load_driver.py
@@ -118,9 +118,15 @@
         controls = (m.Control(TAG_CONTROL, False, tag.encode()),)
         timer = self.drive.reactor.callLater(arrival.deadline + GIVE_UP, self._give_up, client, tag)
         client.request(
-            operation, controls, tag, need=need, deadline=arrival.deadline, suffix=arrival.suffix, want=arrival.number,
+            operation,
+            controls,
+            tag,
+            need=need,
+            deadline=arrival.deadline,
+            suffix=arrival.suffix,
+            want=arrival.number,
             gateway=self.gateway,
-        ).addCallback(self._answered, wanted, timer, tag)  # fmt: skip
+        ).addCallback(self._answered, wanted, timer, tag)
 
     def _give_up(self, client: Client, tag: str) -> None:
         self.drive.record({"kind": "gave_up", "client": client.name, "tag": tag, "gateway": self.gateway})
@@ -185,8 +191,14 @@
         while self._arrivals and self._arrivals[0].at <= now:
             arrival = self._arrivals.popleft()
             self._owed += 1
-            self.record({"kind": "wanted", "want": arrival.number, "client": f"{CLIENTS}/{arrival.client}",
-                         "request_class": arrival.request_class})  # fmt: skip
+            self.record(
+                {
+                    "kind": "wanted",
+                    "want": arrival.number,
+                    "client": f"{CLIENTS}/{arrival.client}",
+                    "request_class": arrival.request_class,
+                }
+            )
             self._users[arrival.client].want(_Wanted(arrival, self._began + arrival.at))
         if self._arrivals:
             self.reactor.callLater(max(0.0, self._arrivals[0].at - now), self._arrive)
@@ -198,8 +210,16 @@
         arrival, took = wanted.arrival, self.reactor.seconds() - wanted.due
         if end == "served":
             self.latency[arrival.request_class].record_value(min(HIGHEST, max(1, round(took * 1e6))))
-        self.record({"kind": "done", "want": arrival.number, "end": end, "tries": wanted.tries, "took": took,
-                     "request_class": arrival.request_class})  # fmt: skip
+        self.record(
+            {
+                "kind": "done",
+                "want": arrival.number,
+                "end": end,
+                "tries": wanted.tries,
+                "took": took,
+                "request_class": arrival.request_class,
+            }
+        )
         self._owed -= 1
         self._look()
 
--- a/yardbank/testing/rig/network.py
+++ b/yardbank/testing/rig/network.py
@@ -41,8 +41,11 @@
         }
         return Effect(
             "reset" if "reset" in cuts else "silent" if "silent" in cuts else "",
-            self.delay + other.delay, self.jitter + other.jitter, min(rates, default=0.0), **both,
-        )  # fmt: skip
+            self.delay + other.delay,
+            self.jitter + other.jitter,
+            min(rates, default=0.0),
+            **both,
+        )
 
 
 SOUND = Effect()
--- a/yardbank/testing/rig/play.py
+++ b/yardbank/testing/rig/play.py
@@ -49,8 +49,9 @@
             if cpu is not None:
                 self.record({"kind": "cpu", "name": name, "seconds": cpu})
         for one in self._datagrams:
-            self.record({"kind": "datagrams", "from": one.source, "to": one.target, "passed": one.passed,
-                         "octets": one.octets})  # fmt: skip
+            self.record(
+                {"kind": "datagrams", "from": one.source, "to": one.target, "passed": one.passed, "octets": one.octets}
+            )
 
     # The whole
 
--- a/yardbank/testing/rig/processes.py
+++ b/yardbank/testing/rig/processes.py
@@ -147,8 +147,16 @@
 
     def _ended(self, name: str, news: dict[str, Any]) -> None:
         meant = self.roster.ended(name, news["code"], news["signal"])
-        self._record({"kind": "process", "name": name, "what": "ended", "meant": meant, "code": news["code"],
-                      "signal": news["signal"]})  # fmt: skip
+        self._record(
+            {
+                "kind": "process",
+                "name": name,
+                "what": "ended",
+                "meant": meant,
+                "code": news["code"],
+                "signal": news["signal"],
+            }
+        )
         self._happened(name, "ready", GuardianLostError(f"{name} ended before it was ready"))
         self._happened(name, "ended")
 
--- a/yardbank/testing/rig/relay.py
+++ b/yardbank/testing/rig/relay.py
@@ -64,8 +64,9 @@
         self.over = True
         if self.told_to_end and self.other is not None and self.other.tap is not None:
             self.other.tap.ended()
-        self._stream.push(self._relay.seconds(), Ended(not reason.check(ConnectionDone)),
-                          self._relay.effect(self._pair))  # fmt: skip
+        self._stream.push(
+            self._relay.seconds(), Ended(not reason.check(ConnectionDone)), self._relay.effect(self._pair)
+        )
         self.look()
 
     def look(self) -> None:
@@ -119,9 +120,15 @@
     """Connections that ``source`` opens to ``target``; ``port`` is where ``source`` finds it."""
 
     def __init__(
-        self, reactor: Any, network: Network, source: str, target: str, target_port: Callable[[], int], seed: int,
+        self,
+        reactor: Any,
+        network: Network,
+        source: str,
+        target: str,
+        target_port: Callable[[], int],
+        seed: int,
         tap: Callable[[int], Tap] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """``tap`` makes what listens to a connection from this port of the source."""
         self.tap = tap
         self.reactor, self._network = reactor, network
@@ -201,9 +208,15 @@
     transport: Any
 
     def __init__(
-        self, reactor: Any, network: Network, source: str, target: str, target_port: Callable[[], int], seed: int,
+        self,
+        reactor: Any,
+        network: Network,
+        source: str,
+        target: str,
+        target_port: Callable[[], int],
+        seed: int,
         seen: Callable[[str, str, bytes], None] = lambda source, target, data: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """``seen`` is told of each datagram as ``source`` has sent it, whatever becomes of it."""
         self._reactor, self._network, self._seen = reactor, network, seen
         self.source, self.target, self._target_port = source, target, target_port
--- a/yardbank/testing/rig/roster.py
+++ b/yardbank/testing/rig/roster.py
@@ -97,5 +97,7 @@
     """Whether each that runs says of every other what is so, alive or gone. ``believed``: by who says it."""
     return all(
         believed.get(name, {}).get(other) == ("alive" if other in running else "gone")
-        for name in running for other in names if other != name
-    )  # fmt: skip
+        for name in running
+        for other in names
+        if other != name
+    )
--- a/yardbank/testing/rig/running_fleet.py
+++ b/yardbank/testing/rig/running_fleet.py
@@ -82,8 +82,9 @@
             name: {
                 server: Listed(group.name, zones[server], primary=server == group.members()[0])
                 for server, group in scenario.servers().items()
-            } for name in scenario.gateways()
-        }  # fmt: skip
+            }
+            for name in scenario.gateways()
+        }
         self.places = {name: GatewayPlace(folder, scenario, name, self.seed) for name in scenario.gateways()}
         self.published = PublishedList(scenario, self.places)
 
@@ -153,11 +154,20 @@
 
     def _start_group(self, group: Any) -> Deferred[Any]:
         spec = GroupSpec(
-            group.name, group.suffix, group.members(), (GATEWAY_DN, GATEWAY_PASSWORD),
-            str(self.folder / f"{group.name}.jsonl"), entries=self.scenario.load.entries, slots=group.slots,
-            read_s=group.read_time / 1e9, write_s=group.write_time / 1e9, ship=group.ship / 1e9,
-            detect=group.detect / 1e9, elect=group.elect / 1e9, seed=self.seed,
-        )  # fmt: skip
+            group.name,
+            group.suffix,
+            group.members(),
+            (GATEWAY_DN, GATEWAY_PASSWORD),
+            str(self.folder / f"{group.name}.jsonl"),
+            entries=self.scenario.load.entries,
+            slots=group.slots,
+            read_s=group.read_time / 1e9,
+            write_s=group.write_time / 1e9,
+            ship=group.ship / 1e9,
+            detect=group.detect / 1e9,
+            elect=group.elect / 1e9,
+            seed=self.seed,
+        )
         command = [sys.executable, "-m", "yardbank.testing.standin.process", msgspec.json.encode(spec).decode()]
         return self.processes.start(group.name, command, self.folder / f"{group.name}.log")
 
--- a/yardbank/testing/rig/scenario.py
+++ b/yardbank/testing/rig/scenario.py
@@ -99,5 +99,20 @@
     return {path.stem: path for path in sorted((Path(__file__).parent / "scenarios").glob("*.hcl"))}
 
 
-__all__ = ["CLIENTS", "GATEWAY", "NETWORK", "ROLLOUT", "Claim", "ConfigError", "Fleet", "Group", "Load", "Program",
-           "Scenario", "Step", "load_scenario", "matching", "shipped"]  # fmt: skip
+__all__ = [
+    "CLIENTS",
+    "GATEWAY",
+    "NETWORK",
+    "ROLLOUT",
+    "Claim",
+    "ConfigError",
+    "Fleet",
+    "Group",
+    "Load",
+    "Program",
+    "Scenario",
+    "Step",
+    "load_scenario",
+    "matching",
+    "shipped",
+]
--- a/yardbank/testing/rig/steps.py
+++ b/yardbank/testing/rig/steps.py
@@ -17,29 +17,80 @@
 LIST = ("tell", "hold")
 PUBLISH = ("publish",)  # servers get other entries in the list that is published
 CLIENT = ("leave",)
-_NEEDS = {"delay": "by", "throttle": "rate", "spoil": "share", "lose": "share", "double": "share", "reorder": "share",
-          "leave": "share",
-          "slow": "factor", "lag": "factor", "tell": "state", "lose_answers": "count", "rollout": "change"}  # fmt: skip
+_NEEDS = {
+    "delay": "by",
+    "throttle": "rate",
+    "spoil": "share",
+    "lose": "share",
+    "double": "share",
+    "reorder": "share",
+    "leave": "share",
+    "slow": "factor",
+    "lag": "factor",
+    "tell": "state",
+    "lose_answers": "count",
+    "rollout": "change",
+}
 _MAY = {
-    "by": ("delay",), "jitter": ("delay",), "rate": ("throttle",),
+    "by": ("delay",),
+    "jitter": ("delay",),
+    "rate": ("throttle",),
     "share": ("spoil", "lose", "double", "reorder", "leave"),
-    "factor": ("slow", "lag"), "count": ("lose_answers",), "state": ("tell",), "store": ("kill", "terminate"),
+    "factor": ("slow", "lag"),
+    "count": ("lose_answers",),
+    "state": ("tell",),
+    "store": ("kill", "terminate"),
     "how": ("cut",),
-    "oneway": NETWORK, "from": NETWORK, "to": NETWORK, "who": (*GATEWAY, *SERVER, *LIST, *ROLLOUT, *PUBLISH),
-    "gateways": ("tell", "leave"), "late": ("tell",), "means": ("leave",),
-    "rollout": ROLLOUT, "change": ("rollout",), "stages": ("rollout",), "hold": ("rollout",),
-    "most": ("rollout",), "outage": ("rollout",), "longest": ("rollout",), "worse_by": ("rollout",),
+    "oneway": NETWORK,
+    "from": NETWORK,
+    "to": NETWORK,
+    "who": (*GATEWAY, *SERVER, *LIST, *ROLLOUT, *PUBLISH),
+    "gateways": ("tell", "leave"),
+    "late": ("tell",),
+    "means": ("leave",),
+    "rollout": ROLLOUT,
+    "change": ("rollout",),
+    "stages": ("rollout",),
+    "hold": ("rollout",),
+    "most": ("rollout",),
+    "outage": ("rollout",),
+    "longest": ("rollout",),
+    "worse_by": ("rollout",),
     "chance": ("rollout",),
-}  # fmt: skip
+}
 
 
 class Step(Model):
     """One thing that goes wrong, for a while or for good."""
 
     name: str
-    do: Literal["cut", "delay", "throttle", "spoil", "lose", "double", "reorder", "kill", "pause", "terminate", "crash",
-                "hang", "slow", "full", "refuse", "lag", "hand_over", "lose_answers", "tell", "hold", "leave",
-                "rollout", "withdraw", "stop_rollout", "publish"]  # fmt: skip
+    do: Literal[
+        "cut",
+        "delay",
+        "throttle",
+        "spoil",
+        "lose",
+        "double",
+        "reorder",
+        "kill",
+        "pause",
+        "terminate",
+        "crash",
+        "hang",
+        "slow",
+        "full",
+        "refuse",
+        "lag",
+        "hand_over",
+        "lose_answers",
+        "tell",
+        "hold",
+        "leave",
+        "rollout",
+        "withdraw",
+        "stop_rollout",
+        "publish",
+    ]
     at: Duration = 0  # from the load's beginning, or from what ``after`` names
     after: str = ""  # a step (when it is over) or an event such as "elected:GROUP"
     lasts: Duration = 0  # 0: for good, or until ``until``
--- a/yardbank/testing/rig/taps.py
+++ b/yardbank/testing/rig/taps.py
@@ -37,8 +37,16 @@
         """Note what is whole now."""
         for message in self._frames.push(now, data):
             if message.operation in (*OPERATIONS.values(), "probe"):
-                self._record({"at": message.at, "kind": "begun", "gateway": self._gateway, "server": self._server,
-                              "tag": message.tag, "op": message.operation})  # fmt: skip
+                self._record(
+                    {
+                        "at": message.at,
+                        "kind": "begun",
+                        "gateway": self._gateway,
+                        "server": self._server,
+                        "tag": message.tag,
+                        "op": message.operation,
+                    }
+                )
 
     def passed(self, now: float, data: bytes) -> None:
         """What becomes of it on its way is not the gateway's."""
--- a/yardbank/testing/rig/verdict.py
+++ b/yardbank/testing/rig/verdict.py
@@ -112,13 +112,16 @@
 def as_dict(scenario: Scenario, seed: int, found: Sequence[Verdict], latency: Mapping[str, Any]) -> dict[str, Any]:
     """A play's result as plain values; times in milliseconds."""
     return {
-        "title": scenario.title, "seed": seed, "held": all(verdict.finding.held for verdict in found),
+        "title": scenario.title,
+        "seed": seed,
+        "held": all(verdict.finding.held for verdict in found),
         "claims": [
-            {"name": v.claim.name, "kind": v.claim.kind, "held": v.finding.held, "seen": v.finding.seen,
-             "line": v.line} for v in found
+            {"name": v.claim.name, "kind": v.claim.kind, "held": v.finding.held, "seen": v.finding.seen, "line": v.line}
+            for v in found
         ],
         "latency_ms": {
             name: {f"p{at:g}": histogram.get_value_at_percentile(at) / 1e3 for at in (50, 99, 99.9)}
-            for name, histogram in latency.items() if histogram.get_total_count()
+            for name, histogram in latency.items()
+            if histogram.get_total_count()
         },
-    }  # fmt: skip
+    }
--- a/yardbank/testing/rig/virtual_gateway.py
+++ b/yardbank/testing/rig/virtual_gateway.py
@@ -160,10 +160,16 @@
         position = now if status == OK and tried.want.kind.set.read == "write" else None
         self.handle(
             api.Outcome(
-                number, attempt, out.server, status, now - out.sent_at, tried.over,
-                role if answered else api.Role.UNKNOWN, position,
+                number,
+                attempt,
+                out.server,
+                status,
+                now - out.sent_at,
+                tried.over,
+                role if answered else api.Role.UNKNOWN,
+                position,
             )
-        )  # fmt: skip
+        )
 
     def _probe(self, number: int) -> None:
         server, clock, asked_at = self._fleet.servers[number], self._clock, self._clock.now
--- a/yardbank/testing/rig/virtual_world.py
+++ b/yardbank/testing/rig/virtual_world.py
@@ -42,11 +42,12 @@
 KINDS = (
     Kind(
         api.RequestClass("lookup", 290 * MS, 870 * MS, 2, 0, "safe", read="bounded", staleness_bound=460 * MS),
-        0.45, 0.085,
+        0.45,
+        0.085,
     ),
     Kind(api.RequestClass("status", 440 * MS, 1160 * MS, 1, 0.2, "safe", read="session"), 0.32, 0.09),
     Kind(api.RequestClass("commit", 290 * MS, 1740 * MS, 3, 0.7, "unsafe", read="write"), 0.23, 0.035),
-)  # fmt: skip
+)
 
 
 @dataclass(slots=True, frozen=True)
--- a/yardbank/testing/standin/process.py
+++ b/yardbank/testing/standin/process.py
@@ -62,10 +62,11 @@
         self.cluster.load([device(number, spec.suffix) for number in range(spec.entries)])
         capacity = Capacity(spec.slots, read_s=spec.read_s, write_s=spec.write_s)
         self.servers = {
-            name: Standin(reactor, self.cluster, name, capacity=capacity, record=self._record, bind=spec.bind,
-                          seed=spec.seed)
+            name: Standin(
+                reactor, self.cluster, name, capacity=capacity, record=self._record, bind=spec.bind, seed=spec.seed
+            )
             for name in spec.names
-        }  # fmt: skip
+        }
         self._commands: dict[str, Callable[[Standin, dict[str, Any]], Any]] = {
             "crash": lambda server, order: server.crash(),
             "restart": lambda server, order: server.restart(),
--- a/yardbank/testing/standin/server.py
+++ b/yardbank/testing/standin/server.py
@@ -320,8 +320,7 @@
                 extra = (("contextCSN", marks), ("replicationRole", (role.encode(),)))
             raw = codec.encode_operation(show(entry, request, extra))
             out.append(self.end.part(job.message.id, codec.Envelope(0, m.Tag.ENTRY, raw, b"")))
-        self.finish(job, code, text, controls, b"".join(out), last=server.member.last, role=role,
-                    suffix=cluster.suffix)  # fmt: skip
+        self.finish(job, code, text, controls, b"".join(out), last=server.member.last, role=role, suffix=cluster.suffix)
 
     def _write(self, job: _Job, request: m.Request) -> None:
         server, cluster = self.server, self.server.cluster
