--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -231,7 +231,7 @@
             # a mark proves no more than what this gateway knows itself of the log's head
             position = min(one.marks["log"][0], gateway.router.servers[primary].position)  # type: ignore[attr-defined]
             if taken and position > gateway.router.servers[number].position:  # type: ignore[attr-defined]
-                gateway.handle(api.Marked(number, api.Report(position)))
+                gateway.handle(api.PositionGossiped(number, api.Report(position)))
 
 
 def probes(asked: tuple[int, bool, int]) -> list[str]:
--- a/tests/cluster/channels/test_service.py
+++ b/tests/cluster/channels/test_service.py
@@ -16,7 +16,7 @@
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.part import LeasePart
 from yardbank.cluster.peers.parts import NullStore
-from yardbank.gateway.api import Position, ServerSpec
+from yardbank.gateway.api import ProbeResult, ServerSpec
 from yardbank.testing.rig.gossip import GossipFleet
 
 
@@ -165,7 +165,7 @@
     def ask(self, server, then) -> None:
         self.asked += 1
         at = self.now()
-        self.clock.callLater(0.005, then, Position({"a": (at // MS, "x")}, False), at, "ok")
+        self.clock.callLater(0.005, then, ProbeResult({"a": (at // MS, "x")}, False), at, "ok")
 
     def told_position(self, server, started, marks, checked) -> bool:
         assert checked  # the feed asks servers itself before it believes
--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -25,7 +25,7 @@
     WELL,
     Evidence,
 )
-from yardbank.interface import Hearsay, Send
+from yardbank.interface import GossipedOutliers, Send
 from yardbank.testing.rig.gossip import GossipFleet
 from yardbank.testing.rig.network import Effect, pairs_of
 
@@ -277,18 +277,20 @@
     world = knowing()
     favourite = went(world)[-1]
     assert favourite in went(world)
-    world.feed(Hearsay(((favourite, world.now + 5 * SECOND),)))
+    world.feed(GossipedOutliers(((favourite, world.now + 5 * SECOND),)))
     others = set(went(world))
     assert others and favourite not in others
-    world.feed(Hearsay(tuple((number, world.now + 5 * SECOND) for number in others | {1})))  # replaces the last one
+    world.feed(
+        GossipedOutliers(tuple((number, world.now + 5 * SECOND) for number in others | {1}))
+    )  # replaces the last one
     assert not set(went(world)) & others
 
 
 def test_a_doubt_by_hearsay_ends_without_another_word():
     world = knowing()
-    world.feed(Hearsay(tuple((number, world.now + 5 * SECOND) for number in (1, 3, 4))))
+    world.feed(GossipedOutliers(tuple((number, world.now + 5 * SECOND) for number in (1, 3, 4))))
     assert set(went(world, 20)) == {2}
-    world.feed(Hearsay(tuple((number, world.now + 5 * SECOND) for number in (1, 2, 4))))
+    world.feed(GossipedOutliers(tuple((number, world.now + 5 * SECOND) for number in (1, 2, 4))))
     assert set(went(world, 20)) == {3}
     until = max(world.router.hearsay.values())
     world.now = until - 1000 * MS
@@ -301,13 +303,13 @@
 
 def test_where_all_are_spoken_ill_of_reads_go_on():
     world = knowing()
-    world.feed(Hearsay(tuple((number, world.now + 9 * SECOND) for number in (1, 2, 3, 4))))
+    world.feed(GossipedOutliers(tuple((number, world.now + 9 * SECOND) for number in (1, 2, 3, 4))))
     assert len(went(world)) == 60
 
 
 def test_a_write_goes_to_the_primary_whatever_is_said_of_it():
     world = knowing()
-    world.feed(Hearsay(((1, world.now + 9 * SECOND),)))
+    world.feed(GossipedOutliers(((1, world.now + 9 * SECOND),)))
     assert set(went(world, 10, "commit")) == {1} and set(went(world, 10, "check")) == {1}
 
 
@@ -315,7 +317,7 @@
     world = knowing()
     world.ask("first", "any")
     server = world.of(Send)[0].server
-    world.feed(Hearsay(((server, world.now + 9 * SECOND),)))
+    world.feed(GossipedOutliers(((server, world.now + 9 * SECOND),)))
     world.end("first", server)
     assert server in went(world)
 
@@ -326,10 +328,10 @@
     copy = world.router.servers[2]
     copy.failures, copy.retry_at = 4, world.now + 2 * SECOND
     assert 2 not in went(world, 10)
-    world.feed(Hearsay(well=(2, 99)))
+    world.feed(GossipedOutliers(well=(2, 99)))
     assert world.now < copy.retry_at <= world.now + 250 * MS and copy.failures == 4
     before = copy.retry_at
-    world.feed(Hearsay(well=(2,)))
+    world.feed(GossipedOutliers(well=(2,)))
     assert copy.retry_at <= before
     assert world.router.servers[3].retry_at == 0
 
@@ -339,6 +341,6 @@
     for seed in range(20):
         world = World(group(3), reports="probe", seed=seed)
         world.router.servers[2].failures, world.router.servers[2].retry_at = 4, world.now + 2 * SECOND
-        world.feed(Hearsay(well=(2,)))
+        world.feed(GossipedOutliers(well=(2,)))
         times.add(world.router.servers[2].retry_at)
     assert len(times) == 20
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -6,7 +6,7 @@
 from tests.support.virtual_gateway import READ, SERVERS, WRITE, FakeBackend, Place, Sink
 from yardbank.gateway import Call, Gateway, Limits, Reply
 from yardbank.gateway.api import MS
-from yardbank.interface import Gone, Request, Role, Settings, Timer
+from yardbank.interface import ClientCancelled, Request, Role, Settings, Timer
 from yardbank.policy import Router
 
 
@@ -169,4 +169,4 @@
     place.ask("read")
     place.gateway.leave(place.number)
     place.gateway.leave(place.number)
-    assert sum(isinstance(event, Gone) for event in seen) == 1
+    assert sum(isinstance(event, ClientCancelled) for event in seen) == 1
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -2,7 +2,7 @@
 
 from tests.support.virtual_gateway import SERVERS, FakeConnection, Place
 from yardbank.gateway import Limits, Reply
-from yardbank.gateway.api import MS, Position
+from yardbank.gateway.api import MS, ProbeResult
 from yardbank.interface import Role
 
 
@@ -15,7 +15,7 @@
     place.pass_time(0.2)
     assert place.backend.sent[-1][0] == "p"  # the copy has applied mark 1 alone
     place.backend.to("p").answer()
-    place.backend.position = lambda server: Position({"": (5,)}, server.primary)
+    place.backend.position = lambda server: ProbeResult({"": (5,)}, server.primary)
     place.pass_time(0.3)
     place.ask("read")
     assert place.backend.sent[-1][0] == "c"
--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -8,9 +8,9 @@
 
 from tests.support.virtual_gateway import SERVERS, Place
 from yardbank.gateway import Reply, ServerSpec
-from yardbank.gateway.api import Position
+from yardbank.gateway.api import ProbeResult
 from yardbank.gateway.passed import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, Passed
-from yardbank.interface import Marked, Role
+from yardbank.interface import PositionGossiped, Role
 
 SEEDS = pytest.mark.parametrize("seed", [1, 2])
 START = 50_000
@@ -24,7 +24,7 @@
     place.backend.to("p").answer(Reply("ok", "done", Role.PRIMARY, ("", (5,))))
     place.applied = applied
     place.backend.position = lambda server: (
-        Position({"": (5,)}, True) if server.primary else Position({"": (place.applied,)}, False)
+        ProbeResult({"": (5,)}, True) if server.primary else ProbeResult({"": (place.applied,)}, False)
     )
     place.told = []
     handle = place.gateway._router.handle
@@ -37,7 +37,7 @@
 
 
 def marked(place):
-    return [event for event in place.told if isinstance(event, Marked)]
+    return [event for event in place.told if isinstance(event, PositionGossiped)]
 
 
 @SEEDS
@@ -125,7 +125,7 @@
     for _ in range(70):
         place.gateway.ask("c", lambda *told: got.append(told))
     assert len(copy.probes) == 1 and [told[2] for told in got] == ["full"] * 7 and place.gateway.asks_left_out == 7
-    copy.probes.pop()(Position({"": (5,)}, False))
+    copy.probes.pop()(ProbeResult({"": (5,)}, False))
     assert len(got) == 70 and {told[2] for told in got[7:]} == {"ok"} and word(place)
     for _ in range(40):
         place.pass_time(0.1, 0.1)
@@ -142,7 +142,7 @@
     place.gateway.ask("c", lambda *told: got.append(told[2]))
     copy = place.backend.to("c")
     place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "a", "elsewhere", 2)])
-    copy.probes.pop()(Position({"": (99,)}, True))
+    copy.probes.pop()(ProbeResult({"": (99,)}, True))
     place.gateway.ask("c", lambda *told: got.append(told[2]))
     place.pass_time(1)
     assert got == ["moot", "moot", "timeout"] and place.gateway._positions.head(0) == {"": (5,)}
--- a/tests/gateway/test_race_attempts.py
+++ b/tests/gateway/test_race_attempts.py
@@ -6,7 +6,7 @@
 from tests.support.virtual_gateway import FakeConnection
 from yardbank.gateway import Reply
 from yardbank.gateway.api import BROKE_OPENING, MS, NotSentError
-from yardbank.interface import Fail, Gone, Outcome, Refuse, Send, SetTimer, Timer
+from yardbank.interface import ClientCancelled, Fail, Outcome, Refuse, Send, SetTimer, Timer
 
 
 @pytest.mark.parametrize("again", [False, True], ids=["first", "opened again"])
@@ -17,7 +17,7 @@
         place.backend.waiting[0][2](BROKE_OPENING)
     place.gateway.leave(place.number)
     assert place.statuses() == ["moot"] and place.told(Outcome)[0].closed
-    assert [type(event) for event in place.router.events[-2:]] == [Gone, Outcome]
+    assert [type(event) for event in place.router.events[-2:]] == [ClientCancelled, Outcome]
     other = place.ask(operation="other")
     place.up(-1)
     assert place.backend.sent == [("p", "other")] and len(place.backend.waiting) == 1 + again
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -32,7 +32,10 @@
     for kind in (READ, WRITE):
         tally = tallies.by_class[kind.name]
         served = sorted(took for one, answer, took in ends if one is kind and answer == "served")
-        assert (tally.in_time, tally.late) == (sum(t <= kind.aim for t in served), sum(t > kind.aim for t in served))
+        assert (tally.in_time, tally.late) == (
+            sum(t <= kind.latency_objective for t in served),
+            sum(t > kind.latency_objective for t in served),
+        )
         assert sum(tally.latencies) == len(served) == tally.in_time + tally.late
         assert tally.refused + tally.failed + tally.left == sum(
             one is kind and answer != "served" for one, answer, _ in ends
--- a/tests/gateway/test_zone_latencies.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -4,8 +4,8 @@
 
 from tests.support.virtual_gateway import SERVERS, FakeConnection, Place
 from yardbank.gateway import ServerSpec
-from yardbank.gateway.api import BROKE_OPENING, MS, Position
-from yardbank.interface import Ways
+from yardbank.gateway.api import BROKE_OPENING, MS, ProbeResult
+from yardbank.interface import ZoneLatencies
 
 
 def watched(place):
@@ -27,7 +27,7 @@
     connection = FakeConnection(place.backend, server, lost)
     ready(connection)
     place.pass_time(0.02)
-    connection.probes.pop()(Position({"": (1,)}, False))
+    connection.probes.pop()(ProbeResult({"": (1,)}, False))
     now = place.gateway.now()
     assert [(zone, round(ns / MS), what) for _, zone, ns, what in seen] == [("b", 30, "connect"), ("b", 20, "probe")]
     assert seen[1][0] == now
@@ -35,7 +35,7 @@
     connection.probes.pop()(None)  # no sense
     place.gateway.ask("c", lambda *told: None)
     place.pass_time(0.6)
-    connection.probes.pop()(Position({"": (1,)}, False))  # too late
+    connection.probes.pop()(ProbeResult({"": (1,)}, False))  # too late
     assert len(seen) == 2
 
 
@@ -63,9 +63,9 @@
     place.gateway.told_ways(tuple(ways))
     with pytest.raises(ValueError, match="negative"):
         place.gateway.told_ways([("b", -1, 0)])
-    assert told == [Ways((("b", 20 * MS, 0),))] and place.gateway._router.ways == {"b": (20 * MS, 20 * MS)}
+    assert told == [ZoneLatencies((("b", 20 * MS, 0),))] and place.gateway._router.ways == {"b": (20 * MS, 20 * MS)}
     place.gateway.told_ways([])
-    assert told[1:] == [Ways()] and place.gateway._router.ways == {}
+    assert told[1:] == [ZoneLatencies()] and place.gateway._router.ways == {}
 
 
 def test_with_ways_a_read_goes_where_it_is_there_and_back_soonest():
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -18,7 +18,7 @@
 from yardbank.ldap import messages as m
 from yardbank.plan.active_plan import MadePlan, Warming, choose, list_hash, view
 from yardbank.plan.aperture import ApertureError, Ring, aperture
-from yardbank.plan.fleet_position import Place
+from yardbank.plan.fleet_position import FleetPosition
 from yardbank.server_list.document import FleetError, read_plans, read_set, render
 from yardbank.server_list.incremental_reader import ListReader
 from yardbank.server_list.watcher import read_files
@@ -27,7 +27,7 @@
 
 NOW = 1_000_000.0
 
-ALL, WARM = Place(), Warming()
+ALL, WARM = FleetPosition(), Warming()
 
 
 def spec(number, **more):
@@ -104,7 +104,7 @@
 def test_more_servers_than_all_gateways_may_reach_is_said():
     with pytest.raises(ApertureError, match="at most 2 servers a gateway: 3 gateways cannot cover 9"):
         aperture({f"s{n}": Fraction(1) for n in range(9)}, 0, 3, 2)
-    found, seen = weights((), place=Place(0, 1, 2, 0))
+    found, seen = weights((), place=FleetPosition(0, 1, 2, 0))
     assert set(found) == {s.name for s in SERVERS} and "all are used" in seen.note
 
 
@@ -134,7 +134,7 @@
 def test_an_old_plan_fades_to_equal_shares_in_steps():
     made = plan()
     seen, at, steps = [], NOW, 0
-    while (found := view(SERVERS, (made,), "a", at, Place(), Warming())).next_at is not None:
+    while (found := view(SERVERS, (made,), "a", at, FleetPosition(), Warming())).next_at is not None:
         assert found.next_at > at
         seen.append({s.name: s.weight for s in found.servers}["s1"])
         at, steps = found.next_at, steps + 1
@@ -148,7 +148,7 @@
     started = tuple(spec(n, started=NOW - 2 if n == 1 else 0.0) for n in range(6))
     at, last = NOW - 2, 0.0
     while True:
-        found = view(started, (plan(),), "a", at, Place(), cold)
+        found = view(started, (plan(),), "a", at, FleetPosition(), cold)
         mine = {s.name: s.weight for s in found.servers}["s1"]
         assert last <= mine <= 2.0 * (0.3 + 0.7 * min(1.0, (at - NOW + 2) / 10.0)) + 1e-9
         last = mine
@@ -161,7 +161,7 @@
 def test_a_subset_keeps_primaries_and_drains_and_has_spares():
     servers = tuple(spec(n, state="draining" if n == 5 else "ready") for n in range(40))
     for index in range(8):
-        found, _ = weights((), servers=servers, place=Place(index, 8, 10, 2))
+        found, _ = weights((), servers=servers, place=FleetPosition(index, 8, 10, 2))
         assert {"s0", "s5"} <= set(found)
         chosen = [name for name, weight in found.items() if weight > 0.001 and name not in ("s0", "s5")]
         assert len(chosen) <= 10 and sum(weight == 0.001 for weight in found.values()) == 2
@@ -176,7 +176,7 @@
             made=NOW - chance.uniform(0, 250),
             weights={f"s{n}": chance.uniform(0, 9) for n in range(10)},
         )
-        place = Place(chance.randrange(5), 5, chance.choice((0, 6)), 1)
+        place = FleetPosition(chance.randrange(5), 5, chance.choice((0, 6)), 1)
         one, two = (view(servers, (made,), "a", NOW, place, Warming(18, 0.3)) for _ in range(2))
         assert one == two and all(s.weight > 0 for s in one.servers) and (one.next_at is None or one.next_at > NOW)
 
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from tests.support.platform import AUTHENTICATED, DESCRIPTION, KINDS, READ, READY, START, parameter, query, row
-from yardbank.gateway.api import MS, SECOND, Position
+from yardbank.gateway.api import MS, SECOND, ProbeResult
 from yardbank.gateway.positions import ClockPositions
 from yardbank.interface import Report, Role
 from yardbank.pg import messages as pg
@@ -145,7 +145,7 @@
 def test_gauges_are_exact_or_nothing():
     report = read_report("inflight=7,x0=1767225600.123,x1=1,util=0.61").position
     assert dict(report.marks) == {"clock": (1767225600_123_000_000,)} and report.primary is True
-    assert read_report("util=0.61").position == Position({})
+    assert read_report("util=0.61").position == ProbeResult({})
     for broken in ("", "x0", "x0=", "x0=soon", "x0=1,x0=2", "=3", "x0=-4", "x0=1e12", "x0=nan"):
         assert read_report(broken).position is None and read_report(broken).spoilt
 
@@ -177,21 +177,21 @@
 )
 def test_a_spoilt_field_of_a_load_report_spoils_no_more_than_it_must(text, marks, primary, load, spoilt):
     report = read_report(text)
-    assert report.position == Position({"clock": (marks,)} if marks else {}, primary, load)
+    assert report.position == ProbeResult({"clock": (marks,)} if marks else {}, primary, load)
     assert report.spoilt == spoilt
 
 
 def test_a_load_report_is_read_by_the_fields_that_the_settings_name():
     full = "x0=1767225600.123,x1=1,utilization=0.61,util=0.33,outstanding=7"
     for fields, position in (
-        (("x0", "x1", "utilization"), Position({"clock": (CLOCK,)}, True, 0.61)),
-        (("util", "x1", "inflight", "x0"), Position({"clock": (CLOCK,)}, True, 0.33)),
-        (("outstanding", "x0"), Position({"clock": (CLOCK,)})),
-        (("x1",), Position({}, True)),
-        ((), Position({})),
+        (("x0", "x1", "utilization"), ProbeResult({"clock": (CLOCK,)}, True, 0.61)),
+        (("util", "x1", "inflight", "x0"), ProbeResult({"clock": (CLOCK,)}, True, 0.33)),
+        (("outstanding", "x0"), ProbeResult({"clock": (CLOCK,)})),
+        (("x1",), ProbeResult({}, True)),
+        ((), ProbeResult({})),
     ):
         assert read_report(full, fields).position == position
-    assert read_report("x0=soon,utilization=0.61", ("utilization",)).position == Position({}, None, 0.61)
+    assert read_report("x0=soon,utilization=0.61", ("utilization",)).position == ProbeResult({}, None, 0.61)
     assert read_report("," * 5000).position is None
 
 
@@ -202,9 +202,9 @@
     for gauges, load in (("x0=2,util=0.5,utilization=0.9", 0.5), ("x0=2,util=nan", None), ("x0=2", None)):
         session.ask(READ)
         reply = session.receive(row() + parameter("gauges", gauges) + READY)
-        assert reply.status == "ok" and reply.report == Position({"clock": (2 * SECOND,)}, None, load)
+        assert reply.status == "ok" and reply.report == ProbeResult({"clock": (2 * SECOND,)}, None, load)
     session.ask("SHOW gauges", probe=True)
-    assert session.receive(row(b"util=0.4,x0=\xff", "SHOW") + READY).report == Position({}, None, 0.4)
+    assert session.receive(row(b"util=0.4,x0=\xff", "SHOW") + READY).report == ProbeResult({}, None, 0.4)
     session.ask(READ)
     assert session.receive(b"\xff" * 40) is None
     assert told[:2] == ["load report in gauges: util", "load report in the row: x0"]
--- a/tests/policy/test_gossiped_positions.py
+++ b/tests/policy/test_gossiped_positions.py
@@ -3,13 +3,13 @@
 import pytest
 
 from tests.support.router_world import MS, SECOND, Member, Report, Role, World, group, sent
-from yardbank.interface import Marked, Probe, ServerList
+from yardbank.interface import PositionGossiped, Probe, ServerList
 
 BOTH_SEEDS = pytest.mark.parametrize("seed", [7, 8])
 
 
 def marked(world, server, lag=0, after=0):
-    return world.feed(Marked(server, Report(world.now + after - lag, True, 9.9)), after)
+    return world.feed(PositionGossiped(server, Report(world.now + after - lag, True, 9.9)), after)
 
 
 @BOTH_SEEDS
@@ -54,7 +54,7 @@
     assert (server.answered_at, server.load_at, server.role_at) == before and not server.is_primary()
     position = server.position
     for report in (Report(world.now + SECOND, False), Report(None, False)):  # beyond the clock; none at all
-        world.feed(Marked(2, report))
+        world.feed(PositionGossiped(2, report))
     assert server.position == position and not world.router.loads
     assert marked(world, 77) == []
 
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -3,7 +3,7 @@
 from itertools import pairwise
 
 from tests.support.router_world import MS, SECOND, Report, Role, World, group, told
-from yardbank.interface import Gone, Member, Probe, Probed, Refuse, Send, ServerList
+from yardbank.interface import ClientCancelled, Member, Probe, Probed, Refuse, Send, ServerList
 
 LATE = 700 * MS  # later than a lookup's aim
 
@@ -147,14 +147,14 @@
     for number in range(200):
         world.ask(f"s{number}", "lookup", after=0)
         for send in world.of(Send):
-            world.feed(Gone(send.id))
+            world.feed(ClientCancelled(send.id))
     assert router.shed["share"] > 150 and router.tally == [40.0, 0.0]
 
 
 def test_after_an_outage_requests_are_tried_again():
     world = thin()
     kind = world.router.kinds["lookup"]
-    world.router.usual["lookup"] = 2.0 * kind.aim  # only time-outs, for long
+    world.router.usual["lookup"] = 2.0 * kind.latency_objective  # only time-outs, for long
     world.ask("r", "lookup", after=10 * SECOND)
     assert [send.id for send in world.of(Send)] == ["r"]
 
@@ -214,5 +214,5 @@
         world.ask(f"r{index}", "lookup")
         held = world.router.requests.get(f"r{index}")
         taken += held is not None and any(world.router.has_room(copy, held) for copy in copies)
-        world.feed(Gone(f"r{index}"))
+        world.feed(ClientCancelled(f"r{index}"))
     assert 70 <= taken <= 130  # two copies, half warm: a third of the lots; by six places it was a sixth
--- a/tests/policy/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -5,7 +5,7 @@
 on idle connections came in, as those are meant to act; with shares of 1 and of 0.25 they must still agree.
 
 The second are two runs over three zones, of few gateways and of hundreds, with events and actions of the module as it was
-before ``Marked`` and ``Ways`` came in.
+before ``PositionGossiped`` and ``ZoneLatencies`` came in.
 """
 
 import json
@@ -18,13 +18,14 @@
 
 RECORD = json.loads((DATA / "recorded_events.json").read_text())
 ZONES = json.loads((DATA / "recorded_zones.json").read_text())
+RENAMED = {"aim": "latency_objective", "worth": "priority_weight", "late_worth": "late_weight"}  # since the recording
 
 
 def value(plain):
     if isinstance(plain, list):
         return tuple(value(one) for one in plain)
     if isinstance(plain, dict):
-        made = {name: value(one) for name, one in plain.items() if name}
+        made = {RENAMED.get(name, name): value(one) for name, one in plain.items() if name}
         if "role" in made:
             made["role"] = api.Role(made["role"])
         return getattr(api, plain[""])(**made)
@@ -60,10 +61,12 @@
 
 
 NOTHING_NEW = (
-    api.Ways(),
-    api.Ways((("a zone of nobody", 5, 9),)),
-    api.Marked(99, api.Report(1)),  # of a server that is not listed
-    api.Marked(1, api.Report(None, False, 1.0)),  # that proves no position: its role and load are nobody's business
+    api.ZoneLatencies(),
+    api.ZoneLatencies((("a zone of nobody", 5, 9),)),
+    api.PositionGossiped(99, api.Report(1)),  # of a server that is not listed
+    api.PositionGossiped(
+        1, api.Report(None, False, 1.0)
+    ),  # that proves no position: its role and load are nobody's business
 )
 
 
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -6,8 +6,8 @@
 
 from tests.support.router_world import CLASSES, MS, SECOND, Member, Report, Role, World, answer_all, group, sent
 from yardbank.interface import (
+    ClientCancelled,
     Fail,
-    Gone,
     Outcome,
     Probe,
     Probed,
@@ -154,7 +154,7 @@
     world.feed(Outcome("unknown", 0, 99, "ok", MS, True))
     world.feed(Probed(99, "ok", MS))
     world.feed(Timer("not mine any more"))
-    world.feed(Gone("unknown"))
+    world.feed(ClientCancelled("unknown"))
     world.feed(ServerList("full", ()))
     world.ask("r", "any")
     assert sent(world) == []
@@ -165,7 +165,7 @@
 def test_client_that_left_is_owed_nothing():
     world = World()
     world.ask("w", "commit")
-    world.feed(Gone("w"))
+    world.feed(ClientCancelled("w"))
     world.end("w", 1, "timeout")
     assert world.of(Fail) == [] and world.of(Refuse) == []
 
@@ -175,7 +175,7 @@
     for server in (2, 3):
         world.known(server)
     world.ask("w", "commit", session="s")
-    world.feed(Gone("w"))
+    world.feed(ClientCancelled("w"))
     world.end("w", 1, role=Role.PRIMARY, position=world.now + 20 * MS)
     world.ask("r", "status", session="s")
     assert sent(world) == [1]
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.support.router_world import MS, SECOND, Member, Role, World, sent
-from yardbank.interface import Gone, Probe, Refuse, Send, Ways
+from yardbank.interface import ClientCancelled, Probe, Refuse, Send, ZoneLatencies
 
 
 def test_own_zone_first():
@@ -40,7 +40,7 @@
         world.ask(f"{class_name}{number}", class_name, after=0)
         (send,) = world.of(Send)
         went += send.server == server
-        world.feed(Gone(send.id))
+        world.feed(ClientCancelled(send.id))
         world.router.attempts.pop((send.id, 0))
         del world.router.servers[send.server].waiting[send.id, 0]
     return went / count
@@ -52,11 +52,11 @@
     near, far = world.router.servers[2], world.router.servers[3]
     near.strain = 0.124  # chance adds up to a fifth
     assert share_of(world, 3) == 0  # 0.1 * 1.5 is more
-    world.feed(Ways((("b", MS, 0),)))
+    world.feed(ZoneLatencies((("b", MS, 0),)))
     assert share_of(world, 3) == 1  # 0.1 + 1/400 is less
-    world.feed(Ways((("b", 40 * MS, 0),)))
+    world.feed(ZoneLatencies((("b", 40 * MS, 0),)))
     assert share_of(world, 3) == 0
-    world.feed(Ways((("c", 1, 0),)))  # replaces the last: b costs the constant again
+    world.feed(ZoneLatencies((("c", 1, 0),)))  # replaces the last: b costs the constant again
     assert share_of(world, 3) == 0
     far.strain = 0.06
     assert share_of(world, 3) == 1
@@ -67,7 +67,7 @@
     world = far_and_near(seed)
     world.router.servers[2].strain, world.router.servers[3].strain = 0.5, 0.05
     for beyond, wanted in ((100 * MS, 1), (300 * MS, 0)):  # of an aim of 400 ms
-        world.feed(Ways((("b", beyond, 0),)))
+        world.feed(ZoneLatencies((("b", beyond, 0),)))
         assert share_of(world, 3) == wanted
 
 
@@ -75,9 +75,9 @@
 def test_equals_are_of_one_price_with_the_way_and_shares_decide_among_them(seed):
     world = far_and_near(seed)
     world.router.servers[2].share = 3.0
-    world.feed(Ways((("b", 4 * MS, 0),)))
+    world.feed(ZoneLatencies((("b", 4 * MS, 0),)))
     assert 0.1 < share_of(world, 3, count=200) < 0.45  # equals: 0.1 and 0.11
-    world.feed(Ways((("b", 100 * MS, 0),)))
+    world.feed(ZoneLatencies((("b", 100 * MS, 0),)))
     assert share_of(world, 3) == 0
 
 
@@ -85,14 +85,14 @@
 def test_an_attempt_with_less_time_left_than_the_way_takes_goes_elsewhere_or_as_the_last_way_out(seed):
     world = far_and_near(seed)
     world.router.servers[2].strain = 3.0  # so the far one looks best
-    world.feed(Ways((("b", 0, 500 * MS),)))
+    world.feed(ZoneLatencies((("b", 0, 500 * MS),)))
     world.ask("enough", "any", left=600 * MS)
     assert sent(world) == [3]
     world.end("enough", 3)
     world.ask("short", "any", left=450 * MS)
     assert sent(world) == [2]
     world.end("short", 2)
-    world.feed(Ways((("b", 470 * MS, 0),)))  # the round trip itself, where no longest is told
+    world.feed(ZoneLatencies((("b", 470 * MS, 0),)))  # the round trip itself, where no longest is told
     world.ask("alone", "any", left=450 * MS)
     assert sent(world) == [2]
     world.end("alone", 2)
@@ -106,7 +106,7 @@
     world = far_and_near(seed)
     world.known(3, lag=SECOND, after=2 * SECOND)  # too far behind when heard of, perhaps no longer
     world.router.servers[2].drained = True
-    world.feed(Ways((("b", 0, 900 * MS),)))
+    world.feed(ZoneLatencies((("b", 0, 900 * MS),)))
     world.ask("wide", "lookup", after=2 * SECOND, left=1000 * MS)
     assert [probe.server for probe in world.of(Probe)] == [3] and not sent(world)
     world.known(3, lag=SECOND)
@@ -118,7 +118,7 @@
 def test_writes_go_to_the_primary_whatever_the_way(seed):
     world = far_and_near(seed)
     world.known(3, primary=True, after=MS)  # it has moved to b
-    world.feed(Ways((("b", SECOND, 9 * SECOND),)))
+    world.feed(ZoneLatencies((("b", SECOND, 9 * SECOND),)))
     for name, class_name in (("w", "commit"), ("k", "keyed"), ("f", "check")):
         world.ask(name, class_name)
         assert sent(world) == [3]
@@ -129,7 +129,7 @@
 def test_a_request_is_hopeless_by_what_answers_take_not_by_the_way(seed):
     """The usual latency has the ways in it that requests go; before a server is chosen, no way is known to be needed."""
     world = far_and_near(seed)
-    world.feed(Ways((("b", 390 * MS, 0),)))
+    world.feed(ZoneLatencies((("b", 390 * MS, 0),)))
     world.router.servers[1].drained = world.router.servers[2].drained = True
     world.ask("r", "any", left=500 * MS)
     assert sent(world) == [3]  # nobody else: perhaps it is faster than the map says
@@ -139,4 +139,4 @@
 
 def test_a_negative_way_is_refused_by_its_zone():
     with pytest.raises(ValueError, match=r"ways\[b\]"):
-        Ways((("a", 1, 1), ("b", -1, 0)))
+        ZoneLatencies((("a", 1, 1), ("b", -1, 0)))
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -17,10 +17,10 @@
 from yardbank.cli import main
 from yardbank.config import load_text
 from yardbank.gateway import Call, Gateway, Reply, ServerSpec
-from yardbank.gateway.api import MS, Position
+from yardbank.gateway.api import MS, ProbeResult
 from yardbank.interface import Role, Settings
 from yardbank.server_list.document import render
-from yardbank.server_list.service import FleetKeeper
+from yardbank.server_list.service import ServerListService
 from yardbank.state import Snapshot, SnapshotError, Store, decode, encode, judge
 from yardbank.state.recovery import WriteRate, next_generation
 from yardbank.state.snapshot import FORMAT, MAGIC, GroupState, ServerState
@@ -148,12 +148,12 @@
     def __init__(self, folder, clock, truth, seed=1):
         self.clock, self.truth, self.lines = clock, truth, []
         self.backend = FakeBackend()
-        self.backend.position = lambda server: Position(
+        self.backend.position = lambda server: ProbeResult(
             {"": (truth["log"] if server.name == "p" else truth[server.name],)}, server.name == "p"
         )
         made = Settings(seed, "a", 1, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
         self.gateway = Gateway(made, self.backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds, log=self)
-        self.keeper = FleetKeeper(load_text(SETTINGS), self.gateway, clock, folder, 0, self, clock.seconds)
+        self.keeper = ServerListService(load_text(SETTINGS), self.gateway, clock, folder, 0, self, clock.seconds)
         self.keeper.watcher._notify = False
         self.keeper.start()
         self.pass_time(0.05)
@@ -447,7 +447,7 @@
         def probed(self, server):
             slot = (server.name, int(clock.seconds() * 10))
             per_bin[slot] = per_bin.get(slot, 0) + 1
-            return Position({"": (truth["log"],)}, server.name == "p")
+            return ProbeResult({"": (truth["log"],)}, server.name == "p")
 
     now = 0.0
     for number, start in enumerate(at):
--- a/tests/support/rare_moment_faults.py
+++ b/tests/support/rare_moment_faults.py
@@ -19,13 +19,13 @@
     """Reads the list as it starts and never again: what is written to it later is not taken in."""
     from yardbank.policy import Router
 
-    heard = Router.on_serverlist
+    heard = Router.on_server_list
 
     def once(self, event):
         if not self.servers:
             heard(self, event)
 
-    Router.on_serverlist = once
+    Router.on_server_list = once
 
 
 BUGS = {made.__name__: made for made in (keeps_the_gone, never_cold, hears_late)}
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -49,9 +49,9 @@
 class IgnoresDrains(Router):
     """Never hears that a server drains."""
 
-    def on_serverlist(self, event):
+    def on_server_list(self, event):
         if not self.servers:
-            super().on_serverlist(event)
+            super().on_server_list(event)
 
 
 class ReadsAnywhere(Router):
--- a/tests/support/virtual_gateway.py
+++ b/tests/support/virtual_gateway.py
@@ -3,7 +3,7 @@
 from twisted.internet.task import Clock
 
 from yardbank.gateway import Call, Gateway, Reply, ServerSpec
-from yardbank.gateway.api import MS, Position
+from yardbank.gateway.api import MS, ProbeResult
 from yardbank.interface import RequestClass, Settings
 from yardbank.policy import Router
 
@@ -54,7 +54,7 @@
 class FakeBackend:
     def __init__(self):
         self.connections, self.sent, self.waiting = [], [], []
-        self.position = lambda server: Position({"": (1,)}, server.primary)
+        self.position = lambda server: ProbeResult({"": (1,)}, server.primary)
         self.mode = "up"
 
     def connect(self, server, ready, lost):
--- a/tests/testing/audit/test_rules.py
+++ b/tests/testing/audit/test_rules.py
@@ -109,9 +109,9 @@
 class IgnoresDrains(Router):
     """Never hears that a server drains."""
 
-    def on_serverlist(self, event):
+    def on_server_list(self, event):
         if not self.servers:
-            super().on_serverlist(event)
+            super().on_server_list(event)
 
 
 def test_a_send_after_the_grace_is_found():
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.gateway.api import Position
+from yardbank.gateway.api import ProbeResult
 from yardbank.gateway.positions import Positions
 from yardbank.timeline import References, Timeline, covers
 
@@ -124,10 +124,10 @@
     known.listed(1, 0, True, 0)
     known.listed(2, 0, False, 0)
     assert known.reference(1) is None and known.reference(2) == 1
-    head = Position({"001": (3,)}, True)
+    head = ProbeResult({"001": (3,)}, True)
     known.told(1, head, 7 * S)
     assert known.report(1, head, 7 * S).position == 7 * S
-    copy = Position({"001": (3,)}, False)
+    copy = ProbeResult({"001": (3,)}, False)
     assert (known.report(2, copy, 8 * S).position, known.report(2, copy, 8 * S).primary) == (7 * S, False)
     known.dropped(1)
     assert known.reference(2) is None
--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -41,7 +41,7 @@
             "deadline_hit": lambda gateway, item: api.Timer(field(item, "handle", str)),
             "checked": self._probed,
             "topology": self._list,
-            "cancelled_by_client": lambda gateway, item: api.Gone(field(item, "rid", str)),
+            "cancelled_by_client": lambda gateway, item: api.ClientCancelled(field(item, "rid", str)),
             "headers": lambda gateway, item: api.Started(field(item, "rid", str)),
         }
 
--- a/yardbank/cli/check.py
+++ b/yardbank/cli/check.py
@@ -52,9 +52,9 @@
             made.name,
             where,
             made.effect,
-            f"{made.aim / 1e6:.0f} ms",
+            f"{made.latency_objective / 1e6:.0f} ms",
             f"{made.deadline / 1e6:.0f} ms",
-            f"{made.worth:g}",
+            f"{made.priority_weight:g}",
         )
     console.print(classes)
     unmatched = [kind.name for kind in config.classes if not kind.match]
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -9,14 +9,14 @@
 from yardbank.cluster.channels.api import SECOND, Delivered, Options
 from yardbank.cluster.channels.positions import PREFIX, Place, Positions, channel_of
 from yardbank.cluster.channels.service import Channels
-from yardbank.gateway.api import Position, ServerSpec
+from yardbank.gateway.api import ProbeResult, ServerSpec
 from yardbank.timeline import Vector
 
 
 class Gateway(Protocol):
     """What is used of ``gateway.Gateway``."""
 
-    def ask(self, server: str, then: Callable[[Position | None, int, str], None]) -> None:
+    def ask(self, server: str, then: Callable[[ProbeResult | None, int, str], None]) -> None:
         """Ask a server where it stands."""
 
     def told_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
@@ -127,7 +127,7 @@
             self._alone = alone
             self._log.info("positions_alone", servers=alone)
 
-    def _answered(self, server: str, position: Position | None, sent_at: int) -> None:
+    def _answered(self, server: str, position: ProbeResult | None, sent_at: int) -> None:
         self.decider.answered(self._now(), server, position.marks if position is not None else None, sent_at)
         if self.decider.items:
             self._hand_over()
--- a/yardbank/cluster/channels/verification.py
+++ b/yardbank/cluster/channels/verification.py
@@ -27,7 +27,7 @@
 from random import Random
 
 from yardbank.cluster.channels.api import SECOND
-from yardbank.timeline import Mark, Vector
+from yardbank.timeline import LogPosition, Vector
 
 UNTESTED, TRUSTED, STRUCK = "untested", "trusted", "struck"
 FIRST = 4 * SECOND  # over so long the first checks of all gateways spread
@@ -72,7 +72,7 @@
 @dataclass(slots=True)
 class _Server:
     started: int
-    high: dict[str, Mark] = field(default_factory=dict)  # all that was believed or answered
+    high: dict[str, LogPosition] = field(default_factory=dict)  # all that was believed or answered
     own: Vector = field(default_factory=dict)  # its own last answer
     own_at: int = 0  # when it was asked for
     back: bool = False
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -46,7 +46,7 @@
     )
 
 
-class Joint:
+class Coordination:
     """One gateway's parts. ``reload`` takes other settings in service or raises ``ValueError``; all times in ns."""
 
     def __init__(
@@ -215,7 +215,14 @@
         from yardbank.gateway.tallies import beyond
 
         promises = {
-            kind.name: (kind.aim, kind.deadline, kind.worth, kind.late_worth, kind.effect, kind.read)
+            kind.name: (
+                kind.latency_objective,
+                kind.deadline,
+                kind.priority_weight,
+                kind.late_weight,
+                kind.effect,
+                kind.read,
+            )
             for kind in self._gateway.settings.classes
         }
         try:
--- a/yardbank/cluster/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -77,4 +77,4 @@
         """Tell the module what is believed of others' word."""
         doubted = tuple((self._numbers[name], until) for name, until in belief.doubted.items() if name in self._numbers)
         well = tuple(self._numbers[name] for name in sorted(belief.well) if name in self._numbers)
-        self._handle(api.Hearsay(doubted, well))
+        self._handle(api.GossipedOutliers(doubted, well))
--- a/yardbank/config/build.py
+++ b/yardbank/config/build.py
@@ -11,7 +11,7 @@
 from yardbank.ldap.backend import BackendOptions
 from yardbank.ldap.classify import SCOPES, Classifier, Rule
 from yardbank.ldap.front import FrontOptions
-from yardbank.plan.fleet_position import Place
+from yardbank.plan.fleet_position import FleetPosition
 
 STRICT_READ, STRICT_WRITE = "strict-read", "strict-write"
 
@@ -64,12 +64,12 @@
     )
 
 
-def place(config: Config, worker: int, workers: int) -> Place:
+def place(config: Config, worker: int, workers: int) -> FleetPosition:
     """This gateway's place among all, for plans and subsets; each worker is a gateway of its own."""
     block = config.membership
     index = config.gateway.index * workers + worker
     total = config.gateway.gateways * workers
-    return Place(index, total, block.most_servers if block else 0, block.spares if block else 0)
+    return FleetPosition(index, total, block.most_servers if block else 0, block.spares if block else 0)
 
 
 def fleet_groups(config: Config) -> frozenset[str]:
--- a/yardbank/gateway/answering.py
+++ b/yardbank/gateway/answering.py
@@ -84,8 +84,8 @@
         if request := self._open.get(number) if isinstance(number, str) else None:
             if not request.ended:
                 self._end(request, "internal error")
-                if not isinstance(cause, api.Gone):
-                    self._events.append(api.Gone(request.id))
+                if not isinstance(cause, api.ClientCancelled):
+                    self._events.append(api.ClientCancelled(request.id))
 
     # Final answers
 
--- a/yardbank/gateway/api.py
+++ b/yardbank/gateway/api.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from yardbank.interface import Role
-from yardbank.timeline import Mark, Vector
+from yardbank.timeline import LogPosition, Vector
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -64,13 +64,13 @@
     status: str
     payload: Any = None
     role: Role = Role.UNKNOWN
-    commit: tuple[str, Mark] | None = None
+    commit: tuple[str, LogPosition] | None = None
     reason: str = ""
-    report: Position | None = None  # what the answer tells of its server besides
+    report: ProbeResult | None = None  # what the answer tells of its server besides
 
 
 @dataclass(slots=True, frozen=True)
-class Position:
+class ProbeResult:
     """What a probe told: marks by origin, and whether the server says it is primary (None: it does not say).
 
     ``load`` is the share of its cores that the server says is busy, where it tells that.
@@ -145,7 +145,7 @@
     def abandon(self, number: int) -> None:
         """Stop waiting for one; what still comes for it is dropped."""
 
-    def probe(self, done: Callable[[Position | None], None]) -> int:
+    def probe(self, done: Callable[[ProbeResult | None], None]) -> int:
         """Ask for position and role; ``done`` is called once, with None if the answer makes no sense."""
 
     def fit(self) -> bool:
--- a/yardbank/gateway/attempting.py
+++ b/yardbank/gateway/attempting.py
@@ -80,7 +80,7 @@
         if request is None or request.ended:
             return
         self._finish(request, "left", "")
-        self._handle(api.Gone(number))
+        self._handle(api.ClientCancelled(number))
         self._withdraw(request)
 
     def _part(self, request: Open, number: int, payload: Any, size: int) -> None:
--- a/yardbank/gateway/core.py
+++ b/yardbank/gateway/core.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from yardbank import interface as api
-from yardbank.gateway.api import MS, Backend, Limits, Position, ServerSpec
+from yardbank.gateway.api import MS, Backend, Limits, ProbeResult, ServerSpec
 from yardbank.gateway.clock import SteadyClock
 from yardbank.gateway.deadlines import Deadlines
 from yardbank.gateway.ending import strained
@@ -23,12 +23,12 @@
 from yardbank.gateway.request import Open
 from yardbank.gateway.tallies import Tallies
 from yardbank.policy import Router
-from yardbank.timeline import Mark
+from yardbank.timeline import LogPosition
 
 PASSED_DRAWS = 0x9A55ED  # draws of its own, so that those for requests' numbers stay as they are
 Record = Callable[[dict[str, Any]], None]
 WaySeen = Callable[[int, str, int, str], None]  # now, server's zone, ns, "connect" or "probe"
-Told = Callable[[Position | None, int, str], None]  # position, when the question went out, status
+Told = Callable[[ProbeResult | None, int, str], None]  # position, when the question went out, status
 
 
 class Core:
@@ -73,7 +73,7 @@
         self._retired: list[Way] = []  # to servers that left the list or moved, until nothing is out there
         self._started: dict[int, int] = {}
         self._floor_now = 0
-        self._floors: Mapping[str, Mapping[str, Mark]] = {}
+        self._floors: Mapping[str, Mapping[str, LogPosition]] = {}
         self.list_version = 0  # of the list that requests are routed by
         self._references: dict[int, list[Callable[[], None]]] = {}
         self._open: dict[str, Open] = {}
--- a/yardbank/gateway/link.py
+++ b/yardbank/gateway/link.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from yardbank.gateway.api import Connection, NotSentError, Position
+from yardbank.gateway.api import Connection, NotSentError, ProbeResult
 from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.lines import Channel, Lines
 from yardbank.gateway.sending import Withheld
@@ -64,12 +64,12 @@
         self._abandon(attempt)
         attempt.end("cancelled", None, "called off")
 
-    def probe(self, done: Callable[[Position | None, int, str], None]) -> None:
+    def probe(self, done: Callable[[ProbeResult | None, int, str], None]) -> None:
         """Ask for position and role; ``done`` gets them, when the question went out, and the status."""
         state: dict[str, Any] = {"over": False, "sent": self._now()}
         place = self._place()
 
-        def finish(position: Position | None, status: str, answered: bool) -> None:
+        def finish(position: ProbeResult | None, status: str, answered: bool) -> None:
             if state["over"]:
                 return
             state["over"] = True
--- a/yardbank/gateway/passed.py
+++ b/yardbank/gateway/passed.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from yardbank.gateway.api import SECOND
-from yardbank.timeline import Mark, Vector, covers
+from yardbank.timeline import LogPosition, Vector, covers
 
 LOOK = 10 * SECOND  # at the latest so long after its last look this gateway looks for itself, while marks come
 TRUSTED = 20 * SECOND  # so long after it nothing is taken any more
@@ -43,8 +43,8 @@
     looking: bool = False
     looked_at: int = 0  # when the last look was begun
     tries: int = 0  # looks in a row that brought nothing
-    claimed: dict[str, Mark] = field(default_factory=dict)  # since then
-    tested: dict[str, Mark] = field(default_factory=dict)  # before it: its answer must have all this
+    claimed: dict[str, LogPosition] = field(default_factory=dict)  # since then
+    tested: dict[str, LogPosition] = field(default_factory=dict)  # before it: its answer must have all this
 
 
 def well_formed(marks: Any) -> bool:
--- a/yardbank/gateway/positions.py
+++ b/yardbank/gateway/positions.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping
 
-from yardbank.gateway.api import Position
+from yardbank.gateway.api import ProbeResult
 from yardbank.interface import Report
-from yardbank.timeline import Mark, References, Timeline, Vector
+from yardbank.timeline import LogPosition, References, Timeline, Vector
 
 
 class Positions:
@@ -16,7 +16,7 @@
         self._timelines: dict[int, Timeline] = {}
         self._references: dict[int, References] = {}
         self._group: dict[int, int] = {}
-        self._marks: dict[int, dict[str, Mark]] = {}  # what each server last told
+        self._marks: dict[int, dict[str, LogPosition]] = {}  # what each server last told
 
     def listed(self, server: int, group: int, primary: bool, now: int) -> None:
         """The list names a server; its word on the role counts until the server's own."""
@@ -46,11 +46,11 @@
         if server in self._group:
             self._references[self._group[server]].told(server, primary, at)
 
-    def committed(self, server: int, commit: tuple[str, Mark], sent_at: int) -> int:
+    def committed(self, server: int, commit: tuple[str, LogPosition], sent_at: int) -> int:
         """The token of a write."""
         return self._of(self._group[server]).commit(*commit, sent_at)
 
-    def told(self, server: int, position: Position, sent_at: int) -> None:
+    def told(self, server: int, position: ProbeResult, sent_at: int) -> None:
         """A server told its marks and role, asked at ``sent_at``: a primary's place the log's head."""
         self._marks[server] = dict(position.marks)
         if position.primary is not None:
@@ -58,7 +58,7 @@
         if position.primary:
             self._of(self._group[server]).observe(position.marks, sent_at)
 
-    def report(self, server: int, position: Position, sent_at: int) -> Report:
+    def report(self, server: int, position: ProbeResult, sent_at: int) -> Report:
         """The report that a probe's answer amounts to: a primary stands at the time it was asked."""
         if position.primary:
             return Report(sent_at, True, position.load)
@@ -71,15 +71,15 @@
         """
         return self._of(self._group[server]).position(marks)
 
-    def marks(self, server: int) -> dict[str, Mark]:
+    def marks(self, server: int) -> dict[str, LogPosition]:
         """The marks that a server last told."""
         return self._marks.get(server, {})
 
-    def head(self, group: int) -> dict[str, Mark]:
+    def head(self, group: int) -> dict[str, LogPosition]:
         """Marks that cover every token given out in a group."""
         return self._of(group).head_vector()
 
-    def floor(self, group: int, marks: Mapping[str, Mark], now: int) -> int:
+    def floor(self, group: int, marks: Mapping[str, LogPosition], now: int) -> int:
         """The token of a session that wrote, in an earlier run, no later than these marks."""
         return max((self._of(group).commit(origin, mark, now) for origin, mark in sorted(marks.items())), default=0)
 
@@ -99,16 +99,16 @@
         """A time needs no other mark to be placed by."""
         return None
 
-    def committed(self, server: int, commit: tuple[str, Mark], sent_at: int) -> int:
+    def committed(self, server: int, commit: tuple[str, LogPosition], sent_at: int) -> int:
         """The commit's own time."""
         return int(commit[1][0])
 
-    def told(self, server: int, position: Position, sent_at: int) -> None:
+    def told(self, server: int, position: ProbeResult, sent_at: int) -> None:
         """Only the role is news; the time stands for itself."""
         if position.primary is not None and server in self._group:
             self.role(server, position.primary, sent_at)
 
-    def report(self, server: int, position: Position, sent_at: int) -> Report:
+    def report(self, server: int, position: ProbeResult, sent_at: int) -> Report:
         """What the server said, as it said it."""
         at = max((int(mark[0]) for mark in position.marks.values()), default=None)
         return Report(at, position.primary, position.load)
--- a/yardbank/gateway/probing.py
+++ b/yardbank/gateway/probing.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from yardbank import interface as api
-from yardbank.gateway.api import Position
+from yardbank.gateway.api import ProbeResult
 from yardbank.gateway.core import Told
 from yardbank.gateway.link import Way
 from yardbank.gateway.passed import well_formed
@@ -42,7 +42,7 @@
             return
         self._askers[number] = [then]
 
-        def arrived(position: Position | None, sent_at: int, status: str) -> None:
+        def arrived(position: ProbeResult | None, sent_at: int, status: str) -> None:
             if self._ways.get(number) is not way:  # it has moved or left meanwhile
                 position, status = None, "moot"
             if position is not None:
@@ -84,19 +84,22 @@
         known = self._router.servers.get(number)
         if position is None or known is None or position <= known.position:
             return False
-        self._handle(api.Marked(number, api.Report(position)))
+        self._handle(api.PositionGossiped(number, api.Report(position)))
         return True
 
     def told_ways(self, ways: Sequence[tuple[str, int, int]]) -> None:
-        """What ways to other zones cost from now on; see ``interface.Ways``, whose ``ValueError`` this raises too."""
-        told = api.Ways(tuple(ways))
+        """What ways to other zones cost from now on; see ``interface.ZoneLatencies``.
+
+        Raises its ``ValueError``.
+        """
+        told = api.ZoneLatencies(tuple(ways))
         if told.ways != self._told_ways:
             self._told_ways = told.ways
             self._handle(told)
 
     # Questions
 
-    def _told(self, server: int, way: Way, position: Position, sent_at: int) -> None:
+    def _told(self, server: int, way: Way, position: ProbeResult, sent_at: int) -> None:
         """What a server said itself: its place on the timeline, and whether others' word of it holds."""
         self._positions.told(server, position, sent_at)
         if self._ways.get(server) is way:  # else it has moved meanwhile
@@ -113,7 +116,7 @@
         asked_at = self._clock.now()
         got: dict[str, Any] = {"waiting": 1}
 
-        def arrived(at: Way, position: Position | None, sent_at: int, status: str) -> None:
+        def arrived(at: Way, position: ProbeResult | None, sent_at: int, status: str) -> None:
             there = self._ways.get(server)
             if position is None and there is not None and there is not at:  # it has moved: it is asked there
                 there.probe(partial(arrived, there))
@@ -146,7 +149,7 @@
             return
         self._references[server] = [then]
 
-        def arrived(position: Position | None, sent_at: int, status: str) -> None:
+        def arrived(position: ProbeResult | None, sent_at: int, status: str) -> None:
             if position is not None:
                 self._positions.told(server, position, sent_at)
             for each in self._references.pop(server):
--- a/yardbank/gateway/reach.py
+++ b/yardbank/gateway/reach.py
@@ -12,7 +12,7 @@
 from yardbank.gateway.core import Core
 from yardbank.gateway.link import Attempt, Way
 from yardbank.gateway.sending import Withheld
-from yardbank.timeline import Mark
+from yardbank.timeline import LogPosition
 
 
 def _turns(old: ServerSpec, new: ServerSpec) -> bool:
@@ -24,11 +24,11 @@
 class Reach(Core):
     """Servers by name and number, and a way to each."""
 
-    def restarted(self, floor_now: bool, floors: Mapping[str, Mapping[str, Mark]]) -> None:
+    def restarted(self, floor_now: bool, floors: Mapping[str, Mapping[str, LogPosition]]) -> None:
         """An earlier run's tokens are lost; call before the first list. ``floors``: marks by origin, by group."""
         self._floor_now, self._floors = self._clock.now() if floor_now else 0, dict(floors)
 
-    def remember(self) -> tuple[dict[str, dict[str, Mark]], dict[str, dict[str, Mark]]]:
+    def remember(self) -> tuple[dict[str, dict[str, LogPosition]], dict[str, dict[str, LogPosition]]]:
         """For the durable state: marks that cover all tokens, by group; what each server last told, by name."""
         heads = {name: self._positions.head(number) for name, number in self._groups.items()}
         return heads, {name: self._positions.marks(self._servers[name]) for name in self._specs}
@@ -39,7 +39,7 @@
         if marks := self._floors.get(name):
             floor = max(floor, self._positions.floor(number, marks, self._clock.now()))
         if floor:
-            self._handle(api.Restored(((number, floor),)))
+            self._handle(api.TokensLost(((number, floor),)))
         return number
 
     def apply_list(self, servers: Sequence[ServerSpec], version: int = 0) -> None:
--- a/yardbank/gateway/tallies.py
+++ b/yardbank/gateway/tallies.py
@@ -73,7 +73,7 @@
         tally = self.by_class[kind.name]
         if answer == "served":
             tally.latencies[bucket(took)] += 1
-            if took <= kind.aim:
+            if took <= kind.latency_objective:
                 tally.in_time += 1
             else:
                 tally.late += 1
--- a/yardbank/interface/events.py
+++ b/yardbank/interface/events.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Restored:
+class TokensLost:
     """An earlier run's tokens are lost: every session's token in a group is at least its floor."""
 
     floors: tuple[tuple[int, int], ...]  # group, position
@@ -96,14 +96,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class ClientCancelled:
     """The client has left; nothing more is owed."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
-class Hearsay:
+class GossipedOutliers:
     """What other gateways are believed on servers; replaces the last one. ``doubted``: server, until when."""
 
     doubted: tuple[tuple[int, int], ...] = ()
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Marked:
+class PositionGossiped:
     """A position that marks prove which another gateway passed on; only ``report.position`` counts."""
 
     server: int
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ways:
+class ZoneLatencies:
     """What ways to other zones cost; replaces the last one. A zone that is not named costs a constant factor.
 
     Each way: the zone; the round trip beyond one within this gateway's own zone; the longest whole round trip, with
@@ -147,4 +147,17 @@
     token: str
 
 
-Event = ServerList | Restored | Request | Outcome | Probed | Started | Gone | Timer | Hearsay | Marked | Ways | Deadline
+Event = (
+    ServerList
+    | TokensLost
+    | Request
+    | Outcome
+    | Probed
+    | Started
+    | ClientCancelled
+    | Timer
+    | GossipedOutliers
+    | PositionGossiped
+    | ZoneLatencies
+    | Deadline
+)
--- a/yardbank/interface/settings.py
+++ b/yardbank/interface/settings.py
@@ -7,7 +7,7 @@
 
 LONGEST = 1 << 62  # ns, 146 years: no time of a deployment is longer, and reckoning with it stays exact enough
 
-MOST_WORTH = 1e12
+MAX_WEIGHT = 1e12
 
 
 class Role(IntEnum):
@@ -23,10 +23,10 @@
     """One class of request: its aim, worth, effect and how recent its data must be."""
 
     name: str
-    aim: int
+    latency_objective: int
     deadline: int
-    worth: float
-    late_worth: float
+    priority_weight: float
+    late_weight: float
     effect: str  # safe | keyed | unsafe
     scope: str = "all"  # all | zone | cell: where repeats of a keyed request are dropped
     window: int = 0  # how long repeats of a keyed request are dropped
@@ -35,14 +35,17 @@
 
     def __post_init__(self) -> None:
         require(self.name != "", "classes must have names")
-        require(0 < self.aim < LONGEST, f"classes[{self.name}].aim must be positive and under 146 years")
+        require(0 < self.latency_objective < LONGEST, f"classes[{self.name}].aim must be positive and under 146 years")
         require(0 < self.deadline < LONGEST, f"classes[{self.name}].deadline must be positive and under 146 years")
         require(0 <= self.window < LONGEST, f"classes[{self.name}].window must not be negative, nor 146 years")
         require(self.effect in ("safe", "keyed", "unsafe"), f"classes[{self.name}].effect: {self.effect!r}")
         require(self.scope in ("all", "zone", "cell"), f"classes[{self.name}].scope: {self.scope!r}")
-        require(0 <= self.worth <= MOST_WORTH, f"classes[{self.name}].worth must not be negative, nor beyond 1e12")
         require(
-            0 <= self.late_worth <= MOST_WORTH, f"classes[{self.name}].late_worth must not be negative, nor beyond 1e12"
+            0 <= self.priority_weight <= MAX_WEIGHT, f"classes[{self.name}].worth must not be negative, nor beyond 1e12"
+        )
+        require(
+            0 <= self.late_weight <= MAX_WEIGHT,
+            f"classes[{self.name}].late_worth must not be negative, nor beyond 1e12",
         )
         bound = self.staleness_bound
         require(0 <= bound < LONGEST, f"classes[{self.name}].staleness_bound must not be negative, nor 146 years")
--- a/yardbank/ldap/backend.py
+++ b/yardbank/ldap/backend.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from yardbank.directory.codes import Code, Scope
-from yardbank.gateway.api import Connection, Position, Receiver, ServerSpec
+from yardbank.gateway.api import Connection, ProbeResult, Receiver, ServerSpec
 from yardbank.gateway.dial import dial
 from yardbank.ldap import codec, csn
 from yardbank.ldap import messages as m
@@ -37,7 +37,7 @@
 class _Probe:
     """Collects the one entry that a probe brings."""
 
-    def __init__(self, options: BackendOptions, done: Callable[[Position | None], None]) -> None:
+    def __init__(self, options: BackendOptions, done: Callable[[ProbeResult | None], None]) -> None:
         self._options, self._done = options, done
         self._entry: m.SearchEntry | None = None
 
@@ -52,13 +52,13 @@
     def attempt_lost(self, reason: str) -> None:
         self._done(None)
 
-    def _read(self) -> Position | None:
+    def _read(self) -> ProbeResult | None:
         if self._entry is None:
             return None
         held = {name.lower(): values for name, values in self._entry.attributes}
         told = held.get(self._options.role_attribute.lower(), ())
         primary = told[0].decode("utf-8", "replace") == self._options.primary_value if told else None
-        return Position(csn.vector(held.get(POSITION.lower(), ())), primary)
+        return ProbeResult(csn.vector(held.get(POSITION.lower(), ())), primary)
 
 
 class LdapConnection(Protocol):
@@ -157,7 +157,7 @@
         if pair and not pair[0].write and data and self.transport is not None:
             self.transport.write(data)
 
-    def probe(self, done: Callable[[Position | None], None]) -> int:
+    def probe(self, done: Callable[[ProbeResult | None], None]) -> int:
         """Read position and role from the group's suffix entry."""
         assert self.transport is not None
         suffix = self._options.suffixes.get(self._server.group, "")
--- a/yardbank/ldap/csn.py
+++ b/yardbank/ldap/csn.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from datetime import UTC, datetime
 
-from yardbank.timeline import Mark
+from yardbank.timeline import LogPosition
 
 _CSN = re.compile(r"(\d{14}\.\d{6}Z)#([0-9a-f]{6})#([0-9a-f]{3})#([0-9a-f]{6})", re.ASCII)
 
 
-def parse(value: bytes) -> tuple[str, Mark] | None:
+def parse(value: bytes) -> tuple[str, LogPosition] | None:
     """The origin (server ID) and mark of a change sequence number; None if it is none."""
     try:
         found = _CSN.fullmatch(value.decode("ascii").lower().replace("z", "Z"))
@@ -23,9 +23,9 @@
     return origin, (stamp, int(count, 16), int(change, 16))
 
 
-def vector(values: Iterable[bytes]) -> dict[str, Mark]:
+def vector(values: Iterable[bytes]) -> dict[str, LogPosition]:
     """The marks of a ``contextCSN``, one value for each origin; what is no CSN is left out."""
-    marks: dict[str, Mark] = {}
+    marks: dict[str, LogPosition] = {}
     for value in values:
         if found := parse(value):
             origin, mark = found
--- a/yardbank/ldap/spread.py
+++ b/yardbank/ldap/spread.py
@@ -134,7 +134,7 @@
         self._sent = [_Sent(piece, placed) for piece, placed in parts]
         kinds = [self._gateway.kind(placed.class_name) for _, placed in parts]
         self._merged = [
-            Part(piece.suffix, piece.base, kind.worth, piece.shadows)
+            Part(piece.suffix, piece.base, kind.priority_weight, piece.shadows)
             for (piece, _), kind in zip(parts, kinds, strict=True)
         ]
         allowed = [placed.deadline or kind.deadline for (_, placed), kind in zip(parts, kinds, strict=True)]
--- a/yardbank/pg/positions.py
+++ b/yardbank/pg/positions.py
@@ -10,8 +10,8 @@
 
 import re
 
-from yardbank.gateway.api import Position
-from yardbank.timeline import Mark
+from yardbank.gateway.api import ProbeResult
+from yardbank.timeline import LogPosition
 
 ORIGIN = "wal"  # one log: every mark compares with every other
 _LSN = re.compile(r"([0-9A-Fa-f]{1,8})/([0-9A-Fa-f]{1,8})", re.ASCII)
@@ -30,7 +30,7 @@
     return None if found is None else int(found[1], 16) << 32 | int(found[2], 16)
 
 
-def mark(timeline: str, position: str) -> Mark | None:
+def mark(timeline: str, position: str) -> LogPosition | None:
     """A mark from its parts as text; None if one makes no sense."""
     octets = lsn(position)
     if octets is None or not timeline.isdecimal() or int(timeline) < 1:
@@ -38,7 +38,7 @@
     return int(timeline), octets
 
 
-def of_probe(row: tuple[bytes | None, ...]) -> Position | None:
+def of_probe(row: tuple[bytes | None, ...]) -> ProbeResult | None:
     """What ``PROBE`` brought; None where the server cannot say (a copy that has replayed nothing yet)."""
     if len(row) != 3 or any(column is None for column in row):
         return None
@@ -49,4 +49,4 @@
     found = mark(timeline, position)
     if found is None or recovering not in ("t", "f"):
         return None
-    return Position({ORIGIN: found}, recovering == "f")
+    return ProbeResult({ORIGIN: found}, recovering == "f")
--- a/yardbank/plan/active_plan.py
+++ b/yardbank/plan/active_plan.py
@@ -17,7 +17,7 @@
 
 from yardbank.gateway.api import ServerSpec
 from yardbank.plan.aperture import LEAST_WEIGHT, ApertureError, aperture
-from yardbank.plan.fleet_position import Place
+from yardbank.plan.fleet_position import FleetPosition
 from yardbank.plan.model import warmth_of
 
 STEPS = 10  # in which a plan fades and a server warms up
@@ -108,7 +108,12 @@
 
 
 def view(
-    servers: Sequence[ServerSpec], plans: Sequence[MadePlan], zone: str, wall: float, place: Place, warming: Warming
+    servers: Sequence[ServerSpec],
+    plans: Sequence[MadePlan],
+    zone: str,
+    wall: float,
+    place: FleetPosition,
+    warming: Warming,
 ) -> View:
     """The servers that this gateway routes by, with their weights: by the plan, or as the list has them."""
     plan, note = choose(plans, zone, servers)
@@ -140,7 +145,7 @@
     return View(tuple(kept), note, min(dues, default=None))
 
 
-def _subset(members: list[ServerSpec], place: Place) -> list[ServerSpec]:
+def _subset(members: list[ServerSpec], place: FleetPosition) -> list[ServerSpec]:
     """One group's servers within the bound. Primaries and those that drain are always told of."""
     shares = {s.name: Fraction(s.weight) if s.state == "ready" and not s.primary else Fraction(0) for s in members}
     if not any(shares.values()):
--- a/yardbank/plan/fleet_position.py
+++ b/yardbank/plan/fleet_position.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class FleetPosition:
     """This gateway's place among all, and its bound of servers a group (0: none)."""
 
     index: int = 0
--- a/yardbank/platform/backend.py
+++ b/yardbank/platform/backend.py
@@ -15,7 +15,7 @@
     SECOND,
     Connection,
     NotSentError,
-    Position,
+    ProbeResult,
     Receiver,
     Reply,
     ServerSpec,
@@ -42,7 +42,7 @@
         self._now, self._ready, self._lost = now, ready, lost
         self._session = session or ServerSession()
         self._receiver: Receiver | None = None
-        self._probed: Callable[[Position | None], None] | None = None
+        self._probed: Callable[[ProbeResult | None], None] | None = None
         self._over = self._spent = False
         self._backlog = False  # the transport holds octets back: what follows has to go through it
 
@@ -73,7 +73,7 @@
         if receiver is not None:
             receiver.attempt_done(reply)
         elif probed is not None:
-            probed((reply.report or Position({})) if reply.status == "ok" else None)
+            probed((reply.report or ProbeResult({})) if reply.status == "ok" else None)
 
     def _end(self, reason: str) -> None:
         """Cut it: nothing that still comes may be taken for an answer."""
@@ -127,7 +127,7 @@
         self._receiver = None
         self._spent = True
 
-    def probe(self, done: Callable[[Position | None], None]) -> int:
+    def probe(self, done: Callable[[ProbeResult | None], None]) -> int:
         """Ask for the load report."""
         self.transport.write(self._session.ask(PROBE, probe=True))
         self._probed = done
--- a/yardbank/platform/report.py
+++ b/yardbank/platform/report.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from decimal import Decimal, InvalidOperation
 
-from yardbank.gateway.api import MS, Position
+from yardbank.gateway.api import MS, ProbeResult
 from yardbank.wire import LOAD_FIELDS
 
 ORIGIN = "clock"
@@ -24,7 +24,7 @@
 class LoadReport:
     """What a load report tells; each field that cannot be read is missing by itself, and named."""
 
-    position: Position | None  # None: nothing of the report can be read
+    position: ProbeResult | None  # None: nothing of the report can be read
     spoilt: tuple[str, ...] = ()
 
 
@@ -84,4 +84,4 @@
         primary = None
     readable = held.keys() - spoilt
     marks = {} if at is None else {ORIGIN: (at,)}
-    return LoadReport(Position(marks, primary, load) if readable else None, tuple(sorted(spoilt)))
+    return LoadReport(ProbeResult(marks, primary, load) if readable else None, tuple(sorted(spoilt)))
--- a/yardbank/platform/server.py
+++ b/yardbank/platform/server.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from yardbank.gateway.api import MS, Position, Reply
+from yardbank.gateway.api import MS, ProbeResult, Reply
 from yardbank.interface import Role
 from yardbank.pg import messages as pg
 from yardbank.pg.state import Answer, Broken, ClientEnd, Idle, Opened
@@ -149,7 +149,7 @@
             return Reply("ok", None, role, None, "", report)
         return Reply("ok", b"".join(frame.encode() for frame in asked.frames), role, commit, "", report)
 
-    def _report(self, where: str, text: str) -> Position | None:
+    def _report(self, where: str, text: str) -> ProbeResult | None:
         """A load report; what is spoilt in it is told."""
         report = read_report(text, self._fields)
         if report.spoilt:
--- a/yardbank/platform/service.py
+++ b/yardbank/platform/service.py
@@ -91,7 +91,9 @@
         self._port = self._listen(self._reactor, listen.host, listen.port, self.factory)
         self.watcher.start()
         self._view()
-        classes = {kind.name: (kind.aim // MS, kind.deadline // MS) for kind in self.config.settings.classes}
+        classes = {
+            kind.name: (kind.latency_objective // MS, kind.deadline // MS) for kind in self.config.settings.classes
+        }
         self.log.info(
             "listening", address=listen.host, port=listen.port, gateway=self.config.name, aim_deadline_ms=classes
         )
--- a/yardbank/policy/picking.py
+++ b/yardbank/policy/picking.py
@@ -28,7 +28,7 @@
 
     def price(self, server: Server, primary: Server | None, held: Held) -> float:
         """That, and the way there as a share of the aim: it is paid once, however many wait."""
-        return self.cost(server, primary) + self.ways.get(server.zone, (0, 0))[0] / held.kind.aim
+        return self.cost(server, primary) + self.ways.get(server.zone, (0, 0))[0] / held.kind.latency_objective
 
     def may_resend(self, held: Held) -> bool:
         """Whether a further attempt is allowed at all."""
@@ -94,7 +94,7 @@
             able = [s for s in able if s in free] or able
         well = [s for s in able if s.retry_at == 0]
         well = [s for s in well if self.now >= self.hearsay.get(s.id, 0)] or well
-        if all(s is primary for s in well) and self.now - held.arrived < held.kind.aim / 8:
+        if all(s is primary for s in well) and self.now - held.arrived < held.kind.latency_objective / 8:
             stale = [s for s in free if s not in able and s.retry_at == 0 and s.heard < self.now - ASK_EVERY]
             likely = [s for s in stale if self.likely(s) >= need or (s.unheard and not self.looks)]
             if likely and self.probe(min(likely, key=lambda s: self.price(s, primary, held))):  # a short wait
@@ -131,17 +131,19 @@
 
     def hopeless(self, held: Held) -> bool:
         """It can no longer be answered while that is worth something: its work would only delay others."""
-        aim = held.arrived + held.kind.aim
-        useful = held.request.expires if held.kind.late_worth else min(held.request.expires, aim)
-        most = held.kind.aim / 2 if self.looks else useful  # else after an outage none would ever be tried
+        objective_at = held.arrived + held.kind.latency_objective
+        useful = held.request.expires if held.kind.late_weight else min(held.request.expires, objective_at)
+        most = (
+            held.kind.latency_objective / 2 if self.looks else useful
+        )  # else after an outage none would ever be tried
         usual = min(self.usual[held.kind.name], most)
         return self.now + max(usual, 2 * self.sweep_every) > useful
 
     def order(self) -> list[tuple[str, bool]]:
         """Classes, in time and late, by worth for their work: late work must not make more late."""
-        worth = {
-            (kind.name, late): kind.worth * (kind.late_worth if late else 1) / self.usual[kind.name]
+        priority_weight = {
+            (kind.name, late): kind.priority_weight * (kind.late_weight if late else 1) / self.usual[kind.name]
             for kind in self.set.classes
             for late in (False, True)
         }
-        return sorted(worth, key=lambda key: -worth[key])
+        return sorted(priority_weight, key=lambda key: -priority_weight[key])
--- a/yardbank/policy/router.py
+++ b/yardbank/policy/router.py
@@ -19,7 +19,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self.set = settings
         self.kinds = {kind.name: kind for kind in settings.classes}
-        self.usual = {kind.name: kind.aim * CALM for kind in settings.classes}  # latency of an answer
+        self.usual = {kind.name: kind.latency_objective * CALM for kind in settings.classes}  # latency of an answer
         self.random = random.Random(settings.seed)
         self.servers: dict[int, Server] = {}
         self.groups: dict[int, list[Server]] = {}
@@ -32,7 +32,7 @@
         self.waiting: dict[tuple[int, str, bool], dict[str, Held]] = {}  # by group, class, late
         self.tokens: OrderedDict[str, tuple[int, int]] = OrderedDict()
         self.floors: dict[int, int] = {}  # every session's token in a group is at least this
-        self.sweep_every = max(2 * settings.period, min(kind.aim for kind in settings.classes) // 10)
+        self.sweep_every = max(2 * settings.period, min(kind.latency_objective for kind in settings.classes) // 10)
         self.pressed_at = -MEMORY  # when a server last was full or took no connection
         self.loads: dict[tuple[int, bool], tuple[float, int]] = {}  # told last in a group
         self.looks = settings.tells_load and settings.gateways >= FLEET  # told loads are gone by
@@ -45,13 +45,39 @@
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Take one event; return the actions in order."""
         self.now, self.out = now, []
-        getattr(self, f"on_{type(event).__name__.lower()}")(event)
+        self.dispatch(event)
         if not self.armed and (self.requests or self.attempts):  # an idle gateway of hundreds costs nothing
             self.armed = True
             self.out.append(api.SetTimer(self.sweep_every, "sweep"))
         return self.out
 
-    def on_restored(self, event: api.Restored) -> None:
+    def dispatch(self, event: api.Event) -> None:
+        """Call what handles an event of its type."""
+        match event:
+            case api.Request():
+                self.on_request(event)
+            case api.Outcome():
+                self.on_outcome(event)
+            case api.Probed():
+                self.on_probed(event)
+            case api.Timer():
+                self.on_timer(event)
+            case api.ServerList():
+                self.on_server_list(event)
+            case api.ClientCancelled() | api.Started():
+                self.on_client_cancelled(event)
+            case api.Deadline():
+                self.on_deadline(event)
+            case api.GossipedOutliers():
+                self.on_gossiped_outliers(event)
+            case api.PositionGossiped():
+                self.on_position_gossiped(event)
+            case api.ZoneLatencies():
+                self.on_zone_latencies(event)
+            case api.TokensLost():
+                self.on_tokens_lost(event)
+
+    def on_tokens_lost(self, event: api.TokensLost) -> None:
         """A restart lost every token; floors in their place keep sessions from reading too early."""
         for group, floor in event.floors:
             self.floors[group] = max(floor, self.floors.get(group, 0))
@@ -67,7 +93,7 @@
         """A connection can fall silent by itself: reads on it go elsewhere while that may be in time."""
         for key, attempt in server.waiting.items():
             kind = attempt.held.kind
-            if self.now - attempt.sent_at < max(LOST_TIME * self.usual[kind.name], kind.aim // 2):
+            if self.now - attempt.sent_at < max(LOST_TIME * self.usual[kind.name], kind.latency_objective // 2):
                 break  # the oldest come first
             if self.alone(attempt) and not self.hopeless(attempt.held):
                 self.cancel(key, attempt)
@@ -111,7 +137,7 @@
         """Keep a request back until there is room."""
         self.unhold(held)
         held.tried.clear()
-        held.late = self.now + self.usual[held.kind.name] > held.arrived + held.kind.aim
+        held.late = self.now + self.usual[held.kind.name] > held.arrived + held.kind.latency_objective
         group = held.request.group
         self.waiting.setdefault((group, held.kind.name, held.late), {})[held.request.id] = held
         for server in self.groups.get(group, ()) if self.primary(group) is None else ():
@@ -128,7 +154,7 @@
         self.unhold(held)
         kind, harmless = held.kind, held.ran_at is None
         if kind.effect == "safe" or harmless or (kind.effect == "keyed" and kind.scope == "all"):
-            wait = BACKOFF if kind.late_worth else kind.deadline  # sooner is late again
+            wait = BACKOFF if kind.late_weight else kind.deadline  # sooner is late again
             self.out.append(api.Refuse(held.request.id, min(self.set.max_retry_after, wait)))
         else:
             self.out.append(api.Fail(held.request.id))
@@ -159,15 +185,15 @@
             self.out.append(api.CloseIdle(server.id))
         if status == "full" or refused:  # to be asked presses it too: hundreds must not do so at once
             self.pressed_at = self.now
-            server.rest = min(2 * server.rest or kind.aim // 4, SECOND)
+            server.rest = min(2 * server.rest or kind.latency_objective // 4, SECOND)
             server.rest_until = self.now + int(server.rest * (0.5 + self.random.random()))
         late = status in ("timeout", "cancelled") and not self.alone(attempt)
         if status == "ok" or late:  # no answer yet is a slow one too
             self.answered(server, kind, event)
         waited = status == "timeout" and late and event.latency > self.usual[kind.name]
         if status in ("ok", "full") or waited:
-            self.count(status == "ok" and event.latency <= kind.aim)
-        if status in ("miss", "full", "timeout") or (status == "ok" and event.latency > kind.aim):
+            self.count(status == "ok" and event.latency <= kind.latency_objective)
+        if status in ("miss", "full", "timeout") or (status == "ok" and event.latency > kind.latency_objective):
             self.wary[server.group] = self.now + WARY
         self.settle(event, attempt)
         self.route_waiting(server.group)
@@ -189,13 +215,11 @@
         elif event.id in self.requests:
             self.route(held)
 
-    def on_gone(self, event: api.Gone | api.Started) -> None:
+    def on_client_cancelled(self, event: api.ClientCancelled | api.Started) -> None:
         """Nothing more is owed: the client has left, or has its answer begun; what is out may still teach."""
         if held := self.requests.pop(event.id, None):
             self.unhold(held)
 
-    on_started = on_gone
-
     def on_deadline(self, event: api.Deadline) -> None:
         """The answer is needed sooner than was said; what is out is timed out by the gateway."""
         if held := self.requests.get(event.request.id):
@@ -229,7 +253,9 @@
         for server in {attempt.server.id: attempt.server for attempt in self.attempts.values()}.values():
             self.check_silence(server)
             self.check_lost(server)
-            if any(self.now - attempt.sent_at > attempt.held.kind.aim for attempt in server.waiting.values()):
+            if any(
+                self.now - attempt.sent_at > attempt.held.kind.latency_objective for attempt in server.waiting.values()
+            ):
                 self.wary[server.group] = self.now + WARY  # it is late for certain
         for held in [held for waiting in list(self.waiting.values()) for held in waiting.values()]:
             half = (held.arrived + held.request.expires) // 2  # told by then, a client can try elsewhere
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -73,7 +73,7 @@
 class Knowledge:
     """What is known of servers; the state, and what is done about attempts, is the router's."""
 
-    def on_serverlist(self, event: api.ServerList) -> None:
+    def on_server_list(self, event: api.ServerList) -> None:
         """Take the list as far as it goes: it is late, and knows of health only whether a process runs."""
         if self.set.subscribe and event.kind in ("saved", "failed"):
             self.out.append(api.Subscribe())
@@ -102,20 +102,20 @@
             here = sum(not server.drained for server in self.groups[group])
             self.most[group] = max(self.most.get(group, 1), here)
 
-    def on_hearsay(self, event: api.Hearsay) -> None:
+    def on_gossiped_outliers(self, event: api.GossipedOutliers) -> None:
         """Others' word spares a server reads that another can take, and brings trials on, not at once."""
         self.hearsay = dict(event.doubted)
         for server in [self.servers[number] for number in event.well if number in self.servers]:
             sooner = self.now + int(self.random.random() * BACKOFF)
             server.retry_at = min(server.retry_at, sooner) if server.retry_at else 0
 
-    def on_marked(self, event: api.Marked) -> None:
+    def on_position_gossiped(self, event: api.PositionGossiped) -> None:
         """Marks that another gateway passed on prove a position, and nothing of role, health or trust."""
         if (server := self.servers.get(event.server)) and event.report.position is not None:
             self.learn_position(server, event.report.position)
             self.route_waiting(server.group)
 
-    def on_ways(self, event: api.Ways) -> None:
+    def on_zone_latencies(self, event: api.ZoneLatencies) -> None:
         """What ways to other zones cost: round trip, and the longest one that must still fit."""
         self.ways = {zone: (beyond, max(beyond, longest)) for zone, beyond, longest in event.ways}
 
@@ -154,7 +154,7 @@
     def answered(self, server: Server, kind: api.RequestClass, event: api.Outcome) -> None:
         """An answer sets the server's strain, and by it how much may be outstanding there."""
         weight = 0.5 - 0.4 * exp((server.strained_at - self.now) / (2 * SECOND))
-        part, zone = min(event.latency / kind.aim, 4.0), server.zone
+        part, zone = min(event.latency / kind.latency_objective, 4.0), server.zone
         self.zones[zone] += weight / 4 * (part - self.zones[zone])
         server.strain, server.strained_at = server.strain + weight * (part - server.strain), self.now
         self.usual[kind.name] += 0.02 * (event.latency - self.usual[kind.name])
@@ -215,7 +215,7 @@
         oldest = next(iter(server.waiting.values()))
         since = max(server.answered_at, oldest.sent_at)
         patience = CALM if server.silent else min(1.0, max(CALM, self.strain_of(server)))
-        usual = oldest.held.kind.aim * patience
+        usual = oldest.held.kind.latency_objective * patience
         waited = sum(self.now - max(since, attempt.sent_at) for attempt in server.waiting.values())
         if self.now - since < SILENT_TIME * usual or not (server.silent or waited >= SILENT_WORK * usual):
             return
--- a/yardbank/proxy.py
+++ b/yardbank/proxy.py
@@ -25,11 +25,11 @@
 from yardbank.ldap.backend import LdapBackend
 from yardbank.ldap.front import LdapFrontFactory
 from yardbank.policy import Router
-from yardbank.server_list.service import FleetKeeper
+from yardbank.server_list.service import ServerListService
 
 if TYPE_CHECKING:
     from yardbank.cluster.channels.service import Channels
-    from yardbank.cluster.coordination import Joint
+    from yardbank.cluster.coordination import Coordination
     from yardbank.cluster.peers.transport import Peers
     from yardbank.cluster.rollout.active_version import Started
 
@@ -90,9 +90,9 @@
             router=router,
         )
         self._matching = config
-        self._fleet: FleetKeeper | None = None
+        self._fleet: ServerListService | None = None
         self._peers: Peers | None = None
-        self._joint: Joint | None = None
+        self._joint: Coordination | None = None
         if config.peers is not None:
             from yardbank.cluster.peers.sharing import Sharing
             from yardbank.cluster.peers.transport import Peers
@@ -113,7 +113,7 @@
         if config.membership is None:
             self.gateway.apply_list(build.servers(config))
         else:
-            self._fleet = FleetKeeper(
+            self._fleet = ServerListService(
                 config,
                 self.gateway,
                 reactor,
@@ -132,7 +132,7 @@
 
         assert self._peers is not None
         if joint.wanted(config):
-            self._joint = joint.Joint(
+            self._joint = joint.Coordination(
                 config,
                 self.gateway,
                 self._peers,
--- a/yardbank/server_list/service.py
+++ b/yardbank/server_list/service.py
@@ -29,7 +29,7 @@
 WRITE_EVERY = 200 * MS  # snapshots: lists that change in a storm are not all worth a disk write
 
 
-class FleetKeeper:
+class ServerListService:
     """The list of one gateway, from start to stop."""
 
     def __init__(
--- a/yardbank/state/recovery.py
+++ b/yardbank/state/recovery.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from yardbank.state.snapshot import Snapshot, mark_of
-from yardbank.timeline import Mark
+from yardbank.timeline import LogPosition
 
 MAX_AHEAD = 3600.0  # seconds: a snapshot from further in the future than clocks go wrong
 
@@ -29,7 +29,7 @@
 
     fresh: bool = True  # nothing is known: no floors, as for a gateway that never ran
     floor_now: bool = False  # session reads must see all that was committed before the start
-    floors: dict[str, dict[str, Mark]] = field(default_factory=dict)  # marks by origin, by group
+    floors: dict[str, dict[str, LogPosition]] = field(default_factory=dict)  # marks by origin, by group
     use_list: bool = False
     notes: list[str] = field(default_factory=list)
 
--- a/yardbank/testing/rig/virtual.py
+++ b/yardbank/testing/rig/virtual.py
@@ -121,7 +121,7 @@
         kind = draw.choices(self.world.kinds, [kind.part for kind in self.world.kinds])[0]
         want = Want(kind, group, gateway, self.clock.now)
         self.count("wanted")
-        self._worth[(self.clock.now - START) // BIN][0] += kind.set.worth
+        self._worth[(self.clock.now - START) // BIN][0] += kind.set.priority_weight
         gateway.take(want)
 
     def again(self, want: Want, after: int) -> None:
@@ -135,10 +135,10 @@
         """A client has its answer."""
         if not want.over:
             want.over = True
-            good = took <= want.kind.set.aim
+            good = took <= want.kind.set.latency_objective
             when, kind = (want.first_at - START) // BIN, want.kind.set
             self._counts[when]["good" if good else "late"] += 1
-            self._worth[when][1] += kind.worth * (1 if good else kind.late_worth)
+            self._worth[when][1] += kind.priority_weight * (1 if good else kind.late_weight)
 
     def count(self, what: str) -> None:
         """Something happened now."""
--- a/yardbank/testing/rig/virtual_gateway.py
+++ b/yardbank/testing/rig/virtual_gateway.py
@@ -84,7 +84,7 @@
         if not tried.over:
             self._fleet.count("left")
             self._over(number, tried)
-            self.handle(api.Gone(number))
+            self.handle(api.ClientCancelled(number))
             self._fleet.again(tried.want, 0)
 
     def _over(self, number: str, tried: _Try) -> None:
--- a/yardbank/timeline.py
+++ b/yardbank/timeline.py
@@ -19,8 +19,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-Mark = tuple[int | str, ...]
-Vector = Mapping[str, Mark]
+LogPosition = tuple[int | str, ...]
+Vector = Mapping[str, LogPosition]
 
 LINKS = 4096  # kept; a server behind the oldest one simply has no known position
 
@@ -34,7 +34,7 @@
 class Link:
     """One point of the log: ``low`` is the position given out for it first, ``high`` what it proves now."""
 
-    vector: dict[str, Mark]
+    vector: dict[str, LogPosition]
     low: int
     high: int
 
@@ -59,11 +59,11 @@
         """The latest position that the log is known to have reached; 0: nothing is known."""
         return self._links[-1].high if self._links else 0
 
-    def head_vector(self) -> dict[str, Mark]:
+    def head_vector(self) -> dict[str, LogPosition]:
         """The marks of the last link; they cover every token given out."""
         return dict(self._links[-1].vector) if self._links else {}
 
-    def commit(self, origin: str, mark: Mark, sent_at: int) -> int:
+    def commit(self, origin: str, mark: LogPosition, sent_at: int) -> int:
         """A write sent at ``sent_at`` (ns) was committed as ``mark``: the token that its session must see."""
         links = self._links
         at = bisect_left(links, True, key=lambda link: origin in link.vector and link.vector[origin] >= mark)
--- a/yardbank/wire.py
+++ b/yardbank/wire.py
@@ -61,10 +61,10 @@
         classes.append(
             api.RequestClass(
                 name=field(service, "name", str),
-                aim=field(service, "aim", int),
+                latency_objective=field(service, "aim", int),
                 deadline=field(service, "hard_limit", int),
-                worth=field(service, "credit", NUMBER, 1.0),
-                late_worth=field(service, "late_worth", NUMBER, 0.0),
+                priority_weight=field(service, "credit", NUMBER, 1.0),
+                late_weight=field(service, "late_worth", NUMBER, 0.0),
                 effect=word(service, "effect", EFFECTS),
                 scope=field(service, "key_scope", str, "all"),
                 window=field(service, "window", int, 0),
