--- a/tests/policy/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -19,6 +19,7 @@
 RECORD = json.loads((DATA / "recorded_events.json").read_text())
 ZONES = json.loads((DATA / "recorded_zones.json").read_text())
 RENAMED = {"aim": "latency_objective", "worth": "priority_weight", "late_worth": "late_weight"}  # since the recording
+RENAMED_EVENTS = {"Gone": "ClientCancelled", "Restored": "TokensLost", "Hearsay": "GossipedOutliers"}
 
 
 def value(plain):
@@ -28,7 +29,7 @@
         made = {RENAMED.get(name, name): value(one) for name, one in plain.items() if name}
         if "role" in made:
             made["role"] = api.Role(made["role"])
-        return getattr(api, plain[""])(**made)
+        return getattr(api, RENAMED_EVENTS.get(plain[""], plain[""]))(**made)
     return plain
 
 
