--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/mypy
+	$(VENV)/bin/lint-imports
 
 test: lint
 	$(PY) -m pytest -q -n 6 --dist worksteal
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -14,11 +14,11 @@
 from tests.config.test_settings import TEXT
 from tests.support.reactor_thread import Desk, run, until, world
 from yardbank.cli import main
+from yardbank.config.fleet_position import FleetPosition
 from yardbank.gateway.api import ServerSpec
 from yardbank.ldap import messages as m
 from yardbank.plan.active_plan import MadePlan, Warming, choose, list_hash, view
 from yardbank.plan.aperture import ApertureError, Ring, aperture
-from yardbank.plan.fleet_position import FleetPosition
 from yardbank.server_list.document import FleetError, read_plans, read_set, render
 from yardbank.server_list.incremental_reader import ListReader
 from yardbank.server_list.watcher import read_files
--- a/yardbank/testing/rig/embedded.py
+++ b/yardbank/cli/embedded_gateway.py
@@ -1,6 +1,6 @@
-"""A gateway under a supervisor whose program carries channels.
+"""A gateway under a supervisor whose program carries channels; scenarios of the rig start it.
 
-Run as ``python -m yardbank.testing.rig.embedded COUNT serve FILE``.
+Run as ``python -m yardbank.cli.embedded_gateway COUNT serve FILE``.
 
 The example's notices (``examples/porting_notices.py``) beside the daemon's own worker, so that a fleet that carries
 channels can go through a rollout.
@@ -10,13 +10,9 @@
 
 import runpy
 import sys
-from pathlib import Path
 from typing import Any
 
-import yardbank
-
-EXAMPLE = Path(yardbank.__file__).parent.parent / "examples" / "porting_notices.py"
-EVERY = 0.1  # seconds between two items of a channel
+from yardbank.testing.rig.notices import EXAMPLE, PUBLISH_PERIOD_S
 
 
 def carrying(count: int) -> Any:
@@ -33,7 +29,7 @@
             from twisted.internet import reactor
 
             names = [f"notices-{number}" for number in range(1, count + 1)]
-            self.notices = made(self.channels, reactor, self.log, names, EVERY)
+            self.notices = made(self.channels, reactor, self.log, names, PUBLISH_PERIOD_S)
 
     return Carrying
 
--- a/yardbank/config/build.py
+++ b/yardbank/config/build.py
@@ -4,6 +4,7 @@
 
 import secrets
 
+from yardbank.config.fleet_position import FleetPosition
 from yardbank.config.schema import Config, Listener
 from yardbank.directory import naming
 from yardbank.gateway.api import Limits, ServerSpec
@@ -11,7 +12,6 @@
 from yardbank.ldap.backend import BackendOptions
 from yardbank.ldap.classify import SCOPES, Classifier, Rule
 from yardbank.ldap.front import FrontOptions
-from yardbank.plan.fleet_position import FleetPosition
 
 STRICT_READ, STRICT_WRITE = "strict-read", "strict-write"
 
--- a/yardbank/plan/active_plan.py
+++ b/yardbank/plan/active_plan.py
@@ -15,9 +15,9 @@
 
 import xxhash
 
+from yardbank.config.fleet_position import FleetPosition
 from yardbank.gateway.api import ServerSpec
 from yardbank.plan.aperture import LEAST_WEIGHT, ApertureError, aperture
-from yardbank.plan.fleet_position import FleetPosition
 from yardbank.plan.model import warmth_of
 
 STEPS = 10  # in which a plan fades and a server warms up
--- a/yardbank/testing/rig/processes.py
+++ b/yardbank/testing/rig/processes.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ProcessProtocol
 
-from yardbank.testing.rig.embedded import EVERY, EXAMPLE
+from yardbank.testing.rig.notices import EXAMPLE, PUBLISH_PERIOD_S
 from yardbank.testing.rig.roster import DOWN, READY, Roster
 
 Record = Callable[[dict[str, Any]], None]
@@ -29,7 +29,15 @@
     if kind == "notices":
         if not EXAMPLE.exists():
             raise ProgramMissingError(f"{EXAMPLE}: the example is not there")
-        return [sys.executable, str(EXAMPLE), str(settings), "--channels", str(channels), "--every", str(EVERY)], {}
+        return [
+            sys.executable,
+            str(EXAMPLE),
+            str(settings),
+            "--channels",
+            str(channels),
+            "--every",
+            str(PUBLISH_PERIOD_S),
+        ], {}
     usual = ["-m", "yardbank", "serve", str(settings)]
     if not kind:
         return [sys.executable, *usual], {}
--- a/yardbank/testing/rig/running_fleet.py
+++ b/yardbank/testing/rig/running_fleet.py
@@ -181,7 +181,7 @@
         if supervised:
             command.append("--supervised")
             if channels and not place.in_force.exists():  # what the supervisor is to start, until a rollout changes it
-                place.start_with(f"{sys.executable} -m yardbank.testing.rig.embedded {channels}")
+                place.start_with(f"{sys.executable} -m yardbank.cli.embedded_gateway {channels}")
         for clock in self.scenario.clock:
             if clock.gateway == name:
                 offset = clock.offset / 1e9 * (-1 if clock.behind else 1)
