--- a/tests/ldap/test_codec.py
+++ b/tests/ldap/test_codec.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.ldap import codec, csn, filters
+from yardbank.ldap import codec, csn, filter_codec, filters
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import BerError, Framer, header, integer, read_integer
 from yardbank.ldap.state import Abandoned, Answered, Asked, Broken, ClientEnd, Closed, ServerEnd
@@ -123,8 +123,8 @@
 )
 def test_examples_of_rfc_4515_and_4526(text):
     found = filters.parse(text)
-    data = codec.encode_filter(found)
-    assert codec.decode_filter(data, 0, len(data)) == (found, len(data))
+    data = filter_codec.encode_filter(found)
+    assert filter_codec.decode_filter(data, 0, len(data)) == (found, len(data))
     assert filters.parse(filters.format_filter(found)) == found
 
 
@@ -138,10 +138,10 @@
 
 def test_filters_and_lengths_are_bounded_before_anything_is_built():
     deep = m.Present("x")
-    for _ in range(codec.MAX_FILTER_DEPTH):
+    for _ in range(filter_codec.MAX_FILTER_DEPTH):
         deep = m.Not(deep)
     with pytest.raises(BerError, match="nested deeper"):
-        codec.decode_filter(codec.encode_filter(deep), 0, len(codec.encode_filter(deep)))
+        filter_codec.decode_filter(filter_codec.encode_filter(deep), 0, len(filter_codec.encode_filter(deep)))
     with pytest.raises(filters.FilterError, match="nested deeper"):
         filters.parse("(!" * 65 + "(a=b)" + ")" * 65)
     framer = Framer(1000)
--- a/tests/ldap/test_cross_group_end_to_end.py
+++ b/tests/ldap/test_cross_group_end_to_end.py
@@ -6,7 +6,7 @@
 
 from tests.support.reactor_thread import Desk, run, until, world
 from yardbank.directory.codes import Code, Scope
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
 from yardbank.testing.audit import judge
 from yardbank.testing.demo.world import DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS
@@ -270,16 +270,16 @@
         run(desk.spread, parts=needs(place))
         cookie, seen, pages = b"", [], 0
         while pages == 0 or cookie:
-            paged = m.Control(m.Oid.PAGED_RESULTS, True, codec.paged_value(4, cookie))
+            paged = m.Control(m.Oid.PAGED_RESULTS, True, control_codec.paged_value(4, cookie))
             answer = run(desk.spread, controls=(paged,), attributes=("cn",))
             assert answer.code == 0 and len(answer.entries) <= 4
             told = next(c for c in answer.controls if c.oid == m.Oid.PAGED_RESULTS)
-            cookie, pages = codec.read_paged_value(told.value)[1], pages + 1
+            cookie, pages = control_codec.read_paged_value(told.value)[1], pages + 1
             seen += names(answer)
             if pages == 2:
                 kept = cookie
         assert len(seen) == len(set(seen)) == 1 + 5 * 4 and pages == 6
-        paged = m.Control(m.Oid.PAGED_RESULTS, True, codec.paged_value(4, kept))
+        paged = m.Control(m.Oid.PAGED_RESULTS, True, control_codec.paged_value(4, kept))
         assert run(desk.spread, controls=(paged,), attributes=("sn",)).code == Code.UNWILLING
         broken = m.Control(m.Oid.PAGED_RESULTS, True, b"nonsense")
         assert run(desk.spread, controls=(broken,)).code == Code.PROTOCOL_ERROR
--- a/tests/ldap/test_end_to_end.py
+++ b/tests/ldap/test_end_to_end.py
@@ -9,7 +9,7 @@
 
 from tests.support.reactor_thread import Desk, run, shown, until, world
 from yardbank.directory.codes import Code
-from yardbank.ldap import codec
+from yardbank.ldap import filter_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import integer, tlv
 from yardbank.testing.audit import judge
@@ -329,7 +329,7 @@
                 break
         assert desk.modify(b"mine").code == 0
         for value, code in ((b"mine", Code.SUCCESS), (b"never", Code.ASSERTION_FAILED)):
-            wanted = codec.encode_filter(m.Match("=", "description", value))
+            wanted = filter_codec.encode_filter(m.Match("=", "description", value))
             control = m.Control(m.Oid.ASSERTION, True, wanted)
             for _ in range(5):  # bounded: copies are asked first
                 assert desk.read("numbers", "bounded", controls=(control,), staleness=60.0).code == code
@@ -346,7 +346,7 @@
             if facts(place, "answered", op="search", role="copy"):
                 break
         run(place.servers["n1"].hang)
-        control = m.Control(m.Oid.ASSERTION, True, codec.encode_filter(m.Match("=", "description", b"never")))
+        control = m.Control(m.Oid.ASSERTION, True, filter_codec.encode_filter(m.Match("=", "description", b"never")))
         answer = desk.read("numbers", "bounded", controls=(control,), staleness=60.0)
         assert answer.code == Code.ASSERTION_FAILED
 
--- a/tests/testing/audit/test_frames.py
+++ b/tests/testing/audit/test_frames.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.state import ClientEnd
 from yardbank.testing.audit.frames import TAG, Frames
@@ -12,7 +12,7 @@
 def asked(end, operation, tag=""):
     raw = codec.encode_operation(operation)
     controls = (m.Control(TAG_CONTROL, False, tag.encode()),) if tag else ()
-    return end.ask(raw, raw[0], codec.encode_controls(controls))[1]
+    return end.ask(raw, raw[0], control_codec.encode_controls(controls))[1]
 
 
 SEARCH = m.SearchRequest("dc=a", 0, m.Present("objectClass"))
--- a/yardbank/ldap/exchange.py
+++ b/yardbank/ldap/exchange.py
@@ -11,7 +11,7 @@
 from yardbank.directory.codes import Code
 from yardbank.gateway.api import Reply
 from yardbank.interface import Role
-from yardbank.ldap import codec, csn
+from yardbank.ldap import codec, control_codec, csn
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import BerError
 
@@ -46,15 +46,15 @@
         return Exchange(request, raw.tag, raw.operation, raw.controls, write, asserts=asserts)
     controls, asked = list(message.controls), next((c for c in message.controls if c.oid == m.Oid.POST_READ), None)
     if asked is None:
-        controls.append(m.Control(m.Oid.POST_READ, False, codec.post_read_request((COMMIT_MARK,))))
-        return Exchange(request, raw.tag, raw.operation, codec.encode_controls(tuple(controls)), True, True)
-    attributes = codec.read_post_read_request(asked.value or b"")
+        controls.append(m.Control(m.Oid.POST_READ, False, control_codec.post_read_request((COMMIT_MARK,))))
+        return Exchange(request, raw.tag, raw.operation, control_codec.encode_controls(tuple(controls)), True, True)
+    attributes = control_codec.read_post_read_request(asked.value or b"")
     names = {name.lower() for name in attributes}
     if COMMIT_MARK.lower() in names or "+" in names:
         return Exchange(request, raw.tag, raw.operation, raw.controls, True)
     wider = (*(attributes or ("*",)), COMMIT_MARK)
-    controls[controls.index(asked)] = m.Control(asked.oid, asked.critical, codec.post_read_request(wider))
-    return Exchange(request, raw.tag, raw.operation, codec.encode_controls(tuple(controls)), True, False, True)
+    controls[controls.index(asked)] = m.Control(asked.oid, asked.critical, control_codec.post_read_request(wider))
+    return Exchange(request, raw.tag, raw.operation, control_codec.encode_controls(tuple(controls)), True, False, True)
 
 
 def interpret(exchange: Exchange, raw: codec.Envelope) -> Reply:
@@ -75,11 +75,11 @@
     role = Role.PRIMARY if exchange.write and result.code == Code.SUCCESS else Role.UNKNOWN
     if not isinstance(exchange.request, _READ_BACK) or not raw.controls:
         return Reply("ok", raw, role)
-    controls = list(codec.decode_controls(raw.controls))
+    controls = list(control_codec.decode_controls(raw.controls))
     found = next((control for control in controls if control.oid == m.Oid.POST_READ), None)
     if found is None or found.value is None:
         return Reply("ok", raw, role)
-    entry = codec.read_post_read(found.value)
+    entry = control_codec.read_post_read(found.value)
     values = [value for name, held in entry.attributes if name.lower() == COMMIT_MARK.lower() for value in held]
     commit = csn.parse(values[0]) if values else None
     if exchange.added_control:
@@ -88,5 +88,5 @@
         kept = tuple(pair for pair in entry.attributes if pair[0].lower() != COMMIT_MARK.lower())
         value = codec.encode_operation(m.SearchEntry(entry.name, kept))
         controls[controls.index(found)] = m.Control(found.oid, found.critical, value)
-    payload = codec.Envelope(raw.id, raw.tag, raw.operation, codec.encode_controls(tuple(controls)))
+    payload = codec.Envelope(raw.id, raw.tag, raw.operation, control_codec.encode_controls(tuple(controls)))
     return Reply("ok", payload, role, commit if result.code == Code.SUCCESS else None)
--- a/yardbank/ldap/front.py
+++ b/yardbank/ldap/front.py
@@ -20,7 +20,7 @@
 from yardbank.directory.codes import Code, Scope
 from yardbank.gateway.api import SECOND, Call
 from yardbank.gateway.gateway import Gateway
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import SEQUENCE, BerError, expect, header, text
 from yardbank.ldap.classify import Classifier, entry_of, of_unheld, renamed
@@ -345,7 +345,7 @@
             name = f"dn:{self._identity}" if self._identity else ""
             return self._answer(message, Code.SUCCESS, value=name.encode())
         if request.oid == m.Oid.CANCEL:
-            return self._cancel(message, codec.cancel_target(request.value))
+            return self._cancel(message, control_codec.cancel_target(request.value))
         return self._answer(message, Code.PROTOCOL_ERROR, f"extended operation {request.oid} is not supported")
 
     def _cancel(self, message: m.Message, target: int) -> None:
--- a/yardbank/ldap/spread.py
+++ b/yardbank/ldap/spread.py
@@ -12,7 +12,7 @@
 from yardbank.directory import naming
 from yardbank.directory.codes import Code
 from yardbank.gateway.api import SECOND, Call
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.classify import Placed
 from yardbank.ldap.exchange import Exchange
@@ -166,7 +166,7 @@
         paged = next((c for c in self._controls if c.oid == m.Oid.PAGED_RESULTS), None)
         if paged is not None:
             self._controls = tuple(c for c in self._controls if c is not paged)
-            size, cookie = codec.read_paged_value(paged.value or b"")
+            size, cookie = control_codec.read_paged_value(paged.value or b"")
             suffixes = "\n".join(sent.piece.base for sent in self._sent).encode()
             identity = identity_of(raw.operation, suffixes)
             try:
@@ -206,11 +206,11 @@
         sent = self._sent[self._base + ask.index]
         controls, size_limit = self._controls, ask.size_limit
         if self._pages is not None:
-            value = codec.paged_value(self._pages.left, self._pages.inner)
+            value = control_codec.paged_value(self._pages.left, self._pages.inner)
             controls = (*controls, m.Control(m.Oid.PAGED_RESULTS, True, value))
         request = replace(self._request, base=sent.piece.base, scope=sent.piece.scope, size_limit=size_limit)
         operation = codec.encode_operation(request)
-        exchange = Exchange(request, m.Tag.SEARCH, operation, codec.encode_controls(controls), False)
+        exchange = Exchange(request, m.Tag.SEARCH, operation, control_codec.encode_controls(controls), False)
         call = Call(
             class_name=sent.placed.class_name,
             group=sent.piece.group,
@@ -258,8 +258,10 @@
         if result.code == Code.REFERRAL:
             self._continue(result.referrals)
         if self._pages is not None:
-            told = next((c for c in codec.decode_controls(payload.controls) if c.oid == m.Oid.PAGED_RESULTS), None)
-            self._inner = codec.read_paged_value(told.value)[1] if told and told.value else b""
+            told = next(
+                (c for c in control_codec.decode_controls(payload.controls) if c.oid == m.Oid.PAGED_RESULTS), None
+            )
+            self._inner = control_codec.read_paged_value(told.value)[1] if told and told.value else b""
         self._ended(index, served=True)
         self._spread.done(index, result.code, result.diagnostic)
         self._go_on()
@@ -321,7 +323,7 @@
         if self._pages is not None and code == Code.SUCCESS:
             controls = (*controls, _paged(self._pages.cookie()))
         if self._sorted:  # entries came as they were found: say so (RFC 2891 section 2)
-            controls = (*controls, m.Control(m.Oid.SORT_RESULT, False, codec.sort_result(Code.UNWILLING)))
+            controls = (*controls, m.Control(m.Oid.SORT_RESULT, False, control_codec.sort_result(Code.UNWILLING)))
         if missing:
             self._gateway.log.warning(
                 "spread_search_incomplete", code=int(code), missing=missing[:20], parts=len(self._sent)
@@ -344,7 +346,7 @@
 
 
 def _paged(cookie: bytes) -> m.Control:
-    return m.Control(m.Oid.PAGED_RESULTS, False, codec.paged_value(0, cookie))
+    return m.Control(m.Oid.PAGED_RESULTS, False, control_codec.paged_value(0, cookie))
 
 
 def _name_in(uri: str) -> str:
--- a/yardbank/ldap/state.py
+++ b/yardbank/ldap/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from yardbank.directory.codes import Code
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import BerError, Framer
 
@@ -108,7 +108,7 @@
         elif len(self._outstanding) >= self._most:
             self._break(events, f"more than {self._most} operations outstanding", Code.BUSY)
         else:
-            message = m.Message(raw.id, operation, codec.decode_controls(raw.controls))
+            message = m.Message(raw.id, operation, control_codec.decode_controls(raw.controls))
             self._outstanding[raw.id] = lasting(operation) is None
             events.append(Asked(message, raw))
         return None
--- a/yardbank/testing/rig/client.py
+++ b/yardbank/testing/rig/client.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import BerError
 from yardbank.ldap.state import Answered, ClientEnd
@@ -80,7 +80,7 @@
             done.callback(Answer(LOST, "not connected"))
             return done
         raw = codec.encode_operation(operation)
-        number, data = self._end.ask(raw, raw[0], codec.encode_controls(controls))
+        number, data = self._end.ask(raw, raw[0], control_codec.encode_controls(controls))
         self._asked[number] = _Asked(done, tag, Answer(LOST))
         if tag:
             self._note("sent", tag=tag, message=number, **facts)
@@ -120,7 +120,7 @@
             del self._asked[event.id]
             assert isinstance(operation, m.Result)
             asked.answer.code, asked.answer.diagnostic = operation.code, operation.diagnostic
-            asked.answer.result, asked.answer.controls = operation, codec.decode_controls(event.raw.controls)
+            asked.answer.result, asked.answer.controls = operation, control_codec.decode_controls(event.raw.controls)
             if asked.tag:
                 self._note("answer", tag=asked.tag, message=event.id, code=operation.code, text=operation.diagnostic)
             asked.done.callback(asked.answer)
--- a/yardbank/testing/standin/server.py
+++ b/yardbank/testing/standin/server.py
@@ -14,7 +14,7 @@
 
 from yardbank.directory import naming
 from yardbank.directory.codes import Code
-from yardbank.ldap import codec
+from yardbank.ldap import codec, control_codec, filter_codec
 from yardbank.ldap import messages as m
 from yardbank.ldap.match import matches
 from yardbank.ldap.state import Abandoned, Asked, Broken, Closed, ServerEnd
@@ -345,7 +345,11 @@
         """An assertion control (RFC 4528) that is false of the entry ends the operation here."""
         control = next((c for c in job.message.controls if c.oid == m.Oid.ASSERTION), None)
         entry = self.server.member.directory.entries.get(naming.fold(name))
-        if control is None or entry is None or matches(codec.decode_bare_filter(control.value or b""), entry.values):
+        if (
+            control is None
+            or entry is None
+            or matches(filter_codec.decode_bare_filter(control.value or b""), entry.values)
+        ):
             return False
         self.finish(job, Code.ASSERTION_FAILED)
         return True
@@ -358,7 +362,9 @@
         if isinstance(request, m.ModifyDNRequest):
             superior = request.new_superior if request.new_superior is not None else request.entry.partition(",")[2]
             dn = naming.fold(f"{request.new_rdn},{superior}")
-        asked = m.SearchRequest("", 0, m.Present("objectClass"), codec.read_post_read_request(wanted.value or b""))
+        asked = m.SearchRequest(
+            "", 0, m.Present("objectClass"), control_codec.read_post_read_request(wanted.value or b"")
+        )
         entry = show(self.server.member.directory.entries[dn], asked)
         return (m.Control(m.Oid.POST_READ, False, codec.encode_operation(entry)),)
 
@@ -412,9 +418,9 @@
 
 def _page(found: list[Any], control: m.Control) -> tuple[list[Any], tuple[m.Control, ...]]:
     """One page (RFC 2696); the cookie is where the next one begins, so any copy can go on with it."""
-    size, given = codec.read_paged_value(control.value or b"")
+    size, given = control_codec.read_paged_value(control.value or b"")
     start = int(given or b"0")
     rest = start + size
     cookie = str(rest).encode() if size > 0 and rest < len(found) else b""
-    made = m.Control(m.Oid.PAGED_RESULTS, False, codec.paged_value(0, cookie))
+    made = m.Control(m.Oid.PAGED_RESULTS, False, control_codec.paged_value(0, cookie))
     return found[start:rest] if size else found, (made,)
