--- a/yardbank/config/load.py
+++ b/yardbank/config/load.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from yardbank.config.checked import ConfigError, Shape, check_text, read_text
+from yardbank.config.checked import ConfigError, Faults, Shape, check_text, read_text
 from yardbank.config.schema import LABELS, SINGLE, Config, match_key
 from yardbank.directory import naming
 
@@ -22,9 +22,19 @@
     return check_text(text, name, Shape(Config, LABELS, SINGLE, cross_faults))
 
 
-def cross_faults(config: Config) -> list[tuple[tuple[Any, ...], str]]:
+def cross_faults(config: Config) -> Faults:
     """What no single field shows: names given twice, names that lead nowhere, classes that match alike."""
-    found: list[tuple[tuple[Any, ...], str]] = []
+    return [
+        *_repeated_names(config),
+        *_blocks_that_need_others(config),
+        *_groups_with_one_suffix(config),
+        *_servers_that_do_not_fit(config),
+        *_classes_that_match_alike(config),
+    ]
+
+
+def _repeated_names(config: Config) -> Faults:
+    found: Faults = []
     for kind, items in (
         ("group", config.group),
         ("server", config.server),
@@ -35,10 +45,16 @@
         seen: set[str] = set()
         for index, item in enumerate(items):
             label = getattr(item, LABELS[kind])
-            label = naming.fold(label) if kind == "identity" else label
+            if kind == "identity":
+                label = naming.fold(label)
             if label in seen:
                 found.append(((kind, index), f'{kind} "{label}" is given twice'))
             seen.add(label)
+    return found
+
+
+def _blocks_that_need_others(config: Config) -> Faults:
+    found: Faults = []
     for name in ("leases", "channels", "rollout", "atlas", "distribution"):
         if getattr(config, name) is not None and config.peers is None:
             found.append(((name,), f"{name}: needs a peers block"))
@@ -47,29 +63,46 @@
     if config.gateway.index >= config.gateway.gateways:
         reason = f"gateway: index {config.gateway.index} is not below gateways = {config.gateway.gateways}"
         found.append((("gateway", "index"), reason))
-    groups = {group.name for group in config.group}
-    suffixes: dict[str, str] = {}
+    return found
+
+
+def _groups_with_one_suffix(config: Config) -> Faults:
+    found: Faults = []
+    group_of_suffix: dict[str, str] = {}
     for index, group in enumerate(config.group):
-        if other := suffixes.get(naming.fold(group.suffix)):
+        suffix = naming.fold(group.suffix)
+        if other := group_of_suffix.get(suffix):
             found.append((("group", index, "suffix"), f'group "{group.name}" has the suffix of group "{other}"'))
-        suffixes[naming.fold(group.suffix)] = group.name
-    places: dict[tuple[str, int], str] = {}
+        group_of_suffix[suffix] = group.name
+    return found
+
+
+def _servers_that_do_not_fit(config: Config) -> Faults:
+    found: Faults = []
+    groups = {group.name for group in config.group}
+    server_at: dict[tuple[str, int], str] = {}
     for index, server in enumerate(config.server):
         if server.group not in groups:
             found.append((("server", index, "group"), f'server "{server.name}": no group "{server.group}"'))
-        if other := places.get((server.address, server.port)):
+        if other := server_at.get((server.address, server.port)):
             found.append((("server", index, "port"), f'server "{server.name}" has the address of server "{other}"'))
-        places[server.address, server.port] = server.name
-    rules: dict[Any, str] = {}
-    for index, kind_ in enumerate(config.classes):
-        if kind_.name.startswith("strict-"):
-            found.append((("class", index), f'class "{kind_.name}": names that begin with strict- are taken'))
-        for number, match in enumerate(kind_.match):
+        server_at[server.address, server.port] = server.name
+    return found
+
+
+def _classes_that_match_alike(config: Config) -> Faults:
+    found: Faults = []
+    class_of_rule: dict[Any, str] = {}
+    for index, request_class in enumerate(config.classes):
+        name = request_class.name
+        if name.startswith("strict-"):
+            found.append((("class", index), f'class "{name}": names that begin with strict- are taken'))
+        for number, match in enumerate(request_class.match):
             for operation in match.operation:
                 key = match_key(match, operation)
-                other = rules.get(key)
-                if other is not None and other != kind_.name:
-                    reason = f'class "{kind_.name}" and class "{other}" match alike ({operation})'
+                other = class_of_rule.get(key, name)
+                if other != name:
+                    reason = f'class "{name}" and class "{other}" match alike ({operation})'
                     found.append((("class", index, "match", number), reason))
-                rules[key] = kind_.name
+                class_of_rule[key] = name
     return found
--- a/yardbank/testing/rig/cross_checks.py
+++ b/yardbank/testing/rig/cross_checks.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING
 
 from yardbank.config.checked import Faults
-from yardbank.testing.rig.claim import CHANNELS, DISTRIBUTION, PEERS
+from yardbank.testing.rig.claim import CHANNELS, DISTRIBUTION, PEERS, Claim
 from yardbank.testing.rig.claim import ROLLOUT as CHANGES
-from yardbank.testing.rig.steps import DATAGRAMS, GATEWAY, PUBLISH, ROLLOUT, matching
+from yardbank.testing.rig.steps import DATAGRAMS, GATEWAY, PUBLISH, ROLLOUT, Step, matching
 
 if TYPE_CHECKING:
     from yardbank.testing.rig.scenario import Scenario
@@ -17,72 +17,129 @@
 
 
 def cross(scenario: Scenario) -> Faults:
-    """What does not."""
-    found: Faults = []
-    steps = [step.name for step in scenario.step]
+    """All faults of a scenario that no single block shows, each with its place."""
+    found = _repeated_names(scenario) + _clocks(scenario)
+    for index, step in enumerate(scenario.step):
+        found += _step(scenario, index, step)
+    found += _cycles(scenario) + _parts(scenario)
+    for index, claim in enumerate(scenario.claim):
+        found += _claim(scenario, index, claim)
+    return found
+
+
+def _repeated_names(scenario: Scenario) -> Faults:
     names: dict[str, list[str]] = {
         "group": [group.name for group in scenario.group],
-        "step": steps,
+        "step": [step.name for step in scenario.step],
         "claim": [claim.name for claim in scenario.claim],
         "clock": [clock.gateway for clock in scenario.clock],
         "program": [program.name for program in scenario.program],
     }
-    for kind, given in names.items():
-        found += [
-            ((kind, index), f'{kind} "{name}" is given twice')
-            for index, name in enumerate(given)
-            if name in given[:index]
-        ]
-    gateways, servers, ends = scenario.gateways(), list(scenario.servers()), scenario.ends()
-    for index, clock in enumerate(scenario.clock):
-        if clock.gateway not in gateways:
-            found.append((("clock", index), f'clock "{clock.gateway}": there is no such gateway'))
-    for index, step in enumerate(scenario.step):
-        kinds = gateways if step.do in (*GATEWAY, *ROLLOUT, "hold") else servers
-        words = (
-            ("from", step.from_, ends),
-            ("to", step.to, ends),
-            ("who", step.who, kinds),
-            ("gateways", step.gateways, gateways),
-        )
-        for field, patterns, known in words:
-            for pattern in patterns:
-                moving = pattern in scenario.words() and known is not servers
-                if not moving and not scenario.meant((pattern,), known):
-                    reason = f'step "{step.name}": {field}: nothing is called "{pattern}"'
-                    found.append((("step", index, field), reason))
-        if step.do in DATAGRAMS:
-            others = [end for end in scenario.meant((*step.from_, *step.to), ends) if end not in gateways]
-            if not scenario.fleet.peers or others:
-                reason = f'step "{step.name}": do: {step.do} is for datagrams, which go between gateways with peers'
-                found.append((("step", index, "do"), reason))
-        for field, word in (("after", step.after), ("until", step.until)):
-            if word and word not in steps and word not in scenario.events():
-                found.append((("step", index, field), f'step "{step.name}": {field}: no step or event "{word}"'))
-            if word == step.name:
-                found.append((("step", index, field), f'step "{step.name}": {field}: is the step itself'))
-        if step.do in ROLLOUT and not scenario.fleet.rollout:
-            found.append((("step", index, "do"), f'step "{step.name}": do: needs fleet {{ rollout = true }}'))
-        if step.do in PUBLISH and not scenario.fleet.publishers:
-            found.append((("step", index, "do"), f'step "{step.name}": do: needs fleet {{ publishers }}'))
-    found += _cycles(scenario) + _parts(scenario)
-    for index, claim in enumerate(scenario.claim):
-        for step in scenario.step if claim.kind == "told" else ():
-            if step.late >= claim.bound:
-                reason = f'claim "{claim.name}": bound: step "{step.name}" tells later than that'
-                found.append((("claim", index, "bound"), reason))
-        if claim.kind in DISTRIBUTION and not scenario.fleet.publishers:
-            reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ publishers }}'
+    return [
+        ((kind, index), f'{kind} "{name}" is given twice')
+        for kind, given in names.items()
+        for index, name in enumerate(given)
+        if name in given[:index]
+    ]
+
+
+def _clocks(scenario: Scenario) -> Faults:
+    gateways = scenario.gateways()
+    return [
+        (("clock", index), f'clock "{clock.gateway}": there is no such gateway')
+        for index, clock in enumerate(scenario.clock)
+        if clock.gateway not in gateways
+    ]
+
+
+def _step(scenario: Scenario, index: int, step: Step) -> Faults:
+    return [
+        *_names_of_ends(scenario, index, step),
+        *_datagrams(scenario, index, step),
+        *_waits(scenario, index, step),
+        *_switches_of_step(scenario, index, step),
+    ]
+
+
+def _names_of_ends(scenario: Scenario, index: int, step: Step) -> Faults:
+    """Words of a step that name no gateway, server or other end."""
+    gateways = scenario.gateways()
+    servers = list(scenario.servers())
+    ends = scenario.ends()
+    on_gateways = step.do in (*GATEWAY, *ROLLOUT, "hold")
+    words = (
+        ("from", step.from_, ends),
+        ("to", step.to, ends),
+        ("who", step.who, gateways if on_gateways else servers),
+        ("gateways", step.gateways, gateways),
+    )
+    found: Faults = []
+    for field, patterns, known in words:
+        for pattern in patterns:
+            moving = pattern in scenario.words() and known is not servers
+            if not moving and not scenario.meant((pattern,), known):
+                reason = f'step "{step.name}": {field}: nothing is called "{pattern}"'
+                found.append((("step", index, field), reason))
+    return found
+
+
+def _datagrams(scenario: Scenario, index: int, step: Step) -> Faults:
+    if step.do not in DATAGRAMS:
+        return []
+    gateways = scenario.gateways()
+    others = [end for end in scenario.meant((*step.from_, *step.to), scenario.ends()) if end not in gateways]
+    if scenario.fleet.peers and not others:
+        return []
+    reason = f'step "{step.name}": do: {step.do} is for datagrams, which go between gateways with peers'
+    return [(("step", index, "do"), reason)]
+
+
+def _waits(scenario: Scenario, index: int, step: Step) -> Faults:
+    """What a step waits for that never comes."""
+    steps = [other.name for other in scenario.step]
+    found: Faults = []
+    for field, word in (("after", step.after), ("until", step.until)):
+        if word and word not in steps and word not in scenario.events():
+            found.append((("step", index, field), f'step "{step.name}": {field}: no step or event "{word}"'))
+        if word == step.name:
+            found.append((("step", index, field), f'step "{step.name}": {field}: is the step itself'))
+    return found
+
+
+def _switches_of_step(scenario: Scenario, index: int, step: Step) -> Faults:
+    found: Faults = []
+    if step.do in ROLLOUT and not scenario.fleet.rollout:
+        found.append((("step", index, "do"), f'step "{step.name}": do: needs fleet {{ rollout = true }}'))
+    if step.do in PUBLISH and not scenario.fleet.publishers:
+        found.append((("step", index, "do"), f'step "{step.name}": do: needs fleet {{ publishers }}'))
+    return found
+
+
+def _claim(scenario: Scenario, index: int, claim: Claim) -> Faults:
+    found: Faults = []
+    steps = [step.name for step in scenario.step]
+    for step in scenario.step if claim.kind == "told" else ():
+        if step.late >= claim.bound:
+            reason = f'claim "{claim.name}": bound: step "{step.name}" tells later than that'
+            found.append((("claim", index, "bound"), reason))
+    found += _switches_of_claim(scenario, index, claim)
+    for field, word in (("after", claim.after), ("until", claim.until)):
+        if word and word not in steps:
+            found.append((("claim", index, field), f'claim "{claim.name}": {field}: no step "{word}"'))
+    if not all(matching((pattern,), scenario.gateways()) for pattern in claim.who):
+        found.append((("claim", index, "who"), f'claim "{claim.name}": who: a word names no gateway'))
+    return found
+
+
+def _switches_of_claim(scenario: Scenario, index: int, claim: Claim) -> Faults:
+    found: Faults = []
+    if claim.kind in DISTRIBUTION and not scenario.fleet.publishers:
+        reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ publishers }}'
+        found.append((("claim", index, "kind"), reason))
+    for claims, switch in _SWITCHES.items():
+        if claim.kind in claims and not getattr(scenario.fleet, switch):
+            reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ {switch} = true }}'
             found.append((("claim", index, "kind"), reason))
-        for claims, switch in _SWITCHES.items():
-            if claim.kind in claims and not getattr(scenario.fleet, switch):
-                reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ {switch} = true }}'
-                found.append((("claim", index, "kind"), reason))
-        for field, word in (("after", claim.after), ("until", claim.until)):
-            if word and word not in steps:
-                found.append((("claim", index, field), f'claim "{claim.name}": {field}: no step "{word}"'))
-        if not all(matching((pattern,), gateways) for pattern in claim.who):
-            found.append((("claim", index, "who"), f'claim "{claim.name}": who: a word names no gateway'))
     return found
 
 
