--- a/yardbank/ldap/front.py
+++ b/yardbank/ldap/front.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import hmac
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from functools import partial
 from itertools import count
@@ -82,6 +82,16 @@
         self._client.finish(self._number, m.Result(tag, code, diagnostic=reason))
 
 
+def _refused_control(controls: Iterable[m.Control]) -> tuple[Code, str] | None:
+    """Why a request cannot be served with its controls; None: it can."""
+    for control in controls:
+        if control.oid == m.Oid.PROXIED_AUTHORIZATION:  # would borrow the gateway's own rights
+            return Code.INSUFFICIENT_ACCESS, "proxied authorization is not allowed"
+        if control.critical and control.oid not in PASSED_ON and control.oid not in SORTED:
+            return Code.UNAVAILABLE_CRITICAL_EXTENSION, f"control {control.oid} is not supported"
+    return None
+
+
 @implementer(IPushProducer)
 class LdapFront(Intake):
     """One client's connection."""
@@ -228,15 +238,12 @@
         return None
 
     def _asked(self, message: m.Message, raw: codec.Envelope) -> None:
+        """Serve one request: here, by one group, or by several."""
         operation = message.operation
         if isinstance(operation, m.BindRequest):
             return self._bind(message, operation)
-        for control in message.controls:
-            if control.oid == m.Oid.PROXIED_AUTHORIZATION:  # would borrow the gateway's own rights
-                return self._answer(message, Code.INSUFFICIENT_ACCESS, "proxied authorization is not allowed")
-            if control.critical and control.oid not in PASSED_ON and control.oid not in SORTED:
-                reason = f"control {control.oid} is not supported"
-                return self._answer(message, Code.UNAVAILABLE_CRITICAL_EXTENSION, reason)
+        if (refusal := _refused_control(message.controls)) is not None:
+            return self._answer(message, *refusal)
         entry = None
         if isinstance(operation, m.ExtendedRequest):
             if operation.oid != m.Oid.PASSWORD_MODIFY:
@@ -250,10 +257,18 @@
         tree = self._factory.classifier.tree
         if isinstance(operation, m.SearchRequest) and (reach := spans(tree, operation, naming.fold(operation.base))):
             return self._search_many(message, operation, raw, reach)
+        return self._serve_from_one_group(message, operation, raw, entry)
+
+    def _serve_from_one_group(
+        self, message: m.Message, operation: m.Request, raw: codec.Envelope, entry: str | None
+    ) -> None:
+        """Hand a request over to the group that holds its entry."""
         if any(control.critical and control.oid in SORTED for control in message.controls):
             reason = "entries cannot be sorted here"
             return self._answer(message, Code.UNAVAILABLE_CRITICAL_EXTENSION, reason)
-        if isinstance(operation, m.ModifyDNRequest) and tree.moves_between(*renamed(operation)):
+        if isinstance(operation, m.ModifyDNRequest) and self._factory.classifier.tree.moves_between(
+            *renamed(operation)
+        ):
             return self._answer(message, Code.AFFECTS_MULTIPLE_DSAS, "the entry would leave its group")
         placed = self._factory.classifier.place(operation, self._identity, entry)
         if placed.group is None:
--- a/yardbank/testing/audit/rules.py
+++ b/yardbank/testing/audit/rules.py
@@ -10,60 +10,87 @@
 from yardbank.testing.audit.rule import BUSY, REFERRAL, Bounds, Rule, frame, outcome
 
 
+class _OpenRequests:
+    """What each client is owed, fact by fact."""
+
+    def __init__(self, facts: list[Fact], bounds: Bounds, excuses: Excuses) -> None:
+        self.rule = Rule("one final answer in time")
+        self._bounds = bounds
+        self._excuses = excuses
+        self._open: dict[str, dict[str, Fact]] = defaultdict(dict)  # by client and tag
+        self._answered: dict[str, Fact] = {}
+        self._killed = [fact["at"] for fact in facts if fact["kind"] == "killed"]
+        # By a server: so a gateway had taken it.
+        self._reached = {fact["tag"] for fact in facts if fact["kind"] == "received"}
+
+    def take(self, fact: Fact) -> None:
+        """The next fact of the record."""
+        client = fact.get("client", "")
+        match fact["kind"]:
+            case "sent":
+                self._open[client][fact["tag"]] = fact
+            case "answer":
+                self._answer(fact)
+            case "unasked":
+                self.rule.found.append(f"sent to a client for nothing it was owed: {frame(fact)}")
+            case "gave_up":  # a client that has waited too long; it leaves next
+                self._gave_up(fact)
+            case "cancelled":  # by the protocol's own means: no answer is owed
+                self._open[client].pop(fact["tag"], None)
+            case "left":
+                self._open[client].clear()  # its own choice: nothing is owed any more
+            case "lost":
+                self._lost(fact)
+
+    def _silent(self, asked: Fact, until: float) -> bool:
+        return self._excuses.silence(asked.get("gateway", ""), asked["at"], until)
+
+    def _answer(self, fact: Fact) -> None:
+        asked = self._open[fact.get("client", "")].pop(fact["tag"], None)
+        if asked is None:
+            before = frame(self._answered[fact["tag"]]) if fact["tag"] in self._answered else "nothing"
+            self.rule.found.append(f"answered twice, or never asked: {frame(fact)}; before: {before}")
+            return
+        self.rule.judged += 1
+        self._answered[fact["tag"]] = fact
+        late = fact["at"] - asked["at"] - asked.get("deadline", float("inf"))
+        if late > self._bounds.answer_slack and not self._silent(asked, fact["at"]):
+            self.rule.found.append(f"{late:.3f} s late: {frame(asked)}; {frame(fact)}")
+
+    def _gave_up(self, fact: Fact) -> None:
+        asked = self._open[fact.get("client", "")].pop(fact["tag"], None)
+        if asked is not None and not self._silent(asked, fact["at"]):
+            self.rule.judged += 1
+            self.rule.found.append(f"not answered in time: {frame(asked)}; {frame(fact)}")
+
+    def _lost(self, fact: Fact) -> None:
+        owed = self._open.pop(fact.get("client", ""), {})
+        if fact.get("excused") or any(at - 0.2 <= fact["at"] <= at + 2 for at in self._killed):
+            return
+        for asked in owed.values():
+            taken = asked["tag"] in self._reached
+            if self._silent(asked, fact["at"]):
+                continue
+            if taken or not self._excuses.loss(asked.get("gateway", ""), asked["at"], fact["at"]):
+                self.rule.found.append(f"connection lost with no final answer: {frame(asked)}; {frame(fact)}")
+
+    def end(self, at: float) -> None:
+        """The record ends: whatever is owed and due by then was never answered."""
+        for owed in self._open.values():
+            for asked in owed.values():
+                due = asked["at"] + asked.get("deadline", 0.0) + self._bounds.answer_slack
+                if at > due and not self._excuses.loss(asked.get("gateway", ""), asked["at"], due):
+                    self.rule.judged += 1
+                    self.rule.found.append(f"never answered: {frame(asked)}")
+
+
 def one_answer(facts: list[Fact], bounds: Bounds, excuses: Excuses) -> Rule:
     """Each thing taken gets one final answer in time, and nothing after it."""
-    rule = Rule("one final answer in time")
-    open_by: dict[str, dict[str, Fact]] = defaultdict(dict)
-    answered: dict[str, Fact] = {}
-    killed = [fact["at"] for fact in facts if fact["kind"] == "killed"]
-    reached = {fact["tag"] for fact in facts if fact["kind"] == "received"}  # a server: so a gateway had taken it
-    end = facts[-1]["at"] if facts else 0.0
+    requests = _OpenRequests(facts, bounds, excuses)
     for fact in facts:
-        kind, client = fact["kind"], fact.get("client", "")
-        if kind == "sent":
-            open_by[client][fact["tag"]] = fact
-        elif kind == "answer":
-            asked = open_by[client].pop(fact["tag"], None)
-            if asked is None:
-                before = frame(answered[fact["tag"]]) if fact["tag"] in answered else "nothing"
-                rule.found.append(f"answered twice, or never asked: {frame(fact)}; before: {before}")
-                continue
-            rule.judged += 1
-            answered[fact["tag"]] = fact
-            late = fact["at"] - asked["at"] - asked.get("deadline", float("inf"))
-            if late > bounds.answer_slack and not excuses.silence(asked.get("gateway", ""), asked["at"], fact["at"]):
-                rule.found.append(f"{late:.3f} s late: {frame(asked)}; {frame(fact)}")
-        elif kind == "unasked":
-            rule.found.append(f"sent to a client for nothing it was owed: {frame(fact)}")
-        elif kind == "gave_up":  # a client that has waited too long; it leaves next
-            asked = open_by[client].pop(fact["tag"], None)
-            if asked is not None and not excuses.silence(asked.get("gateway", ""), asked["at"], fact["at"]):
-                rule.judged += 1
-                rule.found.append(f"not answered in time: {frame(asked)}; {frame(fact)}")
-        elif kind == "cancelled":  # by the protocol's own means: no answer is owed
-            open_by[client].pop(fact["tag"], None)
-        elif kind == "left":
-            open_by[client].clear()  # its own choice: nothing is owed any more
-        elif kind == "lost":
-            owed = open_by.pop(client, {})
-            excused = fact.get("excused") or any(at - 0.2 <= fact["at"] <= at + 2 for at in killed)
-            rule.found += (
-                []
-                if excused
-                else [
-                    f"connection lost with no final answer: {frame(asked)}; {frame(fact)}"
-                    for asked in owed.values()
-                    if not excuses.silence(asked.get("gateway", ""), asked["at"], fact["at"])
-                    and (asked["tag"] in reached or not excuses.loss(asked.get("gateway", ""), asked["at"], fact["at"]))
-                ]
-            )
-    for owed in open_by.values():
-        for asked in owed.values():
-            due = asked["at"] + asked.get("deadline", 0.0) + bounds.answer_slack
-            if end > due and not excuses.loss(asked.get("gateway", ""), asked["at"], due):
-                rule.judged += 1
-                rule.found.append(f"never answered: {frame(asked)}")
-    return rule
+        requests.take(fact)
+    requests.end(facts[-1]["at"] if facts else 0.0)
+    return requests.rule
 
 
 def no_effect_twice(facts: list[Fact]) -> Rule:
