--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -292,12 +292,12 @@
     assert set(went(world, 20)) == {2}
     world.feed(GossipedOutliers(tuple((number, world.now + 5 * SECOND) for number in (1, 2, 4))))
     assert set(went(world, 20)) == {3}
-    until = max(world.router.hearsay.values())
+    until = max(world.router.table.gossiped_outliers.values())
     world.now = until - 1000 * MS
     assert set(went(world, 20)) == {3}
-    world.router.servers[3].strain = 4.0  # it is the worst now: only the doubt keeps reads there
+    world.router.servers[3].latency_ratio = 4.0  # it is the worst now: only the doubt keeps reads there
     assert set(went(world, 1)) == {3}
-    world.router.servers[3].strain, world.now = 4.0, until
+    world.router.servers[3].latency_ratio, world.now = 4.0, until
     assert 3 not in went(world, 1)
 
 
@@ -326,21 +326,21 @@
     """A copy that failed eight times is away for two seconds; others find it well."""
     world = knowing()
     copy = world.router.servers[2]
-    copy.failures, copy.retry_at = 4, world.now + 2 * SECOND
+    copy.failures, copy.ejected_until = 4, world.now + 2 * SECOND
     assert 2 not in went(world, 10)
     world.feed(GossipedOutliers(well=(2, 99)))
-    assert world.now < copy.retry_at <= world.now + 250 * MS and copy.failures == 4
-    before = copy.retry_at
+    assert world.now < copy.ejected_until <= world.now + 250 * MS and copy.failures == 4
+    before = copy.ejected_until
     world.feed(GossipedOutliers(well=(2,)))
-    assert copy.retry_at <= before
-    assert world.router.servers[3].retry_at == 0
+    assert copy.ejected_until <= before
+    assert world.router.servers[3].ejected_until == 0
 
 
 def test_gateways_that_hear_good_words_do_not_try_at_one_time():
     times = set()
     for seed in range(20):
         world = World(group(3), reports="probe", seed=seed)
-        world.router.servers[2].failures, world.router.servers[2].retry_at = 4, world.now + 2 * SECOND
+        world.router.servers[2].failures, world.router.servers[2].ejected_until = 4, world.now + 2 * SECOND
         world.feed(GossipedOutliers(well=(2,)))
-        times.add(world.router.servers[2].retry_at)
+        times.add(world.router.servers[2].ejected_until)
     assert len(times) == 20
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -111,7 +111,7 @@
     assert sink.finals == ["served"]
     assert one.gateway._router.servers.keys() == two.gateway._router.servers.keys()
     assert not any(a is b for a, b in zip(one.gateway._router.servers.values(), two.gateway._router.servers.values()))
-    assert not two.gateway._router.tokens and one.gateway._router.tokens
+    assert not two.gateway._router.sessions.tokens and one.gateway._router.sessions.tokens
 
 
 def test_the_same_events_give_the_same_record():
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -24,9 +24,15 @@
     place = fleet_of(120)
     router = place.gateway._router
     for server in router.servers.values():
-        server.silent, server.failures, server.strain, server.load, server.lag = True, 3, 3.999, 1.123, 12345 * MS
+        server.silent, server.failures, server.latency_ratio, server.load, server.lag = (
+            True,
+            3,
+            3.999,
+            1.123,
+            12345 * MS,
+        )
     for group in range(20):
-        router.wary[group] = 1 << 62
+        router.selection.cautious_until[group] = 1 << 62
     for number in range(64):
         place.gateway._ends[f"error: a rather long reason that was seen once and number {number:02} of it"] = 12345
     view = place.gateway.view()
--- a/tests/platform/test_drawn_settings.py
+++ b/tests/platform/test_drawn_settings.py
@@ -8,8 +8,8 @@
 
 from tests.support.drawn_adapter_play import WirePlay
 from tests.support.drawn_platform_play import Play, milliseconds
-from yardbank.policy import Router
-from yardbank.policy.picking import Picking
+from yardbank.policy.admission import Admission
+from yardbank.policy.selection import Selection
 
 NAMED = st.text(st.sampled_from("abzAZ019_-.:;!?@#$%^&()+~|<>=/'\\\"[]{}`"), min_size=1, max_size=12)
 READS = ("mutate", "strong", "causal", "lag_bound", "eventual")
@@ -187,15 +187,16 @@
 @pytest.mark.parametrize("what", ["classes", "servers", "zones"])
 def test_an_action_that_depends_on_a_name_is_found(what, monkeypatch):
     if what == "classes":  # what is held goes by its class's name
-        order = Picking.order
-        monkeypatch.setattr(Picking, "order", lambda self: sorted(order(self)))
-        monkeypatch.setattr(Router, "order", lambda self: sorted(order(self)))
+        ranked = Admission._ranked
+        monkeypatch.setattr(Admission, "_ranked", lambda self: sorted(ranked(self)))
     elif what == "servers":  # the list is gone through by name
         take = Play.__init__.__globals__["specs"]
         monkeypatch.setitem(
             Play.__init__.__globals__, "specs", lambda listing: sorted(take(listing), key=lambda s: s.name)
         )
     else:
-        monkeypatch.setattr(Router, "cost", lambda self, server, primary: (server.zone > "M") + self.random.random())
+        monkeypatch.setattr(
+            Selection, "cost", lambda self, now, server, primary: (server.zone > "M") + self._random.random()
+        )
     with pytest.raises(AssertionError):
         search(phases=(Phase.generate,))
--- a/tests/platform/test_standing_terms.py
+++ b/tests/platform/test_standing_terms.py
@@ -37,8 +37,9 @@
 class TurnsAllAway(Watched):
     """Once it has shed, it sheds for good."""
 
-    def admits(self, held):
-        return self.now < START + 4 * SECOND
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.admission.admits = lambda now, pending: now < START + 4 * SECOND
 
 
 def spells(noted):
--- a/tests/policy/test_cold_fleet.py
+++ b/tests/policy/test_cold_fleet.py
@@ -14,7 +14,7 @@
 
 from yardbank import interface as api
 from yardbank.policy import Router
-from yardbank.policy.servers import Knowledge
+from yardbank.policy.servers import ServerTable
 from yardbank.testing.rig.virtual import Fleet, World
 from yardbank.testing.rig.virtual_world import MS, SECOND, START
 
@@ -133,13 +133,21 @@
     assert worst(seed=seed, **case) <= 1.0
 
 
-class Unwary(Router):
+class AlwaysWarm(ServerTable):
     """The guard taken out: every server counts as warm."""
 
-    def warmth(self, server):
+    def warmup_fraction(self, now, server):
         return 1.0
 
 
+class Unwary(Router):
+    """A router whose servers all count as warm."""
+
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.table.__class__ = AlwaysWarm
+
+
 def test_without_its_ramp_a_fleet_pushes_cold_servers_over():
-    assert Unwary.warmth is not Knowledge.warmth
+    assert AlwaysWarm.warmup_fraction is not ServerTable.warmup_fraction
     assert max(worst(Unwary, seed=seed, load=1.6) for seed in (1, 2)) > 1.5
--- a/tests/policy/test_gossiped_positions.py
+++ b/tests/policy/test_gossiped_positions.py
@@ -47,15 +47,15 @@
 def test_marks_tell_no_role_no_health_no_trust_and_nothing_of_strangers(seed):
     world = World(group(2), seed=seed)
     server = world.router.servers[2]
-    server.silent, server.retry_at, server.failures = True, world.now + SECOND, 2
+    server.silent, server.ejected_until, server.failures = True, world.now + SECOND, 2
     before = server.answered_at, server.load_at, dict(server.role_at)
     marked(world, 2, after=MS)
-    assert (server.silent, server.failures) == (True, 2) and server.retry_at > world.now
+    assert (server.silent, server.failures) == (True, 2) and server.ejected_until > world.now
     assert (server.answered_at, server.load_at, server.role_at) == before and not server.is_primary()
     position = server.position
     for report in (Report(world.now + SECOND, False), Report(None, False)):  # beyond the clock; none at all
         world.feed(PositionGossiped(2, report))
-    assert server.position == position and not world.router.loads
+    assert server.position == position and not world.router.table.group_loads
     assert marked(world, 77) == []
 
 
--- a/tests/policy/test_health.py
+++ b/tests/policy/test_health.py
@@ -38,8 +38,8 @@
     world = World(group(2))
     for server in (2, 3):
         world.known(server)
-    world.router.servers[2].silent, world.router.servers[2].retry_at = True, world.now
-    world.router.servers[2].strain = 4.0
+    world.router.servers[2].silent, world.router.servers[2].ejected_until = True, world.now
+    world.router.servers[2].latency_ratio = 4.0
     world.ask("r", "any", left=5 * SECOND)
     assert sent(world) == [2]
     asked = world.now
@@ -107,7 +107,7 @@
     world.ask("r", "any")
     assert sent(world) == [2]
     world.end("r", 2, "connect_failed", after=MS)
-    assert [action.server for action in world.of(Probe)] == [2] and world.router.servers[2].retry_at == 0
+    assert [action.server for action in world.of(Probe)] == [2] and world.router.servers[2].ejected_until == 0
     world.known(2)
     world.ask("s", "commit", after=SECOND)
     answer_all(world, "ok")
@@ -123,7 +123,7 @@
     server = sent(world)[0]
     world.end("r", server, "connect_failed", after=MS)
     world.feed(Probed(server, "connect_failed", MS), MS)
-    assert world.router.servers[server].retry_at > world.now and world.router.scarce_until == 0
+    assert world.router.servers[server].ejected_until > world.now and world.router.scarce_until == 0
 
 
 def test_a_replica_that_misses_is_not_asked_again_at_each_sweep():
@@ -168,17 +168,17 @@
     world.ask("lost", kind, left=SECOND)
     server = world.of(Send)[0].server
     for number in range(count):
-        world.router.servers[3 - server].rest_until = world.now + SECOND  # all go to the one
+        world.router.servers[3 - server].overload_until = world.now + SECOND  # all go to the one
         world.ask(f"r{number}", kind)
         assert world.of(Send)[0].server == server
         world.end(f"r{number}", server)
-    world.router.servers[3 - server].rest_until = 0
+    world.router.servers[3 - server].overload_until = 0
     return world, server
 
 
 def test_a_read_that_a_calm_server_has_passed_over_goes_elsewhere():
     world, server = passed_over()
-    strain = world.router.servers[server].strain
+    latency_ratio = world.router.servers[server].latency_ratio
     world.tick(200 * MS)
     assert not world.of(Cancel)
     world.tick(300 * MS)
@@ -187,22 +187,26 @@
     assert not world.of(Cancel)  # once is enough
     world.end("lost", server, "cancelled", after=0, closed=False)
     assert [action.server for action in world.of(Send)] == [3 - server]
-    assert world.router.servers[server].strain == strain and not world.router.servers[server].silent
+    assert world.router.servers[server].latency_ratio == latency_ratio and not world.router.servers[server].silent
 
 
 def test_a_write_that_is_passed_over_stays_out_and_its_timeout_is_no_slow_server():
     world, server = passed_over("commit", 1)
-    before = world.router.servers[server].strain, list(world.router.tally)
+    before = (
+        world.router.servers[server].latency_ratio,
+        world.router.admission.recent_attempts,
+        world.router.admission.recent_successes,
+    )
     world.tick(700 * MS)
     assert not world.of(Cancel)
     world.end("lost", server, "timeout", after=200 * MS, closed=False)
-    assert world.of(Fail) and world.router.servers[server].strain == before[0]
-    assert world.router.tally == before[1]
+    assert world.of(Fail) and world.router.servers[server].latency_ratio == before[0]
+    assert (world.router.admission.recent_attempts, world.router.admission.recent_successes) == before[1:]
 
 
 def test_a_read_at_a_strained_server_is_not_taken_for_lost():
     world, server = passed_over()
-    world.router.servers[server].strain = 0.5
+    world.router.servers[server].latency_ratio = 0.5
     world.tick(500 * MS)
     assert not world.of(Cancel)
 
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -14,7 +14,7 @@
         world = World(group(3), seed=seed, gateways=400)
         world.feed(ServerList("delta", (Member(4, "a", 0, False, "ready", world.now),)))
         for server in (1, 2, 3):  # calm looks must not draw more to it
-            world.router.servers[server].strain = 2.0
+            world.router.servers[server].latency_ratio = 2.0
         world.ask("r", "any")
         taken += sent(world) == [4]
     assert 0 < taken < 1.5 * 400 * 0.3 / 4
@@ -62,7 +62,7 @@
     for _ in range(5):
         world.tick(100 * MS)
     world.ask("new", "commit", left=3 * SECOND)
-    world.router.servers[1].silent, world.router.servers[1].retry_at = False, 0
+    world.router.servers[1].silent, world.router.servers[1].ejected_until = False, 0
     world.end("first", 1, role=Role.PRIMARY, after=MS)
     assert [action.id for action in world.of(Send)] == ["new", "old"]  # in this order; a good answer made room for two
 
@@ -109,12 +109,12 @@
         world.ask(f"r{index}", "any", after=50 * MS)
         for server in sent(world):
             world.end(f"r{index}", server, "connect_failed", after=MS)
-    assert world.router.tally[0] == 0
+    assert world.router.admission.recent_attempts == 0
 
 
 def test_a_full_server_is_left_alone_for_longer_each_time():
     world = World(group(0))
-    world.router.set = replace(world.router.set, may_probe=False)
+    world.router.table.settings = replace(world.router.table.settings, may_probe=False)
     pauses = []
     for index in range(3):
         world.ask(f"w{index}", "commit", left=3 * SECOND)
@@ -138,7 +138,10 @@
             world.end(f"r{index}", server, after=350 * MS, role=Role.REPLICA)
     world.ask("next", "any", after=8 * SECOND)
     assert sent(world) == [2]
-    assert all(world.router.strain_of(world.router.servers[3 + index]) > 0.3 for index in range(8))
+    assert all(
+        world.router.table.expected_latency_ratio(world.now, world.router.servers[3 + index]) > 0.3
+        for index in range(8)
+    )
 
 
 def test_a_large_group_is_looked_at_in_part_and_in_whole_where_the_part_will_not_do():
@@ -177,7 +180,7 @@
     world.ask("lost", "any")
     world.end("lost", world.of(Send)[0].server, "reset", closed=False)
     for server in (2, 3, 4):
-        world.router.servers[server].retry_at = world.now + 100 * SECOND if server == 2 else 0
+        world.router.servers[server].ejected_until = world.now + 100 * SECOND if server == 2 else 0
     assert 2 not in shares(world, 50)
 
 
@@ -194,7 +197,7 @@
 
 def test_a_request_that_was_never_sent_is_given_up_at_half_its_time():
     world = World(group(replicas=0))
-    world.router.servers[1].rest_until = world.now + 10 * SECOND
+    world.router.servers[1].overload_until = world.now + 10 * SECOND
     world.ask("held", "commit", left=1000 * MS)
     assert not world.of(Refuse)
     world.tick(400 * MS)
@@ -207,7 +210,7 @@
     world = World(group(replicas=0))
     world.ask("again", "commit", left=1000 * MS)
     world.end("again", 1, "full", closed=False)
-    world.router.servers[1].rest_until = world.now + 10 * SECOND
+    world.router.servers[1].overload_until = world.now + 10 * SECOND
     world.tick(500 * MS)
     assert "again" in world.router.requests and not world.of(Refuse)
 
@@ -231,20 +234,21 @@
             for send in world.of(Send):
                 world.end(send.id, send.server, "ok", after=450 * MS)
         for server in world.router.servers.values():
-            server.strain = 0.1
-        world.router.zones["a"] = 0.1
+            server.latency_ratio = 0.1
+        world.router.table.zone_latency_ratios["a"] = 0.1
         if pressed:
             world.ask("full", "commit")
             world.end("full", 1, "full", closed=False)
-        wanted = world.router.tally[0]
+        wanted = world.router.admission.recent_attempts
         for number in range(30):
             world.ask(f"next{number}", "any", after=0)
-        assert (world.router.tally[0] > wanted) is pressed
+        assert (world.router.admission.recent_attempts > wanted) is pressed
 
 
 def test_shedding_before_any_answer_has_come_is_legal():
     world = World(group(replicas=0))
-    world.router.tally, world.router.tallied_at = [100.0, 0.0], world.now
+    world.router.admission.recent_attempts, world.router.admission.recent_successes = 100.0, 0.0
+    world.router.admission.counted_at = world.now
     for number in range(20):
         world.ask(f"r{number}", "any", after=0)
-    assert world.of(Refuse) and not world.router.zones
+    assert world.of(Refuse) and not world.router.table.zone_latency_ratios
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -143,18 +143,22 @@
 def test_what_is_shed_is_no_reason_to_shed_where_load_is_told():
     world = thin()
     router = world.router
-    router.tally, router.tallied_at, router.pressed_at = [40.0, 0.0], world.now, world.now
+    router.admission.recent_attempts, router.admission.recent_successes = 40.0, 0.0
+    router.admission.counted_at = router.admission.pressed_at = world.now
     for number in range(200):
         world.ask(f"s{number}", "lookup", after=0)
         for send in world.of(Send):
             world.feed(ClientCancelled(send.id))
-    assert router.shed["share"] > 150 and router.tally == [40.0, 0.0]
+    assert router.shed["share"] > 150 and (router.admission.recent_attempts, router.admission.recent_successes) == (
+        40.0,
+        0.0,
+    )
 
 
 def test_after_an_outage_requests_are_tried_again():
     world = thin()
-    kind = world.router.kinds["lookup"]
-    world.router.usual["lookup"] = 2.0 * kind.latency_objective  # only time-outs, for long
+    kind = world.router.request_classes["lookup"]
+    world.router.admission.usual_latency["lookup"] = 2.0 * kind.latency_objective  # only time-outs, for long
     world.ask("r", "lookup", after=10 * SECOND)
     assert [send.id for send in world.of(Send)] == ["r"]
 
@@ -163,15 +167,14 @@
     world = thin()
     asked = []
     for _ in range(1000):
-        world.router.now = world.now
-        if world.router.probe(world.router.servers[2]):
+        if world.router.table.probe(world.now, world.router.servers[2]):
             asked.append(world.now)
             world.feed(Probed(2, "timeout", 10 * MS), 10 * MS)
         world.now += 10 * MS
     gaps = [later - earlier for earlier, later in pairwise(asked)]
     assert gaps[0] < 2 * gaps[2] < 4 * gaps[-1] and max(gaps) < 2 * SECOND
     world.feed(Probed(2, "ok", MS, Report(world.now, False, 0.1)))
-    assert world.router.servers[2].unanswered == 0
+    assert world.router.servers[2].unanswered_probes == 0
 
 
 def test_few_gateways_go_by_what_they_hear_themselves():
@@ -185,7 +188,7 @@
     world = thin(tokens="carried", seed=3)
     world.feed(ServerList("delta", (Member(4, "a", 0, False, "ready", world.now - 30 * SECOND),)))
     for other in (1, 2, 3):
-        world.router.servers[other].rest_until = world.now + 10 * SECOND
+        world.router.servers[other].overload_until = world.now + 10 * SECOND
     world.ask("one", "lookup")
     assert [send.server for send in world.of(Send)] == [4] and not world.of(Probe)
     world.ask("two", "lookup")
@@ -194,7 +197,7 @@
     world.ask("three", "lookup")
     assert 4 not in [send.server for send in world.of(Send)]  # it said that it is behind
     few = thin(tokens="carried", seed=3)
-    few.router.looks = False  # gateways that see much of each server ask it instead
+    few.router.table.probes_before_sending = False  # gateways that see much of each server ask it instead
     few.feed(ServerList("delta", (Member(4, "a", 0, False, "ready", few.now - 30 * SECOND),)))
     few.ask("one", "lookup")
     assert 4 not in [send.server for send in few.of(Send)]
@@ -207,12 +210,14 @@
     new = tuple(Member(number, "a", 0, number == 4, "ready", world.now) for number in (4, 5, 6))
     world.feed(ServerList("delta", old))
     world.feed(ServerList("delta", new))
-    assert world.router.most[0] == 3
+    assert world.router.table.max_members[0] == 3
     copies = [world.router.servers[number] for number in (5, 6)]
     taken = 0
     for index in range(300):
         world.ask(f"r{index}", "lookup")
-        held = world.router.requests.get(f"r{index}")
-        taken += held is not None and any(world.router.has_room(copy, held) for copy in copies)
+        pending = world.router.requests.get(f"r{index}")
+        taken += pending is not None and any(
+            world.router.selection.has_capacity(world.now, copy, pending) for copy in copies
+        )
         world.feed(ClientCancelled(f"r{index}"))
     assert 70 <= taken <= 130  # two copies, half warm: a third of the lots; by six places it was a sixth
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -18,7 +18,7 @@
     Settings,
     Timer,
 )
-from yardbank.policy import router as policy
+from yardbank.policy import sessions
 
 
 def test_session_read_follows_its_token():
@@ -66,7 +66,7 @@
     world = World()
     for server in (2, 3):
         world.feed(Probed(server, "ok", MS, Report(world.now + SECOND, False)))
-    world.router.set = replace(world.router.set, may_probe=False)
+    world.router.table.settings = replace(world.router.table.settings, may_probe=False)
     world.ask("r", "lookup")
     assert sent(world) == [1]
 
@@ -182,15 +182,15 @@
 
 
 def test_state_stays_bounded(monkeypatch):
-    monkeypatch.setattr(policy, "TOKENS", 50)
+    monkeypatch.setattr(sessions, "MAX_TOKENS", 50)
     world = World()
     world.known(1, primary=True)
     for index in range(200):
         world.ask(f"w{index}", "commit", session=f"s{index}", after=SECOND)
         world.end(f"w{index}", 1, role=Role.PRIMARY, position=world.now)
         world.tick()
-    assert len(world.router.tokens) == 50 and not world.router.requests
-    assert world.router.floors[0] > 0
+    assert len(world.router.sessions.tokens) == 50 and not world.router.requests
+    assert world.router.sessions.floors[0] > 0
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -29,7 +29,7 @@
     world = World(members, seed=seed, reports="probe", **more)
     for server, primary in ((1, True), (2, False), (3, False)):
         world.known(server, primary=primary)
-        world.router.servers[server].strain = 2.0 if primary else 0.1
+        world.router.servers[server].latency_ratio = 2.0 if primary else 0.1
     return world
 
 
@@ -42,7 +42,7 @@
         went += send.server == server
         world.feed(ClientCancelled(send.id))
         world.router.attempts.pop((send.id, 0))
-        del world.router.servers[send.server].waiting[send.id, 0]
+        del world.router.servers[send.server].in_flight[send.id, 0]
     return went / count
 
 
@@ -50,7 +50,7 @@
 def test_a_zone_that_is_named_costs_what_its_way_does_against_the_aim_and_others_the_constant(seed):
     world = far_and_near(seed)
     near, far = world.router.servers[2], world.router.servers[3]
-    near.strain = 0.124  # chance adds up to a fifth
+    near.latency_ratio = 0.124  # chance adds up to a fifth
     assert share_of(world, 3) == 0  # 0.1 * 1.5 is more
     world.feed(ZoneLatencies((("b", MS, 0),)))
     assert share_of(world, 3) == 1  # 0.1 + 1/400 is less
@@ -58,14 +58,14 @@
     assert share_of(world, 3) == 0
     world.feed(ZoneLatencies((("c", 1, 0),)))  # replaces the last: b costs the constant again
     assert share_of(world, 3) == 0
-    far.strain = 0.06
+    far.latency_ratio = 0.06
     assert share_of(world, 3) == 1
 
 
 @BOTH_SEEDS
 def test_a_fast_far_copy_is_preferred_to_a_slow_near_one_as_long_as_its_way_is_worth_it(seed):
     world = far_and_near(seed)
-    world.router.servers[2].strain, world.router.servers[3].strain = 0.5, 0.05
+    world.router.servers[2].latency_ratio, world.router.servers[3].latency_ratio = 0.5, 0.05
     for beyond, wanted in ((100 * MS, 1), (300 * MS, 0)):  # of an aim of 400 ms
         world.feed(ZoneLatencies((("b", beyond, 0),)))
         assert share_of(world, 3) == wanted
@@ -84,7 +84,7 @@
 @BOTH_SEEDS
 def test_an_attempt_with_less_time_left_than_the_way_takes_goes_elsewhere_or_as_the_last_way_out(seed):
     world = far_and_near(seed)
-    world.router.servers[2].strain = 3.0  # so the far one looks best
+    world.router.servers[2].latency_ratio = 3.0  # so the far one looks best
     world.feed(ZoneLatencies((("b", 0, 500 * MS),)))
     world.ask("enough", "any", left=600 * MS)
     assert sent(world) == [3]
--- a/tests/support/rare_moment_faults.py
+++ b/tests/support/rare_moment_faults.py
@@ -10,9 +10,9 @@
 
 def never_cold():
     """Takes a server that has just started for one that is warm."""
-    from yardbank.policy.servers import Knowledge
+    from yardbank.policy.servers import ServerTable
 
-    Knowledge.warmth = lambda self, server: 1.0
+    ServerTable.warmup_fraction = lambda self, now, server: 1.0
 
 
 def hears_late():
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -14,6 +14,7 @@
 from yardbank import interface as api
 from yardbank.gateway import sending
 from yardbank.policy import Router
+from yardbank.policy.requests import PendingRequest
 
 
 class Forgets(Router):
@@ -42,8 +43,8 @@
         super().__init__(settings)
         sending.withheld_repeat = lambda request, now: None
 
-    def may_resend(self, held):
-        return held.attempts < 3
+    def may_resend(self, pending):
+        return pending.attempts < 3
 
 
 class IgnoresDrains(Router):
@@ -55,13 +56,12 @@
 
 
 class ReadsAnywhere(Router):
-    """Forgets what a read must see."""
+    """Forgets what a read must see; its gateway is the only one of its process."""
 
-    def needed(self, held, at):
-        return 0
-
-    def cost(self, server, primary):
-        return 1.0 if server is primary else 0.0
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.selection.cost = lambda now, server, primary: 1.0 if server is primary else 0.0
+        PendingRequest.required_position = lambda pending, sent_at: 0
 
 
 class Dies(Router):
--- a/tests/support/router_world.py
+++ b/tests/support/router_world.py
@@ -62,7 +62,7 @@
         return [action for action in self.out if isinstance(action, kind)]
 
     def ask(self, name, class_name, after=MS, left=None, **more):
-        kind = self.router.kinds[class_name]
+        kind = self.router.request_classes[class_name]
         expires = self.now + after + (left or kind.deadline)
         return self.feed(Request(name, 0, class_name, expires, **more), after)
 
--- a/tests/testing/audit/test_rules.py
+++ b/tests/testing/audit/test_rules.py
@@ -10,6 +10,7 @@
 from yardbank.gateway import sending
 from yardbank.ldap import messages as m
 from yardbank.policy import Router
+from yardbank.policy.requests import PendingRequest
 from yardbank.testing.audit import judge
 from yardbank.testing.audit.judge import Bounds
 from yardbank.testing.audit.summary import by_class
@@ -65,8 +66,8 @@
 class Resends(Router):
     """Sends a write again whatever became of it."""
 
-    def may_resend(self, held):
-        return held.attempts < 3
+    def may_resend(self, pending):
+        return pending.attempts < 3
 
 
 def test_a_write_sent_twice_is_found(monkeypatch):
@@ -93,9 +94,9 @@
 class Refuses(Router):
     """Says that nothing ran, whatever happened."""
 
-    def give_up(self, held, why):
-        held.ran_at = None
-        super().give_up(held, why)
+    def _give_up(self, pending, reason):
+        pending.ran_at = None
+        super()._give_up(pending, reason)
 
 
 def test_a_refusal_of_what_ran_is_found():
@@ -127,14 +128,11 @@
 class Floods(Router):
     """Takes a cold server for a warm one, and puts no limit on anything."""
 
-    def warmth(self, server):
-        return 1.0
-
-    def has_room(self, server, held):
-        return True
-
-    def cost(self, server, primary):
-        return 0.0 if server.started else 1.0
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.table.warmup_fraction = lambda now, server: 1.0
+        self.selection.has_capacity = lambda now, server, pending: True
+        self.selection.cost = lambda now, server, primary: 0.0 if server.started else 1.0
 
 
 def test_a_cold_server_that_is_flooded_is_found():
@@ -158,19 +156,18 @@
 
 
 class ReadsAnywhere(Router):
-    """Forgets what a read must see."""
-
-    def needed(self, held, at):
-        return 0
+    """Sends reads to replicas first; the test takes out what they must see."""
 
-    def cost(self, server, primary):
-        return 1.0 if server is primary else 0.0
+    def __init__(self, settings):
+        super().__init__(settings)
+        self.selection.cost = lambda now, server, primary: 1.0 if server is primary else 0.0
 
 
 @pytest.mark.parametrize(
     ("need", "group", "more"), [("session", "requests", {}), ("bounded", "numbers", {"staleness": 0.0})]
 )
-def test_a_stale_read_is_found(need, group, more):
+def test_a_stale_read_is_found(need, group, more, monkeypatch):
+    monkeypatch.setattr(PendingRequest, "required_position", lambda self, sent_at: 0)
     with world(router=ReadsAnywhere) as place:
         for name in ("r2", "r3", "n2", "n3"):
             place.servers[name].member.lag = 1e6
--- a/yardbank/cluster/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -1,7 +1,7 @@
 """What one gateway can tell others of itself, and how it takes in what is believed of their word. No I/O.
 
 Findings are first-hand: what the module concluded from this gateway's own attempts and probes. What it was told by
-others is kept apart there (``Router.hearsay``) and never comes back out as its own.
+others is kept apart there (``ServerTable.gossiped_outliers``) and never comes back out as its own.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
         for name in self._specs:
             server = self._router.servers.get(self._numbers[name])
             if server is not None:
-                found[f"out:{name}"] = len(server.waiting)
+                found[f"out:{name}"] = len(server.in_flight)
                 found[f"connections:{name}"] = connections.get(name, 0)
         for why, count in self._refused.items():
             found[f"refused:{why}"] = count
@@ -62,11 +62,11 @@
                 continue
             if server.silent:
                 kind = SILENT
-            elif server.retry_at:
+            elif server.ejected_until:
                 kind = FAILING
-            elif now < server.rest_until:
+            elif now < server.overload_until:
                 kind = FULL
-            elif server.passed and now - server.answered_at < FRESH:
+            elif server.last_answered_sent_at and now - server.answered_at < FRESH:
                 kind = WELL
             else:
                 continue
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -1,233 +1,364 @@
-"""What one gateway knows of each server, and what it learns: from lists, answers, probes, others' word."""
+"""What one gateway knows of each server, and how it learns it: from lists, answers, probes and gossip.
 
-from dataclasses import dataclass, field
-from math import exp
-
-from yardbank import interface as api
-
-MS, SECOND = 1_000_000, 1_000_000_000
-CALM, LIMIT = 0.25, 4.0  # latency as a share of the aim, and what may be outstanding, at an unknown server
-FULL_STRAIN = 0.4  # the mean share of the aim at which a server is full: the tail still makes its aim
-SILENT_WORK, SILENT_TIME = 8.0, 2.5  # silent: outstanding requests waited so many usual times together; each
-BACKOFF = 250 * MS  # first time away from a server that failed; doubles up to eight times
-ASK_EVERY, ASK_TOGETHER = 100 * MS, MS  # a server is probed no more often, by one gateway and by all together
-IDLE, SCARCE = 30 * SECOND, 5 * SECOND  # a connection may idle so long; none, so long after one was refused
-LAG_LIFE = 2 * SECOND  # how long a replica that was behind is taken to need to catch up
-FRESH = SECOND  # how long what a server tells of its load is gone by
+Times, durations and log positions are integer nanoseconds. A latency ratio is an answer's latency as a share of its
+class's latency objective.
+"""
 
+from __future__ import annotations
 
-@dataclass(slots=True)
-class Held:
-    """A request that this gateway still owes an answer."""
+import random
+from collections import defaultdict
+from collections.abc import Callable
+from math import exp
 
-    request: api.Request
-    kind: api.RequestClass
-    arrived: int
-    lot: float  # drawn once, between 0 and 1: who may go where not all may
-    need: int = 0  # the log position that a read must see; one with a staleness bound reckons it when sent
-    attempts: int = 0
-    late: bool = False
-    ran_at: int | None = None  # when the first attempt that may have run was sent
-    tried: set[int] = field(default_factory=set)
+from yardbank import interface as api
+from yardbank.policy.requests import Attempt
+
+MS = 1_000_000
+SECOND = 1_000_000_000
+USUAL_LATENCY_RATIO = 0.25  # taken for a server that nothing is known of
+INITIAL_LIMIT = 4.0  # requests that may be in flight at a server that nothing is known of
+FULL_LATENCY_RATIO = 0.4  # the mean at which a server counts as full: the slowest answers still make the objective
+SILENT_TOTAL_WAIT = 8.0  # silent: its requests in flight waited so many usual latencies together ...
+SILENT_WAIT = 2.5  # ... and nothing came for so many
+BACKOFF = 250 * MS  # the first ejection; each further one is twice as long
+MAX_BACKOFF_DOUBLINGS = 3
+PROBE_INTERVAL = 100 * MS  # between two probes of a server by one gateway, at least
+FLEET_PROBE_INTERVAL = MS  # between two probes of a server by all gateways, on average at least
+MAX_IDLE = 30 * SECOND  # a connection that was unused for longer may be dead
+LAG_DECAY = 2 * SECOND  # how long a replica that was behind is taken to need to catch up
+LOAD_LIFETIME = SECOND  # a reported load that is older is not used
+DELTA_DELAY = SECOND  # changes of the primary may reach the list so much later
+RATIO_DECAY = 2 * SECOND  # of the weight of earlier answers
+RATIO_LIFETIME = 4 * SECOND  # after it, a server that nothing was heard from counts as its zone does
+MAX_LATENCY_RATIO = 4.0  # one answer counts for no more
+FEW_GATEWAYS = 32  # so many gateways and more hear too little each to judge servers by their own answers alone
+
+Emit = Callable[[api.Action], None]
 
 
 class Server:
-    """What this gateway knows of one server."""
+    """What this gateway knows of one server. Written by ``ServerTable`` and, for attempts, by the router."""
 
     def __init__(self, member: api.Member, now: int) -> None:
-        self.id, self.zone, self.group = member.server, member.zone, member.group
-        self.share = 1.0  # of what equals are sent
-        self.position = self.heard = self.lag = self.started = self.probe_at = 0
-        self.passed = 0  # when the latest attempt that it has answered was sent
+        self.id = member.server
+        self.zone = member.zone
+        self.group = member.group
+        self.share = 1.0  # of the requests that equally good servers get
+        self.started = 0  # 0: long ago
+        self.listed_primary = False
+        self.drained = False  # it must not be sent anything new
         self.role_at = {True: -1, False: -1}  # when it was last known to be primary, and not to be
-        self.strain, self.strained_at = CALM, now  # its answers' latency as a share of their class's aim
-        self.limit = LIMIT  # how much may be outstanding there; more waits here, where it is ordered
-        self.waiting: dict[tuple[str, int], Attempt] = {}  # what is outstanding, oldest first
-        self.unanswered = 0  # probes in a row
-        self.failures = self.retry_at = self.rest = self.rest_until = self.refused_at = 0
-        self.listed_primary = self.drained = self.silent = self.probing = self.unheard = False
+        # positions
+        self.position = 0  # proven; never falls
+        self.lag = 0  # how far behind it was when last heard
+        self.heard = 0  # when its position was last heard of
+        self.unheard = False  # it has started and its position is not known since
+        # latency and concurrency
+        self.latency_ratio = USUAL_LATENCY_RATIO
+        self.latency_ratio_at = now
+        self.limit = INITIAL_LIMIT  # requests that may be in flight; more wait here, where they are ordered
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request and attempt number, oldest first
+        self.load = 0.0  # the share of its cores in use, as it last reported
+        self.load_at = -LOAD_LIFETIME
+        # failures
+        self.failures = 0  # in a row
+        self.ejected_until = 0  # 0: not ejected; once past, it is tried with one request at a time
+        self.silent = False  # it takes requests and answers nothing
+        self.overload_backoff = 0
+        self.overload_until = 0  # it said that it is full: nothing is sent until then
+        self.refused_at = 0  # when it last refused a connection
         self.answered_at = now
-        self.load, self.load_at = 0.0, -FRESH  # the share of its cores in use, as it last told
-        self.idle_limit = IDLE  # a connection unused for longer may be dead: it is closed before a send
+        self.last_answered_sent_at = 0  # when the latest attempt that it has answered was sent
+        self.idle_limit = MAX_IDLE  # a connection that was unused for longer is closed before a send
+        # probes
+        self.next_probe_at = 0
+        self.probe_in_flight = False
+        self.unanswered_probes = 0  # in a row
 
     def is_primary(self) -> bool:
-        """Freshest evidence wins; a role heard true counts from when it was true."""
+        """Whether the latest evidence says primary; a role that was reported counts from when it was true."""
         return self.role_at[True] > self.role_at[False]
 
-    def trust(self) -> None:
-        """End every doubt."""
-        self.failures, self.retry_at, self.silent = 0, 0, False
-
-
-@dataclass(slots=True)
-class Attempt:
-    """One attempt that is out."""
+    def is_full(self) -> bool:
+        """Whether its answers are so slow that more requests would make them late."""
+        return self.latency_ratio > FULL_LATENCY_RATIO
 
-    held: Held
-    server: Server
-    sent_at: int
-    idle: int  # how long its connection had been unused
-    cancelled: bool = False
+    def readmit(self) -> None:
+        """End its ejection."""
+        self.failures = 0
+        self.ejected_until = 0
+        self.silent = False
 
+    def next_ejection_end(self, now: int) -> int:
+        """When an ejection that begins now ends: it grows with failures in a row."""
+        return now + BACKOFF * (1 << min(self.failures, MAX_BACKOFF_DOUBLINGS))
 
-class Knowledge:
-    """What is known of servers; the state, and what is done about attempts, is the router's."""
-
-    def on_server_list(self, event: api.ServerList) -> None:
+    def eject(self, now: int, silent: bool) -> None:
+        """Send it nothing for a while that doubles each time; nothing changes while it is ejected for the same."""
+        if now < self.ejected_until and silent == self.silent:
+            return
+        self.ejected_until = self.next_ejection_end(now)
+        self.failures += 1
+        self.silent = self.silent or silent
+
+    def back_off(self, now: int, first: int, jitter: float) -> None:
+        """It is full: send it nothing for a while that doubles each time, from ``first`` ns up to a second."""
+        self.overload_backoff = min(2 * self.overload_backoff or first, SECOND)
+        self.overload_until = now + int(self.overload_backoff * jitter)
+
+
+class ServerTable:
+    """Every server of the list with what was learnt of it, and its ejection as an outlier.
+
+    Owns: servers and their groups, the mean latency ratio of each zone, loads by group and role, latencies between
+    zones, outliers by gossip. Written by the router's events only.
+    Bound: one ``Server`` a listed server; the rest one entry a group, a zone or a server that gossip names.
+    Invariants: a server is in ``servers`` and in its group's list, or in neither; its position never falls; what
+    gossip says ejects nobody and proves no role; one probe a server is sent an interval.
+    """
+
+    def __init__(self, settings: api.Settings, draw: random.Random, emit: Emit) -> None:
+        self.settings = settings
+        self._random = draw
+        self._emit = emit
+        self.probes_before_sending = settings.tells_load and settings.gateways >= FEW_GATEWAYS
+        self.servers: dict[int, Server] = {}
+        self.groups: dict[int, list[Server]] = {}
+        self.max_members: dict[int, int] = {}  # by group: the most servers that it has had at a time
+        self.zone_latency_ratios: defaultdict[str, float] = defaultdict(lambda: USUAL_LATENCY_RATIO)
+        self.group_loads: dict[tuple[int, bool], tuple[float, int]] = {}  # by group and role: load, when
+        self.gossiped_outliers: dict[int, int] = {}  # by server: until when others can take its reads
+        self.zone_latencies: dict[str, tuple[int, int]] = {}  # by zone: round trip beyond one's own, longest
+
+    # the list
+
+    def apply_list(self, now: int, event: api.ServerList) -> None:
         """Take the list as far as it goes: it is late, and knows of health only whether a process runs."""
-        if self.set.subscribe and event.kind in ("saved", "failed"):
-            self.out.append(api.Subscribe())
+        if self.settings.subscribe and event.kind in ("saved", "failed"):
+            self._emit(api.Subscribe())
         members = [member for member in event.members if member.state != "gone"]
-        here, named = {m.server for m in members}, {m.server for m in event.members}
-        whole = event.kind in ("full", "saved")  # else the cost is that of the change, not of the list
-        for number in sorted((self.servers.keys() if whole else named) - here):
-            server = self.servers.get(number)
-            if server and (server.drained or not self.set.only_draining_binds):  # else the list may err
-                del self.servers[server.id]
-                self.groups[server.group].remove(server)
+        self._remove_unlisted(event, {member.server for member in members})
         for member in members:
-            if (server := self.servers.get(member.server)) is None:
-                server = self.servers[member.server] = Server(member, self.now)
-                self.groups.setdefault(member.group, []).append(server)
-            if member.started > server.started:  # what was learnt of its health is void; its copy is old
-                server.trust()
-                server.limit, server.started, server.role_at[True] = LIMIT, member.started, -1
-                server.lag, server.heard, server.unheard = self.set.cold, self.now, True
-            if member.primary and not server.listed_primary:
-                told = self.now - SECOND if event.kind == "delta" else 0  # hand-overs are told late
-                server.role_at[True] = max(server.role_at[True], told)
-            server.listed_primary, server.share = member.primary, member.share
-            server.drained = member.state == "draining"
+            self._apply_member(now, member, is_delta=event.kind == "delta")
         for group in {member.group for member in members}:  # one that drains leaves its place to another
-            here = sum(not server.drained for server in self.groups[group])
-            self.most[group] = max(self.most.get(group, 1), here)
-
-    def on_gossiped_outliers(self, event: api.GossipedOutliers) -> None:
-        """Others' word spares a server reads that another can take, and brings trials on, not at once."""
-        self.hearsay = dict(event.doubted)
-        for server in [self.servers[number] for number in event.well if number in self.servers]:
-            sooner = self.now + int(self.random.random() * BACKOFF)
-            server.retry_at = min(server.retry_at, sooner) if server.retry_at else 0
-
-    def on_position_gossiped(self, event: api.PositionGossiped) -> None:
-        """Marks that another gateway passed on prove a position, and nothing of role, health or trust."""
-        if (server := self.servers.get(event.server)) and event.report.position is not None:
-            self.learn_position(server, event.report.position)
-            self.route_waiting(server.group)
-
-    def on_zone_latencies(self, event: api.ZoneLatencies) -> None:
-        """What ways to other zones cost: round trip, and the longest one that must still fit."""
-        self.ways = {zone: (beyond, max(beyond, longest)) for zone, beyond, longest in event.ways}
-
-    def learn_position(self, server: Server, position: int) -> None:
+            serving = sum(not server.drained for server in self.groups[group])
+            self.max_members[group] = max(self.max_members.get(group, 1), serving)
+
+    def _remove_unlisted(self, event: api.ServerList, listed: set[int]) -> None:
+        known = {member.server for member in event.members}  # the cost is that of the change, not of the list
+        if event.kind in ("full", "saved"):
+            known = set(self.servers)
+        for number in sorted(known - listed):
+            server = self.servers.get(number)
+            if server is None:
+                continue
+            if self.settings.only_draining_binds and not server.drained:
+                continue  # the list may be wrong
+            del self.servers[number]
+            self.groups[server.group].remove(server)
+
+    def _apply_member(self, now: int, member: api.Member, is_delta: bool) -> None:
+        server = self.servers.get(member.server)
+        if server is None:
+            server = self.servers[member.server] = Server(member, now)
+            self.groups.setdefault(member.group, []).append(server)
+        if member.started > server.started:  # what was learnt of its health is void; its copy is old
+            server.readmit()
+            server.limit = INITIAL_LIMIT
+            server.started = member.started
+            server.role_at[True] = -1
+            server.lag = self.settings.cold
+            server.heard = now
+            server.unheard = True
+        if member.primary and not server.listed_primary:
+            primary_at = now - DELTA_DELAY if is_delta else 0
+            server.role_at[True] = max(server.role_at[True], primary_at)
+        server.listed_primary = member.primary
+        server.share = member.share
+        server.drained = member.state == "draining"
+
+    # what others say
+
+    def apply_gossiped_outliers(self, now: int, event: api.GossipedOutliers) -> None:
+        """Gossip keeps reads from a server that another can take, and brings trials forward, not all at once."""
+        self.gossiped_outliers = dict(event.doubted)
+        for number in event.well:
+            server = self.servers.get(number)
+            if server is None:
+                continue
+            trial_at = now + int(self._random.random() * BACKOFF)
+            if server.ejected_until:
+                server.ejected_until = min(server.ejected_until, trial_at)
+
+    def apply_zone_latencies(self, event: api.ZoneLatencies) -> None:
+        """Replace the latencies between zones: the round trip, and the longest one that must still fit."""
+        self.zone_latencies = {zone: (beyond, max(beyond, longest)) for zone, beyond, longest in event.ways}
+
+    def extra_latency(self, server: Server) -> int:
+        """The round trip to a server's zone beyond one within this zone (ns); 0 where it is not known."""
+        return self.zone_latencies.get(server.zone, (0, 0))[0]
+
+    def longest_round_trip(self, server: Server) -> int:
+        """The longest round trip to a server's zone that must still fit (ns); 0 where it is not known."""
+        return self.zone_latencies.get(server.zone, (0, 0))[1]
+
+    # positions, roles, load
+
+    def learn_position(self, now: int, server: Server, position: int) -> None:
         """Positions only rise, and one beyond the clock proves nothing."""
-        if position <= self.now:
-            server.position = max(server.position, position)
-            server.lag, server.heard, server.unheard = self.now - server.position, self.now, False
+        if position > now:
+            return
+        server.position = max(server.position, position)
+        server.lag = now - server.position
+        server.heard = now
+        server.unheard = False
 
-    def learn_report(self, server: Server, report: api.Report | None) -> None:
+    def learn_report(self, now: int, server: Server, report: api.Report | None) -> None:
         """A report is exact but old: the role in it was true at its position."""
-        if report and report.load is not None:
-            server.load, server.load_at = report.load, self.now
-            self.loads[server.group, server.is_primary()] = server.load, self.now
-        if report and report.position is not None and report.position <= self.now:
-            if report.primary is not None and report.position >= server.position:
-                server.role_at[report.primary] = max(server.role_at[report.primary], report.position)
-            self.learn_position(server, report.position)
-
-    def learn_answer(self, server: Server, event: api.Outcome, attempt: Attempt) -> None:
-        """What an answer proves: a role now, a position, and that the server is there."""
+        if report is None:
+            return
+        if report.load is not None:
+            server.load = report.load
+            server.load_at = now
+            self.group_loads[server.group, server.is_primary()] = report.load, now
+        if report.position is None or report.position > now:
+            return
+        if report.primary is not None and report.position >= server.position:
+            server.role_at[report.primary] = max(server.role_at[report.primary], report.position)
+        self.learn_position(now, server, report.position)
+
+    def learn_answer(self, now: int, event: api.Outcome, attempt: Attempt) -> None:
+        """What an answer proves: a role now, and a position."""
+        server = attempt.server
         if event.role:
-            server.role_at[event.role == api.Role.PRIMARY] = self.now
+            server.role_at[event.role == api.Role.PRIMARY] = now
         if event.role == api.Role.PRIMARY:
-            self.learn_position(server, self.now - event.latency)
-        if event.position and (self.set.tells_position or event.status != "ok"):
-            self.learn_position(server, event.position)
-        need = self.needed(attempt.held, attempt.sent_at)
-        if need and event.role == api.Role.REPLICA and self.set.checks != "none":
-            if event.status == "ok":  # it checked: it has what was asked for
-                server.position, server.lag = max(server.position, need), min(server.lag, self.now - need)
-            elif event.status == "miss":  # taken to be further behind each time: misses press it too
-                server.lag, server.heard = 2 * (self.now - min(self.likely(server), need)), self.now
-            server.unheard = False
-
-    def answered(self, server: Server, kind: api.RequestClass, event: api.Outcome) -> None:
-        """An answer sets the server's strain, and by it how much may be outstanding there."""
-        weight = 0.5 - 0.4 * exp((server.strained_at - self.now) / (2 * SECOND))
-        part, zone = min(event.latency / kind.latency_objective, 4.0), server.zone
-        self.zones[zone] += weight / 4 * (part - self.zones[zone])
-        server.strain, server.strained_at = server.strain + weight * (part - server.strain), self.now
-        self.usual[kind.name] += 0.02 * (event.latency - self.usual[kind.name])
-        if server.strain > FULL_STRAIN:
+            self.learn_position(now, server, now - event.latency)
+        if event.position and (self.settings.tells_position or event.status != "ok"):
+            self.learn_position(now, server, event.position)
+        required = attempt.pending.required_position(attempt.sent_at)
+        if required and event.role == api.Role.REPLICA and self.settings.checks != "none":
+            self._learn_check(now, server, event, required)
+
+    def _learn_check(self, now: int, server: Server, event: api.Outcome, required: int) -> None:
+        """The replica has compared its position with the one that a read required."""
+        if event.status == "ok":
+            server.position = max(server.position, required)
+            server.lag = min(server.lag, now - required)
+        elif event.status == "miss":  # taken to be further behind each time: misses load it too
+            server.lag = 2 * (now - min(self.likely_position(now, server), required))
+            server.heard = now
+        server.unheard = False
+
+    def likely_position(self, now: int, server: Server) -> int:
+        """The position that a replica probably has: how far it was behind is forgotten as it catches up."""
+        return now - int(server.lag * exp((server.heard - now) / LAG_DECAY))
+
+    def has_reached(self, now: int, server: Server, required: int) -> bool:
+        """Whether a read may be sent there: a proven position is enough; so is a likely one where servers check."""
+        checked = self.settings.checks != "none"
+        if checked and self.probes_before_sending and server.unheard and not server.in_flight:
+            return True  # it says itself if it is behind, which costs less than hundreds of probes
+        if not required or server.position >= required:
+            return True
+        return checked and self.likely_position(now, server) + self.settings.patience >= required
+
+    def primary(self, now: int, group: int) -> Server | None:
+        """The server last known to be primary, unless it drains or is ejected."""
+        latest: Server | None = None
+        for server in self.groups.get(group, ()):
+            if not server.is_primary() or server.drained:
+                continue
+            if latest is None or server.role_at[True] > latest.role_at[True]:
+                latest = server
+        if latest is None or latest.silent or now < latest.ejected_until:
+            return None
+        return latest
+
+    def load_of(self, now: int, server: Server) -> float | None:
+        """What a server reported of its load lately, else what one of its role in its group did."""
+        if now - server.load_at < LOAD_LIFETIME:
+            return server.load
+        load, reported_at = self.group_loads.get((server.group, server.is_primary()), (0.0, -LOAD_LIFETIME))
+        return load if now - reported_at < LOAD_LIFETIME else None
+
+    # latency, concurrency, slow start
+
+    def learn_latency(self, now: int, server: Server, request_class: api.RequestClass, latency: int) -> None:
+        """An answer sets the server's latency ratio, and by it how many requests may be in flight there."""
+        weight = 0.5 - 0.4 * exp((server.latency_ratio_at - now) / RATIO_DECAY)
+        ratio = min(latency / request_class.latency_objective, MAX_LATENCY_RATIO)
+        zone_ratio = self.zone_latency_ratios[server.zone]
+        self.zone_latency_ratios[server.zone] = zone_ratio + weight / 4 * (ratio - zone_ratio)
+        server.latency_ratio += weight * (ratio - server.latency_ratio)
+        server.latency_ratio_at = now
+        if server.is_full():
             server.limit = max(1.0, 0.95 * server.limit)
-        elif 2 * len(server.waiting) >= server.limit or server.limit < 2:  # one alone leaves none behind
+        elif 2 * len(server.in_flight) >= server.limit or server.limit < 2:  # one alone leaves none behind
             server.limit += 1 / server.limit
 
-    def strain_of(self, server: Server) -> float:
-        """A server unheard for seconds counts as its zone does: no herd to strangers, no slow way."""
-        usual = self.zones[server.zone]
-        return usual + (server.strain - usual) * exp((server.strained_at - self.now) / (4 * SECOND))
+    def expected_latency_ratio(self, now: int, server: Server) -> float:
+        """Its latency ratio, which fades to its zone's mean: a server unheard of is neither rushed at nor avoided."""
+        usual = self.zone_latency_ratios[server.zone]
+        return usual + (server.latency_ratio - usual) * exp((server.latency_ratio_at - now) / RATIO_LIFETIME)
 
-    def doubt(self, server: Server, silent: bool) -> None:
-        """Stay away from a server for a while that doubles each time."""
-        if self.now < server.retry_at and silent == server.silent:
-            return
-        server.retry_at = self.now + BACKOFF * (1 << min(server.failures, 3))
-        server.failures += 1
-        server.silent = server.silent or silent
-
-    def primary(self, group: int) -> Server | None:
-        """The server last known to be primary, unless it drains or is doubted."""
-        known = [s for s in self.groups.get(group, ()) if s.is_primary() and not s.drained]
-        best = max(known, key=lambda s: s.role_at[True], default=None)
-        return None if best is None or best.silent or self.now < best.retry_at else best
-
-    def recent_enough(self, server: Server, need: int) -> bool:
-        """A proven position holds for good; where servers check for themselves a likely one will do."""
-        likely = self.likely(server) + self.set.patience if self.set.checks != "none" else 0
-        if self.looks and self.set.checks != "none" and server.unheard and not server.waiting:
-            return True  # it says itself if it is not, which costs less than hundreds of probes
-        return not need or max(server.position, likely) >= need
-
-    def likely(self, server: Server) -> int:
-        """The position that a replica has by guess: how far it was behind is forgotten as it catches up."""
-        return self.now - int(server.lag * exp((server.heard - self.now) / LAG_LIFE))
-
-    def warmth(self, server: Server) -> float:
-        """The share of its capacity that a server started lately has for certain."""
-        age = (self.now - server.started) / max(self.set.cold, 1) if server.started else 1.0
-        return min(1.0, self.set.cold_share + (1 - self.set.cold_share) * age)
-
-    def load_of(self, server: Server) -> float | None:
-        """What a server told of its load lately, else what one like it in its group did."""
-        if self.now - server.load_at < FRESH:
-            return server.load
-        load, at = self.loads.get((server.group, server.is_primary()), (0.0, -FRESH))
-        return load if self.now - at < FRESH else None
+    def warmup_fraction(self, now: int, server: Server) -> float:
+        """The share of its capacity that a server started lately has for certain (slow start)."""
+        if not server.started:
+            return 1.0
+        age = (now - server.started) / max(self.settings.cold, 1)
+        return min(1.0, self.settings.cold_share + (1 - self.settings.cold_share) * age)
 
-    def alone(self, attempt: Attempt) -> bool:
-        """Whether a calm server has answered what went out later: the connection may be dead by itself."""
-        server = attempt.server
-        return not server.silent and server.strain <= FULL_STRAIN and server.passed > attempt.sent_at
+    # failures and probes
 
-    def check_silence(self, server: Server) -> None:
-        """A hung server takes work and answers nothing; only one's own requests out there can tell."""
-        oldest = next(iter(server.waiting.values()))
+    def eject_if_silent(self, now: int, server: Server) -> bool:
+        """Eject a server that takes requests and answers nothing; only one's own requests there can tell."""
+        oldest = next(iter(server.in_flight.values()))
         since = max(server.answered_at, oldest.sent_at)
-        patience = CALM if server.silent else min(1.0, max(CALM, self.strain_of(server)))
-        usual = oldest.held.kind.latency_objective * patience
-        waited = sum(self.now - max(since, attempt.sent_at) for attempt in server.waiting.values())
-        if self.now - since < SILENT_TIME * usual or not (server.silent or waited >= SILENT_WORK * usual):
-            return
-        self.doubt(server, silent=True)
-        for key, attempt in server.waiting.items():
-            self.cancel(key, attempt)
-
-    def probe(self, server: Server) -> bool:
-        """Probe only for what the next decision needs: hundreds of gateways ask the same servers."""
-        if self.now >= server.probe_at and self.set.may_probe and self.set.reports != "none":
-            every = max(ASK_EVERY, self.set.gateways * ASK_TOGETHER)
-            server.probe_at = self.now + (every << min(server.unanswered, 3))  # fewer in an outage
-            server.probing = True
-            self.out.append(api.Probe(server.id))
-        return server.probing
+        patience = USUAL_LATENCY_RATIO
+        if not server.silent:
+            patience = min(1.0, max(USUAL_LATENCY_RATIO, self.expected_latency_ratio(now, server)))
+        usual = oldest.pending.request_class.latency_objective * patience
+        if now - since < SILENT_WAIT * usual:
+            return False
+        waited = sum(now - max(since, attempt.sent_at) for attempt in server.in_flight.values())
+        if not server.silent and waited < SILENT_TOTAL_WAIT * usual:
+            return False
+        server.eject(now, silent=True)
+        return True
+
+    def learn_connection(self, server: Server, event: api.Outcome, idle: int) -> None:
+        """What an attempt's end says of how long connections to a server may be left unused."""
+        if event.status == "ok":  # readmitted slowly; one's own answer outweighs what others say
+            self.gossiped_outliers.pop(server.id, None)
+            server.overload_backoff = 0
+            server.idle_limit = min(MAX_IDLE, int(1.2 * server.idle_limit))
+        elif event.status not in api.NEVER_RAN and BACKOFF < idle > event.latency:
+            if server.latency_ratio < FULL_LATENCY_RATIO:
+                server.idle_limit = min(server.idle_limit, idle) // 2
+
+    def learn_health(self, now: int, event: api.Outcome, attempt: Attempt, refused: bool) -> None:
+        """Eject a server that cannot be reached, readmit one that answers; ``refused``: at once, so it may be full."""
+        server = attempt.server
+        if refused:  # a probe tells a dead process from one that takes no more connections
+            server.refused_at = now
+            self.probe(now, server)
+        elif event.status in ("connect_failed", "reset"):
+            server.eject(now, silent=False)
+        elif event.status in ("ok", "miss", "error", "full"):
+            server.readmit()
+            server.answered_at = now
+            server.last_answered_sent_at = max(server.last_answered_sent_at, attempt.sent_at)
+
+    def probe(self, now: int, server: Server) -> bool:
+        """Probe a server if one is due; return whether a probe is in flight.
+
+        Only for what the next decision needs: hundreds of gateways probe the same servers.
+        """
+        if now >= server.next_probe_at and self.settings.may_probe and self.settings.reports != "none":
+            interval = max(PROBE_INTERVAL, self.settings.gateways * FLEET_PROBE_INTERVAL)
+            server.next_probe_at = now + (interval << min(server.unanswered_probes, MAX_BACKOFF_DOUBLINGS))
+            server.probe_in_flight = True
+            self._emit(api.Probe(server.id))
+        return server.probe_in_flight
--- /dev/null
+++ b/yardbank/policy/sessions.py
@@ -0,0 +1,43 @@
+"""Session tokens: the log position that each session's reads must see."""
+
+from collections import OrderedDict
+
+from yardbank import interface as api
+
+MAX_TOKENS = 5000  # the oldest fold into their group's floor, so that memory stays bounded
+
+
+class SessionTokens:
+    """The log position of each session's last write, and a floor for every session of a group.
+
+    Owns: tokens and floors. Written by the router only: after a write's answer, and after a restart.
+    Bound: ``MAX_TOKENS`` tokens and one floor a group.
+    Invariants: a session's token never falls while it is kept; a token that is dropped raises its group's floor to
+    at least itself, so that no read is ever let go earlier than by the token.
+    """
+
+    def __init__(self, settings: api.Settings) -> None:
+        self._carried = settings.tokens == "carried"
+        self.tokens: OrderedDict[str, tuple[int, int]] = OrderedDict()  # by session: position, group
+        self.floors: dict[int, int] = {}  # by group: every session's token is at least this
+
+    def position_for(self, now: int, request: api.Request) -> int:
+        """The log position that a session's read must see; 0: any."""
+        if self._carried:
+            return now - request.since_write if request.since_write else 0
+        token, _ = self.tokens.get(request.session, (0, 0)) if request.session is not None else (0, 0)
+        return max(token, self.floors.get(request.group, 0))
+
+    def on_write(self, request: api.Request, position: int) -> None:
+        """A write of a session has committed at a position."""
+        if not request.session:
+            return
+        earlier, _ = self.tokens.pop(request.session, (0, 0))
+        self.tokens[request.session] = max(position, earlier), request.group
+        if len(self.tokens) > MAX_TOKENS:
+            _, (oldest, group) = self.tokens.popitem(last=False)
+            self.raise_floor(group, oldest)
+
+    def raise_floor(self, group: int, position: int) -> None:
+        """Every session's token in a group is at least a position from now on."""
+        self.floors[group] = max(position, self.floors.get(group, 0))
