--- a/tests/gateway/test_zone_latencies.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -63,9 +63,11 @@
     place.gateway.told_ways(tuple(ways))
     with pytest.raises(ValueError, match="negative"):
         place.gateway.told_ways([("b", -1, 0)])
-    assert told == [ZoneLatencies((("b", 20 * MS, 0),))] and place.gateway._router.ways == {"b": (20 * MS, 20 * MS)}
+    assert told == [ZoneLatencies((("b", 20 * MS, 0),))] and place.gateway._router.table.zone_latencies == {
+        "b": (20 * MS, 20 * MS)
+    }
     place.gateway.told_ways([])
-    assert told[1:] == [ZoneLatencies()] and place.gateway._router.ways == {}
+    assert told[1:] == [ZoneLatencies()] and place.gateway._router.table.zone_latencies == {}
 
 
 def test_with_ways_a_read_goes_where_it_is_there_and_back_soonest():
--- a/tests/server_list/test_server_list.py
+++ b/tests/server_list/test_server_list.py
@@ -507,7 +507,11 @@
         put(*everyone, n3={"started": time.time()})  # back under its name, with a new start
         place.record({"kind": "told", "server": "n3", "state": "ready"})
         back = place.proxy.gateway._router.servers[place.proxy.gateway._servers["n3"]]
-        assert back.started > 0 and place.proxy.gateway._router.warmth(back) < 1.0 and not back.drained
+        assert (
+            back.started > 0
+            and place.proxy.gateway._router.table.warmup_fraction(place.proxy.gateway.now(), back) < 1.0
+            and not back.drained
+        )
         put(*everyone, n3={"started": 0.0})  # another group and zone is another place for the same name
         moved = [s for s in listed(place, *everyone) if s.name != "n3"]
         (tmp_path / "new").write_text(
@@ -516,7 +520,7 @@
         os.replace(tmp_path / "new", file)
         until(lambda: place.proxy.gateway._specs["n3"].group == "requests")
         group = place.proxy.gateway._groups["requests"]
-        known = place.proxy.gateway._router
+        known = place.proxy.gateway._router.table
         assert known.servers[place.proxy.gateway._servers["n3"]].group == group
         assert all(
             s.id != place.proxy.gateway._servers["n3"] for s in known.groups[place.proxy.gateway._groups["numbers"]]
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -295,7 +295,7 @@
 def test_a_fresh_gateway_has_no_floor(tmp_path):
     clock, truth = place(tmp_path)
     life = Life(tmp_path, clock, truth)
-    assert life.gateway._router.floors == {}
+    assert life.gateway._router.sessions.floors == {}
     life.kill()
 
 
@@ -423,7 +423,7 @@
     clock, truth = place(tmp_path)
     first, second = Life(tmp_path, clock, truth), Life(tmp_path, clock, truth)
     assert any("held by another" in str(facts) for _, facts in second.lines)
-    assert second.gateway._router.floors  # as after a crash
+    assert second.gateway._router.sessions.floors  # as after a crash
     second.read()
     second.kill()
     first.kill()
--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Callable
 from typing import Any
 
 import orjson
@@ -35,7 +36,7 @@
         self.routers: dict[int, Router] = {}
         self.zeros: dict[int, int] = {}
         self.lists: dict[int, tuple[api.Member, ...]] = {}
-        self.readers = {
+        self.readers: dict[str, Callable[[int, Any], api.Event]] = {
             "call": self._request,
             "settled": self._outcome,
             "deadline_hit": lambda gateway, item: api.Timer(field(item, "handle", str)),
