--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -15,17 +15,22 @@
 from yardbank.policy import Router
 from yardbank.wire import NUMBER, WireError, field, read_member, read_settings, word
 
-LISTS = {"INCREMENTAL": "delta", "FULL": "full", "SAVED": "saved", "FAILED": "failed"}
+LISTS = {
+    "INCREMENTAL": api.ListKind.DELTA,
+    "FULL": api.ListKind.FULL,
+    "SAVED": api.ListKind.SAVED,
+    "FAILED": api.ListKind.FAILED,
+}
 STATUS = {
-    "Ok": "ok",
-    "Failed": "error",
-    "QueueFull": "full",
-    "TimedOut": "timeout",
-    "ConnectError": "connect_failed",
-    "ResetByPeer": "reset",
-    "Canceled": "cancelled",
-    "Ignored": "moot",
-    "Miss": "miss",
+    "Ok": api.Status.OK,
+    "Failed": api.Status.ERROR,
+    "QueueFull": api.Status.FULL,
+    "TimedOut": api.Status.TIMEOUT,
+    "ConnectError": api.Status.CONNECT_FAILED,
+    "ResetByPeer": api.Status.RESET,
+    "Canceled": api.Status.CANCELLED,
+    "Ignored": api.Status.MOOT,
+    "Miss": api.Status.MISS,
 }
 
 
@@ -133,7 +138,7 @@
 
     def _list(self, gateway: int, item: Any) -> api.ServerList:
         kind = word(item, "scope", LISTS)
-        if kind == "failed":
+        if kind == api.ListKind.FAILED:
             return api.ServerList(kind)
         table = field(item, "table", int)
         if table not in self.lists:
--- a/yardbank/interface/events.py
+++ b/yardbank/interface/events.py
@@ -4,20 +4,25 @@
 
 from dataclasses import dataclass
 
-from yardbank.interface.settings import Role, require
+from yardbank.interface.settings import require
+from yardbank.interface.values import Role
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One line of the server list."""
+    """One line of the server list.
+
+    ``started`` is a clock time (ns), 0 for long ago; ``share`` is of the requests that equally good servers get, as the
+    operator or a plan says. Raises ``ValueError`` for a share that is not positive.
+    """
 
     server: int
     zone: str
     group: int
     primary: bool
-    state: str  # ready | draining | gone
-    started: int = 0  # 0: long ago
-    share: float = 1.0  # of what equals are sent, as the operator or a plan says
+    state: str  # of ``MemberState``
+    started: int = 0
+    share: float = 1.0
 
     def __post_init__(self) -> None:
         require(self.share > 0, f"server {self.server}: share must be positive")
@@ -25,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What a server reports of itself; as old as the report."""
+    """What a server reports of itself, as old as the report: its log position (ns), its role, its load."""
 
     position: int | None = None
     primary: bool | None = None
@@ -34,22 +39,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """The list of servers, whole or changed lines only; ``failed`` when asking for it failed."""
+    """The list of servers, complete or changed lines only."""
 
-    kind: str  # delta | full | saved | failed
+    kind: str  # of ``ListKind``
     members: tuple[Member, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class TokensLost:
-    """An earlier run's tokens are lost: every session's token in a group is at least its floor."""
+    """A restart lost the session tokens: every session's token in a group is at least the group's floor."""
 
     floors: tuple[tuple[int, int], ...]  # group, position
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request; exactly one final answer is owed by ``expires``."""
+    """A client's request; exactly one final answer is owed by ``expires`` (clock time, ns)."""
 
     id: str
     group: int
@@ -60,17 +65,18 @@
     since_write: int | None = None  # carried token: age of the session's last write, 0 or None: no write
 
 
-NEVER_RAN = frozenset(("full", "connect_failed", "moot", "miss"))  # statuses of attempts that had no effect
-
-
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    ``latency`` is in ns; ``closed``: the request has its final answer by this; ``position`` is the log position
+    that came with the answer, of a write its commit.
+    """
 
     id: str
     attempt: int
     server: int
-    status: str  # ok | error | full | timeout | connect_failed | reset | cancelled | moot | miss
+    status: str  # of ``Status``
     latency: int
     closed: bool
     role: Role = Role.UNKNOWN
@@ -80,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """What a probe brought."""
+    """How a probe ended (``latency`` in ns), and the report that it brought."""
 
     server: int
     status: str
@@ -104,15 +110,19 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipedOutliers:
-    """What other gateways are believed on servers; replaces the last one. ``doubted``: server, until when."""
+    """What gossip says of servers' health; replaces the last one.
+
+    ``doubted``: servers found to be outliers, each until when (ns); ``well``: servers that this gateway has ejected and
+    others find healthy.
+    """
 
     doubted: tuple[tuple[int, int], ...] = ()
-    well: tuple[int, ...] = ()  # that this gateway doubts, and others find well
+    well: tuple[int, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class PositionGossiped:
-    """A position that marks prove which another gateway passed on; only ``report.position`` counts."""
+    """A position that another gateway observed, and proves; only ``report.position`` counts."""
 
     server: int
     report: Report
@@ -120,10 +130,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneLatencies:
-    """What ways to other zones cost; replaces the last one. A zone that is not named costs a constant factor.
+    """Latencies to other zones; replaces the last one. A zone that is not named costs a constant factor.
 
-    Each way: the zone; the round trip beyond one within this gateway's own zone; the longest whole round trip, with
-    less than which left an attempt is of no use there (0: the first alone says).
+    Each entry of ``ways``: the zone; the round trip beyond one within this gateway's own zone (ns); the longest whole
+    round trip (ns), with less than which left an attempt is of no use there (0: the first alone says). Raises
+    ``ValueError`` for a negative one.
     """
 
     ways: tuple[tuple[str, int, int], ...] = ()
@@ -135,7 +146,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deadline:
-    """An open request's answer is needed sooner than was said; ``request`` replaces the one of that id."""
+    """A pending request's answer is needed sooner than was said; ``request`` replaces the one of that id."""
 
     request: Request
 
--- a/yardbank/interface/settings.py
+++ b/yardbank/interface/settings.py
@@ -1,36 +1,31 @@
-"""What a gateway is told when it starts: classes of requests and the settings around them."""
+"""What a gateway is configured with: classes of requests and the settings around them. Times in ns."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import IntEnum
 
-LONGEST = 1 << 62  # ns, 146 years: no time of a deployment is longer, and reckoning with it stays exact enough
+from yardbank.interface.values import Effect, KeyScope, ReadMode, ReplicaCheck, ReportMode, TokenMode
 
+LONGEST = 1 << 62  # ns, 146 years: sums with longer times would not be exact enough
 MAX_WEIGHT = 1e12
 
 
-class Role(IntEnum):
-    """What a server said of itself."""
-
-    UNKNOWN = 0
-    PRIMARY = 1
-    REPLICA = 2
-
-
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request: its aim, worth, effect and how recent its data must be."""
+    """One class of requests: latency objective, weights, effect, and how recent its data must be.
+
+    Raises ``ValueError`` where a value is out of its range; the message names the field as the wire does.
+    """
 
     name: str
     latency_objective: int
     deadline: int
     priority_weight: float
     late_weight: float
-    effect: str  # safe | keyed | unsafe
-    scope: str = "all"  # all | zone | cell: where repeats of a keyed request are dropped
+    effect: str  # of ``Effect``
+    scope: str = KeyScope.ALL  # where repeats of a keyed request are dropped
     window: int = 0  # how long repeats of a keyed request are dropped
-    read: str = "any"  # any | bounded | session | fresh | write
+    read: str = ReadMode.ANY
     staleness_bound: int = 0  # for bounded reads
 
     def __post_init__(self) -> None:
@@ -38,8 +33,8 @@
         require(0 < self.latency_objective < LONGEST, f"classes[{self.name}].aim must be positive and under 146 years")
         require(0 < self.deadline < LONGEST, f"classes[{self.name}].deadline must be positive and under 146 years")
         require(0 <= self.window < LONGEST, f"classes[{self.name}].window must not be negative, nor 146 years")
-        require(self.effect in ("safe", "keyed", "unsafe"), f"classes[{self.name}].effect: {self.effect!r}")
-        require(self.scope in ("all", "zone", "cell"), f"classes[{self.name}].scope: {self.scope!r}")
+        require(self.effect in tuple(Effect), f"classes[{self.name}].effect: {self.effect!r}")
+        require(self.scope in tuple(KeyScope), f"classes[{self.name}].scope: {self.scope!r}")
         require(
             0 <= self.priority_weight <= MAX_WEIGHT, f"classes[{self.name}].worth must not be negative, nor beyond 1e12"
         )
@@ -49,23 +44,25 @@
         )
         bound = self.staleness_bound
         require(0 <= bound < LONGEST, f"classes[{self.name}].staleness_bound must not be negative, nor 146 years")
-        reads = ("any", "bounded", "session", "fresh", "write")
-        require(self.read in reads, f"classes[{self.name}].read: {self.read!r}")
+        require(self.read in tuple(ReadMode), f"classes[{self.name}].read: {self.read!r}")
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a gateway is told when it starts."""
+    """What a gateway is configured with.
+
+    Raises ``ValueError`` where a value is out of its range; the message names the field.
+    """
 
     seed: int
     zone: str
     gateways: int
     classes: tuple[RequestClass, ...]
-    checks: str = "none"  # none | refuse | wait: what a replica does with a read it lags too far for
+    checks: str = ReplicaCheck.NONE
     patience: int = 0  # how long such a replica waits
-    tokens: str = "remembered"  # remembered | carried
+    tokens: str = TokenMode.REMEMBERED
     tells_position: bool = False  # every answer carries a position
-    reports: str = "none"  # answers | probe | none
+    reports: str = ReportMode.NONE
     tells_load: bool = False  # reports say how busy a server's cores are
     report_fields: tuple[str, ...] | None = None  # what reports hold, by the wire's names; None: not said
     period: int = 1_000_000  # least time between two batches
@@ -81,9 +78,9 @@
 
     def __post_init__(self) -> None:
         require(self.gateways > 0, "gateways must be positive")
-        require(self.checks in ("none", "refuse", "wait"), f"checks: {self.checks!r}")
-        require(self.tokens in ("remembered", "carried"), f"tokens: {self.tokens!r}")
-        require(self.reports in ("answers", "probe", "none"), f"reports: {self.reports!r}")
+        require(self.checks in tuple(ReplicaCheck), f"checks: {self.checks!r}")
+        require(self.tokens in tuple(TokenMode), f"tokens: {self.tokens!r}")
+        require(self.reports in tuple(ReportMode), f"reports: {self.reports!r}")
         require(len(self.classes) > 0, "classes must name at least one class")
         require(len({c.name for c in self.classes}) == len(self.classes), "classes must have distinct names")
         require(0 < self.period < LONGEST, "period must be positive and under 146 years")
--- a/yardbank/policy/requests.py
+++ b/yardbank/policy/requests.py
@@ -33,11 +33,11 @@
     needs_primary: bool = field(init=False)  # a write, or a read that only a primary may answer
 
     def __post_init__(self) -> None:
-        self.needs_primary = self.request_class.read in ("write", "fresh")
+        self.needs_primary = self.request_class.read in api.NEEDS_PRIMARY
 
     def required_position(self, sent_at: int) -> int:
         """The log position that a read must see if it is sent at a given time; 0: any."""
-        if self.request_class.read == "bounded":
+        if self.request_class.read == api.ReadMode.BOUNDED:
             return sent_at - self.request_class.staleness_bound
         return self.session_position
 
--- a/yardbank/policy/router.py
+++ b/yardbank/policy/router.py
@@ -8,6 +8,7 @@
 from enum import StrEnum
 
 from yardbank import interface as api
+from yardbank.interface import Effect, KeyScope, ReadMode, Status
 from yardbank.policy.admission import Admission
 from yardbank.policy.requests import Attempt, PendingRequest, WaitQueue
 from yardbank.policy.selection import Selection
@@ -127,7 +128,7 @@
         if server is None:
             return
         server.probe_in_flight = False
-        if event.status != "ok":
+        if event.status != Status.OK:
             server.unanswered_probes += 1
             server.eject(self.now, silent=False)
             return
@@ -149,7 +150,7 @@
         self.admission.record_request(request_class.name)
         pending = PendingRequest(request, request_class, self.now, self.random.random())
         self.requests[request.id] = pending
-        if request_class.read == "session":
+        if request_class.read == ReadMode.SESSION:
             pending.session_position = self.sessions.position_for(self.now, request)
         self._route(pending)
 
@@ -175,11 +176,11 @@
         self.table.learn_answer(self.now, event, attempt)
         self.table.learn_report(self.now, server, event.report)
         self.table.learn_connection(server, event, attempt.idle)
-        refused = event.status == "connect_failed" and event.latency < self.settings.connect_timeout / 2
+        refused = event.status == Status.CONNECT_FAILED and event.latency < self.settings.connect_timeout / 2
         self.table.learn_health(self.now, event, attempt, refused)
         if self.now < self.scarce_until and not server.in_flight:  # an idle one keeps another gateway out
             self._emit(api.CloseIdle(server.id))
-        if event.status == "full" or refused:
+        if event.status == Status.FULL or refused:
             self._back_off(attempt)
         self._learn_latency(event, attempt)
         self._settle(event, attempt)
@@ -194,23 +195,23 @@
     def _learn_latency(self, event: api.Outcome, attempt: Attempt) -> None:
         """What an attempt's end says of its server's latency and of how much to admit."""
         server, request_class = attempt.server, attempt.pending.request_class
-        is_ok = event.status == "ok"
+        is_ok = event.status == Status.OK
         in_time = is_ok and event.latency <= request_class.latency_objective
-        is_slow = event.status in ("timeout", "cancelled") and not attempt.is_overtaken()
+        is_slow = event.status in (Status.TIMEOUT, Status.CANCELLED) and not attempt.is_overtaken()
         if is_ok or is_slow:  # no answer yet is a slow one too
             self.table.learn_latency(self.now, server, request_class, event.latency)
             self.admission.record_latency(request_class.name, event.latency)
         usual = self.admission.usual_latency[request_class.name]
-        timed_out = event.status == "timeout" and is_slow and event.latency > usual
-        if event.status in ("ok", "full") or timed_out:
+        timed_out = event.status == Status.TIMEOUT and is_slow and event.latency > usual
+        if event.status in (Status.OK, Status.FULL) or timed_out:
             self.admission.record_attempt(self.now, in_time)
-        if event.status in ("miss", "full", "timeout") or (is_ok and not in_time):
+        if event.status in (Status.MISS, Status.FULL, Status.TIMEOUT) or (is_ok and not in_time):
             self.selection.be_cautious(self.now, server.group)
 
     def _settle(self, event: api.Outcome, attempt: Attempt) -> None:
         """What the end of an attempt means for its request; a write's answer sets its session's token."""
         pending = attempt.pending
-        if pending.request_class.read == "write" and event.status == "ok":
+        if pending.request_class.read == ReadMode.WRITE and event.status == Status.OK:
             self.sessions.on_write(pending.request, event.position or self.now)
         if event.status not in api.NEVER_RAN:
             pending.ran_at = pending.ran_at or attempt.sent_at
@@ -264,7 +265,7 @@
 
     def _cancel(self, key: tuple[str, int], attempt: Attempt) -> None:
         """Stop waiting for a read that may be sent elsewhere; a write may yet be answered."""
-        if attempt.cancelled or attempt.pending.request_class.effect != "safe":
+        if attempt.cancelled or attempt.pending.request_class.effect != Effect.SAFE:
             return
         if self.settings.may_cancel and self.may_resend(attempt.pending):
             attempt.cancelled = True
@@ -277,9 +278,9 @@
         if pending.attempts >= self.settings.max_attempts or self.now >= pending.request.expires:
             return False
         request_class = pending.request_class
-        if pending.ran_at is None or request_class.effect == "safe":
+        if pending.ran_at is None or request_class.effect == Effect.SAFE:
             return True
-        if request_class.effect != "keyed" or request_class.scope == "zone":
+        if request_class.effect != Effect.KEYED or request_class.scope == KeyScope.ZONE:
             return False
         return self.now - pending.ran_at < request_class.window
 
@@ -334,8 +335,8 @@
         self.requests.pop(pending.request.id, None)
         self.queue.remove(pending)
         request_class = pending.request_class
-        dropped_if_repeated = request_class.effect == "keyed" and request_class.scope == "all"
-        if pending.ran_at is None or request_class.effect == "safe" or dropped_if_repeated:
+        dropped_if_repeated = request_class.effect == Effect.KEYED and request_class.scope == KeyScope.ALL
+        if pending.ran_at is None or request_class.effect == Effect.SAFE or dropped_if_repeated:
             wait = BACKOFF if request_class.late_weight else request_class.deadline  # sooner is late again
             self._emit(api.Refuse(pending.request.id, min(self.settings.max_retry_after, wait)))
         else:
--- a/yardbank/policy/selection.py
+++ b/yardbank/policy/selection.py
@@ -38,8 +38,8 @@
         self._table = table
         self._admission = admission
         self._random = draw
-        self._needing_primary = [one.name for one in settings.classes if one.read in ("write", "fresh")]
-        self._served_by_replicas = [one.name for one in settings.classes if one.read not in ("write", "fresh")]
+        self._needing_primary = [one.name for one in settings.classes if one.read in api.NEEDS_PRIMARY]
+        self._served_by_replicas = [one.name for one in settings.classes if one.read not in api.NEEDS_PRIMARY]
         self.cautious_until: dict[int, int] = {}  # by group
 
     def be_cautious(self, now: int, group: int) -> None:
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -12,6 +12,7 @@
 from math import exp
 
 from yardbank import interface as api
+from yardbank.interface import ListKind, MemberState, ReplicaCheck, ReportMode, Status
 from yardbank.policy.requests import Attempt
 
 MS = 1_000_000
@@ -135,19 +136,19 @@
 
     def apply_list(self, now: int, event: api.ServerList) -> None:
         """Take the list as far as it goes: it is late, and knows of health only whether a process runs."""
-        if self.settings.subscribe and event.kind in ("saved", "failed"):
+        if self.settings.subscribe and event.kind in (ListKind.SAVED, ListKind.FAILED):
             self._emit(api.Subscribe())
-        members = [member for member in event.members if member.state != "gone"]
+        members = [member for member in event.members if member.state != MemberState.GONE]
         self._remove_unlisted(event, {member.server for member in members})
         for member in members:
-            self._apply_member(now, member, is_delta=event.kind == "delta")
+            self._apply_member(now, member, is_delta=event.kind == ListKind.DELTA)
         for group in {member.group for member in members}:  # one that drains leaves its place to another
             serving = sum(not server.drained for server in self.groups[group])
             self.max_members[group] = max(self.max_members.get(group, 1), serving)
 
     def _remove_unlisted(self, event: api.ServerList, listed: set[int]) -> None:
         known = {member.server for member in event.members}  # the cost is that of the change, not of the list
-        if event.kind in ("full", "saved"):
+        if event.kind in (ListKind.FULL, ListKind.SAVED):
             known = set(self.servers)
         for number in sorted(known - listed):
             server = self.servers.get(number)
@@ -176,7 +177,7 @@
             server.role_at[True] = max(server.role_at[True], primary_at)
         server.listed_primary = member.primary
         server.share = member.share
-        server.drained = member.state == "draining"
+        server.drained = member.state == MemberState.DRAINING
 
     # what others say
 
@@ -235,18 +236,18 @@
             server.role_at[event.role == api.Role.PRIMARY] = now
         if event.role == api.Role.PRIMARY:
             self.learn_position(now, server, now - event.latency)
-        if event.position and (self.settings.tells_position or event.status != "ok"):
+        if event.position and (self.settings.tells_position or event.status != Status.OK):
             self.learn_position(now, server, event.position)
         required = attempt.pending.required_position(attempt.sent_at)
-        if required and event.role == api.Role.REPLICA and self.settings.checks != "none":
+        if required and event.role == api.Role.REPLICA and self.settings.checks != ReplicaCheck.NONE:
             self._learn_check(now, server, event, required)
 
     def _learn_check(self, now: int, server: Server, event: api.Outcome, required: int) -> None:
         """The replica has compared its position with the one that a read required."""
-        if event.status == "ok":
+        if event.status == Status.OK:
             server.position = max(server.position, required)
             server.lag = min(server.lag, now - required)
-        elif event.status == "miss":  # taken to be further behind each time: misses load it too
+        elif event.status == Status.MISS:  # taken to be further behind each time: misses load it too
             server.lag = 2 * (now - min(self.likely_position(now, server), required))
             server.heard = now
         server.unheard = False
@@ -257,7 +258,7 @@
 
     def has_reached(self, now: int, server: Server, required: int) -> bool:
         """Whether a read may be sent there: a proven position is enough; so is a likely one where servers check."""
-        checked = self.settings.checks != "none"
+        checked = self.settings.checks != ReplicaCheck.NONE
         if checked and self.probes_before_sending and server.unheard and not server.in_flight:
             return True  # it says itself if it is behind, which costs less than hundreds of probes
         if not required or server.position >= required:
@@ -330,7 +331,7 @@
 
     def learn_connection(self, server: Server, event: api.Outcome, idle: int) -> None:
         """What an attempt's end says of how long connections to a server may be left unused."""
-        if event.status == "ok":  # readmitted slowly; one's own answer outweighs what others say
+        if event.status == Status.OK:  # readmitted slowly; one's own answer outweighs what others say
             self.gossiped_outliers.pop(server.id, None)
             server.overload_backoff = 0
             server.idle_limit = min(MAX_IDLE, int(1.2 * server.idle_limit))
@@ -344,9 +345,9 @@
         if refused:  # a probe tells a dead process from one that takes no more connections
             server.refused_at = now
             self.probe(now, server)
-        elif event.status in ("connect_failed", "reset"):
+        elif event.status in (Status.CONNECT_FAILED, Status.RESET):
             server.eject(now, silent=False)
-        elif event.status in ("ok", "miss", "error", "full"):
+        elif event.status in (Status.OK, Status.MISS, Status.ERROR, Status.FULL):
             server.readmit()
             server.answered_at = now
             server.last_answered_sent_at = max(server.last_answered_sent_at, attempt.sent_at)
@@ -356,7 +357,7 @@
 
         Only for what the next decision needs: hundreds of gateways probe the same servers.
         """
-        if now >= server.next_probe_at and self.settings.may_probe and self.settings.reports != "none":
+        if now >= server.next_probe_at and self.settings.may_probe and self.settings.reports != ReportMode.NONE:
             interval = max(PROBE_INTERVAL, self.settings.gateways * FLEET_PROBE_INTERVAL)
             server.next_probe_at = now + (interval << min(server.unanswered_probes, MAX_BACKOFF_DOUBLINGS))
             server.probe_in_flight = True
--- a/yardbank/policy/sessions.py
+++ b/yardbank/policy/sessions.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, settings: api.Settings) -> None:
-        self._carried = settings.tokens == "carried"
+        self._carried = settings.tokens == api.TokenMode.CARRIED
         self.tokens: OrderedDict[str, tuple[int, int]] = OrderedDict()  # by session: position, group
         self.floors: dict[int, int] = {}  # by group: every session's token is at least this
 
--- a/yardbank/wire.py
+++ b/yardbank/wire.py
@@ -2,16 +2,26 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, TypeVar
 
 from yardbank import interface as api
+from yardbank.interface import Effect, MemberState, ReadMode, ReplicaCheck, ReportMode, TokenMode
 
-EFFECTS = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
-READS = {"mutate": "write", "strong": "fresh", "causal": "session", "lag_bound": "bounded", "eventual": "any"}
-CHECKS = {"silent": "none", "bounce": "refuse", "await": "wait"}
-REPORTS = {"piggyback": "answers", "pull": "probe", "silent": "none"}
-TOKENS = {"brought": "carried", "kept": "remembered"}
-STATES = {"live": "ready", "quiescing": "draining", "dead": "gone"}
+Word = TypeVar("Word", bound=str)
+
+EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
+READS = {
+    "mutate": ReadMode.WRITE,
+    "strong": ReadMode.FRESH,
+    "causal": ReadMode.SESSION,
+    "lag_bound": ReadMode.BOUNDED,
+    "eventual": ReadMode.ANY,
+}
+CHECKS = {"silent": ReplicaCheck.NONE, "bounce": ReplicaCheck.REFUSE, "await": ReplicaCheck.WAIT}
+REPORTS = {"piggyback": ReportMode.ANSWERS, "pull": ReportMode.PROBE, "silent": ReportMode.NONE}
+TOKENS = {"brought": TokenMode.CARRIED, "kept": TokenMode.REMEMBERED}
+STATES = {"live": MemberState.READY, "quiescing": MemberState.DRAINING, "dead": MemberState.GONE}
 LOAD_FIELDS = ("utilization", "util")  # how busy the cores are, as the wire and as the sites call it
 NUMBER = (int, float)
 MISSING = object()
@@ -22,7 +32,10 @@
 
 
 def field(message: Any, name: str, kinds: Any, default: Any = MISSING) -> Any:
-    """The value of a field, checked for its type; absent or null gives the default, if there is one."""
+    """The value of a field, checked for its type; absent or null gives the default, if there is one.
+
+    Raises ``WireError``.
+    """
     if not isinstance(message, dict):
         raise WireError(f"expected an object holding '{name}'")
     value = message.get(name)
@@ -35,8 +48,8 @@
     return value
 
 
-def word(message: Any, name: str, table: dict[str, str], default: Any = MISSING) -> str:
-    """A field whose value is one of a few words, in the interface's terms."""
+def word(message: Any, name: str, table: Mapping[str, Word], default: Any = MISSING) -> Word:
+    """A field whose value is one of a few words, in the interface's terms. Raises ``WireError``."""
     value = field(message, name, str, default)
     if value not in table:
         raise WireError(f"field '{name}' has the unknown value '{value}'")
@@ -44,7 +57,7 @@
 
 
 def read_settings(seed: int, env: Any) -> api.Settings:
-    """The first message's settings in the interface's terms; unknown keys are skipped."""
+    """The first message's settings in the interface's terms; unknown keys are skipped. Raises ``WireError``."""
     domain, limits = field(env, "domain", dict), field(env, "ceilings", dict, {})
     rules = field(env, "rules", dict, {})
     bounds, reads = field(domain, "lag_allowed", list, []), field(domain, "class_read", list)
@@ -98,7 +111,7 @@
 
 
 def read_member(entry: Any) -> api.Member:
-    """One line of a server list."""
+    """One line of a server list. Raises ``WireError``."""
     return api.Member(
         server=field(entry, "server", int),
         zone=field(entry, "zone", str, ""),
