--- a/yardbank/policy/router.py
+++ b/yardbank/policy/router.py
@@ -84,16 +84,21 @@
                 self.on_request(event)
             case api.Outcome():
                 self.on_outcome(event)
-            case api.Probed():
-                self.on_probed(event)
-            case api.Timer():
-                self.on_timer(event)
-            case api.ServerList():
-                self.on_server_list(event)
             case api.ClientCancelled() | api.Started():
                 self.on_client_cancelled(event)
             case api.Deadline():
                 self.on_deadline(event)
+            case api.Timer():
+                self.on_timer(event)
+            case _:
+                self._dispatch_server_event(event)
+
+    def _dispatch_server_event(self, event: api.Event) -> None:
+        match event:
+            case api.Probed():
+                self.on_probed(event)
+            case api.ServerList():
+                self.on_server_list(event)
             case api.GossipedOutliers():
                 self.table.apply_gossiped_outliers(self.now, event)
             case api.PositionGossiped():
