--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -237,8 +237,8 @@
 def probes(asked: tuple[int, bool, int]) -> list[str]:
     """How often a server is asked by all gateways together, and what clients had of it."""
     gateways, fed, thick = asked
-    kinds = tuple(replace(kind, work_s=kind.work_s / thick) for kind in World().kinds)
-    world = World(seed=3, gateways=gateways, length=14.0, rate=1200.0 * thick, kinds=kinds)
+    kinds = tuple(replace(kind, work_s=kind.work_s / thick) for kind in World().workload)
+    world = World(seed=3, gateways=gateways, length=14.0, rate=1200.0 * thick, workload=kinds)
     fleet = FedFleet(world, Router)
     if fed:
         fleet.clock.at(fleet.clock.now + MS, fleet.feed)
--- a/tests/policy/test_cold_fleet.py
+++ b/tests/policy/test_cold_fleet.py
@@ -110,7 +110,7 @@
     world = World(seed=seed, gateways=gateways, groups=1, copies=3, rate=rate, length=LENGTH, load=lambda second: load)
     fleet = ColdFleet(world, router, cold, returned)
     fleet.run()
-    mean = sum(kind.part * kind.work_s for kind in world.kinds)
+    mean = sum(kind.fraction * kind.work_s for kind in world.workload)
     assert all(len(seen.arrivals) > 20 and seen.started >= START for seen in fleet.seen.values())
     return max(seen.worst(mean) for seen in fleet.seen.values())
 
--- a/tests/policy/test_fleet_recovery.py
+++ b/tests/policy/test_fleet_recovery.py
@@ -57,7 +57,7 @@
     ends = []
     for _ in range(6):
         server.submit(Work(1.0, lambda end: ends.append((end, round((clock.now - start) / SECOND, 2)))))
-    assert ends == [(FULL, 0.0)] and server.held == 5
+    assert ends == [(FULL, 0.0)] and server.pending == 5
     clock.run(20 * SECOND)
     assert ends[1:5] == [(OK, 2.0)] * 4 and ends[5] == (OK, 3.0)  # four share two cores; the fifth then has one
 
@@ -84,7 +84,7 @@
     copy.commit(clock.now)
     clock.run(clock.now + SECOND // 2)  # its thread has had a tenth of the core: half of what it needs
     assert copy.position() < SECOND and not ends
-    copy.submit(Work(1.0, ends.append), need=clock.now)
+    copy.submit(Work(1.0, ends.append), required_position=clock.now)
     copy.submit(Work(1.0, ends.append, write=True))
     assert ends == [MISS, MISS]
     clock.run(clock.now + SECOND)
@@ -102,4 +102,4 @@
     server.submit(Work(0.5, ends.append))
     server.stop()
     clock.run(4 * SECOND)
-    assert ends == [OK] and server.held == 0
+    assert ends == [OK] and server.pending == 0
--- a/yardbank/testing/emulator/clock.py
+++ b/yardbank/testing/emulator/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: what is due happens in order of time, and of entry where times are equal."""
+"""A virtual clock: callbacks run in the order of their times, and of entry where times are equal."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class VirtualClock:
-    """Time in ns; it moves only when the next thing that is due is done."""
+    """Time in ns, which advances only to the next callback that is due."""
 
     def __init__(self, start: int = 0) -> None:
         self.now = start
@@ -15,12 +15,12 @@
         self._entered = 0
 
     def at(self, when: int, do: Callable[[], None]) -> None:
-        """Do something at an instant; one that has passed means now."""
+        """Schedule a callback; a time that has passed means now."""
         self._entered += 1
         heapq.heappush(self._due, (max(when, self.now), self._entered, do))
 
     def run(self, until: int) -> None:
-        """Do all that is due up to an instant, and stop there."""
+        """Run everything due up to a time, and set the clock to it."""
         due = self._due
         while due and due[0][0] <= until:
             self.now, _, do = heapq.heappop(due)
--- a/yardbank/testing/rig/virtual.py
+++ b/yardbank/testing/rig/virtual.py
@@ -1,6 +1,6 @@
-"""A fleet of decision modules against emulated servers on a virtual clock: what each does alone, added up.
+"""A fleet of decision modules against emulated servers on a virtual clock.
 
-Clients arrive in an open loop whatever becomes of earlier requests, give a try up after a while and come again.
+Clients arrive in an open loop whatever becomes of earlier requests, give an attempt up after a while and retry.
 Everything is drawn from one seed; the same seed gives the same run. Nothing here decides for a gateway.
 """
 
@@ -14,13 +14,13 @@
 from yardbank import interface as api
 from yardbank.testing.emulator.clock import VirtualClock
 from yardbank.testing.emulator.server import EmulatedServer
-from yardbank.testing.rig.virtual_gateway import VirtualGateway, Want
-from yardbank.testing.rig.virtual_world import BIN, MS, REPORT_EVERY, SECOND, START, Kind, MakeRouter, World
+from yardbank.testing.rig.virtual_gateway import ClientRequest, VirtualGateway
+from yardbank.testing.rig.virtual_world import BIN, MS, REPORT_EVERY, SECOND, START, MakeRouter, WorkloadClass, World
 
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """Half a second of a run: worth of what was first tried in it, worth of what was served of that, and counts."""
+    """Half a second of a run: the weight of what was first tried in it, the weight served of that, and counts."""
 
     second: float
     wanted: float
@@ -29,7 +29,10 @@
 
 
 def served_share(spans: Sequence[Span], begin: float, end: float) -> float:
-    """The share of worth that was served of what was first tried between two seconds. Raises ``ValueError``."""
+    """The share by weight that was served of what was first tried between two seconds.
+
+    Raises ``ValueError`` if nothing was tried.
+    """
     within = [span for span in spans if begin <= span.second < end]
     if not (wanted := sum(span.wanted for span in within)):
         raise ValueError(f"nothing was wanted between {begin} s and {end} s")
@@ -37,7 +40,10 @@
 
 
 class Fleet:
-    """All of it: servers, gateways, clients, and what came of every request over time."""
+    """Servers, gateways and clients of one run, and what became of every request over time.
+
+    Bound: as many pending client requests as the rate and the clients' patience allow; one count a half second.
+    """
 
     def __init__(self, world: World, router: MakeRouter) -> None:
         self.world, self.clock = world, VirtualClock(START)
@@ -69,7 +75,7 @@
             seed=self.world.seed * 100_003 + number,
             zone=zone,
             gateways=self.world.gateways,
-            classes=tuple(kind.set for kind in self.world.kinds),
+            classes=tuple(kind.request_class for kind in self.world.workload),
             checks="refuse",
             tokens="carried",
             reports="probe",
@@ -103,13 +109,13 @@
         self.clock.at(self.clock.now + REPORT_EVERY, self._measure)
 
     def every(self, do: Callable[[EmulatedServer], None], zone: str = "") -> None:
-        """Do something to each server, or to each of one zone."""
+        """Apply a function to each server, or to each of one zone."""
         for member in self.members:
             if zone in ("", member.zone):
                 do(self.servers[member.server])
 
     def _arrive(self) -> None:
-        """The next first try; the one after it is drawn at once, whatever becomes of this one."""
+        """The next new request; the one after it is drawn at once, whatever becomes of this one."""
         second = (self.clock.now - START) / SECOND
         if second >= self.world.length:
             return
@@ -118,37 +124,40 @@
         draw = self._random
         gateway = draw.choices(self.gateways, self._shares)[0]
         group = draw.choices(range(self.world.groups), self._weights)[0]
-        kind = draw.choices(self.world.kinds, [kind.part for kind in self.world.kinds])[0]
-        want = Want(kind, group, gateway, self.clock.now)
+        kind = draw.choices(self.world.workload, [kind.fraction for kind in self.world.workload])[0]
+        client_request = ClientRequest(kind, group, gateway, self.clock.now)
         self.count("wanted")
-        self._worth[(self.clock.now - START) // BIN][0] += kind.set.priority_weight
-        gateway.take(want)
+        self._worth[(self.clock.now - START) // BIN][0] += kind.request_class.priority_weight
+        gateway.take(client_request)
 
-    def again(self, want: Want, after: int) -> None:
-        """A try came to nothing: the client comes again, if it has not too often."""
-        if want.over or want.tries > self.world.retries:
+    def retry_later(self, client_request: ClientRequest, after: int) -> None:
+        """An attempt failed: the client retries after its backoff, or after what it was told (ns), up to its limit."""
+        if client_request.ended or client_request.tries > self.world.retries:
             return
         wait = after if after and self._random.random() < self.world.honours else self.world.backoff
-        self.clock.at(self.clock.now + int(wait * self._random.uniform(0.7, 1.3)), lambda: want.gateway.take(want))
-
-    def served(self, want: Want, took: int) -> None:
-        """A client has its answer."""
-        if not want.over:
-            want.over = True
-            good = took <= want.kind.set.latency_objective
-            when, kind = (want.first_at - START) // BIN, want.kind.set
+        self.clock.at(
+            self.clock.now + int(wait * self._random.uniform(0.7, 1.3)),
+            lambda: client_request.gateway.take(client_request),
+        )
+
+    def served(self, client_request: ClientRequest, took: int) -> None:
+        """A client has its answer, after ``took`` ns."""
+        if not client_request.ended:
+            client_request.ended = True
+            good = took <= client_request.kind.request_class.latency_objective
+            when, kind = (client_request.first_at - START) // BIN, client_request.kind.request_class
             self._counts[when]["good" if good else "late"] += 1
             self._worth[when][1] += kind.priority_weight * (1 if good else kind.late_weight)
 
     def count(self, what: str) -> None:
-        """Something happened now."""
+        """Count something in the current half second."""
         self._counts[(self.clock.now - START) // BIN][what] += 1
 
     def session_age(self) -> int:
         """How long ago the session of a read last wrote (ns); 0: never."""
         return int(self._random.uniform(0.2, 1.0) * SECOND) if self._random.random() < 0.6 else 0
 
-    def draw_work(self, kind: Kind) -> float:
+    def draw_work(self, kind: WorkloadClass) -> float:
         """The work of one request (core seconds)."""
         return self._random.expovariate(1 / kind.work_s)
 
--- a/yardbank/testing/rig/virtual_gateway.py
+++ b/yardbank/testing/rig/virtual_gateway.py
@@ -1,4 +1,4 @@
-"""One decision module on a virtual clock, its connections, and the clients' tries that it has taken."""
+"""One decision module on a virtual clock, its connections, and the requests that it has taken."""
 
 from __future__ import annotations
 
@@ -8,57 +8,61 @@
 
 from yardbank import interface as api
 from yardbank.testing.emulator.server import OK, Work
-from yardbank.testing.rig.virtual_world import MS, NET, Kind, MakeRouter
+from yardbank.testing.rig.virtual_world import MS, NET, MakeRouter, WorkloadClass
 
 if TYPE_CHECKING:
     from yardbank.testing.rig.virtual import Fleet
 
 
 @dataclass(slots=True)
-class Want:
-    """What a client wants, over all its tries."""
+class ClientRequest:
+    """A client's request over all its attempts at gateways."""
 
-    kind: Kind
+    kind: WorkloadClass
     group: int
     gateway: VirtualGateway
     first_at: int
     tries: int = 0
-    over: bool = False
+    ended: bool = False
 
 
 @dataclass(slots=True)
-class _Try:
-    """One try of it, as its gateway sees it."""
+class _TriedRequest:
+    """One attempt of a client's request, as its gateway sees it."""
 
-    want: Want
+    client_request: ClientRequest
     asked_at: int
-    need: int
-    over: bool = False
+    required_position: int
+    ended: bool = False
     attempts: int = 0
-    out: dict[int, _Out] = field(default_factory=dict)
+    out: dict[int, _AttemptInFlight] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class _Out:
+class _AttemptInFlight:
     server: int
     sent_at: int
-    over: bool = False
+    ended: bool = False
 
 
 class VirtualGateway:
-    """One decision module and its connections."""
+    """One decision module and its connections.
+
+    Owns: the requests it has taken, its idle connections by server, events that wait for their turn.
+    Invariant: events are handled one at a time, in the order in which they came.
+    """
 
     def __init__(self, fleet: Fleet, number: int, settings: api.Settings, router: MakeRouter) -> None:
         self._fleet, self.number, self._clock = fleet, number, fleet.clock
         self.router = router(settings)
         self._idle: Counter[int] = Counter()  # connections by server that carry nothing
-        self._tries: dict[str, _Try] = {}
+        self._tries: dict[str, _TriedRequest] = {}
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._sequence = 0
 
     def handle(self, event: api.Event) -> None:
-        """Hand an event to the module and carry out what it says; what follows from that waits its turn."""
+        """Hand an event to the module and carry out its actions; events that follow from these are queued."""
         self._events.append(event)
         if self._handling:
             return
@@ -68,27 +72,29 @@
                 self._carry_out(action)
         self._handling = False
 
-    def take(self, want: Want) -> None:
-        """A client tries."""
+    def take(self, client_request: ClientRequest) -> None:
+        """A client sends its request."""
         self._sequence += 1
-        number, now, kind = f"{self.number}-{self._sequence}", self._clock.now, want.kind.set
+        number, now, kind = f"{self.number}-{self._sequence}", self._clock.now, client_request.kind.request_class
         age = self._fleet.session_age() if kind.read == "session" else 0
-        tried = self._tries[number] = _Try(want, now, now - age if age else 0)
-        want.tries += 1
+        tried = self._tries[number] = _TriedRequest(client_request, now, now - age if age else 0)
+        client_request.tries += 1
         self._clock.at(now + int(kind.deadline * self._fleet.world.patience), lambda: self._leave(number, tried))
         self.handle(
-            api.Request(number, want.group, kind.name, now + kind.deadline, f"s{number}", since_write=age or None)
+            api.Request(
+                number, client_request.group, kind.name, now + kind.deadline, f"s{number}", since_write=age or None
+            )
         )
 
-    def _leave(self, number: str, tried: _Try) -> None:
-        if not tried.over:
+    def _leave(self, number: str, tried: _TriedRequest) -> None:
+        if not tried.ended:
             self._fleet.count("left")
-            self._over(number, tried)
+            self._end(number, tried)
             self.handle(api.ClientCancelled(number))
-            self._fleet.again(tried.want, 0)
+            self._fleet.retry_later(tried.client_request, 0)
 
-    def _over(self, number: str, tried: _Try) -> None:
-        tried.over = True
+    def _end(self, number: str, tried: _TriedRequest) -> None:
+        tried.ended = True
         if not tried.out:
             self._tries.pop(number, None)
 
@@ -99,10 +105,10 @@
                 self._send(action)
             case api.Refuse() | api.Fail():
                 tried = self._tries.get(action.id)
-                if tried is not None and not tried.over:
+                if tried is not None and not tried.ended:
                     fleet.count("refused" if isinstance(action, api.Refuse) else "failed")
-                    self._over(action.id, tried)
-                    fleet.again(tried.want, action.retry_after if isinstance(action, api.Refuse) else 0)
+                    self._end(action.id, tried)
+                    fleet.retry_later(tried.client_request, action.retry_after if isinstance(action, api.Refuse) else 0)
             case api.Cancel():
                 tried = self._tries.get(action.id)
                 if tried is not None and (out := tried.out.get(action.attempt)) is not None:
@@ -121,8 +127,8 @@
             return
         attempt, now, clock = tried.attempts, self._clock.now, self._clock
         tried.attempts += 1
-        out = tried.out[attempt] = _Out(action.server, now)
-        server, kind = self._fleet.servers[action.server], tried.want.kind
+        out = tried.out[attempt] = _AttemptInFlight(action.server, now)
+        server, kind = self._fleet.servers[action.server], tried.client_request.kind
         self._fleet.count("attempts")
         delay = NET
         if self._idle[action.server] > 0:
@@ -131,33 +137,33 @@
             self._fleet.count("connections")
             delay += 4 * NET
             clock.at(now + NET, lambda: server.submit(Work(server.capacity.handshake_s, None)))
-        read = kind.set.read
-        need = now - kind.set.staleness_bound if read == "bounded" else tried.need
+        read = kind.request_class.read
+        required_position = now - kind.request_class.staleness_bound if read == "bounded" else tried.required_position
 
         def answered(status: str) -> None:
             clock.at(clock.now + NET, lambda: self._ended(action.id, tried, attempt, out, status))
 
         work = Work(self._fleet.draw_work(kind), answered, read == "write")
-        clock.at(now + delay, lambda: server.submit(work, need))
+        clock.at(now + delay, lambda: server.submit(work, required_position))
         clock.at(action.until, lambda: self._ended(action.id, tried, attempt, out, "timeout"))
 
-    def _ended(self, number: str, tried: _Try, attempt: int, out: _Out, status: str) -> None:
-        if out.over:
+    def _ended(self, number: str, tried: _TriedRequest, attempt: int, out: _AttemptInFlight, status: str) -> None:
+        if out.ended:
             return
-        out.over = True
+        out.ended = True
         del tried.out[attempt]
         server, now = self._fleet.servers[out.server], self._clock.now
         if status not in ("timeout", "cancelled"):
             self._idle[out.server] += 1
         self._fleet.count(status)
-        if status == OK and not tried.over:
-            self._over(number, tried)
-            self._fleet.served(tried.want, now - tried.asked_at)
-        elif tried.over and not tried.out:
+        if status == OK and not tried.ended:
+            self._end(number, tried)
+            self._fleet.served(tried.client_request, now - tried.asked_at)
+        elif tried.ended and not tried.out:
             self._tries.pop(number, None)
         answered = status in ("ok", "miss", "full")
         role = api.Role.PRIMARY if server.primary else api.Role.REPLICA
-        position = now if status == OK and tried.want.kind.set.read == "write" else None
+        position = now if status == OK and tried.client_request.kind.request_class.read == "write" else None
         self.handle(
             api.Outcome(
                 number,
@@ -165,7 +171,7 @@
                 out.server,
                 status,
                 now - out.sent_at,
-                tried.over,
+                tried.ended,
                 role if answered else api.Role.UNKNOWN,
                 position,
             )
--- a/yardbank/testing/rig/virtual_world.py
+++ b/yardbank/testing/rig/virtual_world.py
@@ -1,4 +1,4 @@
-"""What a virtual run is made of: its requests, its servers, its load, its faults."""
+"""The parameters of a virtual run: requests, servers, load, faults. Times in ns unless said otherwise."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Decider(Protocol):
-    """A decision module's instance."""
+    """What a run needs of a decision module."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Take one event; the actions in order."""
@@ -31,28 +31,31 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """A class of requests, and its work at a server (mean, core seconds; drawn from an exponential)."""
+class WorkloadClass:
+    """A class of requests: its fraction of the load, and its work (mean of an exponential, core seconds)."""
 
-    set: api.RequestClass
-    part: float
+    request_class: api.RequestClass
+    fraction: float
     work_s: float
 
 
-KINDS = (
-    Kind(
+WORKLOAD = (
+    WorkloadClass(
         api.RequestClass("lookup", 290 * MS, 870 * MS, 2, 0, "safe", read="bounded", staleness_bound=460 * MS),
         0.45,
         0.085,
     ),
-    Kind(api.RequestClass("status", 440 * MS, 1160 * MS, 1, 0.2, "safe", read="session"), 0.32, 0.09),
-    Kind(api.RequestClass("commit", 290 * MS, 1740 * MS, 3, 0.7, "unsafe", read="write"), 0.23, 0.035),
+    WorkloadClass(api.RequestClass("status", 440 * MS, 1160 * MS, 1, 0.2, "safe", read="session"), 0.32, 0.09),
+    WorkloadClass(api.RequestClass("commit", 290 * MS, 1740 * MS, 3, 0.7, "unsafe", read="write"), 0.23, 0.035),
 )
 
 
 @dataclass(slots=True, frozen=True)
 class World:
-    """What a run is made of. ``rate``: first tries a second of the whole fleet when nothing is the matter."""
+    """The parameters of a run; ``rate`` is new requests a second of the whole fleet.
+
+    Raises ``ValueError`` for a value out of its range.
+    """
 
     seed: int = 1
     gateways: int = 200
@@ -62,9 +65,9 @@
     skew: float = 0.25  # groups differ by up to so much, and gateways by up to four times
     zones: int = 2
     capacity: Capacity = field(default_factory=Capacity)
-    kinds: tuple[Kind, ...] = KINDS
+    workload: tuple[WorkloadClass, ...] = WORKLOAD
     retries: int = 2
-    patience: float = 0.8  # the share of its deadline after which a client gives a try up
+    patience: float = 0.8  # the share of its deadline after which a client gives up
     backoff: int = 60 * MS
     honours: float = 0.6  # the share of clients that wait as long as a refusal says
     load: Callable[[float], float] = lambda second: 1.0  # over time, times ``rate``
