--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -109,11 +109,11 @@
 def test_whom_to_ask_for_the_head():
     who = References()
     assert who.reference() is None
-    who.told(1, True, 0)
-    who.told(2, True, 5)
+    who.on_role(1, True, 0)
+    who.on_role(2, True, 5)
     assert who.reference() == 2
-    who.told(2, False, 6)
-    who.told(2, True, 4)  # older word
+    who.on_role(2, False, 6)
+    who.on_role(2, True, 4)  # older word
     assert who.reference() == 1
     who.forget(1)
     assert who.reference() is None
--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -1,6 +1,7 @@
-"""The wire on one side, the decision module's interface on the other, for many gateways in one process.
+"""Translates between the wire and the decision module's interface, for many gateways in one process.
 
-Reads batches from standard input, writes one reply a batch to standard output. Nothing is decided here.
+Reads batches (one JSON object a line) from standard input and writes one reply a batch to standard output. Nothing is
+decided here. The wire's words and units stay on this side; times are integer nanoseconds unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -35,7 +36,12 @@
 
 
 class Host:
-    """The gateways of one process: a router each, sharing nothing but the numbered lists of the wire."""
+    """The gateways of one process: a router each, which share only the numbered lists of the wire.
+
+    Owns: routers and the clock time of position zero by gateway, server lists by number.
+    Bound: one router a gateway between ``hello`` and ``destroy``; one list a number of the wire.
+    Invariant: what is wrong with one item costs that item's gateway at most.
+    """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
@@ -52,7 +58,11 @@
         }
 
     def batch(self, line: bytes) -> bytes:
-        """The reply to one batch."""
+        """The reply to one batch, a line of JSON.
+
+        A line that is not understood gives a reply without steps; an item that is not, a ``die`` step for its gateway.
+        Both are reported on standard error; nothing is raised for them.
+        """
         steps: list[dict[str, Any]] = []
         try:
             message = orjson.loads(line)
--- a/yardbank/gateway/positions.py
+++ b/yardbank/gateway/positions.py
@@ -24,7 +24,7 @@
         self._of(group)
         references = self._references[group]
         if primary and references.reference() is None:
-            references.told(server, True, 0)
+            references.on_role(server, True, 0)
 
     def dropped(self, server: int) -> None:
         """The list names it no longer."""
@@ -44,7 +44,7 @@
     def role(self, server: int, primary: bool, at: int) -> None:
         """An answer told the role."""
         if server in self._group:
-            self._references[self._group[server]].told(server, primary, at)
+            self._references[self._group[server]].on_role(server, primary, at)
 
     def committed(self, server: int, commit: tuple[str, LogPosition], sent_at: int) -> int:
         """The token of a write."""
