--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -1,11 +1,13 @@
-"""The wire on one side, the decision module's interface on the other, for many gateways in one process.
+"""Translates between the wire and the decision module's interface, for many gateways in one process.
 
-Reads batches from standard input, writes one reply a batch to standard output. Nothing is decided here.
+Reads batches (one JSON object a line) from standard input and writes one reply a batch to standard output. Nothing is
+decided here. The wire's words and units stay on this side; times are integer nanoseconds unless a name says otherwise.
 """
 
 from __future__ import annotations
 
 import sys
+from collections.abc import Callable
 from typing import Any
 
 import orjson
@@ -14,28 +16,38 @@
 from yardbank.policy import Router
 from yardbank.wire import NUMBER, WireError, field, read_member, read_settings, word
 
-LISTS = {"INCREMENTAL": "delta", "FULL": "full", "SAVED": "saved", "FAILED": "failed"}
+LISTS = {
+    "INCREMENTAL": api.ListKind.DELTA,
+    "FULL": api.ListKind.FULL,
+    "SAVED": api.ListKind.SAVED,
+    "FAILED": api.ListKind.FAILED,
+}
 STATUS = {
-    "Ok": "ok",
-    "Failed": "error",
-    "QueueFull": "full",
-    "TimedOut": "timeout",
-    "ConnectError": "connect_failed",
-    "ResetByPeer": "reset",
-    "Canceled": "cancelled",
-    "Ignored": "moot",
-    "Miss": "miss",
+    "Ok": api.Status.OK,
+    "Failed": api.Status.ERROR,
+    "QueueFull": api.Status.FULL,
+    "TimedOut": api.Status.TIMEOUT,
+    "ConnectError": api.Status.CONNECT_FAILED,
+    "ResetByPeer": api.Status.RESET,
+    "Canceled": api.Status.CANCELLED,
+    "Ignored": api.Status.MOOT,
+    "Miss": api.Status.MISS,
 }
 
 
 class Host:
-    """The gateways of one process: a router each, sharing nothing but the numbered lists of the wire."""
+    """The gateways of one process: a router each, which share only the numbered lists of the wire.
+
+    Owns: routers and the clock time of position zero by gateway, server lists by number.
+    Bound: one router a gateway between ``hello`` and ``destroy``; one list a number of the wire.
+    Invariant: what is wrong with one item costs that item's gateway at most.
+    """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
         self.zeros: dict[int, int] = {}
         self.lists: dict[int, tuple[api.Member, ...]] = {}
-        self.readers = {
+        self.readers: dict[str, Callable[[int, Any], api.Event]] = {
             "call": self._request,
             "settled": self._outcome,
             "deadline_hit": lambda gateway, item: api.Timer(field(item, "handle", str)),
@@ -46,7 +58,11 @@
         }
 
     def batch(self, line: bytes) -> bytes:
-        """The reply to one batch."""
+        """The reply to one batch, a line of JSON.
+
+        A line that is not understood gives a reply without steps; an item that is not, a ``die`` step for its gateway.
+        Both are reported on standard error; nothing is raised for them.
+        """
         steps: list[dict[str, Any]] = []
         try:
             message = orjson.loads(line)
@@ -132,7 +148,7 @@
 
     def _list(self, gateway: int, item: Any) -> api.ServerList:
         kind = word(item, "scope", LISTS)
-        if kind == "failed":
+        if kind == api.ListKind.FAILED:
             return api.ServerList(kind)
         table = field(item, "table", int)
         if table not in self.lists:
