--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -76,7 +76,7 @@
     place.gateway.leave(place.number)
     place.gateway.leave(place.number)
     place.backend.to("p").answer()
-    assert sink.got == [] and place.gateway.owed == 0 and not place.gateway._open
+    assert sink.got == [] and place.gateway.owed == 0 and not len(place.gateway._requests)
 
 
 def test_long_answers_stream_once_the_bound_is_reached():
--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -45,7 +45,7 @@
     place = place_with(seed)
     assert not word(place) and not marked(place)  # hearsay alone
     assert word(place)  # it was asked meanwhile, and has that
-    assert [event.server for event in marked(place)] == [place.gateway._servers["c"]]
+    assert [event.server for event in marked(place)] == [place.gateway._endpoints.server_numbers["c"]]
     assert not word(place)  # nothing that was not known
     place.ask("read")
     assert place.backend.sent[-1][0] == "c"
@@ -54,7 +54,7 @@
 @SEEDS
 def test_a_word_that_its_bringer_has_checked_is_taken_without_a_look(seed):
     place, looks = place_with(seed), []
-    place.gateway.ask = lambda server, then: looks.append(server)
+    place.gateway._prober.ask = lambda server, then: looks.append(server)
     for nonsense in ({"": [5]}, {}):
         assert not place.gateway.told_position("c", START, nonsense, checked=True)
     assert place.gateway.told_position("c", START, {"": (5,)}, checked=True) and len(marked(place)) == 1
@@ -66,7 +66,7 @@
 @SEEDS
 def test_marks_prove_no_more_than_ones_own_links_and_are_no_observation_of_the_head(seed):
     place = place_with(seed, applied=9)
-    number, head = place.gateway._groups["g"], place.gateway._positions.head(0)
+    number, head = place.gateway._endpoints.group_numbers["g"], place.gateway._positions.head(0)
     word(place, 9)
     assert word(place, 9)
     position = marked(place)[0].report.position
@@ -80,22 +80,22 @@
     place = place_with(seed, applied=3)
     assert not word(place, 3) and not word(place, 3)  # no link of its own is covered: nothing is proved
     assert word(place, 5)  # a lie
-    number = place.gateway._servers["c"]
+    number = place.gateway._endpoints.server_numbers["c"]
     for _ in range(11):
         place.pass_time(1, 0.5)
         word(place, 5)
-    assert place.gateway._passed.state(number) == FALSE and place.gateway.view()["passed"]["false"] == 1
+    assert place.gateway._prober.gossiped.state(number) == FALSE and place.gateway.view()["passed"]["false"] == 1
     place.applied, seen = 9, len(marked(place))
     assert not word(place, 9) and len(marked(place)) == seen
     place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "a", "h", 2, started=START / 1000 + 1)])
     assert not word(place, 9) and not word(place, 9)  # the old start
-    assert not word(place, 9, START + 1000) and place.gateway._passed.state(number) == AGREED
+    assert not word(place, 9, START + 1000) and place.gateway._prober.gossiped.state(number) == AGREED
 
 
 def test_words_on_strangers_other_starts_primaries_and_nonsense_are_nobodys():
     place = place_with()
     assert not word(place, server="x") and not word(place, start=START + 1) and not word(place, 5, 0, "p")
-    assert place.gateway._passed._words == {}
+    assert place.gateway._prober.gossiped._words == {}
     word(place), word(place, 4)
     for marks in (
         {},
--- a/tests/gateway/test_race_lists.py
+++ b/tests/gateway/test_race_lists.py
@@ -104,7 +104,7 @@
     place = Place()
     told = []
     place.gateway.ask("p", lambda position, at, status: told.append(status))
-    place.gateway._probe(1)
+    place.gateway._prober.probe(1)
     place.gateway.apply_changes({"p": turn})
     assert told == ["moot"] and len(place.backend.waiting) == (1 if turn is None else 2)
     assert [event.status for event in place.told(Probed)] == (["connect_failed"] if turn is None else [])
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -28,7 +28,9 @@
     for group in range(20):
         router.wary[group] = 1 << 62
     for number in range(64):
-        place.gateway._ends[f"error: a rather long reason that was seen once and number {number:02} of it"] = 12345
+        place.gateway._attempts.ends[f"error: a rather long reason that was seen once and number {number:02} of it"] = (
+            12345
+        )
     view = place.gateway.view()
     assert len(view["servers"]) == MOST_SERVERS
     assert len(json.dumps(view)) < 4096 - 200  # what the log adds of its own
@@ -37,9 +39,9 @@
 def test_the_worst_stand_out_and_why_requests_were_shed_is_told():
     place = fleet_of(86)
     router = place.gateway._router
-    worst = router.servers[place.gateway._servers["s-00000007"]]
+    worst = router.servers[place.gateway._endpoints.server_numbers["s-00000007"]]
     worst.silent = True
-    router.servers[place.gateway._servers["s-00000010"]].lag = 5000 * MS
+    router.servers[place.gateway._endpoints.server_numbers["s-00000010"]].lag = 5000 * MS
     router.shed["share"] += 3
     view = place.gateway.view()
     assert list(view["servers"]) == ["s-00000007", "s-00000010"]
--- a/tests/gateway/test_zone_latencies.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -49,7 +49,7 @@
     ready(FakeConnection(place.backend, server, lost))
     assert [what for *_, what in seen] == ["probe"]  # how long the second opening took is not known
     place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "far", "elsewhere", 9)])
-    place.gateway._way_seen(server, 5, "connect")
+    place.gateway._endpoints.latency_measured(server, 5, "connect")
     assert len(seen) == 1
 
 
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -233,7 +233,7 @@
         run(place.start_gateway)
         gateway = place.proxy.gateway
         until(lambda: gateway.list_version == 1)
-        seen = lambda name: run(lambda: gateway._specs[name].weight)  # noqa: E731
+        seen = lambda name: run(lambda: gateway._endpoints.specs[name].weight)  # noqa: E731
         assert (seen("n2"), seen("n3")) == (1.8, 0.2)
         (folder / "servers.hcl").write_text(render(specs[:-1]))  # a server lost after the plan was made
         until(lambda: gateway.list_version == 2)
@@ -266,11 +266,11 @@
         place.watched, place.more_membership = folder, f'  model = "{tmp_path / "model.hcl"}"\n'
         run(place.start_gateway)
         gateway = place.proxy.gateway
-        weight = lambda name: run(lambda: gateway._specs[name].weight)  # noqa: E731
-        until(lambda: gateway.list_version == 1 and gateway._specs["n2"].weight != 1.0)
+        weight = lambda name: run(lambda: gateway._endpoints.specs[name].weight)  # noqa: E731
+        until(lambda: gateway.list_version == 1 and gateway._endpoints.specs["n2"].weight != 1.0)
         assert weight("n2") == pytest.approx(2 * weight("n1"), rel=1e-3) and weight("n3") == 0.001
         (folder / "servers.hcl").write_text(render([s for s in specs if s.name != "n2"]))
-        until(lambda: gateway.list_version == 2 and gateway._specs["n3"].weight > 0.001)
+        until(lambda: gateway.list_version == 2 and gateway._endpoints.specs["n3"].weight > 0.001)
         assert weight("n1") == pytest.approx(weight("n3"), rel=1e-3)  # ten each: half must cross now
         (folder / "servers.hcl").write_text(render([s for s in specs if s.name in ("n1", "r1", "r2")]))
         until(lambda: gateway.list_version == 3 and place.proxy._fleet._own is None)
@@ -351,7 +351,7 @@
         run(place.servers["n2"].restart)
         (folder / "servers.hcl").write_text(render(listed()))
         until(lambda: gateway.list_version == 2)
-        assert run(lambda: gateway._specs["n2"].weight) <= 2.9 * 0.35  # its warmth's part, in steps
+        assert run(lambda: gateway._endpoints.specs["n2"].weight) <= 2.9 * 0.35  # its warmth's part, in steps
         request = m.SearchRequest("cn=1,ou=numbers,dc=porting", 0, m.Present("cn"))
         for _ in range(4):
             run(lambda: gatherResults([desk.ask(request, "bounded", staleness=0.8) for _ in range(60)]))
--- a/tests/server_list/test_server_list.py
+++ b/tests/server_list/test_server_list.py
@@ -506,7 +506,7 @@
         assert not [f for f in after if f["at"] > told + 0.5]
         put(*everyone, n3={"started": time.time()})  # back under its name, with a new start
         place.record({"kind": "told", "server": "n3", "state": "ready"})
-        back = place.proxy.gateway._router.servers[place.proxy.gateway._servers["n3"]]
+        back = place.proxy.gateway._router.servers[place.proxy.gateway._endpoints.server_numbers["n3"]]
         assert back.started > 0 and place.proxy.gateway._router.warmth(back) < 1.0 and not back.drained
         put(*everyone, n3={"started": 0.0})  # another group and zone is another place for the same name
         moved = [s for s in listed(place, *everyone) if s.name != "n3"]
@@ -514,12 +514,13 @@
             render([*moved, ServerSpec("n3", "requests", "sur", "127.0.0.1", place.servers["n3"].port)])
         )
         os.replace(tmp_path / "new", file)
-        until(lambda: place.proxy.gateway._specs["n3"].group == "requests")
-        group = place.proxy.gateway._groups["requests"]
+        until(lambda: place.proxy.gateway._endpoints.specs["n3"].group == "requests")
+        group = place.proxy.gateway._endpoints.group_numbers["requests"]
         known = place.proxy.gateway._router
-        assert known.servers[place.proxy.gateway._servers["n3"]].group == group
+        assert known.servers[place.proxy.gateway._endpoints.server_numbers["n3"]].group == group
         assert all(
-            s.id != place.proxy.gateway._servers["n3"] for s in known.groups[place.proxy.gateway._groups["numbers"]]
+            s.id != place.proxy.gateway._endpoints.server_numbers["n3"]
+            for s in known.groups[place.proxy.gateway._endpoints.group_numbers["numbers"]]
         )
         verdict = judge(sorted(place.record.facts, key=lambda fact: fact["at"]))
         assert verdict.held
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -310,7 +310,7 @@
     (tmp_path / "list.hcl").write_text("broken {")
     life = Life(tmp_path, clock, truth)
     assert any(event == "list_rejected" for event, _ in life.lines)
-    names = {life.gateway._specs[name].state for name in life.gateway._specs}
+    names = {life.gateway._endpoints.specs[name].state for name in life.gateway._endpoints.specs}
     assert names == {"ready", "draining"} and life.gateway.list_version == 2
     for _ in range(10):
         assert "d" not in life.read()
--- a/tests/support/rare_moment_faults.py
+++ b/tests/support/rare_moment_faults.py
@@ -3,9 +3,9 @@
 
 def keeps_the_gone():
     """Goes on with a request whose client has left or wants no answer, as if nothing had been said."""
-    from yardbank.gateway import Gateway
+    from yardbank.gateway.attempt_runner import AttemptRunner
 
-    Gateway.leave = lambda self, number: None
+    AttemptRunner.leave = lambda self, number: None
 
 
 def never_cold():
--- /dev/null
+++ b/yardbank/gateway/responder.py
@@ -0,0 +1,230 @@
+"""How requests end: the one final answer each, and the end of all when the gateway stops.
+
+Owns: the counts of answers, the state of stopping and the shutdown trigger. Only this part gives final answers and
+marks requests as answered. Bound: counters by request class. Invariant: a request's sink gets exactly one of
+``served``, ``refused``, ``failed``, or nothing where its client has left, and nothing after that.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet.defer import Deferred, succeed
+
+from yardbank import interface as api
+from yardbank.gateway.api import Backend
+from yardbank.gateway.context import GatewayContext
+from yardbank.gateway.ending import may_be_refused
+from yardbank.gateway.endpoint_set import EndpointSet
+from yardbank.gateway.event_queue import EventQueue
+from yardbank.gateway.request import Open
+from yardbank.gateway.request_table import RequestTable
+from yardbank.gateway.sending import Withheld
+from yardbank.gateway.tallies import Tallies
+
+AT_ONCE = 5_000_000  # ns
+STOPPED = "the gateway has stopped"
+
+
+class Responder:
+    """Final answers, and stopping."""
+
+    def __init__(
+        self,
+        context: GatewayContext,
+        backend: Backend,
+        requests: RequestTable,
+        endpoints: EndpointSet,
+        events: EventQueue,
+        log_answers: bool,
+    ) -> None:
+        self._context = context
+        self._backend = backend
+        self._requests = requests
+        self._endpoints = endpoints
+        self._events = events
+        self._log_answers = log_answers
+        self.counts: dict[str, int] = dict.fromkeys(("served", "refused", "failed", "left"), 0)
+        self.refused_by_class: Counter[str] = Counter()  # and whether at once, held or after attempts
+        self.tallies = Tallies(context.settings.classes)
+        self._stopping: Deferred[None] | None = None
+        self._trigger: Any = None
+        if hasattr(context.reactor, "addSystemEventTrigger"):  # a bare clock has no shutdown
+            self._trigger = context.reactor.addSystemEventTrigger("before", "shutdown", self._host_stops)
+
+    # Stopping
+
+    @property
+    def stopping(self) -> bool:
+        """Whether the gateway takes nothing new any more."""
+        return self._stopping is not None
+
+    def stop(self, grace: int | None) -> Deferred[None]:
+        """Take nothing new; fires when all that was taken is answered, at the latest after ``grace`` ns."""
+        if self._stopping is None:
+            self._stopping = Deferred()
+            self._begin_stop(grace)
+        waiter: Deferred[None] = Deferred()
+        if self._stopping.called:
+            return succeed(None)
+
+        def pass_on(_: None) -> None:
+            waiter.callback(None)
+
+        self._stopping.addCallback(pass_on)
+        return waiter
+
+    def _begin_stop(self, grace: int | None) -> None:
+        unanswered = self._requests.unanswered
+        self._context.log.info("stopping", owed=unanswered)
+        if not unanswered:
+            self._stopped()
+            return
+        limit = self._context.limits.stop_grace if grace is None else grace
+        self._context.deadlines.add(self._context.now() + limit, self._end_all)
+
+    def kill(self) -> None:
+        """End as a killed process does: connections are cut, nothing is answered."""
+        self._events.silence()
+        for request in self._requests.all():
+            request.ended = True
+        self._context.deadlines.clear()
+        for link in self._endpoints.all_links():
+            link.abort()
+        if self._trigger is not None:
+            self._context.reactor.removeSystemEventTrigger(self._trigger)
+            self._trigger = None
+
+    def _host_stops(self) -> None:
+        """The host process stops without having asked: every request taken gets its answer now."""
+        if self._stopping is None:
+            self._stopping = Deferred()
+        self._end_all()
+
+    def _end_all(self) -> None:
+        for request in self._requests.all():
+            if not request.ended:
+                self.end(request, STOPPED)
+        self._stopped()
+
+    def _stopped(self) -> None:
+        assert self._stopping is not None
+        if self._stopping.called:
+            return
+        trigger, self._trigger = self._trigger, None
+        if trigger is not None:
+            try:
+                self._context.reactor.removeSystemEventTrigger(trigger)
+            except (ValueError, KeyError):  # it is running right now
+                pass
+        for link in self._endpoints.all_links():
+            link.close(STOPPED)
+        self._context.deadlines.clear()
+        self._context.log.info("stopped", **self.counts)
+        self._stopping.callback(None)
+
+    def _stopped_if_empty(self) -> None:
+        if not self._requests.unanswered:
+            self._stopped()
+
+    # Final answers
+
+    def rescue(self, cause: api.Event | api.Action) -> None:
+        """An error in the program stands where a decision or its execution should: end that request alone."""
+        number = getattr(cause, "id", None)
+        if not isinstance(number, str):
+            return
+        request = self._requests.unended(number)
+        if request is None:
+            return
+        self.end(request, "internal error")
+        if not isinstance(cause, api.ClientCancelled):
+            self._events.append(api.ClientCancelled(request.id))
+
+    def serve(self, request: Open, payload: Any, server: str = "") -> None:
+        """Give the answer's last part; ``server`` is the name of the one that gave it, for the log."""
+        self.finish(request, "served", server)
+        self._call_sink(request, lambda: request.call.sink.served(payload))
+
+    def refuse(self, request: Open, retry_after: int, reason: str) -> None:
+        """Reject a request, or serve what a copy answered along with a miss. ``retry_after``: ns."""
+        if request.missed is not None:  # copies that its class allows have answered, and nobody said otherwise
+            self.serve(request, request.missed)
+            return
+        self.finish(request, "refused", "")
+        self._call_sink(request, lambda: request.call.sink.refused(retry_after, reason))
+
+    def fail(self, request: Open, reason: str) -> None:
+        """End a request with nothing promised either way."""
+        self.finish(request, "failed", "")
+        self._call_sink(request, lambda: request.call.sink.failed(reason))
+
+    def end(self, request: Open, reason: str) -> None:
+        """End a request without a decision of the module."""
+        if self._may_refuse(request):
+            self.refuse(request, self._context.settings.max_retry_after, reason)
+        else:
+            self.fail(request, reason)
+        self.withdraw(request)
+
+    def _may_refuse(self, request: Open) -> bool:
+        if request.answering is not None:
+            return False
+        may_have_run = request.may_have_run or any(attempt.gone_out for attempt in request.out.values())
+        return may_be_refused(request.kind, may_have_run)
+
+    def withdraw(self, request: Open) -> None:
+        """Nothing more is sent for a request: its attempts that wait for a connection end as never run."""
+        for attempt in list(request.out.values()):
+            if not attempt.gone_out and not attempt.ended:
+                attempt.end("moot", None, Withheld.ENDED.value)
+
+    def finish(self, request: Open, answer: str, server: str) -> None:
+        """Count a request as ended, ahead of its sink's call: from here on it counts as answered everywhere."""
+        self._requests.answered(request)
+        took = self._context.now() - request.taken_at
+        self._count(request, answer, took)
+        if request.stream_timer is not None:
+            self._context.deadlines.cancel(request.stream_timer)
+        request.parts.clear()
+        if self._context.record:
+            self._context.note("answer", id=request.id, answer=answer)
+        if self._log_answers:
+            self._log_answer(request, answer, server, took)
+        self._requests.discard_if_over(request)
+        if self._stopping is not None and not self._requests.unanswered and not self._stopping.called:
+            self._context.reactor.callLater(0, self._stopped_if_empty)
+
+    def _count(self, request: Open, answer: str, took: int) -> None:
+        self.counts[answer] += 1
+        self.tallies.add(request.kind, answer, took)
+        if answer != "refused":
+            return
+        if request.attempts:
+            when = "after attempts"
+        elif took < AT_ONCE:
+            when = "at once"
+        else:
+            when = "held"
+        self.refused_by_class[f"{request.kind.name} {when}"] += 1
+
+    def _log_answer(self, request: Open, answer: str, server: str, took: int) -> None:
+        self._context.log.info(
+            "answer",
+            request=request.id,
+            answer=answer,
+            request_class=request.kind.name,
+            operation=request.call.label or self._backend.describe(request.call.operation),
+            attempts=request.attempts,
+            list=request.list_version,
+            server=server or None,
+            ms=round(took / 1e6, 3),
+        )
+
+    def _call_sink(self, request: Open, give: Callable[[], None]) -> None:
+        try:
+            give()
+        except Exception as problem:  # border: the request is over for the module; its front must not harm others
+            self._context.log.error("front_error", request=request.id, error=repr(problem), exc_info=True)
