--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -20,7 +20,7 @@
 from yardbank import interface as api
 from yardbank.cluster.channels.api import Delivered, Options
 from yardbank.cluster.channels.positions import Place, Positions
-from yardbank.gateway.passed import Passed
+from yardbank.gateway.gossiped_positions import GossipedPositions
 from yardbank.policy import Router
 from yardbank.testing.rig.network import Effect
 from yardbank.testing.rig.virtual import Fleet, World
@@ -170,7 +170,7 @@
             for number, member in ((member.server, member) for member in self.members)
         ]
         self._deciders = [Positions(str(one.number), Random(one.number), Options()) for one in self.gateways]
-        self._passed = [Passed(Random(one.number), 4 * SECOND) for one in self.gateways]
+        self._passed = [GossipedPositions(Random(one.number), 4 * SECOND) for one in self.gateways]
         self._primary = {member.group: member.server for member in self.members if member.primary}
         self._group = {member.server: member.group for member in self.members}
         for decider in self._deciders:
--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -9,7 +9,7 @@
 from tests.support.virtual_gateway import SERVERS, Place
 from yardbank.gateway import Reply, ServerSpec
 from yardbank.gateway.api import ProbeResult
-from yardbank.gateway.passed import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, Passed
+from yardbank.gateway.gossiped_positions import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, GossipedPositions
 from yardbank.interface import PositionGossiped, Role
 
 SEEDS = pytest.mark.parametrize("seed", [1, 2])
@@ -157,7 +157,7 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(STEP, max_size=60), st.integers(0, 3))
 def test_a_word_is_taken_only_lately_after_a_look_and_a_true_one_is_never_called_false(steps, seed):
-    passed, now, has, out, agreed_at, lied = Passed(Random(seed), 0), 1, 0, None, None, False
+    passed, now, has, out, agreed_at, lied = GossipedPositions(Random(seed), 0), 1, 0, None, None, False
     for what, much, wait in steps:
         now += wait
         before = passed.state(1)
@@ -182,7 +182,7 @@
 
 
 def agreed(now=10**9):
-    passed = Passed(Random(1), 0)
+    passed = GossipedPositions(Random(1), 0)
     assert not passed.take(now, 1, 7, {"": (1,)}) and passed.due(now, 1) and passed.seen(now, 1, {"": (1,)}, now)
     return passed
 
@@ -209,7 +209,7 @@
 def test_first_looks_of_hundreds_spread_and_unanswered_ones_come_seldom():
     at = []
     for seed in range(200):
-        passed, now = Passed(Random(seed), 200 * 10**6), 10**9
+        passed, now = GossipedPositions(Random(seed), 200 * 10**6), 10**9
         while not passed.take(now, 1, 7, {"": (1,)}) and not passed.due(now, 1):
             now += 10**6
         at.append(now - 10**9)
--- a/tests/gateway/test_parts.py
+++ b/tests/gateway/test_parts.py
@@ -8,7 +8,7 @@
 from yardbank.gateway.clock import SteadyClock, started_at
 from yardbank.gateway.deadlines import Deadlines
 from yardbank.gateway.ending import allowance, may_be_refused
-from yardbank.gateway.pool import Pool
+from yardbank.gateway.slots import SlotTable
 
 
 def test_the_clock_never_goes_back():
@@ -39,7 +39,7 @@
 
 
 def test_the_pool_shares_connections_and_is_bounded():
-    pool = Pool(connections=2, multiplex=2, idle_close=100)
+    pool = SlotTable(connections=2, multiplex=2, idle_close=100)
     first = pool.place(0)
     assert first.opening and pool.place(0).slot == first.slot  # the second waits for the same one
     second = pool.place(0)
@@ -53,7 +53,7 @@
 
 
 def test_a_connection_with_nothing_heard_since_a_time_out_takes_nothing_new():
-    pool = Pool(1, 4, 100)
+    pool = SlotTable(1, 4, 100)
     slot = pool.place(0).slot
     pool.opened(slot, 1)
     pool.place(5)
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -5,7 +5,7 @@
 
 from tests.support.virtual_gateway import READ, WRITE, Place
 from yardbank.gateway.api import MS
-from yardbank.gateway.tallies import BUCKETS, LEAST, MOST, Tallies, Tally, beyond, bucket
+from yardbank.gateway.request_counters import BUCKETS, LEAST, MOST, ClassCounters, RequestCounters, beyond, bucket
 
 ANSWERS = st.tuples(
     st.sampled_from([READ, WRITE]), st.sampled_from(["served", "refused", "failed", "left"]), st.integers(0, 1 << 40)
@@ -24,7 +24,7 @@
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(st.lists(ANSWERS, max_size=40), st.integers(0, 40))
 def test_figures_add_up_and_a_copy_stays(ends, cut):
-    tallies, earlier = Tallies([READ, WRITE]), None
+    tallies, earlier = RequestCounters([READ, WRITE]), None
     for number, (kind, answer, took) in enumerate(ends):
         if number == cut:
             earlier = tallies.copy()
@@ -47,7 +47,7 @@
         if earlier is not None:
             after = tally.since(earlier[kind.name])
             assert sum(after.latencies) == sum(one is kind and answer == "served" for one, answer, _ in ends[cut:])
-    assert Tally().quantile(0.99) == 0
+    assert ClassCounters().quantile(0.99) == 0
 
 
 def test_each_request_of_a_gateway_counts_once_by_its_class_and_end():
--- a/tests/platform/test_race_writes.py
+++ b/tests/platform/test_race_writes.py
@@ -13,8 +13,9 @@
 from tests.support.platform import AUTHENTICATED, KINDS, READY, WRITE, Log, row
 from yardbank.gateway import Limits, ServerSpec
 from yardbank.gateway.api import MS, SECOND, NotSentError
+from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.deadlines import Deadlines
-from yardbank.gateway.link import Attempt, Way
+from yardbank.gateway.server_link import ServerLink
 from yardbank.platform.backend import Operation, ServerConnection
 from yardbank.platform.statement import read_statement
 
@@ -126,7 +127,7 @@
 def test_a_connection_that_ends_right_behind_its_welcome_is_written_nothing():
     clock, servers, ends = Clock(), Servers(), []
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-    way = Way(
+    link = ServerLink(
         ServerSpec("p", "2", "a", "h", 1, True),
         servers,
         Limits(multiplex=1),
@@ -135,16 +136,16 @@
         Log(),
     )
     asked = operation()
-    way.submit(Attempt(asked, now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
+    link.submit(Attempt(asked, now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
     servers.made[0].far.shutdown(socket.SHUT_WR)  # in good order: a write would succeed
     servers.made[0].up()
-    assert ends == ["connect_failed"] and not asked.sent and way.connections == 0
+    assert ends == ["connect_failed"] and not asked.sent and link.connections == 0
 
 
 def test_an_unsafe_request_of_which_nothing_was_taken_never_ran_and_its_connection_is_let_go():
     clock, servers, ends = Clock(), Servers(), []
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-    way = Way(
+    link = ServerLink(
         ServerSpec("p", "2", "a", "h", 1, True),
         servers,
         Limits(multiplex=1),
@@ -155,19 +156,19 @@
     asked = operation()
 
     def ended(status, reply, reason):
-        ends.append((status, way.connections))
+        ends.append((status, link.connections))
 
-    way.submit(Attempt(asked, now(), lambda *a: None, ended), SECOND)
+    link.submit(Attempt(asked, now(), lambda *a: None, ended), SECOND)
     servers.made[0].reset()  # behind the welcome, and unread
     servers.made[0].connection.fit = lambda: True  # as if it came between the look and the write
     servers.made[0].up()
     assert ends == [("connect_failed", 0)] and not asked.sent
-    way.submit(Attempt(asked, now(), lambda *a: None, ended), SECOND)
+    link.submit(Attempt(asked, now(), lambda *a: None, ended), SECOND)
     servers.made[1].up()
     assert asked.sent and len(ends) == 1 and b"INSERT" in servers.made[1].far.recv(1000)
     servers.made[1].reset()
     servers.made[1].connection.connectionLost()
-    assert [status for status, _ in ends] == ["connect_failed", "reset"] and way.connections == 0
+    assert [status for status, _ in ends] == ["connect_failed", "reset"] and link.connections == 0
 
 
 def test_the_rest_of_a_statement_that_is_given_up_is_never_written_and_a_late_answer_is_nobodys():
--- a/tests/platform/test_server_links.py
+++ b/tests/platform/test_server_links.py
@@ -10,9 +10,10 @@
 from tests.support.platform import AUTHENTICATED, KINDS, READ, READY, WRITE, Backend, Log, row
 from yardbank.gateway import Call, Gateway, Limits, Reply, ServerSpec
 from yardbank.gateway.api import BROKE_OPENING, MS, SECOND
+from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.deadlines import Deadlines
-from yardbank.gateway.link import Attempt, Way
 from yardbank.gateway.positions import ClockPositions
+from yardbank.gateway.server_link import ServerLink
 from yardbank.interface import Settings
 from yardbank.pg import messages as pg
 from yardbank.platform.backend import Operation, ServerConnection
@@ -38,10 +39,10 @@
         return transport.abortConnection
 
 
-def one_way():
+def one_link():
     clock = Clock()
     servers = Servers(lambda: int(clock.seconds() * SECOND))
-    way = Way(
+    link = ServerLink(
         ServerSpec("p", "2", "a", "h", 1, True),
         servers,
         Limits(multiplex=1),
@@ -49,22 +50,22 @@
         servers.now,
         Log(),
     )
-    return clock, servers, way
+    return clock, servers, link
 
 
 @pytest.mark.parametrize(("end", "status"), [("cancel", "cancelled"), ("time", "timeout"), ("loss", "reset")])
 def test_an_attempt_that_is_given_up_says_so_and_its_connection_is_never_used_again(end, status):
-    clock, servers, way = one_way()
+    clock, servers, link = one_link()
     ends, operation = [], Operation(read_statement(READ, KINDS), 400 * MS)
 
     def ended(how, reply, reason):
         ends.append(how)  # the next one is sent from where this one ends
-        way.submit(Attempt(operation, servers.now(), lambda *a: None, lambda *a: ends.append(a[0])), 800 * MS)
+        link.submit(Attempt(operation, servers.now(), lambda *a: None, lambda *a: ends.append(a[0])), 800 * MS)
 
     attempt = Attempt(operation, servers.now(), lambda *a: None, ended)
-    way.submit(attempt, 300 * MS)
+    link.submit(attempt, 300 * MS)
     if end == "cancel":
-        way.cancel(attempt)
+        link.cancel(attempt)
     elif end == "time":
         clock.advance(0.3)
     else:
@@ -72,14 +73,14 @@
     assert ends == [status] and len(servers.connections) == 2 and servers.connections[0][1].disconnecting
     servers.connections[0][0].dataReceived(row() + READY)  # late
     servers.connections[1][0].dataReceived(row() + READY)
-    assert ends == [status, "ok"] and way.connections == 1
+    assert ends == [status, "ok"] and link.connections == 1
 
 
 def test_a_connection_that_went_bad_while_idle_is_let_go_before_a_request_is_written():
-    _, servers, way = one_way()
+    _, servers, link = one_link()
     ends, operation = [], Operation(read_statement(WRITE, KINDS), 400 * MS)
     for turn in range(3):
-        way.submit(Attempt(operation, servers.now(), lambda *a: None, lambda *a: ends.append(a[0])), 300 * MS)
+        link.submit(Attempt(operation, servers.now(), lambda *a: None, lambda *a: ends.append(a[0])), 300 * MS)
         assert len(servers.connections) == turn + 1
         made, transport = servers.connections[-1]
         made.dataReceived(row(tag="INSERT 0 1") + READY)
@@ -87,7 +88,7 @@
             transport.far.close()
         else:
             transport.far.send(row())
-    assert ends == ["ok"] * 3 and way.connections == 1
+    assert ends == ["ok"] * 3 and link.connections == 1
 
 
 def test_at_the_bound_of_server_connections_the_idlest_of_all_gives_way():
@@ -140,30 +141,30 @@
     clock, ends = Clock(), []
     doors = Doors()
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-    way = Way(
+    link = ServerLink(
         ServerSpec("p", "2", "a", "h", 1, True), doors, Limits(multiplex=1), Deadlines(now, clock.callLater), now, Log()
     )
-    way.submit(Attempt("x", now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
-    return clock, ends, doors, way
+    link.submit(Attempt("x", now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
+    return clock, ends, doors, link
 
 
 def test_a_connection_that_breaks_while_opening_is_opened_once_more_and_its_attempt_goes_out():
-    _, ends, doors, way = opening()
+    _, ends, doors, link = opening()
     doors.tries[0][1](BROKE_OPENING)
     sent = []
     connection = SimpleNamespace(submit=lambda operation, receiver: sent.append(receiver) or 0, fit=lambda: True)
     doors.tries[1][0](connection)
-    assert not ends and len(sent) == 1 and way.connections == 1
+    assert not ends and len(sent) == 1 and link.connections == 1
     sent[0].attempt_done(Reply("ok"))
     assert ends == ["ok"] and len(doors.tries) == 2
 
 
 @pytest.mark.parametrize("reasons", [["refused"], [BROKE_OPENING, BROKE_OPENING], [BROKE_OPENING, "refused"]])
 def test_what_is_refused_or_breaks_twice_is_no_connection(reasons):
-    _, ends, doors, way = opening()
+    _, ends, doors, link = opening()
     for reason in reasons:
         doors.tries[-1][1](reason)
-    assert ends == ["connect_failed"] and len(doors.tries) == len(reasons) and way.connections == 0
+    assert ends == ["connect_failed"] and len(doors.tries) == len(reasons) and link.connections == 0
 
 
 def test_a_second_opening_has_only_what_is_left_of_the_time():
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -12,7 +12,7 @@
 from tests.support import list_distribution_faults as distribution_faults
 from tests.support import rare_moment_faults as moments_faults
 from yardbank import interface as api
-from yardbank.gateway import sending
+from yardbank.gateway import send_check
 from yardbank.policy import Router
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self, settings):
         super().__init__(settings)
-        sending.withheld_repeat = lambda request, now: None
+        send_check.check_repeat = lambda request, now: None
 
     def may_resend(self, held):
         return held.attempts < 3
--- a/tests/testing/audit/test_rules.py
+++ b/tests/testing/audit/test_rules.py
@@ -7,7 +7,7 @@
 from yardbank import interface as api
 from yardbank.cli import main
 from yardbank.directory.codes import Code
-from yardbank.gateway import sending
+from yardbank.gateway import send_check
 from yardbank.ldap import messages as m
 from yardbank.policy import Router
 from yardbank.testing.audit import judge
@@ -70,7 +70,7 @@
 
 
 def test_a_write_sent_twice_is_found(monkeypatch):
-    monkeypatch.setattr(sending, "withheld_repeat", lambda request, now: None)  # the gateway does not ask either
+    monkeypatch.setattr(send_check, "check_repeat", lambda request, now: None)  # the gateway does not ask either
     with world(router=Resends) as place:
         place.servers["n1"].faults.lose_next = 1
         desk = Desk(place)
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -212,7 +212,7 @@
 
     def _figures(self) -> Figures:
         from yardbank.cluster.rollout.metrics import of_gateway, resident
-        from yardbank.gateway.tallies import beyond
+        from yardbank.gateway.request_counters import beyond
 
         promises = {
             kind.name: (
--- a/yardbank/gateway/attempt.py
+++ b/yardbank/gateway/attempt.py
@@ -8,8 +8,8 @@
 from yardbank.gateway.api import Reply
 
 if TYPE_CHECKING:
-    from yardbank.gateway.link import Way
-    from yardbank.gateway.sending import Withheld
+    from yardbank.gateway.send_check import SendCheck
+    from yardbank.gateway.server_link import ServerLink
 
 
 class Attempt:
@@ -17,6 +17,7 @@
 
     __slots__ = (
         "_ended",
+        "link",
         "list_seen",
         "look",
         "number",
@@ -27,7 +28,6 @@
         "slot",
         "timer",
         "until",
-        "way",
     )
 
     def __init__(
@@ -36,7 +36,7 @@
         sent_at: int,
         on_part: Callable[[Any, int], None],
         on_end: Callable[[str, Reply | None, str], None],
-        look: Callable[[Attempt], Withheld | None] = lambda attempt: None,
+        look: Callable[[Attempt], SendCheck | None] = lambda attempt: None,
         list_seen: int = 0,
     ) -> None:
         self.operation, self.sent_at = operation, sent_at
@@ -46,7 +46,7 @@
         self.slot: int | None = None
         self.number: int | None = None  # on its connection, once it has gone out
         self.timer: int | None = None
-        self.way: Way | None = None
+        self.link: ServerLink | None = None
         self._ended = False
 
     @property
@@ -77,6 +77,6 @@
         if self._ended:
             return
         self._ended = True
-        if self.way is not None:
-            self.way.release(self, answered)
+        if self.link is not None:
+            self.link.release(self, answered)
         self.on_end(status, reply, reason)
--- a/yardbank/gateway/attempt_runner.py
+++ b/yardbank/gateway/attempt_runner.py
@@ -15,16 +15,16 @@
 
 from yardbank import interface as api
 from yardbank.gateway.api import Reply
+from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.context import GatewayContext
 from yardbank.gateway.ending import standing
 from yardbank.gateway.endpoint_set import EndpointSet
 from yardbank.gateway.event_queue import EventQueue
-from yardbank.gateway.link import Attempt
 from yardbank.gateway.positions import Positions
-from yardbank.gateway.request import Open
+from yardbank.gateway.request import InFlightRequest
 from yardbank.gateway.request_table import RequestTable
 from yardbank.gateway.responder import Responder
-from yardbank.gateway.sending import Withheld, withheld
+from yardbank.gateway.send_check import SendCheck, check_send
 
 _DIGITS = re.compile("[0-9]+")
 MAX_ENDS = 64  # ends that came to nothing which are told apart in the log
@@ -53,7 +53,7 @@
 
     # Sending
 
-    def explain(self, action: api.Action, cause: api.Event, request: Open, **more: Any) -> None:
+    def explain(self, action: api.Action, cause: api.Event, request: InFlightRequest, **more: Any) -> None:
         """Log what was decided on a request and on which event, where the log takes debug lines."""
         if not self._context.explains:
             return
@@ -65,7 +65,7 @@
             action=type(action).__name__,
             cause=why,
             request=request.id,
-            request_class=request.kind.name,
+            request_class=request.request_class.name,
             **more,
         )
 
@@ -91,22 +91,22 @@
             if self._context.record:
                 self._context.note("send", id=request.id, attempt=number, server=link.server.name)
         if request.ended:
-            attempt.end("moot", None, Withheld.ENDED.value)
+            attempt.end("moot", None, SendCheck.ENDED.value)
         elif link is None:
-            attempt.end("moot", None, Withheld.SUPERSEDED.value)
+            attempt.end("moot", None, SendCheck.SUPERSEDED.value)
         else:
             link.submit(attempt, action.until)
             self._endpoints.watch_idle()
 
-    def _check(self, request: Open, server: int, attempt: Attempt) -> Withheld | None:
+    def _check(self, request: InFlightRequest, server: int, attempt: Attempt) -> SendCheck | None:
         """The last check before an attempt is written: lists that lie unread, the client, what has come between."""
         if not request.ended:
             self._endpoints.catch_up()
             if not request.ended and not self._client_is_present(request):
                 self.leave(request.id)
-        return withheld(request, attempt, self._context.now(), self._endpoints.changed_in(server))
+        return check_send(request, attempt, self._context.now(), self._endpoints.changed_in(server))
 
-    def _client_is_present(self, request: Open) -> bool:
+    def _client_is_present(self, request: InFlightRequest) -> bool:
         if request.call.present is None:
             return True
         try:
@@ -124,11 +124,11 @@
         self._events.handle(api.ClientCancelled(number))
         self._responder.withdraw(request)
 
-    def shorten(self, request: Open, expires: int) -> None:
+    def shorten(self, request: InFlightRequest, expires: int) -> None:
         """A request's attempts are of no use from ``expires`` (ns) on."""
         for attempt in list(request.out.values()):
-            if attempt.way is not None:
-                attempt.way.shorten(attempt, expires)
+            if attempt.link is not None:
+                attempt.link.shorten(attempt, expires)
 
     def cancel(self, action: api.Cancel, cause: api.Event) -> None:
         """Stop waiting for an attempt, if it is still out."""
@@ -136,14 +136,14 @@
         if request is None:
             return
         attempt = request.out.get(action.attempt)
-        if attempt is None or attempt.way is None:
+        if attempt is None or attempt.link is None:
             return
         self.explain(action, cause, request)
-        attempt.way.cancel(attempt)
+        attempt.link.cancel(attempt)
 
     # Answers
 
-    def _part(self, request: Open, number: int, payload: Any, size: int) -> None:
+    def _part(self, request: InFlightRequest, number: int, payload: Any, size: int) -> None:
         """Gather an answer's parts up to the bound; beyond it, the answer begins to reach the client."""
         if request.ended or request.answering not in (None, number):
             return
@@ -156,7 +156,7 @@
         if request.gathered[number] > (request.call.gather or self._context.limits.gather):
             self._begin_stream(request, number)
 
-    def _begin_stream(self, request: Open, number: int) -> None:
+    def _begin_stream(self, request: InFlightRequest, number: int) -> None:
         request.answering = number
         parts = request.parts.pop(number)
         self._events.handle(api.Started(request.id))
@@ -168,7 +168,7 @@
             self._deliver_part(request, part)
         self._arm_stream(request, number)
 
-    def _arm_stream(self, request: Open, number: int) -> None:
+    def _arm_stream(self, request: InFlightRequest, number: int) -> None:
         if request.stream_timer is not None:
             self._context.deadlines.cancel(request.stream_timer)
         if request.ended:
@@ -176,12 +176,12 @@
         at = self._context.now() + self._context.limits.stream_idle
         request.stream_timer = self._context.deadlines.add(at, partial(self._stream_paused, request, number))
 
-    def _stream_paused(self, request: Open, number: int) -> None:
+    def _stream_paused(self, request: InFlightRequest, number: int) -> None:
         attempt = request.out.get(number)
-        if attempt is not None and attempt.way is not None:
-            attempt.way.cancel(attempt)
+        if attempt is not None and attempt.link is not None:
+            attempt.link.cancel(attempt)
 
-    def _deliver_part(self, request: Open, payload: Any) -> None:
+    def _deliver_part(self, request: InFlightRequest, payload: Any) -> None:
         try:
             request.call.sink.part(payload)
         except Exception as problem:  # border: a front's error ends its own request alone
@@ -191,7 +191,9 @@
 
     # Ends
 
-    def _ended(self, request: Open, number: int, server: int, status: str, reply: Reply | None, reason: str) -> None:
+    def _ended(
+        self, request: InFlightRequest, number: int, server: int, status: str, reply: Reply | None, reason: str
+    ) -> None:
         attempt, now = request.out.pop(number), self._context.now()
         link = self._endpoints.links.get(server)
         name = link.server.name if link else str(server)
@@ -222,7 +224,7 @@
             self._responder.withdraw(request)
 
     def _learn(
-        self, request: Open, attempt: Attempt, server: int, status: str, reply: Reply, now: int
+        self, request: InFlightRequest, attempt: Attempt, server: int, status: str, reply: Reply, now: int
     ) -> tuple[str, int | None, api.Report | None]:
         """What a reply says of its server: the status as it counts, the write's token, a report."""
         token, report = None, None
@@ -237,7 +239,7 @@
             report = self._positions.report(server, reply.report, attempt.sent_at)
         return status, token, report
 
-    def _note_end(self, request: Open, number: int, server: str, status: str, reason: str) -> None:
+    def _note_end(self, request: InFlightRequest, number: int, server: str, status: str, reason: str) -> None:
         if status != "ok":
             end = _DIGITS.sub("#", f"{status}: {reason}"[:MAX_REASON])
             if end in self.ends or len(self.ends) < MAX_ENDS:
@@ -249,7 +251,7 @@
                 "attempt_end", request=request.id, attempt=number, server=server, status=status, reason=reason
             )
 
-    def _answer(self, request: Open, number: int, server: str, status: str, reply: Reply | None) -> None:
+    def _answer(self, request: InFlightRequest, number: int, server: str, status: str, reply: Reply | None) -> None:
         """Give a request the answer that an attempt brought, or break off the one that it had begun."""
         if status == "ok" and request.answering in (None, number):
             for part in request.parts.pop(number, []):
--- a/yardbank/gateway/ending.py
+++ b/yardbank/gateway/ending.py
@@ -9,14 +9,16 @@
 from yardbank.interface import RequestClass
 
 
-def may_be_refused(kind: RequestClass, may_have_run: bool) -> bool:
+def may_be_refused(request_class: RequestClass, may_have_run: bool) -> bool:
     """A refusal says that trying again is harmless: true of what never ran, or may be repeated anyway."""
-    return not may_have_run or kind.effect == "safe" or (kind.effect == "keyed" and kind.scope == "all")
+    if not may_have_run or request_class.effect == "safe":
+        return True
+    return request_class.effect == "keyed" and request_class.scope == "all"
 
 
-def allowance(kind: RequestClass, time_limit: int) -> int:
+def allowance(request_class: RequestClass, time_limit: int) -> int:
     """How long a request may take (ns): its class's deadline, cut to the client's own time limit."""
-    return min(kind.deadline, time_limit) if time_limit > 0 else kind.deadline
+    return min(request_class.deadline, time_limit) if time_limit > 0 else request_class.deadline
 
 
 def strained(owed: int, most: int) -> bool:
--- a/yardbank/gateway/endpoint_set.py
+++ b/yardbank/gateway/endpoint_set.py
@@ -15,12 +15,13 @@
 
 from yardbank import interface as api
 from yardbank.gateway.api import Backend, ServerSpec
+from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.clock import started_at
 from yardbank.gateway.context import GatewayContext
 from yardbank.gateway.event_queue import EventQueue
-from yardbank.gateway.link import Attempt, Way
 from yardbank.gateway.positions import Positions
-from yardbank.gateway.sending import Withheld
+from yardbank.gateway.send_check import SendCheck
+from yardbank.gateway.server_link import ServerLink
 from yardbank.timeline import LogPosition
 
 LatencyListener = Callable[[int, str, int, str], None]  # now, server's zone, ns, "connect" or "probe"
@@ -41,7 +42,9 @@
     members: list[api.Member] = field(default_factory=list)
     left_group: list[api.Member] = field(default_factory=list)  # listed on, as another server for the module
     removed: list[str] = field(default_factory=list)
-    invalidated: dict[int, Way | None] = field(default_factory=dict)  # not what attempts were decided on; old link
+    invalidated: dict[int, ServerLink | None] = field(
+        default_factory=dict
+    )  # not what attempts were decided on; old link
 
 
 class EndpointSet:
@@ -74,10 +77,10 @@
         self.specs: dict[str, ServerSpec] = {}
         self.server_numbers: dict[str, int] = {}  # a server keeps its own for good
         self.group_numbers: dict[str, int] = {}
-        self.links: dict[int, Way] = {}
+        self.links: dict[int, ServerLink] = {}
         self.list_version = 0  # of the list that requests are routed by
         self.latency_listeners: list[LatencyListener] = []
-        self._retired: list[Way] = []  # until nothing is out there
+        self._retired: list[ServerLink] = []  # until nothing is out there
         self._started: dict[int, int] = {}
         self._floor_now = 0
         self._floors: Mapping[str, Mapping[str, LogPosition]] = {}
@@ -209,8 +212,8 @@
             self._events.handle(api.TokensLost(((number, floor),)))
         return number
 
-    def _new_link(self, spec: ServerSpec) -> Way:
-        return Way(
+    def _new_link(self, spec: ServerSpec) -> ServerLink:
+        return ServerLink(
             spec,
             self._backend,
             self._context.limits,
@@ -236,7 +239,7 @@
         for number, link in change.invalidated.items():
             if link is None:
                 continue
-            link.withdraw(Withheld.SUPERSEDED, partial(self._superseded, number))
+            link.withdraw(SendCheck.SUPERSEDED, partial(self._superseded, number))
             if self.links.get(number) is not link:
                 link.withdraw_probes()
 
@@ -250,7 +253,7 @@
 
     # Links and their connections
 
-    def all_links(self) -> tuple[Way, ...]:
+    def all_links(self) -> tuple[ServerLink, ...]:
         """Links to listed servers, then the retired ones."""
         return (*self.links.values(), *self._retired)
 
--- a/yardbank/gateway/gateway.py
+++ b/yardbank/gateway/gateway.py
@@ -34,10 +34,10 @@
 from yardbank.gateway.event_queue import EventQueue
 from yardbank.gateway.positions import Positions
 from yardbank.gateway.prober import ProbeDone, Prober
-from yardbank.gateway.request import Open
+from yardbank.gateway.request import InFlightRequest
+from yardbank.gateway.request_counters import RequestCounters
 from yardbank.gateway.request_table import RequestTable
 from yardbank.gateway.responder import Responder
-from yardbank.gateway.tallies import Tallies
 from yardbank.gateway.view import gateway_view
 from yardbank.policy import Router
 from yardbank.timeline import LogPosition, Vector
@@ -151,7 +151,7 @@
         return self._responder.counts
 
     @property
-    def tallies(self) -> Tallies:
+    def tallies(self) -> RequestCounters:
         """How requests ended since the start, by class, with their latencies."""
         return self._responder.tallies
 
@@ -173,7 +173,7 @@
         """The gateway's clock, ns."""
         return self._clock.now()
 
-    def kind(self, class_name: str) -> api.RequestClass:
+    def request_class(self, class_name: str) -> api.RequestClass:
         """A class by its name. Raises ``KeyError`` if there is none of it."""
         return self._requests.classes[class_name]
 
@@ -209,7 +209,7 @@
         request = self._requests.add(call, now, self.list_version)
         if self._context.record:
             self._context.note(
-                "taken", id=request.id, request_class=request.kind.name, list=self.list_version, **call.facts
+                "taken", id=request.id, request_class=request.request_class.name, list=self.list_version, **call.facts
             )
         reason = self._reason_to_refuse(call, now)
         if reason is not None:
@@ -218,8 +218,8 @@
         request.event = api.Request(
             id=request.id,
             group=self._endpoints.group_numbers[call.group],
-            class_name=request.kind.name,
-            expires=call.expires or now + allowance(request.kind, call.time_limit),
+            class_name=request.request_class.name,
+            expires=call.expires or now + allowance(request.request_class, call.time_limit),
             session=call.session,
             tenant=call.tenant,
             since_write=call.since_write,
@@ -344,7 +344,7 @@
             self._responder.fail(request, "no answer that can be relied on")
             self._responder.withdraw(request)
 
-    def _to_end(self, action: api.Action, cause: api.Event, number: str) -> Open | None:
+    def _to_end(self, action: api.Action, cause: api.Event, number: str) -> InFlightRequest | None:
         request = self._requests.unended(number)
         if request is not None:
             self._attempts.explain(action, cause, request)
--- a/yardbank/gateway/passed.py
+++ b/yardbank/gateway/gossiped_positions.py
@@ -70,7 +70,7 @@
         return False
 
 
-class Passed:
+class GossipedPositions:
     """Words of others on servers, one gateway's. ``spread`` (ns): over so long first looks of all gateways spread."""
 
     def __init__(self, random: Random, spread: int) -> None:
--- a/yardbank/gateway/prober.py
+++ b/yardbank/gateway/prober.py
@@ -17,9 +17,9 @@
 from yardbank.gateway.context import GatewayContext
 from yardbank.gateway.endpoint_set import EndpointSet
 from yardbank.gateway.event_queue import EventQueue
-from yardbank.gateway.link import Way
-from yardbank.gateway.passed import Passed, well_formed
+from yardbank.gateway.gossiped_positions import GossipedPositions, well_formed
 from yardbank.gateway.positions import Positions
+from yardbank.gateway.server_link import ServerLink
 from yardbank.policy import Router
 from yardbank.timeline import Vector
 
@@ -40,7 +40,7 @@
         self._sent_at = 0
         self._status = ""
 
-    def arrived(self, link: Way, position: ProbeResult | None, sent_at: int, status: str) -> None:
+    def arrived(self, link: ServerLink, position: ProbeResult | None, sent_at: int, status: str) -> None:
         """The server's answer came over ``link``, or none did."""
         current = self._prober.endpoints.links.get(self._server)
         if position is None and current is not None and current is not link:  # it has moved: it is asked there
@@ -80,7 +80,7 @@
         self._positions = positions
         self._is_stopping = is_stopping
         settings = context.settings
-        self.gossiped = Passed(Random(settings.seed ^ GOSSIP_DRAWS), (settings.gateways - 1) * MS)
+        self.gossiped = GossipedPositions(Random(settings.seed ^ GOSSIP_DRAWS), (settings.gateways - 1) * MS)
         self._askers: dict[int, list[ProbeDone]] = {}
         self._head_askers: dict[int, list[Callable[[], None]]] = {}
         self._zone_latencies: tuple[tuple[str, int, int], ...] = ()
@@ -111,7 +111,7 @@
             waiting.append(then)
 
     def _ask_answered(
-        self, number: int, link: Way, server: str, position: ProbeResult | None, sent_at: int, status: str
+        self, number: int, link: ServerLink, server: str, position: ProbeResult | None, sent_at: int, status: str
     ) -> None:
         if self.endpoints.links.get(number) is not link:  # it has moved or left meanwhile
             position, status = None, "moot"
@@ -186,7 +186,7 @@
         link.probe(partial(probe.arrived, link))
         self.endpoints.watch_idle()
 
-    def observed(self, server: int, link: Way, position: ProbeResult, sent_at: int) -> None:
+    def observed(self, server: int, link: ServerLink, position: ProbeResult, sent_at: int) -> None:
         """What a server said itself: its place on the timeline, and whether others' reports of it hold."""
         self._positions.told(server, position, sent_at)
         if self.endpoints.links.get(server) is not link:  # it has moved meanwhile
--- a/yardbank/gateway/request.py
+++ b/yardbank/gateway/request.py
@@ -6,10 +6,10 @@
 
 from yardbank import interface as api
 from yardbank.gateway.api import Call
-from yardbank.gateway.link import Attempt
+from yardbank.gateway.attempt import Attempt
 
 
-class Open:
+class InFlightRequest:
     """A request that is owed its answer, or whose attempts are still out."""
 
     __slots__ = (
@@ -20,18 +20,18 @@
         "event",
         "gathered",
         "id",
-        "kind",
         "list_version",
         "missed",
         "out",
         "parts",
         "ran_at",
+        "request_class",
         "stream_timer",
         "taken_at",
     )
 
-    def __init__(self, number: str, call: Call, kind: api.RequestClass, now: int, list_version: int) -> None:
-        self.id, self.call, self.kind, self.taken_at = number, call, kind, now
+    def __init__(self, number: str, call: Call, request_class: api.RequestClass, now: int, list_version: int) -> None:
+        self.id, self.call, self.request_class, self.taken_at = number, call, request_class, now
         self.list_version = list_version
         self.event: api.Request | None = None  # as the decision module was last told of it
         self.attempts = 0
--- a/yardbank/gateway/tallies.py
+++ b/yardbank/gateway/request_counters.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class ClassCounters:
     """One class. ``latencies`` are of what was served, in time or late."""
 
     in_time: int = 0
@@ -50,9 +50,9 @@
                 return beyond(index)
         return 0
 
-    def since(self, earlier: Tally) -> Tally:
+    def since(self, earlier: ClassCounters) -> ClassCounters:
         """What came after an earlier copy was taken."""
-        return Tally(
+        return ClassCounters(
             self.in_time - earlier.in_time,
             self.late - earlier.late,
             self.refused - earlier.refused,
@@ -62,18 +62,18 @@
         )
 
 
-class Tallies:
+class RequestCounters:
     """All classes of one gateway."""
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
-        self.by_class = {kind.name: Tally() for kind in classes}
+        self.by_class = {request_class.name: ClassCounters() for request_class in classes}
 
-    def add(self, kind: RequestClass, answer: str, took: int) -> None:
+    def add(self, request_class: RequestClass, answer: str, took: int) -> None:
         """A request has ended: served, refused, failed or left, ``took`` ns after it was taken."""
-        tally = self.by_class[kind.name]
+        tally = self.by_class[request_class.name]
         if answer == "served":
             tally.latencies[bucket(took)] += 1
-            if took <= kind.latency_objective:
+            if took <= request_class.latency_objective:
                 tally.in_time += 1
             else:
                 tally.late += 1
@@ -84,9 +84,9 @@
         else:
             tally.left += 1
 
-    def copy(self) -> dict[str, Tally]:
+    def copy(self) -> dict[str, ClassCounters]:
         """The figures as they are now, by class."""
-        nothing = Tally()
+        nothing = ClassCounters()
         return {name: tally.since(nothing) for name, tally in self.by_class.items()}
 
     def view(self) -> dict[str, dict[str, Any]]:
--- a/yardbank/gateway/request_table.py
+++ b/yardbank/gateway/request_table.py
@@ -13,7 +13,7 @@
 
 from yardbank import interface as api
 from yardbank.gateway.api import Call
-from yardbank.gateway.request import Open
+from yardbank.gateway.request import InFlightRequest
 
 
 class RequestTable:
@@ -21,7 +21,7 @@
 
     def __init__(self, classes: Iterable[api.RequestClass], seed: int) -> None:
         self.classes = {request_class.name: request_class for request_class in classes}
-        self._requests: dict[str, Open] = {}
+        self._requests: dict[str, InFlightRequest] = {}
         self._sequence = 0
         self._prefix = f"{random.Random(seed).getrandbits(32):08x}"
         self.unanswered = 0
@@ -29,36 +29,36 @@
     def __len__(self) -> int:
         return len(self._requests)
 
-    def add(self, call: Call, now: int, list_version: int) -> Open:
+    def add(self, call: Call, now: int, list_version: int) -> InFlightRequest:
         """Enter a request under a number of its own. Raises ``KeyError`` if its class is not one of the settings'."""
         self._sequence += 1
         number = f"{self._prefix}-{self._sequence}"
-        request = Open(number, call, self.classes[call.class_name], now, list_version)
+        request = InFlightRequest(number, call, self.classes[call.class_name], now, list_version)
         self._requests[number] = request
         self.unanswered += 1
         return request
 
-    def get(self, number: str) -> Open | None:
+    def get(self, number: str) -> InFlightRequest | None:
         """A request by its number, also one that is answered while its attempts are out."""
         return self._requests.get(number)
 
-    def unended(self, number: str) -> Open | None:
+    def unended(self, number: str) -> InFlightRequest | None:
         """A request by its number, if it is not answered yet."""
         request = self._requests.get(number)
         if request is None or request.ended:
             return None
         return request
 
-    def all(self) -> list[Open]:
+    def all(self) -> list[InFlightRequest]:
         """All requests, in the order in which they were taken."""
         return list(self._requests.values())
 
-    def answered(self, request: Open) -> None:
+    def answered(self, request: InFlightRequest) -> None:
         """A request has its final answer."""
         request.ended = True
         self.unanswered -= 1
 
-    def discard_if_over(self, request: Open) -> None:
+    def discard_if_over(self, request: InFlightRequest) -> None:
         """Forget a request that is answered and has no attempt out."""
         if request.ended and not request.out:
             self._requests.pop(request.id, None)
--- a/yardbank/gateway/responder.py
+++ b/yardbank/gateway/responder.py
@@ -19,10 +19,10 @@
 from yardbank.gateway.ending import may_be_refused
 from yardbank.gateway.endpoint_set import EndpointSet
 from yardbank.gateway.event_queue import EventQueue
-from yardbank.gateway.request import Open
+from yardbank.gateway.request import InFlightRequest
+from yardbank.gateway.request_counters import RequestCounters
 from yardbank.gateway.request_table import RequestTable
-from yardbank.gateway.sending import Withheld
-from yardbank.gateway.tallies import Tallies
+from yardbank.gateway.send_check import SendCheck
 
 AT_ONCE = 5_000_000  # ns
 STOPPED = "the gateway has stopped"
@@ -48,7 +48,7 @@
         self._log_answers = log_answers
         self.counts: dict[str, int] = dict.fromkeys(("served", "refused", "failed", "left"), 0)
         self.refused_by_class: Counter[str] = Counter()  # and whether at once, held or after attempts
-        self.tallies = Tallies(context.settings.classes)
+        self.tallies = RequestCounters(context.settings.classes)
         self._stopping: Deferred[None] | None = None
         self._trigger: Any = None
         if hasattr(context.reactor, "addSystemEventTrigger"):  # a bare clock has no shutdown
@@ -143,12 +143,12 @@
         if not isinstance(cause, api.ClientCancelled):
             self._events.append(api.ClientCancelled(request.id))
 
-    def serve(self, request: Open, payload: Any, server: str = "") -> None:
+    def serve(self, request: InFlightRequest, payload: Any, server: str = "") -> None:
         """Give the answer's last part; ``server`` is the name of the one that gave it, for the log."""
         self.finish(request, "served", server)
         self._call_sink(request, lambda: request.call.sink.served(payload))
 
-    def refuse(self, request: Open, retry_after: int, reason: str) -> None:
+    def refuse(self, request: InFlightRequest, retry_after: int, reason: str) -> None:
         """Reject a request, or serve what a copy answered along with a miss. ``retry_after``: ns."""
         if request.missed is not None:  # copies that its class allows have answered, and nobody said otherwise
             self.serve(request, request.missed)
@@ -156,12 +156,12 @@
         self.finish(request, "refused", "")
         self._call_sink(request, lambda: request.call.sink.refused(retry_after, reason))
 
-    def fail(self, request: Open, reason: str) -> None:
+    def fail(self, request: InFlightRequest, reason: str) -> None:
         """End a request with nothing promised either way."""
         self.finish(request, "failed", "")
         self._call_sink(request, lambda: request.call.sink.failed(reason))
 
-    def end(self, request: Open, reason: str) -> None:
+    def end(self, request: InFlightRequest, reason: str) -> None:
         """End a request without a decision of the module."""
         if self._may_refuse(request):
             self.refuse(request, self._context.settings.max_retry_after, reason)
@@ -169,19 +169,19 @@
             self.fail(request, reason)
         self.withdraw(request)
 
-    def _may_refuse(self, request: Open) -> bool:
+    def _may_refuse(self, request: InFlightRequest) -> bool:
         if request.answering is not None:
             return False
         may_have_run = request.may_have_run or any(attempt.gone_out for attempt in request.out.values())
-        return may_be_refused(request.kind, may_have_run)
+        return may_be_refused(request.request_class, may_have_run)
 
-    def withdraw(self, request: Open) -> None:
+    def withdraw(self, request: InFlightRequest) -> None:
         """Nothing more is sent for a request: its attempts that wait for a connection end as never run."""
         for attempt in list(request.out.values()):
             if not attempt.gone_out and not attempt.ended:
-                attempt.end("moot", None, Withheld.ENDED.value)
+                attempt.end("moot", None, SendCheck.ENDED.value)
 
-    def finish(self, request: Open, answer: str, server: str) -> None:
+    def finish(self, request: InFlightRequest, answer: str, server: str) -> None:
         """Count a request as ended, ahead of its sink's call: from here on it counts as answered everywhere."""
         self._requests.answered(request)
         took = self._context.now() - request.taken_at
@@ -197,9 +197,9 @@
         if self._stopping is not None and not self._requests.unanswered and not self._stopping.called:
             self._context.reactor.callLater(0, self._stopped_if_empty)
 
-    def _count(self, request: Open, answer: str, took: int) -> None:
+    def _count(self, request: InFlightRequest, answer: str, took: int) -> None:
         self.counts[answer] += 1
-        self.tallies.add(request.kind, answer, took)
+        self.tallies.add(request.request_class, answer, took)
         if answer != "refused":
             return
         if request.attempts:
@@ -208,14 +208,14 @@
             when = "at once"
         else:
             when = "held"
-        self.refused_by_class[f"{request.kind.name} {when}"] += 1
+        self.refused_by_class[f"{request.request_class.name} {when}"] += 1
 
-    def _log_answer(self, request: Open, answer: str, server: str, took: int) -> None:
+    def _log_answer(self, request: InFlightRequest, answer: str, server: str, took: int) -> None:
         self._context.log.info(
             "answer",
             request=request.id,
             answer=answer,
-            request_class=request.kind.name,
+            request_class=request.request_class.name,
             operation=request.call.label or self._backend.describe(request.call.operation),
             attempts=request.attempts,
             list=request.list_version,
@@ -223,7 +223,7 @@
             ms=round(took / 1e6, 3),
         )
 
-    def _call_sink(self, request: Open, give: Callable[[], None]) -> None:
+    def _call_sink(self, request: InFlightRequest, give: Callable[[], None]) -> None:
         try:
             give()
         except Exception as problem:  # border: the request is over for the module; its front must not harm others
--- a/yardbank/gateway/sending.py
+++ b/yardbank/gateway/send_check.py
@@ -9,10 +9,10 @@
 from enum import Enum
 
 from yardbank.gateway.attempt import Attempt
-from yardbank.gateway.request import Open
+from yardbank.gateway.request import InFlightRequest
 
 
-class Withheld(Enum):
+class SendCheck(Enum):
     """Why an attempt is not written; it ends as one that never ran."""
 
     ENDED = "the request had ended"
@@ -22,29 +22,29 @@
     MAY_HAVE_RUN = "an earlier attempt may have run"
 
 
-def withheld(request: Open, attempt: Attempt, now: int, changed_in: int) -> Withheld | None:
+def check_send(request: InFlightRequest, attempt: Attempt, now: int, changed_in: int) -> SendCheck | None:
     """Why an attempt may not be written at ``now`` (ns); None: it may.
 
     ``changed_in`` is the number of the list with which its server last began to drain, moved or was gone; an attempt
     that was decided on with that list in hand goes there knowingly.
     """
     if attempt.ended or request.ended or request.answering is not None:
-        return Withheld.ENDED
+        return SendCheck.ENDED
     if attempt.until <= now:
-        return Withheld.EXPIRED
+        return SendCheck.EXPIRED
     if attempt.list_seen < changed_in:
-        return Withheld.SUPERSEDED
-    return withheld_repeat(request, now)
+        return SendCheck.SUPERSEDED
+    return check_repeat(request, now)
 
 
-def withheld_repeat(request: Open, now: int) -> Withheld | None:
+def check_repeat(request: InFlightRequest, now: int) -> SendCheck | None:
     """A repeat of what may have run: harmless if it is safe, or keyed and still within its window."""
-    kind = request.kind
-    if kind.effect == "safe":
+    request_class = request.request_class
+    if request_class.effect == "safe":
         return None
     issued = request.first_issue()
     if issued is None:
         return None
-    if kind.effect == "keyed" and kind.scope != "zone":
-        return None if now - issued < kind.window else Withheld.WINDOW_OVER
-    return Withheld.MAY_HAVE_RUN
+    if request_class.effect == "keyed" and request_class.scope != "zone":
+        return None if now - issued < request_class.window else SendCheck.WINDOW_OVER
+    return SendCheck.MAY_HAVE_RUN
--- a/yardbank/gateway/pool.py
+++ b/yardbank/gateway/slots.py
@@ -24,14 +24,14 @@
 
 
 @dataclass(slots=True)
-class Place:
+class SlotAssignment:
     """Where an attempt goes: a connection there is, or one to be opened; None of both: no room."""
 
     slot: int | None = None
     opening: bool = False
 
 
-class Pool:
+class SlotTable:
     """The connections of one gateway to one server."""
 
     def __init__(self, connections: int, multiplex: int, idle_close: int) -> None:
@@ -39,7 +39,7 @@
         self.slots: dict[int, Slot] = {}
         self._next = 0
 
-    def place(self, now: int) -> Place:
+    def place(self, now: int) -> SlotAssignment:
         """Place one attempt: on the open connection with most room, else one that is opening, else a new one.
 
         Attempts share a connection as long as it has room: each connection costs its server a handshake and
@@ -50,14 +50,14 @@
         best = min(usable, key=lambda slot: (not slot.ready, slot.load, slot.number), default=None)
         if best is None:
             if len(self.slots) >= self._most:
-                return Place()
+                return SlotAssignment()
             best = self.slots[self._next] = Slot(self._next, now)
             self._next += 1
             best.load, best.used_at = 1, now
-            return Place(best.number, opening=True)
+            return SlotAssignment(best.number, opening=True)
         best.load += 1
         best.used_at = now
-        return Place(best.number)
+        return SlotAssignment(best.number)
 
     def opened(self, number: int, now: int) -> None:
         """A connection is up."""
--- a/yardbank/ldap/spread.py
+++ b/yardbank/ldap/spread.py
@@ -132,7 +132,7 @@
         self._controls = tuple(c for c in message.controls if c.oid not in SORTED)
         self._sorted = any(c.oid in SORTED for c in message.controls)
         self._sent = [_Sent(piece, placed) for piece, placed in parts]
-        kinds = [self._gateway.kind(placed.class_name) for _, placed in parts]
+        kinds = [self._gateway.request_class(placed.class_name) for _, placed in parts]
         self._merged = [
             Part(piece.suffix, piece.base, kind.priority_weight, piece.shadows)
             for (piece, _), kind in zip(parts, kinds, strict=True)
