--- a/tests/cluster/channels/test_service.py
+++ b/tests/cluster/channels/test_service.py
@@ -167,7 +167,7 @@
         at = self.now()
         self.clock.callLater(0.005, then, ProbeResult({"a": (at // MS, "x")}, False), at, "ok")
 
-    def told_position(self, server, started, marks, checked) -> bool:
+    def apply_gossiped_position(self, server, started, marks, checked) -> bool:
         assert checked  # the feed asks servers itself before it believes
         self.told.append((server, started, marks))
         return True
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -41,7 +41,7 @@
     sink = place.ask("read")
     sink.broken = True
     place.backend.to(place.backend.sent[-1][0]).answer()
-    assert place.gateway.owed == 0
+    assert place.gateway.unanswered == 0
     write = place.ask("write", "unwritable")
     place.pass_time(3)
     assert len(write.finals) == 1
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -44,7 +44,7 @@
     assert write.finals == ["failed"]
     receiver.attempt_done(Reply("ok", "late"))
     assert write.finals == ["failed"]
-    assert place.gateway.owed == 0
+    assert place.gateway.unanswered == 0
 
 
 def test_refused_connections_are_told_to_the_module_and_nothing_ran():
@@ -76,7 +76,7 @@
     place.gateway.leave(place.number)
     place.gateway.leave(place.number)
     place.backend.to("p").answer()
-    assert sink.got == [] and place.gateway.owed == 0 and not len(place.gateway._requests)
+    assert sink.got == [] and place.gateway.unanswered == 0 and not len(place.gateway._requests)
 
 
 def test_long_answers_stream_once_the_bound_is_reached():
--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -33,7 +33,7 @@
 
 
 def word(place, mark=5, start=START, server="c"):
-    return place.gateway.told_position(server, start, {"": (mark,)})
+    return place.gateway.apply_gossiped_position(server, start, {"": (mark,)})
 
 
 def marked(place):
@@ -56,9 +56,9 @@
     place, looks = place_with(seed), []
     place.gateway._prober.ask = lambda server, then: looks.append(server)
     for nonsense in ({"": [5]}, {}):
-        assert not place.gateway.told_position("c", START, nonsense, checked=True)
-    assert place.gateway.told_position("c", START, {"": (5,)}, checked=True) and len(marked(place)) == 1
-    assert not place.gateway.told_position("c", START + 1, {"": (5,)}, checked=True)  # another start's
+        assert not place.gateway.apply_gossiped_position("c", START, nonsense, checked=True)
+    assert place.gateway.apply_gossiped_position("c", START, {"": (5,)}, checked=True) and len(marked(place)) == 1
+    assert not place.gateway.apply_gossiped_position("c", START + 1, {"": (5,)}, checked=True)  # another start's
     assert looks == []
     assert not word(place) and looks == ["c"]
 
@@ -110,7 +110,7 @@
         {"": (1 << 70, "x" * 99)},
         {str(n): (1,) for n in range(99)},
     ):
-        assert place.gateway.told_position("c", START, marks) is False
+        assert place.gateway.apply_gossiped_position("c", START, marks) is False
     assert not marked(place)
 
 
--- a/tests/gateway/test_race_attempts.py
+++ b/tests/gateway/test_race_attempts.py
@@ -73,7 +73,7 @@
         there = False
         place.up()
     assert ("p", "late") not in place.backend.sent and sink.got == [] and place.gateway.counts["left"] == 1
-    assert place.statuses()[-1] == "moot" and place.gateway.owed == 0
+    assert place.statuses()[-1] == "moot" and place.gateway.unanswered == 0
     place.ask(operation="next")
     assert place.backend.sent[-1] == ("p", "next") and len(place.backend.waiting) == 1
 
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -61,7 +61,7 @@
     place.ask("write")
     place.backend.to("p").drop()
     place.pass_time(3)
-    read, write = (place.gateway.tallies.by_class[name] for name in ("read", "write"))
+    read, write = (place.gateway.request_counters.by_class[name] for name in ("read", "write"))
     assert (read.in_time, read.late, read.refused, read.failed, read.left) == (1, 1, 0, 0, 0)
     assert (write.in_time, write.late, write.refused, write.failed, write.left) == (0, 0, 0, 1, 1)
-    assert 50 * MS < read.quantile(0.5) <= 60 * MS and place.gateway.tallies.view()["read"]["p99"] > 400
+    assert 50 * MS < read.quantile(0.5) <= 60 * MS and place.gateway.request_counters.view()["read"]["p99"] > 400
--- a/tests/gateway/test_zone_latencies.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -10,14 +10,14 @@
 
 def watched(place):
     seen = []
-    place.gateway.on_way.append(lambda now, zone, ns, what: seen.append((now, zone, ns, what)))
+    place.gateway.latency_listeners.append(lambda now, zone, ns, what: seen.append((now, zone, ns, what)))
     return seen
 
 
 def test_connects_that_came_up_and_probes_answered_in_time_are_told_with_the_servers_zone():
     place = Place()
     place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "b", "h", 2)])
-    place.gateway.on_way.append(lambda *told: 1 / 0)  # another's error
+    place.gateway.latency_listeners.append(lambda *told: 1 / 0)  # another's error
     seen = watched(place)
     place.backend.mode = "slow"
     place.gateway.ask("c", lambda *told: None)
@@ -59,12 +59,12 @@
     handle = place.gateway._router.handle
     place.gateway._router.handle = lambda now, event: told.append(event) or handle(now, event)
     ways = [("b", 20 * MS, 0)]
-    place.gateway.told_ways(ways)
-    place.gateway.told_ways(tuple(ways))
+    place.gateway.apply_zone_latencies(ways)
+    place.gateway.apply_zone_latencies(tuple(ways))
     with pytest.raises(ValueError, match="negative"):
-        place.gateway.told_ways([("b", -1, 0)])
+        place.gateway.apply_zone_latencies([("b", -1, 0)])
     assert told == [ZoneLatencies((("b", 20 * MS, 0),))] and place.gateway._router.ways == {"b": (20 * MS, 20 * MS)}
-    place.gateway.told_ways([])
+    place.gateway.apply_zone_latencies([])
     assert told[1:] == [ZoneLatencies()] and place.gateway._router.ways == {}
 
 
@@ -76,7 +76,7 @@
         ((("b", 300 * MS, 0), ("c", 5 * MS, 0)), "near"),
         ((("b", 5 * MS, 0), ("c", 300 * MS, 0)), "far"),
     ):
-        place.gateway.told_ways(ways)
+        place.gateway.apply_zone_latencies(ways)
         place.ask("read")
         assert place.backend.sent[-1][0] == wanted
         place.backend.to(wanted).answer()
--- a/tests/ldap/test_cross_group_end_to_end.py
+++ b/tests/ldap/test_cross_group_end_to_end.py
@@ -203,7 +203,7 @@
 
         run(give_up)
         until(lambda: len(facts(place, "abandoned")) == 3)
-        assert run(lambda: place.proxy.gateway.owed) == 0
+        assert run(lambda: place.proxy.gateway.unanswered) == 0
 
 
 def test_two_hundred_groups_with_few_parts_out_at_once():
@@ -283,7 +283,7 @@
         assert run(desk.spread, controls=(paged,), attributes=("sn",)).code == Code.UNWILLING
         broken = m.Control(m.Oid.PAGED_RESULTS, True, b"nonsense")
         assert run(desk.spread, controls=(broken,)).code == Code.PROTOCOL_ERROR
-        assert run(desk.spread).code == 0 and run(lambda: place.proxy.gateway.owed) == 0
+        assert run(desk.spread).code == 0 and run(lambda: place.proxy.gateway.unanswered) == 0
 
 
 def test_a_success_that_leaves_a_part_out_is_found_by_the_audit():
--- a/tests/ldap/test_race_clients.py
+++ b/tests/ldap/test_race_clients.py
@@ -168,7 +168,7 @@
     go(far, how)
     arrives(near, GONE)
     place.until(lambda: not place.factory.clients)
-    assert not place.backend.out and place.gateway.owed == 0
+    assert not place.backend.out and place.gateway.unanswered == 0
 
 
 @each_asked
@@ -177,7 +177,7 @@
     far.sendall(b"".join(asked) + UNBIND)
     lying(near, sum(map(len, asked)) + len(UNBIND))
     place.until(lambda: not place.factory.clients)
-    assert not place.backend.out and place.gateway.owed == 0
+    assert not place.backend.out and place.gateway.unanswered == 0
 
 
 @pytest.mark.parametrize("padding", [0, 70_000], ids=["in one read", "in several"])
@@ -191,7 +191,7 @@
     lying(near, len(octets))
     found = [(500, Code.NO_SUCH_OBJECT)] if padding else []
     assert place.got(far, len(found) + 1) == [*found, (501, Code.NO_SUCH_OBJECT)]
-    assert not place.backend.out and place.gateway.owed == 0 and not near._requests and not near._end.outstanding
+    assert not place.backend.out and place.gateway.unanswered == 0 and not near._requests and not near._end.outstanding
 
 
 @pytest.mark.parametrize("where", ["one segment", "two segments"])
@@ -201,7 +201,7 @@
         far.sendall(octets)
     lying(near, len(search(1) + abandon(1)))
     turn(place)
-    assert not place.backend.out and not near._end.outstanding and place.gateway.owed == 0
+    assert not place.backend.out and not near._end.outstanding and place.gateway.unanswered == 0
 
 
 @each_asked
@@ -213,7 +213,7 @@
     lying(near, len(octets))
     answers = place.got(far, 2 * len(asked))
     assert sorted(answers) == sorted([(n, Code.CANCELED) for n in numbers] + [(90_000 + n, 0) for n in numbers])
-    assert not place.backend.out and place.gateway.owed == 0
+    assert not place.backend.out and place.gateway.unanswered == 0
 
 
 @pytest.mark.parametrize("means", ["abandon", "cancel", "unbind", *ENDS])
@@ -235,7 +235,7 @@
     place.backend.open()
     assert not place.backend.out
     turn(place)
-    assert not place.backend.out and place.gateway.owed == 0
+    assert not place.backend.out and place.gateway.unanswered == 0
 
 
 def test_abandons_of_one_read_count_together_before_any_of_them_lets_the_next_request_go(place):
@@ -250,7 +250,7 @@
     place.backend.open()  # the look before the first attempt reads them all
     assert not place.backend.out and not near._requests
     turn(place)
-    assert not place.backend.out and place.gateway.owed == 0
+    assert not place.backend.out and place.gateway.unanswered == 0
 
 
 @pytest.mark.parametrize("means", ["abandon", *ENDS])
@@ -265,7 +265,7 @@
     place.backend.answer()  # the reactor has had no turn since the word came
     assert len(place.backend.out) == 2
     turn(place)
-    assert len(place.backend.out) == 2 and place.gateway.owed == (means == "abandon")
+    assert len(place.backend.out) == 2 and place.gateway.unanswered == (means == "abandon")
 
 
 @pytest.mark.parametrize("means", ["abandon", "half closed", "reset"])
@@ -280,7 +280,7 @@
     lying(near, len(abandon(1) + search(2))) if means == "abandon" else arrives(near, GONE)
     place.backend.open()
     turn(place)
-    assert not place.backend.out and place.gateway.owed == 0
+    assert not place.backend.out and place.gateway.unanswered == 0
     if means == "abandon":  # the second waits until the client reads
         assert list(near._queue) == [2]
         near.resumeProducing()
@@ -323,7 +323,7 @@
         far.sendall(search(6) + search(7) + search(8))
         assert place.got(far, 1) == [(0, Code.BUSY)]
         place.until(lambda: not place.factory.clients)
-        assert place.gateway.owed == 0
+        assert place.gateway.unanswered == 0
     finally:
         place.close()
 
--- a/tests/platform/test_clients.py
+++ b/tests/platform/test_clients.py
@@ -52,7 +52,7 @@
     made, transport = world.connect()
     made.dataReceived(query(READ))
     made.connectionLost()
-    assert world.gateway.owed == 0 and world.gateway.counts["left"] == 1
+    assert world.gateway.unanswered == 0 and world.gateway.counts["left"] == 1
     world.backend.out[0][1].attempt_done(Reply("ok", b"late"))
     assert transport.value() == b"" and len(world.factory.admission) == 0 and not world.factory.open_ids
 
--- a/tests/platform/test_pipeline.py
+++ b/tests/platform/test_pipeline.py
@@ -229,7 +229,7 @@
         answer(world, "last")
     world.clock.advance(0.28)
     world.clock.advance(0)
-    assert transport.value().count(READY) == 10 and not world.gateway.owed
+    assert transport.value().count(READY) == 10 and not world.gateway.unanswered
     assert transport.value().count(b"C53300\0") == 10 - len(answered) - len(answered) // 8
     assert transport.value().endswith(b"last" + READY) == (len(answered) == 8)
 
@@ -239,7 +239,7 @@
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(b"".join(query(read(f"r{n}", f"k{n}")) for n in range(20)))
-    assert world.gateway.owed == MAX_OPEN and len(world.factory.open_ids) == 20
+    assert world.gateway.unanswered == MAX_OPEN and len(world.factory.open_ids) == 20
     if end == "closed":
         made.connectionLost()
     elif end == "Terminate":
@@ -247,7 +247,7 @@
     else:
         made._session.left = True
         answer(world, "r0")
-    assert world.gateway.owed == 0 and not world.factory.open_ids and transport.value() == b""
+    assert world.gateway.unanswered == 0 and not world.factory.open_ids and transport.value() == b""
     assert world.gateway.counts["left"] == MAX_OPEN - (end == "found gone")
     assert sent(world) == [f"r{n}" for n in range(MAX_OPEN)]
     answer(world, "r1")
@@ -310,7 +310,7 @@
     for_servers = world.factory._descriptors.for_servers(world.factory.held)
     for connection, name in ((made, "a"), (other, "b")):
         connection.dataReceived(b"".join(query(read(f"{name}{n}", f"{name}{n}")) for n in range(20)))
-    assert world.gateway.owed == min(2 * MAX_OPEN, for_servers // 2 + for_servers % 2)
+    assert world.gateway.unanswered == min(2 * MAX_OPEN, for_servers // 2 + for_servers % 2)
     third, _ = world.connect()
     third.dataReceived(query(read("c0", "c0")) + query(read("c1", "c1")))
     assert "c0" in sent(world)
--- a/tests/platform/test_race_client_end.py
+++ b/tests/platform/test_race_client_end.py
@@ -63,7 +63,7 @@
     wire.backend.out[0][1].attempt_done(Reply("ok", b"first"))  # the reactor has had no turn since the end came
     assert len(wire.backend.out) == MAX_OPEN
     wire.until(lambda: near.transport.disconnected)
-    assert len(wire.backend.out) == MAX_OPEN and wire.gateway.owed == 0 and not wire.factory.open_ids
+    assert len(wire.backend.out) == MAX_OPEN and wire.gateway.unanswered == 0 and not wire.factory.open_ids
 
 
 @pytest.mark.parametrize("how", ENDS)
@@ -73,7 +73,7 @@
     wire.until(lambda: len(near._session.pipeline) == 100)
     go(far, how)
     wire.until(lambda: wire.gateway.counts["left"] == MAX_OPEN)
-    assert wire.gateway.owed == 0
+    assert wire.gateway.unanswered == 0
 
 
 @pytest.mark.parametrize("how", ENDS)
@@ -99,20 +99,20 @@
     arrives(near, GONE)
     assert not near.present()
     wire.until(lambda: near.transport.disconnected)
-    assert wire.gateway.counts["left"] == MAX_OPEN and wire.gateway.owed == 0
+    assert wire.gateway.counts["left"] == MAX_OPEN and wire.gateway.unanswered == 0
 
 
 def test_a_client_that_says_that_it_leaves_takes_its_open_request_back(wire):
     far, near = wire.client()
     far.sendall(query(READ) + query(WRITE) + b"X\0\0\0\4")
     wire.until(lambda: near.ending)
-    assert wire.gateway.owed == 0 and not wire.factory.open_ids and len(wire.backend.out) == 0
+    assert wire.gateway.unanswered == 0 and not wire.factory.open_ids and len(wire.backend.out) == 0
     far, near = wire.client()
     far.sendall(query(READ))
     wire.until(lambda: len(wire.backend.out) == 1)
     far.sendall(b"X\0\0\0\4")
     wire.until(lambda: wire.gateway.counts["left"] == 1)
-    assert wire.gateway.owed == 0 and not wire.factory.open_ids
+    assert wire.gateway.unanswered == 0 and not wire.factory.open_ids
 
 
 def test_what_waits_on_one_connection_is_bounded_by_count_and_by_octets(wire):
--- a/tests/platform/test_race_closing.py
+++ b/tests/platform/test_race_closing.py
@@ -65,7 +65,7 @@
     arrives(near, select.POLLIN)
     said = to_its_end(wire, far)
     assert (b"C57P03\0" in said) if first == START else not said
-    assert not wire.backend.out and wire.gateway.owed == 0
+    assert not wire.backend.out and wire.gateway.unanswered == 0
     assert wire.factory.held == 1 and not near.transport.disconnected  # it holds its descriptor
     far.close()
     wire.until(lambda: near.transport.disconnected)
@@ -92,7 +92,7 @@
     wire.backend.out[0][1].attempt_done(Reply("ok", b"last"))
     sends_after_the_look(near, far, query(READ.replace("a1", "a9")))
     assert to_its_end(wire, far) == b"last" + READY
-    assert len(wire.backend.out) == 1 and wire.gateway.owed == 0
+    assert len(wire.backend.out) == 1 and wire.gateway.unanswered == 0
 
 
 @pytest.mark.parametrize("written", [False, True], ids=["read first", "written first"])
--- a/tests/platform/test_server_links.py
+++ b/tests/platform/test_server_links.py
@@ -123,7 +123,7 @@
     assert gateway.server_connections == 2 and len(servers.connections) == 3 and got == ["served"] * 2
     bound = 1
     take("1")  # both are in use: the module hears of no connection
-    assert len(servers.connections) == 3 and gateway.owed == 2 and got[2:] == ["refused"]
+    assert len(servers.connections) == 3 and gateway.unanswered == 2 and got[2:] == ["refused"]
 
 
 class Doors:
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -356,7 +356,7 @@
 
                 monkeypatch.setattr(Store, "write", struck)
                 with pytest.raises(Killed):
-                    life.keeper._write(clean=chance.random() < 0.5 and not life.gateway.owed)
+                    life.keeper._write(clean=chance.random() < 0.5 and not life.gateway.unanswered)
                 monkeypatch.setattr(Store, "write", write)
                 life.kill()
             life = Life(tmp_path, clock, truth)
@@ -467,7 +467,7 @@
     most["probes"] = max(per_bin.values())
     seen["connections"] = max(len([c for c in b.connections if c.server.name == "p"]) for _, b in gateways)
     assert most["probes"] <= 200 and seen["connections"] <= 1  # in a tenth of a second; from one gateway
-    assert len(lives) == 0 and all(g.owed == 0 for g, _ in gateways)
+    assert len(lives) == 0 and all(g.unanswered == 0 for g, _ in gateways)
 
 
 def test_commands(tmp_path):
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -19,7 +19,7 @@
     def ask(self, server: str, then: Callable[[ProbeResult | None, int, str], None]) -> None:
         """Ask a server where it stands."""
 
-    def told_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
+    def apply_gossiped_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
         """Marks that another gateway passed on; ``checked``: by questions of one's own, as ``trust`` does."""
 
 
@@ -119,7 +119,7 @@
             self._channels.publish(channel, data)  # not the owner any more, or full: the next one stands for itself
         told, self.decider.told = self.decider.told, []
         for one in told:
-            self._gateway.told_position(one.server, one.started, one.marks, checked=True)
+            self._gateway.apply_gossiped_position(one.server, one.started, one.marks, checked=True)
         for lie in self.decider.lies():
             self._log.warning("positions_owner_lied", owner=lie.owner, boot_epoch=lie.boot_epoch, server=lie.server)
         alone = self.decider.alone()
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -109,7 +109,7 @@
         )
         self._peers.node.add(part)
         self._peers.node.on_round_trip.append(part.saw_peer)
-        self._gateway.on_way.append(part.saw_server)
+        self._gateway.latency_listeners.append(part.saw_server)
         self._map = part
 
     def _make_channels(self, config: Config, distance: Distance) -> None:
@@ -229,7 +229,7 @@
             memory = resident(Path("/proc/self/statm").read_text(encoding="ascii"), resource.getpagesize())
         except OSError:
             memory = 0
-        return of_gateway(self._gateway.tallies.by_class, promises, beyond, memory)
+        return of_gateway(self._gateway.request_counters.by_class, promises, beyond, memory)
 
     def start(self) -> None:
         """Begin; the link is up."""
@@ -250,7 +250,7 @@
             for turn in self._map.changes():
                 ms = None if turn.ns is None else round(turn.ns / 1e6, 3)
                 self._log.info("map", **{"from": turn.pair[0]}, to=turn.pair[1], ms=ms, how=turn.how)
-            self._gateway.told_ways(self._map.ways(now))
+            self._gateway.apply_zone_latencies(self._map.ways(now))
         if self._feeds is not None and now >= self._next_list:
             self._next_list = now + LISTED_EVERY
             if self._known != self._specs:
--- a/yardbank/gateway/gateway.py
+++ b/yardbank/gateway/gateway.py
@@ -116,7 +116,7 @@
     # What it is at
 
     @property
-    def owed(self) -> int:
+    def unanswered(self) -> int:
         """Requests taken and not yet answered."""
         return self._requests.unanswered
 
@@ -151,9 +151,9 @@
         return self._responder.counts
 
     @property
-    def tallies(self) -> RequestCounters:
+    def request_counters(self) -> RequestCounters:
         """How requests ended since the start, by class, with their latencies."""
-        return self._responder.tallies
+        return self._responder.request_counters
 
     @property
     def asks_left_out(self) -> int:
@@ -161,7 +161,7 @@
         return self._prober.asks_left_out
 
     @property
-    def on_way(self) -> list[LatencyListener]:
+    def latency_listeners(self) -> list[LatencyListener]:
         """Listeners for the time that each connect and each probe took; whoever wants to hear of them adds one."""
         return self._endpoints.latency_listeners
 
@@ -186,7 +186,7 @@
         """What the gateway makes of its load and its servers, for the log."""
         endpoints, gossiped = self._endpoints, self._prober.gossiped
         return {
-            "owed": self.owed,
+            "owed": self.unanswered,
             "counts": self.counts,
             "refused": dict(self._responder.refused_by_class),
             "asks_left_out": self.asks_left_out,
@@ -231,7 +231,7 @@
         """Why a request is refused before the module hears of it; None: it is not."""
         if self.stopping:
             return "the gateway is stopping"
-        if self.owed > self.limits.max_open:
+        if self.unanswered > self.limits.max_open:
             if now - self._bound_logged_at > SECOND:
                 self._bound_logged_at = now
                 self.log.warning("open_requests_bound", bound=self.limits.max_open)
@@ -291,11 +291,11 @@
         """Ask a server for its position; see ``Prober.ask``."""
         self._prober.ask(server, then)
 
-    def told_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
+    def apply_gossiped_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
         """Take a server's marks that another gateway passed on; see ``Prober.position_gossiped``."""
         return self._prober.position_gossiped(server, started, marks, checked)
 
-    def told_ways(self, ways: Sequence[tuple[str, int, int]]) -> None:
+    def apply_zone_latencies(self, ways: Sequence[tuple[str, int, int]]) -> None:
         """Take the latencies to other zones; see ``Prober.zone_latencies_measured``."""
         self._prober.zone_latencies_measured(ways)
 
--- a/yardbank/gateway/responder.py
+++ b/yardbank/gateway/responder.py
@@ -48,7 +48,7 @@
         self._log_answers = log_answers
         self.counts: dict[str, int] = dict.fromkeys(("served", "refused", "failed", "left"), 0)
         self.refused_by_class: Counter[str] = Counter()  # and whether at once, held or after attempts
-        self.tallies = RequestCounters(context.settings.classes)
+        self.request_counters = RequestCounters(context.settings.classes)
         self._stopping: Deferred[None] | None = None
         self._trigger: Any = None
         if hasattr(context.reactor, "addSystemEventTrigger"):  # a bare clock has no shutdown
@@ -199,7 +199,7 @@
 
     def _count(self, request: InFlightRequest, answer: str, took: int) -> None:
         self.counts[answer] += 1
-        self.tallies.add(request.request_class, answer, took)
+        self.request_counters.add(request.request_class, answer, took)
         if answer != "refused":
             return
         if request.attempts:
--- a/yardbank/platform/front.py
+++ b/yardbank/platform/front.py
@@ -91,7 +91,7 @@
     def has_room_for_more(self) -> bool:
         """Whether a connection may have more than one request open now."""
         for_servers = self._descriptors.for_servers(self.held)
-        return may_pipeline(self.gateway.owed, for_servers)
+        return may_pipeline(self.gateway.unanswered, for_servers)
 
     def became(self, connection: ClientConnection, state: State) -> None:
         """What a connection is about now."""
--- a/yardbank/platform/service.py
+++ b/yardbank/platform/service.py
@@ -138,7 +138,7 @@
     def stop(self) -> None:
         """Serve on for a moment, as clients still come; then take nothing new and answer what was taken."""
         if not self.factory.stopping and self._port is not None:
-            self.log.info("stop_asked", owed=self.gateway.owed)
+            self.log.info("stop_asked", owed=self.gateway.unanswered)
             port, self._port = self._port, None
             self._reactor.callLater(LINGER / 1e9, self._look_first, self._drain, port)
 
