--- a/tests/platform/test_notification_deadline.py
+++ b/tests/platform/test_notification_deadline.py
@@ -9,7 +9,7 @@
 from tests.platform.test_watch import Network, events, watching
 from tests.support.platform import ENTRY, HEAD, LINE, chunk
 from yardbank.gateway.api import SECOND
-from yardbank.platform import watch_state as vigil
+from yardbank.platform import watch_state
 from yardbank.platform.config import Address
 from yardbank.platform.watch import Watcher
 from yardbank.platform.watch_state import BESIDE, SILENCE
@@ -206,5 +206,5 @@
 
 
 def test_a_watch_that_waits_too_long_is_found(monkeypatch):
-    monkeypatch.setattr(vigil, "SILENCE", 7 * SECOND)
+    monkeypatch.setattr(watch_state, "SILENCE", 7 * SECOND)
     assert max(map(worst_of, range(20))) > (SILENCE + 2 * BESIDE) / SECOND
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -96,7 +96,10 @@
     domain = {**ENV["domain"], "class_read": ["lag_bound", "mutate", "eventual"]}
     made, _, log, _ = service(tmp_path, settings={**ENV, "services": [*SLOW, odd], "domain": domain})
     told = [facts for event, facts in log.lines if event == "class_out_of_reach"]
-    assert [facts["request_class"] for facts in told] == ["look,up"] and set(made.factory.kinds) > {"lookup", "commit"}
+    assert [facts["request_class"] for facts in told] == ["look,up"] and set(made.factory.request_classes) > {
+        "lookup",
+        "commit",
+    }
 
 
 def test_a_stop_serves_on_for_a_moment_and_ends_when_the_last_client_has_its_last_word(tmp_path):
--- a/tests/platform/test_statements.py
+++ b/tests/platform/test_statements.py
@@ -14,7 +14,7 @@
 
 def test_a_read_and_a_write_are_understood():
     read = read_statement(READ, KINDS)
-    assert (read.id, read.kind, read.group, read.key, read.time_limit, read.write) == (
+    assert (read.id, read.request_class, read.group, read.key, read.time_limit, read.write) == (
         "a1",
         LOOKUP,
         "2",
@@ -23,7 +23,7 @@
         False,
     )
     write = read_statement(WRITE, KINDS)
-    assert (write.id, write.kind, write.key, write.write) == ("a2", COMMIT, "7f3a", True)
+    assert (write.id, write.request_class, write.key, write.write) == ("a2", COMMIT, "7f3a", True)
 
 
 def test_only_the_time_limit_is_changed_on_the_way():
@@ -107,7 +107,7 @@
         return
     for form in forms:
         statement = read_statement(form, kinds)
-        assert statement.kind is kind and statement.text(statement.time_limit) == form
+        assert statement.request_class is kind and statement.text(statement.time_limit) == form
 
 
 def test_a_fault_names_the_field_or_the_part():
--- a/yardbank/platform/admission.py
+++ b/yardbank/platform/admission.py
@@ -15,8 +15,9 @@
 from yardbank.platform.watch_state import MOST
 
 CLOSING = 4  # the least of connections of clients that may be in their end, besides those that are served
-# standard streams 3, epoll 1, wakers 2, the port 1, Twisted's reserve 1, watches of discovery ``vigil.MOST`` and the
-# dropped ones of the same turn 1, the configuration when it is read anew 1, an accepted connection to be turned away 1
+# standard streams 3, epoll 1, wakers 2, the port 1, Twisted's reserve 1, watches of discovery ``watch_state.MOST`` and
+# the dropped ones of the same turn 1, the configuration when it is read anew 1, an accepted connection to be turned
+# away 1
 OWN = 11 + MOST
 
 
--- a/yardbank/platform/backend.py
+++ b/yardbank/platform/backend.py
@@ -39,7 +39,9 @@
         lost: Callable[[str], None],
         session: ServerSession | None = None,
     ) -> None:
-        self._now, self._ready, self._lost = now, ready, lost
+        self._now = now
+        self._ready = ready
+        self._lost = lost
         self._session = session or ServerSession()
         self._receiver: Receiver | None = None
         self._probed: Callable[[ProbeResult | None], None] | None = None
@@ -103,7 +105,8 @@
         """Send one statement; raises ``NotSentError`` where the connection broke and no octet of it was taken."""
         statement = operation.statement
         self._put(self._session.ask(statement.text(operation.expires - self._now()), statement.write))
-        operation.sent, self._receiver = True, receiver
+        operation.sent = True
+        self._receiver = receiver
         return 0
 
     def _put(self, octets: bytes) -> None:
@@ -160,8 +163,12 @@
     def __init__(
         self, reactor: Any, now: Callable[[], int], fields: Collection[str] | None = None, log: Any = None
     ) -> None:
-        self._reactor, self._now, self._fields, self._log = reactor, now, fields, log
-        self._spoilt, self._spoilt_logged_at = 0, -LOG_EVERY
+        self._reactor = reactor
+        self._now = now
+        self._fields = fields
+        self._log = log
+        self._spoilt = 0
+        self._spoilt_logged_at = -LOG_EVERY
 
     def connect(
         self, server: ServerSpec, ready: Callable[[Connection], None], lost: Callable[[str], None]
@@ -186,4 +193,4 @@
 
     def describe(self, operation: Operation) -> str:
         """The class and what it is about."""
-        return f"{operation.statement.kind.name} {operation.statement.key}"
+        return f"{operation.statement.request_class.name} {operation.statement.key}"
--- a/yardbank/platform/client.py
+++ b/yardbank/platform/client.py
@@ -37,15 +37,16 @@
 class ClientSession:
     """What one client sends, in order.
 
-    ``kinds``: classes by name. ``open_ids``: the clients' own numbers of requests that are not answered, of all
-    connections; a statement with one of them is refused.
+    ``request_classes``: classes by name. ``open_ids``: the clients' own numbers of requests that are not answered, of
+    all connections; a statement with one of them is refused.
     """
 
-    __slots__ = ("_end", "_kinds", "_open_ids", "_refused", "left", "pipeline")
+    __slots__ = ("_end", "_open_ids", "_refused", "_request_classes", "left", "pipeline")
 
-    def __init__(self, kinds: Mapping[str, RequestClass], open_ids: set[str]) -> None:
+    def __init__(self, request_classes: Mapping[str, RequestClass], open_ids: set[str]) -> None:
         self._end = ServerEnd(MAX_MESSAGE, trusted=WELCOME, simple=True)
-        self._kinds, self._open_ids = kinds, open_ids
+        self._request_classes = request_classes
+        self._open_ids = open_ids
         self._refused = False  # something cannot be served: nothing behind it is
         self.pipeline = Pipeline()
         self.left = False  # it has gone, or said so: it is owed nothing
@@ -103,14 +104,14 @@
             self.pipeline.add_answered(EMPTY)
             return []
         try:
-            statement = read_statement(text, self._kinds)
+            statement = read_statement(text, self._request_classes)
             if statement.id in self._open_ids:
                 raise StatementError("id: another open request has it")
         except StatementError as problem:
             self._refuse(str(problem), rejected(str(problem)))
             return []
         self._open_ids.add(statement.id)
-        expires = now + min(statement.kind.deadline, statement.time_limit)
+        expires = now + min(statement.request_class.deadline, statement.time_limit)
         return self.pipeline.add(Operation(statement, expires), _octets(text), now)
 
     def _refuse(self, reason: str, last: bytes) -> None:
--- a/yardbank/platform/config.py
+++ b/yardbank/platform/config.py
@@ -12,7 +12,7 @@
 from yardbank.gateway.api import ServerSpec
 from yardbank.interface import Settings
 from yardbank.interface.settings import LONGEST
-from yardbank.platform.listing import Listing, ListingError, parse_listing, read_port, told_where
+from yardbank.platform.listing import Listing, ListingError, describe_fault, parse_listing, read_port
 from yardbank.wire import WireError, read_settings
 
 MAX_SECONDS_BETWEEN = 30  # an idle connection's end, where the settings do not say
@@ -90,13 +90,13 @@
     try:
         told = _read_document(document)
     except msgspec.ValidationError as problem:
-        raise PlatformError(told_where(problem)) from None
+        raise PlatformError(describe_fault(problem)) from None
     except msgspec.DecodeError as problem:
         raise PlatformError(f"not JSON: {problem}") from None
     try:
         own = msgspec.convert(told.settings, _Settings)
     except msgspec.ValidationError as problem:
-        raise PlatformError(told_where(problem, "settings")) from None
+        raise PlatformError(describe_fault(problem, "settings")) from None
     limits, ceilings = told.limits or _Limits(), own.ceilings or _Ceilings()
     try:
         seed = int(told.seed, 16)
--- a/yardbank/platform/connection.py
+++ b/yardbank/platform/connection.py
@@ -32,7 +32,9 @@
     __slots__ = ("_command", "_connection", "_operation")
 
     def __init__(self, connection: ClientConnection, command: Command, operation: Operation) -> None:
-        self._connection, self._command, self._operation = connection, command, operation
+        self._connection = connection
+        self._command = command
+        self._operation = operation
 
     def part(self, payload: Any) -> None:
         """Answers are gathered whole before they go anywhere."""
@@ -59,8 +61,9 @@
 
     def __init__(self, factory: ClientFactory, number: int) -> None:
         super().__init__()
-        self.factory, self.number = factory, number
-        self._session = ClientSession(factory.kinds, factory.open_ids)
+        self.factory = factory
+        self.number = number
+        self._session = ClientSession(factory.request_classes, factory.open_ids)
         self._advancing = self._stuck = self._paused = False
         self._spoken = False  # something was answered: a request that crosses the end after that is sent again
 
@@ -197,13 +200,13 @@
         if operation is None or not self.present():
             self._withdraw()
             return
-        statement, kind = operation.statement, operation.statement.kind
+        statement, request_class = operation.statement, operation.statement.request_class
         call = Call(
-            class_name=kind.name,
+            class_name=request_class.name,
             group=statement.group,
             operation=operation,
             sink=_Answer(self, command, operation),
-            session=statement.key if kind.read in ("session", "write") else None,
+            session=statement.key if request_class.read in ("session", "write") else None,
             since_write=since_write(statement, gateway.now()),
             expires=operation.expires,
             present=self.present,
--- a/yardbank/platform/discovery.py
+++ b/yardbank/platform/discovery.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from yardbank.platform.json_stream import Sign, Values
+from yardbank.platform.json_stream import StreamParser, Token
 from yardbank.platform.listing import Listing, parse_listing
 
 MAX_HEAD = 16 << 10  # of the head of an answer, of a chunk, of trailers; data are passed on as they come
@@ -21,7 +21,7 @@
 
     def __init__(self, host: str, generation: int) -> None:
         self._http = h11.Connection(h11.CLIENT, MAX_HEAD)
-        self._values = Values()
+        self._parser = StreamParser()
         self.answered = self.done = False
         asked = h11.Request(
             method="GET",
@@ -33,16 +33,16 @@
     @property
     def waiting(self) -> int:
         """Octets of a list under way."""
-        return self._values.waiting
+        return self._parser.waiting
 
-    def receive(self, data: bytes) -> Iterator[Listing | Sign]:
+    def receive(self, data: bytes) -> Iterator[Listing | Token]:
         """Lists as they are whole, and signs of life between them, from octets in any split.
 
         Raises ``ValueError``: the watch is of no further use, and what had come whole before stands.
         """
         for part in self._body(data):
-            for found in self._values.feed(part):
-                yield found if isinstance(found, Sign) else parse_listing(found)
+            for found in self._parser.feed(part):
+                yield found if isinstance(found, Token) else parse_listing(found)
 
     def _body(self, data: bytes) -> Iterator[bytes]:
         if self.done:
--- a/yardbank/platform/front.py
+++ b/yardbank/platform/front.py
@@ -30,10 +30,13 @@
         gateway: Gateway,
         admission: Admission,
         descriptors: Descriptors,
-        kinds: dict[str, RequestClass],
+        request_classes: dict[str, RequestClass],
         log: Any,
     ) -> None:
-        self.gateway, self.admission, self.kinds, self._log = gateway, admission, kinds, log
+        self.gateway = gateway
+        self.admission = admission
+        self.request_classes = request_classes
+        self._log = log
         self._descriptors = descriptors
         self.come_again = min(gateway.settings.max_retry_after, COME_AGAIN) // MS
         self.open_ids: set[str] = set()
@@ -68,6 +71,7 @@
         self._when_room = call
 
     def buildProtocol(self, addr: Any) -> ClientConnection:  # noqa: N802
+        """Make the protocol of a connection that was accepted."""
         return ClientConnection(self, next(self._numbers))
 
     def arrived(self, connection: ClientConnection) -> None:
--- a/yardbank/platform/json_stream.py
+++ b/yardbank/platform/json_stream.py
@@ -24,39 +24,41 @@
     """What comes can be no object of JSON any more."""
 
 
-class Sign(Enum):
+class Token(Enum):
     """What octets that complete no value show."""
 
     BLANK = "white space between values"
     BEGUN = "a value has begun"
 
 
-class Values:
+class StreamParser:
     """Splits a stream into its objects."""
 
     def __init__(self, longest: int = MAX_VALUE) -> None:
         self._longest = longest
-        self._held, self._open = bytearray(), bytearray()  # the value under way, and its brackets
-        self._in_text = self._escaped = False
+        self._held = bytearray()  # the value under way
+        self._open = bytearray()  # its open brackets
+        self._in_text = False
+        self._escaped = False
 
     @property
     def waiting(self) -> int:
         """Octets of the value under way."""
         return len(self._held)
 
-    def feed(self, data: bytes) -> Iterator[bytes | Sign]:
+    def feed(self, data: bytes) -> Iterator[bytes | Token]:
         """Objects as they end, and what else shows life. Raises ``SplitError``: nothing after it can be told apart."""
         at = 0
         while at < len(data):
             if not self._open:
                 start, at = at, _BLANK.match(data, at).end()  # type: ignore[union-attr]
                 if at > start:
-                    yield Sign.BLANK
+                    yield Token.BLANK
                 if at == len(data):
                     return
                 if data[at] != ord("{"):
                     raise SplitError(f"not JSON: a list cannot begin with {data[at : at + 20]!r}")
-                yield Sign.BEGUN
+                yield Token.BEGUN
             end = self._through(data, at)
             if len(self._held) + end - at > self._longest:
                 raise SplitError(f"a list of more than {self._longest} octets")
@@ -73,25 +75,38 @@
                 self._escaped = False
                 at += 1
                 continue
-            at = (_TEXT if self._in_text else _PLAIN).match(data, at).end()  # type: ignore[union-attr]
+            skipped = _TEXT if self._in_text else _PLAIN
+            at = skipped.match(data, at).end()  # type: ignore[union-attr]
             if at == len(data):
                 break
-            mark = data[at]
             at += 1
-            if mark == _QUOTE:
-                self._in_text = not self._in_text
-            elif self._in_text:
-                if mark != _ESCAPE:
-                    raise SplitError(f"not JSON: octet {mark} in a string")
-                self._escaped = True
-            elif mark in b"{[":
-                if len(self._open) >= MAX_DEPTH:
-                    raise SplitError(f"not JSON that is read here: more than {MAX_DEPTH} brackets are open")
-                self._open.append(mark)
-            elif self._open[-1] == _CLOSES.get(mark):
-                self._open.pop()
+            if self._in_text:
+                self._octet_in_text(data[at - 1])
+            else:
+                self._octet_between(data, at - 1)
                 if not self._open:
                     break
-            else:
-                raise SplitError(f"not JSON: {data[at - 1 : at + 19]!r} cannot stand there")
         return at
+
+    def _octet_in_text(self, octet: int) -> None:
+        """An octet within a string that is no plain text."""
+        if octet == _QUOTE:
+            self._in_text = False
+        elif octet == _ESCAPE:
+            self._escaped = True
+        else:
+            raise SplitError(f"not JSON: octet {octet} in a string")
+
+    def _octet_between(self, data: bytes, at: int) -> None:
+        """An octet outside of strings that is none of what may stand between brackets."""
+        octet = data[at]
+        if octet == _QUOTE:
+            self._in_text = True
+        elif octet in b"{[":
+            if len(self._open) >= MAX_DEPTH:
+                raise SplitError(f"not JSON that is read here: more than {MAX_DEPTH} brackets are open")
+            self._open.append(octet)
+        elif self._open[-1] == _CLOSES.get(octet):
+            self._open.pop()
+        else:
+            raise SplitError(f"not JSON: {data[at : at + 20]!r} cannot stand there")
--- a/yardbank/platform/listening.py
+++ b/yardbank/platform/listening.py
@@ -17,6 +17,7 @@
     unsent = False
 
     def startWriting(self) -> None:  # noqa: N802
+        """Something is unsent."""
         self.unsent = True
         super().startWriting()
 
--- a/yardbank/platform/listing.py
+++ b/yardbank/platform/listing.py
@@ -71,7 +71,7 @@
 _read_gone = msgspec.json.Decoder(_Gone).decode
 
 
-def told_where(problem: msgspec.ValidationError, within: str = "") -> str:
+def describe_fault(problem: msgspec.ValidationError, within: str = "") -> str:
     """A fault in a document, with its field named first."""
     found = _AT.match(str(problem))
     assert found is not None  # it matches anything
@@ -110,7 +110,7 @@
             name, spec = _read_gone(raw).instance_id, None
         except msgspec.ValidationError as other:
             fault = problem if "lifecycle" in str(other) else other
-            raise ListingError(told_where(fault, where)) from None
+            raise ListingError(describe_fault(fault, where)) from None
     else:
         name, spec = told.instance_id, _spec(told, where)
     if not name:
@@ -145,7 +145,7 @@
                 raise ListingError(f"instances[{at}]: {name!r} is listed twice")
             entries[name] = spec
     except msgspec.ValidationError as problem:
-        raise ListingError(told_where(problem)) from None
+        raise ListingError(describe_fault(problem)) from None
     except msgspec.DecodeError as problem:
         raise ListingError(f"not JSON: {problem}") from None
     return Listing(told.generation, told.reset, entries)
--- a/yardbank/platform/pipeline.py
+++ b/yardbank/platform/pipeline.py
@@ -120,7 +120,8 @@
         self._unanswered -= 1
         self._unanswered_octets -= command.size
         self._held_octets += len(answer)
-        command.stage, command.answer = Stage.ANSWERED, answer
+        command.stage = Stage.ANSWERED
+        command.answer = answer
 
     def take_answers(self) -> bytes:
         """Answers whose turn has come, up to one that the connection ends with."""
--- a/yardbank/platform/server.py
+++ b/yardbank/platform/server.py
@@ -44,7 +44,8 @@
         self, fields: Collection[str] | None = None, spoilt: Callable[[str], None] = lambda what: None
     ) -> None:
         """``fields``: what load reports hold, as the settings say (None: not said); ``spoilt``: told of faults."""
-        self._fields, self._spoilt = UNSAID if fields is None else fields, spoilt
+        self._fields = UNSAID if fields is None else fields
+        self._spoilt = spoilt
         self._end = ClientEnd("backend", "store", "", "", MAX_MESSAGE)
         self._asked: _Asked | None = None
         self.open = False
@@ -100,7 +101,7 @@
 
     def _frame(self, frame: Frame, asked: _Asked) -> None:
         """One message of an answer, in the only order there is."""
-        kind, due = chr(frame.type), "TDC"[len(asked.frames) : len(asked.frames) + 1]
+        kind = chr(frame.type)
         if kind == "S":
             name, held = pg.read_parameter(frame)
             asked.told[name] = held
@@ -111,17 +112,10 @@
         elif asked.fault is not None:
             raise WireError(f"message {kind!r} after an error")
         elif kind == "E":
-            asked.fault, asked.error = pg.read_fault(frame), frame.encode()
-        elif kind != due:
-            raise WireError(f"message {kind!r} where {due or 'the end'!r} is due")
+            asked.fault = pg.read_fault(frame)
+            asked.error = frame.encode()
         else:
-            if kind == "T":
-                _check_description(frame)
-            elif kind == "D":
-                if len(pg.read_row(frame)) != 1:
-                    raise WireError("DataRow: not one column")
-            elif frame.body != asked.tag + b"\0" and not asked.probe:
-                raise WireError(f"CommandComplete {frame.body[:20]!r}")
+            _check_result(frame, asked)
             asked.frames.append(frame)
 
     def _whole(self, asked: _Asked) -> Reply:
@@ -157,6 +151,21 @@
         return report.position
 
 
+def _check_result(frame: Frame, asked: _Asked) -> None:
+    """Check that a message is the one that is due of a result of one row with one column. Raises ``WireError``."""
+    kind = chr(frame.type)
+    due = "TDC"[len(asked.frames) : len(asked.frames) + 1]
+    if kind != due:
+        raise WireError(f"message {kind!r} where {due or 'the end'!r} is due")
+    if kind == "T":
+        _check_description(frame)
+    elif kind == "D":
+        if len(pg.read_row(frame)) != 1:
+            raise WireError("DataRow: not one column")
+    elif frame.body != asked.tag + b"\0" and not asked.probe:
+        raise WireError(f"CommandComplete {frame.body[:20]!r}")
+
+
 def _check_description(frame: Frame) -> None:
     reader = Reader(frame.body)
     if reader.count("columns", 19) != 1:
--- a/yardbank/platform/service.py
+++ b/yardbank/platform/service.py
@@ -48,7 +48,9 @@
         self, config: PlatformConfig, reactor: Any, log: Any, listen: Callable[..., Any] = listening.listen
     ) -> None:
         self._listen = listen
-        self.config, self._reactor, self.log = config, reactor, log
+        self.config = config
+        self._reactor = reactor
+        self.log = log
         descriptors = Descriptors.of(config.sockets)
         settings = config.settings
         limits = Limits(
@@ -58,7 +60,7 @@
             connect_timeout=settings.connect_timeout,
             probe_timeout=settings.connect_timeout,
             idle_close=config.idle_close * 3 // 4,
-            stop_grace=min(LONGEST_GRACE, max(kind.deadline for kind in settings.classes)),
+            stop_grace=min(LONGEST_GRACE, max(each.deadline for each in settings.classes)),
         )
         seconds = wall_seconds()
         backend = PlatformBackend(reactor, lambda: self.gateway.now(), settings.report_fields, log)
@@ -77,7 +79,11 @@
         )
         self.admission = Admission(AdmissionLimits())
         self.factory = ClientFactory(
-            self.gateway, self.admission, descriptors, {kind.name: kind for kind in settings.classes}, log
+            self.gateway,
+            self.admission,
+            descriptors,
+            {each.name: each for each in settings.classes},
+            log,
         )
         self.watcher = Watcher(config.discovery, config.known.generation, self._listed, reactor, log)
         self._port: Any = None
@@ -92,7 +98,7 @@
         self.watcher.start()
         self._view()
         classes = {
-            kind.name: (kind.latency_objective // MS, kind.deadline // MS) for kind in self.config.settings.classes
+            each.name: (each.latency_objective // MS, each.deadline // MS) for each in self.config.settings.classes
         }
         self.log.info(
             "listening", address=listen.host, port=listen.port, gateway=self.config.name, aim_deadline_ms=classes
--- a/yardbank/platform/statement.py
+++ b/yardbank/platform/statement.py
@@ -37,7 +37,7 @@
     """One request as a client sent it."""
 
     id: str
-    kind: RequestClass
+    request_class: RequestClass
     group: str
     key: str
     time_limit: int  # ns
@@ -69,41 +69,47 @@
     return int(held)
 
 
-def read_statement(text: str, kinds: Mapping[str, RequestClass]) -> Statement:
-    """A client's query. Raises ``StatementError``."""
-    head = _COMMENT.match(text)
-    if head is None:
-        raise StatementError("the comment is not of the form /* name=value,name=value */")
-    found = _BODY.match(text, head.end())
-    # Pairs are counted here: the pattern's engine would keep 200 octets for each repeat of a group.
-    if found is None or len(found[3] or "") % 2:
-        raise StatementError("behind the comment: neither the read nor the write that is served here")
+def _read_comment(comment: str, at: int) -> tuple[dict[str, str], tuple[int, int]]:
+    """The comment's pairs, and from where to where the time limit's value stands; the comment begins at ``at``."""
     facts: dict[str, str] = {}
-    comment, at, where = head[1], head.start(1), (0, 0)
+    limit_at = (0, 0)
     for part in comment.split(","):
         name, _, held = part.partition("=")
         if name in facts:
             raise StatementError(f"the comment names {name} twice")
         facts[name] = held
         if name == "d":
-            where = at + 2, at + len(part)
+            limit_at = (at + 2, at + len(part))
         at += len(part) + 1
+    return facts, limit_at
+
+
+def read_statement(text: str, request_classes: Mapping[str, RequestClass]) -> Statement:
+    """A client's query. Raises ``StatementError``."""
+    head = _COMMENT.match(text)
+    if head is None:
+        raise StatementError("the comment is not of the form /* name=value,name=value */")
+    found = _BODY.match(text, head.end())
+    # Pairs are counted here: the pattern's engine would keep 200 octets for each repeat of a group.
+    if found is None or len(found[3] or "") % 2:
+        raise StatementError("behind the comment: neither the read nor the write that is served here")
+    facts, where = _read_comment(head[1], head.start(1))
     if not (number := facts.get("id")):
         raise StatementError("the comment lacks id")
-    kind = kinds.get(facts.get("c", ""))
-    if kind is None:
+    request_class = request_classes.get(facts.get("c", ""))
+    if request_class is None:
         raise StatementError("c: no such class")
     limit = _number(facts, "d")
     if limit > MAX_DEADLINE_MS:  # 0: its client's time was over as it was sent; it is refused, and others go on
         raise StatementError(f"d: between 0 and {MAX_DEADLINE_MS} is allowed")
     write = found[1] is None
-    if write != (kind.read == "write"):
+    if write != (request_class.read == "write"):
         raise StatementError(f"c: the class is not one of {'writes' if write else 'reads'}")
     if write and len(found[3]) > 2 * MAX_VALUE:
         raise StatementError(f"content: more than {MAX_VALUE} octets")
     return Statement(
         id=number,
-        kind=kind,
+        request_class=request_class,
         group=str(_number(facts, "cluster")),
         key=found[2] if write else found[1],
         time_limit=limit * MS,
@@ -114,9 +120,9 @@
     )
 
 
-def out_of_reach(kinds: Iterable[RequestClass]) -> list[str]:
+def out_of_reach(request_classes: Iterable[RequestClass]) -> list[str]:
     """Classes of the settings that no statement can name: its comment would end in the middle of the name."""
-    return [kind.name for kind in kinds if not _NAME.match(kind.name) or kind.name != kind.name.rstrip(" ")]
+    return [each.name for each in request_classes if not _NAME.match(each.name) or each.name != each.name.rstrip(" ")]
 
 
 def since_write(statement: Statement, now: int) -> int | None:
--- a/yardbank/platform/watch.py
+++ b/yardbank/platform/watch.py
@@ -1,4 +1,7 @@
-"""Thin Twisted around ``discovery.Watch`` and ``vigil.Vigil``: connects, hands lists on, ends what is given up."""
+"""Thin Twisted around ``discovery.Watch`` and ``watch_state.WatchStateMachine``.
+
+It connects, hands lists on, and ends what is given up.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +16,9 @@
 from yardbank.gateway.api import MS, SECOND
 from yardbank.platform.config import Address
 from yardbank.platform.discovery import Watch
-from yardbank.platform.json_stream import Sign
+from yardbank.platform.json_stream import Token
 from yardbank.platform.listing import Listing, joined
-from yardbank.platform.watch_state import SILENCE, Steps, Vigil
+from yardbank.platform.watch_state import SILENCE, Steps, WatchStateMachine
 
 LOG_EVERY = SECOND  # of what discovery can cause at will
 READ_SIZE, MAX_READS = 64 << 10, 16  # octets at a time, and how many times in a row
@@ -26,7 +29,9 @@
     connector: Any = None
 
     def __init__(self, watcher: Watcher, number: int, watch: Watch) -> None:
-        self._watcher, self.number, self.watch = watcher, number, watch
+        self._watcher = watcher
+        self.number = number
+        self.watch = watch
         self.dropped = False
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -83,9 +88,12 @@
     def __init__(
         self, address: Address, generation: int, take: Callable[[Listing], None], reactor: Any, log: Any
     ) -> None:
-        self.address, self.generation = address, generation
-        self._take, self._reactor, self._log = take, reactor, log
-        self._vigil = Vigil()
+        self.address = address
+        self.generation = generation
+        self._take = take
+        self._reactor = reactor
+        self._log = log
+        self._state_machine = WatchStateMachine()
         self._open: dict[int, _Watching] = {}
         self._reading = False
         self._holes = False  # a list was lost on its way: another of its generation may be held
@@ -95,7 +103,7 @@
 
     def start(self) -> None:
         """Connect."""
-        self._do(self._vigil.begin(self._now()))
+        self._do(self._state_machine.begin(self._now()))
 
     def move(self, address: Address) -> None:
         """Discovery is elsewhere from now on; the list held stays until the new address tells another.
@@ -104,11 +112,11 @@
         """
         if address != self.address:
             self.address = address
-            self._do(self._vigil.move(self._now()))
+            self._do(self._state_machine.move(self._now()))
 
     def stop(self) -> None:
         """Watch no more."""
-        self._do(self._vigil.stop())
+        self._do(self._state_machine.stop())
 
     def _now(self) -> int:
         return int(self._reactor.seconds() * SECOND)
@@ -145,7 +153,7 @@
         self._said[event] = now, 0
 
     def _arm(self) -> None:
-        at = self._vigil.next_at()
+        at = self._state_machine.next_at()
         if self._timer is not None:
             if at is not None and self._due_at <= at:
                 return
@@ -163,7 +171,7 @@
         """A turn reads one piece of each socket: the rest of a long list is read before it counts as silence."""
         self._timer = None
         self.catch_up()
-        self._do(self._vigil.tick(self._now()))
+        self._do(self._state_machine.tick(self._now()))
 
     def _lost(self, watching: _Watching) -> None:
         if watching.watch.waiting:
@@ -181,33 +189,47 @@
 
     def heard(self, watching: _Watching, data: bytes) -> None:
         """Octets of a watch that is gone by, or may be; what lies in the socket behind them is taken along."""
-        was_answered, number, lists = watching.watch.answered, watching.number, []
-        problem: ValueError | None = None
+        was_answered = watching.watch.answered
+        lists: list[Listing] = []
         self._reading = True
+        problem = self._read(watching, data, lists)
+        try:
+            problem = self._apply(lists) or problem
+        finally:
+            self._reading = False
+        if problem is not None:
+            self._rejected(watching, problem)
+        elif watching.watch.answered and not was_answered:
+            self._do(self._state_machine.answered(watching.number, self._now()))
+
+    def _read(self, watching: _Watching, data: bytes, lists: list[Listing]) -> ValueError | None:
+        """Add the lists that octets bring to ``lists``. Returns why the watch is of no further use, if it is not."""
         try:
             for _ in range(MAX_READS):
                 for found in watching.watch.receive(data):
-                    self._do(self._vigil.lived(number, self._now(), begun=found is Sign.BEGUN))
+                    is_begun = found is Token.BEGUN
+                    self._do(self._state_machine.lived(watching.number, self._now(), begun=is_begun))
                     if isinstance(found, Listing):
                         lists.append(found)
-                if not (data := watching.unread()):
+                data = watching.unread()
+                if not data:
                     break
         except ValueError as spoilt:
-            problem = spoilt
+            return spoilt
+        return None
+
+    def _apply(self, lists: list[Listing]) -> ValueError | None:
+        """Hand lists on. Returns why they could not be applied, if so."""
+        if not lists:
+            return None
         try:
-            if lists:
-                self._told(joined(lists))
+            self._told(joined(lists))
         except ValueError as spoilt:
-            problem = spoilt
-        except Exception as fault:  # an error of the program's must not end the watch, nor the send that looked here
+            return spoilt
+        except Exception as fault:  # border: an error of the program must not end the watch, nor the send that looked
             self._log.error("list_error", error=repr(fault), exc_info=True)
-            problem = ValueError("it could not be applied")
-        finally:
-            self._reading = False
-        if problem is not None:
-            self._rejected(watching, problem)
-        elif watching.watch.answered and not was_answered:
-            self._do(self._vigil.answered(number, self._now()))
+            return ValueError("it could not be applied")
+        return None
 
     def _rejected(self, watching: _Watching, problem: Exception) -> None:
         self._holes = True
@@ -220,7 +242,7 @@
             raise ValueError(f"generation: {listing.generation} after {self.generation}, and not the whole list")
         self._take(listing)
         if listing.generation != self.generation:
-            self._vigil.news()
+            self._state_machine.news()
         self.generation = listing.generation
         self._holes = self._holes and not listing.reset
 
@@ -229,7 +251,7 @@
         if self._open.pop(watching.number, None) is None:
             return
         self._lost(watching)
-        pause = self._vigil.ended(watching.number, self._now())
+        pause = self._state_machine.ended(watching.number, self._now())
         if pause is not None:
             self._say(self._log.info, "discovery_watch_ended", reason=reason, again_ms=pause // MS)
         self._arm()
--- a/yardbank/platform/watch_state.py
+++ b/yardbank/platform/watch_state.py
@@ -73,7 +73,7 @@
 NOTHING = Steps()
 
 
-class Vigil:
+class WatchStateMachine:
     """The watches of one gateway, by number."""
 
     def __init__(self) -> None:
@@ -96,7 +96,8 @@
     def begin(self, now: int) -> Steps:
         """Watch from now on; whatever was open is dropped."""
         drop, self._since = tuple(self._since), {}
-        self._pause, self._doubt = FIRST_PAUSE, False
+        self._pause = FIRST_PAUSE
+        self._doubt = False
         return Steps(drop=drop, begin=self._another(now))
 
     def move(self, now: int) -> Steps:
@@ -147,18 +148,21 @@
         if self._since.pop(number, None) is None or self._since:
             return None
         pause, self._pause = self._pause, min(2 * self._pause, LONGEST_PAUSE)
-        self.phase, self._next = Phase.PAUSING, now + pause
+        self.phase = Phase.PAUSING
+        self._next = now + pause
         return pause
 
     def _spoke(self, number: int, now: int) -> Steps:
         if number not in self._since:
             return NOTHING
         drop = tuple(other for other in self._since if other != number)
-        self.phase, self._since = Phase.HEARING, {number: now}
+        self.phase = Phase.HEARING
+        self._since = {number: now}
         return Steps(drop=drop)
 
     def _another(self, now: int) -> int:
         self._last += 1
-        self.phase, self._next = Phase.ASKING, now + BESIDE
+        self.phase = Phase.ASKING
+        self._next = now + BESIDE
         self._since[self._last] = now
         return self._last
