--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -95,7 +95,7 @@
 def test_words_on_strangers_other_starts_primaries_and_nonsense_are_nobodys():
     place = place_with()
     assert not word(place, server="x") and not word(place, start=START + 1) and not word(place, 5, 0, "p")
-    assert place.gateway._prober.gossiped._words == {}
+    assert place.gateway._prober.gossiped._gossip == {}
     word(place), word(place, 4)
     for marks in (
         {},
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -216,7 +216,7 @@
     positions.listed(1, 0, True, 0)
     assert positions.committed(1, ("clock", (77,)), 5) == 77 and positions.reference(1) is None
     reported = read_report("x0=2,x1=0").position
-    positions.told(1, reported, 9)
+    positions.observed(1, reported, 9)
     assert positions.report(1, reported, 9) == Report(2 * SECOND, False)
     assert positions.report(1, read_report("util=1").position, 9) == Report(None, None)
     positions.dropped(1)
--- a/yardbank/gateway/attempt.py
+++ b/yardbank/gateway/attempt.py
@@ -17,9 +17,9 @@
 
     __slots__ = (
         "_ended",
+        "check",
         "link",
         "list_seen",
-        "look",
         "number",
         "on_end",
         "on_part",
@@ -36,12 +36,15 @@
         sent_at: int,
         on_part: Callable[[Any, int], None],
         on_end: Callable[[str, Reply | None, str], None],
-        look: Callable[[Attempt], SendCheck | None] = lambda attempt: None,
+        check: Callable[[Attempt], SendCheck | None] = lambda attempt: None,
         list_seen: int = 0,
     ) -> None:
-        self.operation, self.sent_at = operation, sent_at
-        self.on_part, self.on_end = on_part, on_end
-        self.look, self.list_seen = look, list_seen  # asked before it is written; the list it was decided on
+        self.operation = operation
+        self.sent_at = sent_at
+        self.on_part = on_part
+        self.on_end = on_end
+        self.check = check  # asked right before it is written
+        self.list_seen = list_seen  # how many lists the module had been given when it decided on the attempt
         self.until = 0  # it is of no use from then on (ns)
         self.slot: int | None = None
         self.number: int | None = None  # on its connection, once it has gone out
--- a/yardbank/gateway/context.py
+++ b/yardbank/gateway/context.py
@@ -8,7 +8,6 @@
 
 from yardbank import interface as api
 from yardbank.gateway.api import Limits
-from yardbank.gateway.clock import SteadyClock
 from yardbank.gateway.deadlines import Deadlines
 
 Record = Callable[[dict[str, Any]], None]
@@ -20,17 +19,13 @@
 
     settings: api.Settings
     limits: Limits
-    clock: SteadyClock
+    now: Callable[[], int]  # the gateway's clock, ns
     deadlines: Deadlines
     reactor: Any
     log: Any
     explains: bool  # whether the log takes debug lines: they are not made up otherwise
     record: Record | None
 
-    def now(self) -> int:
-        """The gateway's clock, ns."""
-        return self.clock.now()
-
     def note(self, kind: str, **facts: Any) -> None:
         """Hand a fact to the owner's record, if it keeps one."""
         if self.record:
--- a/yardbank/gateway/deadlines.py
+++ b/yardbank/gateway/deadlines.py
@@ -19,7 +19,8 @@
     """Calls back at or after instants (ns), once the sockets were looked at since. What was cancelled costs nothing."""
 
     def __init__(self, now: Callable[[], int], call_later: Callable[..., Any]) -> None:
-        self._now, self._call_later = now, call_later
+        self._now = now
+        self._call_later = call_later
         self._heap: list[tuple[int, int]] = []
         self._fire: dict[int, Fire] = {}
         self._numbers = count()
@@ -51,7 +52,8 @@
         self._fire.clear()
         if self._armed is not None:
             self._armed.cancel()
-            self._armed, self._looking = None, False
+            self._armed = None
+            self._looking = False
 
     def _arm(self) -> None:
         if self._armed is not None:
@@ -71,7 +73,8 @@
 
     def _run(self, now: int) -> None:
         """Fire what was due at ``now`` (ns). An error in one goes up; the others stay armed."""
-        self._armed, self._looking = None, False
+        self._armed = None
+        self._looking = False
         try:
             while self._heap and self._heap[0][0] <= now:
                 fire = self._fire.pop(heapq.heappop(self._heap)[1], None)
--- a/yardbank/gateway/dial.py
+++ b/yardbank/gateway/dial.py
@@ -26,7 +26,8 @@
     noisy = False
 
     def __init__(self, make: Callable[[], Protocol], lost: Lost) -> None:
-        self._make, self._lost = make, lost
+        self._make = make
+        self._lost = lost
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
         return self._make()
--- a/yardbank/gateway/gateway.py
+++ b/yardbank/gateway/gateway.py
@@ -85,7 +85,7 @@
         context = GatewayContext(
             settings=settings,
             limits=self.limits,
-            clock=self._clock,
+            now=self._clock.now,
             deadlines=self._deadlines,
             reactor=reactor,
             log=self.log,
--- a/yardbank/gateway/positions.py
+++ b/yardbank/gateway/positions.py
@@ -50,7 +50,7 @@
         """The token of a write."""
         return self._of(self._group[server]).commit(*commit, sent_at)
 
-    def told(self, server: int, position: ProbeResult, sent_at: int) -> None:
+    def observed(self, server: int, position: ProbeResult, sent_at: int) -> None:
         """A server told its marks and role, asked at ``sent_at``: a primary's place the log's head."""
         self._marks[server] = dict(position.marks)
         if position.primary is not None:
@@ -103,7 +103,7 @@
         """The commit's own time."""
         return int(commit[1][0])
 
-    def told(self, server: int, position: ProbeResult, sent_at: int) -> None:
+    def observed(self, server: int, position: ProbeResult, sent_at: int) -> None:
         """Only the role is news; the time stands for itself."""
         if position.primary is not None and server in self._group:
             self.role(server, position.primary, sent_at)
--- a/yardbank/gateway/prober.py
+++ b/yardbank/gateway/prober.py
@@ -188,11 +188,11 @@
 
     def observed(self, server: int, link: ServerLink, position: ProbeResult, sent_at: int) -> None:
         """What a server said itself: its place on the timeline, and whether others' reports of it hold."""
-        self._positions.told(server, position, sent_at)
+        self._positions.observed(server, position, sent_at)
         if self.endpoints.links.get(server) is not link:  # it has moved meanwhile
             return
         if not self.gossiped.seen(self._context.now(), server, position.marks, sent_at):
-            self._context.log.warning("passed_marks_false", server=link.server.name)
+            self._context.log.warning("gossiped_position_rejected", server=link.server.name)
 
     def finished(self, server: int, asked_at: int, position: ProbeResult | None, sent_at: int, status: str) -> None:
         """A probe of the module is over, asked at ``asked_at`` (ns): the module is told."""
@@ -212,6 +212,6 @@
 
     def _head_answered(self, server: int, position: ProbeResult | None, sent_at: int, status: str) -> None:
         if position is not None:
-            self._positions.told(server, position, sent_at)
+            self._positions.observed(server, position, sent_at)
         for each in self._head_askers.pop(server):
             each()
--- a/yardbank/gateway/request.py
+++ b/yardbank/gateway/request.py
@@ -31,7 +31,10 @@
     )
 
     def __init__(self, number: str, call: Call, request_class: api.RequestClass, now: int, list_version: int) -> None:
-        self.id, self.call, self.request_class, self.taken_at = number, call, request_class, now
+        self.id = number
+        self.call = call
+        self.request_class = request_class
+        self.taken_at = now
         self.list_version = list_version
         self.event: api.Request | None = None  # as the decision module was last told of it
         self.attempts = 0
--- a/yardbank/gateway/server_link.py
+++ b/yardbank/gateway/server_link.py
@@ -169,10 +169,10 @@
     def _write(self, pooled: PooledConnection, attempt: Attempt) -> None:
         """Write an attempt, unless something that has come between says otherwise."""
         assert pooled.connection is not None
-        if not attempt.ended and (why := attempt.look(attempt)) is not None:
+        if not attempt.ended and (why := attempt.check(attempt)) is not None:
             attempt.end("moot", None, why.value)
         pooled.waiting.pop(attempt, None)
-        if attempt.ended:  # what was looked at may have ended it, too
+        if attempt.ended:  # what the check found may have ended it, too
             return
         pooled.out[attempt] = None
         try:
--- a/yardbank/gateway/slots.py
+++ b/yardbank/gateway/slots.py
@@ -35,7 +35,9 @@
     """The connections of one gateway to one server."""
 
     def __init__(self, connections: int, multiplex: int, idle_close: int) -> None:
-        self._most, self._multiplex, self._idle_close = connections, multiplex, idle_close
+        self._most = connections
+        self._multiplex = multiplex
+        self._idle_close = idle_close
         self.slots: dict[int, Slot] = {}
         self._next = 0
 
@@ -53,7 +55,8 @@
                 return SlotAssignment()
             best = self.slots[self._next] = Slot(self._next, now)
             self._next += 1
-            best.load, best.used_at = 1, now
+            best.load = 1
+            best.used_at = now
             return SlotAssignment(best.number, opening=True)
         best.load += 1
         best.used_at = now
@@ -62,7 +65,8 @@
     def opened(self, number: int, now: int) -> None:
         """A connection is up."""
         slot = self.slots[number]
-        slot.ready, slot.heard_at = True, now
+        slot.ready = True
+        slot.heard_at = now
 
     def again(self, number: int) -> bool:
         """Whether a connection that broke while it was opening is opened once more: nothing was sent on it yet.
