--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -9,7 +9,7 @@
 from tests.support.virtual_gateway import SERVERS, Place
 from yardbank.gateway import Reply, ServerSpec
 from yardbank.gateway.api import ProbeResult
-from yardbank.gateway.passed import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, Passed
+from yardbank.gateway.gossiped_positions import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, GossipedPositions
 from yardbank.interface import PositionGossiped, Role
 
 SEEDS = pytest.mark.parametrize("seed", [1, 2])
@@ -33,7 +33,7 @@
 
 
 def word(place, mark=5, start=START, server="c"):
-    return place.gateway.told_position(server, start, {"": (mark,)})
+    return place.gateway.apply_gossiped_position(server, start, {"": (mark,)})
 
 
 def marked(place):
@@ -45,7 +45,7 @@
     place = place_with(seed)
     assert not word(place) and not marked(place)  # hearsay alone
     assert word(place)  # it was asked meanwhile, and has that
-    assert [event.server for event in marked(place)] == [place.gateway._servers["c"]]
+    assert [event.server for event in marked(place)] == [place.gateway._endpoints.server_numbers["c"]]
     assert not word(place)  # nothing that was not known
     place.ask("read")
     assert place.backend.sent[-1][0] == "c"
@@ -54,11 +54,11 @@
 @SEEDS
 def test_a_word_that_its_bringer_has_checked_is_taken_without_a_look(seed):
     place, looks = place_with(seed), []
-    place.gateway.ask = lambda server, then: looks.append(server)
+    place.gateway._prober.ask = lambda server, then: looks.append(server)
     for nonsense in ({"": [5]}, {}):
-        assert not place.gateway.told_position("c", START, nonsense, checked=True)
-    assert place.gateway.told_position("c", START, {"": (5,)}, checked=True) and len(marked(place)) == 1
-    assert not place.gateway.told_position("c", START + 1, {"": (5,)}, checked=True)  # another start's
+        assert not place.gateway.apply_gossiped_position("c", START, nonsense, checked=True)
+    assert place.gateway.apply_gossiped_position("c", START, {"": (5,)}, checked=True) and len(marked(place)) == 1
+    assert not place.gateway.apply_gossiped_position("c", START + 1, {"": (5,)}, checked=True)  # another start's
     assert looks == []
     assert not word(place) and looks == ["c"]
 
@@ -66,7 +66,7 @@
 @SEEDS
 def test_marks_prove_no_more_than_ones_own_links_and_are_no_observation_of_the_head(seed):
     place = place_with(seed, applied=9)
-    number, head = place.gateway._groups["g"], place.gateway._positions.head(0)
+    number, head = place.gateway._endpoints.group_numbers["g"], place.gateway._positions.head(0)
     word(place, 9)
     assert word(place, 9)
     position = marked(place)[0].report.position
@@ -80,22 +80,22 @@
     place = place_with(seed, applied=3)
     assert not word(place, 3) and not word(place, 3)  # no link of its own is covered: nothing is proved
     assert word(place, 5)  # a lie
-    number = place.gateway._servers["c"]
+    number = place.gateway._endpoints.server_numbers["c"]
     for _ in range(11):
         place.pass_time(1, 0.5)
         word(place, 5)
-    assert place.gateway._passed.state(number) == FALSE and place.gateway.view()["passed"]["false"] == 1
+    assert place.gateway._prober.gossiped.state(number) == FALSE and place.gateway.view()["passed"]["false"] == 1
     place.applied, seen = 9, len(marked(place))
     assert not word(place, 9) and len(marked(place)) == seen
     place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "a", "h", 2, started=START / 1000 + 1)])
     assert not word(place, 9) and not word(place, 9)  # the old start
-    assert not word(place, 9, START + 1000) and place.gateway._passed.state(number) == AGREED
+    assert not word(place, 9, START + 1000) and place.gateway._prober.gossiped.state(number) == AGREED
 
 
 def test_words_on_strangers_other_starts_primaries_and_nonsense_are_nobodys():
     place = place_with()
     assert not word(place, server="x") and not word(place, start=START + 1) and not word(place, 5, 0, "p")
-    assert place.gateway._passed._words == {}
+    assert place.gateway._prober.gossiped._gossip == {}
     word(place), word(place, 4)
     for marks in (
         {},
@@ -110,7 +110,7 @@
         {"": (1 << 70, "x" * 99)},
         {str(n): (1,) for n in range(99)},
     ):
-        assert place.gateway.told_position("c", START, marks) is False
+        assert place.gateway.apply_gossiped_position("c", START, marks) is False
     assert not marked(place)
 
 
@@ -157,7 +157,7 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(STEP, max_size=60), st.integers(0, 3))
 def test_a_word_is_taken_only_lately_after_a_look_and_a_true_one_is_never_called_false(steps, seed):
-    passed, now, has, out, agreed_at, lied = Passed(Random(seed), 0), 1, 0, None, None, False
+    passed, now, has, out, agreed_at, lied = GossipedPositions(Random(seed), 0), 1, 0, None, None, False
     for what, much, wait in steps:
         now += wait
         before = passed.state(1)
@@ -182,7 +182,7 @@
 
 
 def agreed(now=10**9):
-    passed = Passed(Random(1), 0)
+    passed = GossipedPositions(Random(1), 0)
     assert not passed.take(now, 1, 7, {"": (1,)}) and passed.due(now, 1) and passed.seen(now, 1, {"": (1,)}, now)
     return passed
 
@@ -209,7 +209,7 @@
 def test_first_looks_of_hundreds_spread_and_unanswered_ones_come_seldom():
     at = []
     for seed in range(200):
-        passed, now = Passed(Random(seed), 200 * 10**6), 10**9
+        passed, now = GossipedPositions(Random(seed), 200 * 10**6), 10**9
         while not passed.take(now, 1, 7, {"": (1,)}) and not passed.due(now, 1):
             now += 10**6
         at.append(now - 10**9)
--- a/yardbank/gateway/attempt.py
+++ b/yardbank/gateway/attempt.py
@@ -8,8 +8,8 @@
 from yardbank.gateway.api import Reply
 
 if TYPE_CHECKING:
-    from yardbank.gateway.link import Way
-    from yardbank.gateway.sending import Withheld
+    from yardbank.gateway.send_check import SendCheck
+    from yardbank.gateway.server_link import ServerLink
 
 
 class Attempt:
@@ -17,8 +17,9 @@
 
     __slots__ = (
         "_ended",
+        "check",
+        "link",
         "list_seen",
-        "look",
         "number",
         "on_end",
         "on_part",
@@ -27,7 +28,6 @@
         "slot",
         "timer",
         "until",
-        "way",
     )
 
     def __init__(
@@ -36,17 +36,20 @@
         sent_at: int,
         on_part: Callable[[Any, int], None],
         on_end: Callable[[str, Reply | None, str], None],
-        look: Callable[[Attempt], Withheld | None] = lambda attempt: None,
+        check: Callable[[Attempt], SendCheck | None] = lambda attempt: None,
         list_seen: int = 0,
     ) -> None:
-        self.operation, self.sent_at = operation, sent_at
-        self.on_part, self.on_end = on_part, on_end
-        self.look, self.list_seen = look, list_seen  # asked before it is written; the list it was decided on
+        self.operation = operation
+        self.sent_at = sent_at
+        self.on_part = on_part
+        self.on_end = on_end
+        self.check = check  # asked right before it is written
+        self.list_seen = list_seen  # how many lists the module had been given when it decided on the attempt
         self.until = 0  # it is of no use from then on (ns)
         self.slot: int | None = None
         self.number: int | None = None  # on its connection, once it has gone out
         self.timer: int | None = None
-        self.way: Way | None = None
+        self.link: ServerLink | None = None
         self._ended = False
 
     @property
@@ -77,6 +80,6 @@
         if self._ended:
             return
         self._ended = True
-        if self.way is not None:
-            self.way.release(self, answered)
+        if self.link is not None:
+            self.link.release(self, answered)
         self.on_end(status, reply, reason)
