--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -61,7 +61,7 @@
 
 def test_only_what_is_asked_for_is_made(tmp_path):
     proxy, _ = made(tmp_path, without("rollout", "atlas", "channels", "leases"))
-    assert not parts(proxy) and proxy._joint is None
+    assert not parts(proxy) and proxy._coordination is None
     with pytest.raises(RuntimeError, match="no channels block"):
         _ = proxy.channels
     proxy, _ = made(tmp_path, without("rollout", "channels", "leases"))
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -12,6 +12,7 @@
 from yardbank.ldap import filters
 from yardbank.ldap import messages as m
 from yardbank.ldap.classify import Classifier, Rule, operation_name
+from yardbank.proxy import ldap_parts
 
 TEXT = EXAMPLE.read_text()
 
@@ -122,7 +123,7 @@
 
 @pytest.mark.parametrize(("operation", "identity", "wanted"), CASES)
 def test_each_operation_lands_in_its_class(operation, identity, wanted):
-    assert build.classifier(load_text(TEXT)).place(operation, identity).class_name == wanted
+    assert ldap_parts.classifier(load_text(TEXT)).place(operation, identity).class_name == wanted
 
 
 def test_the_narrowest_rule_wins_and_two_alike_fall_to_the_strictest():
--- a/yardbank/config/build.py
+++ b/yardbank/config/build.py
@@ -1,16 +1,12 @@
-"""From checked settings to what the gateway, its fronts and its backends are made with."""
+"""From checked settings to what the gateway is made with; what a protocol needs is made where the proxy is."""
 
 from __future__ import annotations
 
 import secrets
 
-from yardbank.config.schema import Config, Listener
-from yardbank.directory import naming
+from yardbank.config.schema import Config
 from yardbank.gateway.api import Limits, ServerSpec
 from yardbank.interface import RequestClass, Settings
-from yardbank.ldap.backend import BackendOptions
-from yardbank.ldap.classify import SCOPES, Classifier, Rule
-from yardbank.ldap.front import FrontOptions
 from yardbank.plan.fleet_position import FleetPosition
 
 STRICT_READ, STRICT_WRITE = "strict-read", "strict-write"
@@ -75,50 +71,3 @@
 def fleet_groups(config: Config) -> frozenset[str]:
     """Groups that a watched list may name."""
     return frozenset(group.name for group in config.group)
-
-
-def classifier(config: Config) -> Classifier:
-    """Rules from the classes' matches."""
-    rules = tuple(
-        Rule(
-            kind.name,
-            frozenset(match.operation),
-            naming.fold(match.base),
-            frozenset(int(SCOPES[scope]) for scope in match.scope),
-            frozenset(name.lower() for name in match.attribute),
-            frozenset(naming.fold(name) for name in match.identity),
-        )
-        for kind in config.classes
-        for match in kind.match
-    )
-    suffixes = {group.name: group.suffix for group in config.group}
-    classes = {kind.name: kind for kind in request_classes(config)}
-    return Classifier(rules, suffixes, STRICT_READ, STRICT_WRITE, classes)
-
-
-def front_options(config: Config, listener: Listener) -> FrontOptions:
-    """How one listener meets its clients."""
-    return FrontOptions(
-        identities={naming.fold(identity.name): identity.password for identity in config.identity},
-        anonymous=listener.anonymous,
-        session_by=listener.session,
-        naming_contexts=tuple(group.suffix for group in config.group),
-        max_message=listener.max_message,
-        max_outstanding=listener.max_outstanding,
-        max_unread=listener.max_unread,
-        max_connections=listener.max_connections,
-        parts=listener.parts,
-        parts_memory=listener.parts_memory,
-    )
-
-
-def backend_options(config: Config) -> BackendOptions:
-    """How servers are reached."""
-    block = config.backend[0]
-    return BackendOptions(
-        bind_dn=block.bind_dn,
-        bind_password=block.bind_password,
-        suffixes={group.name: group.suffix for group in config.group},
-        role_attribute=block.role_attribute,
-        primary_value=block.primary_value,
-    )
