--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -1,7 +1,8 @@
-"""What gateways do together, made from settings and joined to the link and the gateway. Thin: the parts decide.
+"""The cluster's parts of one gateway, made from settings and joined to transport and gateway. Thin: the parts decide.
 
-Leases, channels, rollouts and the map ride on the peers' link as its parts. Only those whose blocks are there are made,
-and only their packages are imported.
+Leases, channels, rollouts, the latency map and list distribution send and receive as parts of the peers' node. Only
+those whose blocks are in the settings are made, and only their packages are imported. ``Coordination`` owns them from
+construction to ``stop`` and adds them to the node in one order: leases, map, channels, rollout, distribution.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from pathlib import Path
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from twisted.internet.defer import Deferred, succeed
 
@@ -30,22 +31,31 @@
     from yardbank.cluster.latency_map.part import AtlasPart
     from yardbank.cluster.list_distribution.files import DistributionFiles
     from yardbank.cluster.rollout.active_version import Started
-    from yardbank.cluster.rollout.actuator import Actuator
     from yardbank.cluster.rollout.metrics import Figures
     from yardbank.cluster.rollout.part import RolloutPart
 
 SECOND = 1_000_000_000
-LISTED_EVERY = SECOND // 2  # so often the gateway's list is compared with what the positions' feeds know
+SERVER_LIST_CHECK_INTERVAL = SECOND // 2  # between two comparisons of the gateway's servers with the positions' feeds
 
 
 def wanted(config: Config) -> bool:
-    """Whether a part is asked for at all."""
+    """Whether the settings have a block of any part."""
     return any(
         block is not None
         for block in (config.leases, config.channels, config.rollout, config.atlas, config.distribution)
     )
 
 
+class Service(Protocol):
+    """What runs while the gateway serves. ``stop`` may be called twice."""
+
+    def start(self) -> None:
+        """Begin; the transport is up."""
+
+    def stop(self) -> None:
+        """End."""
+
+
 class Coordination:
     """One gateway's parts. ``reload`` takes other settings in service or raises ``ValueError``; all times in ns."""
 
@@ -63,40 +73,63 @@
         started: Started | None = None,
         folder: Path = Path(),
     ) -> None:
-        self._config, self._gateway, self._peers, self._state = config, gateway, peers, state
-        self._reactor, self._wall, self._log, self._reload = reactor, wall, log, reload
+        self._config = config
+        self._gateway = gateway
+        self._peers = peers
+        self._state = state
+        self._reactor = reactor
+        self._wall = wall
+        self._log = log
+        self._reload = reload
         self._specs: Mapping[str, ServerSpec] = gateway.shared(lambda router, specs, *rest: specs)
-        self._known: dict[str, ServerSpec] = {}
-        self._next_list = 0
+        self._listed_specs: dict[str, ServerSpec] = {}  # as the positions' feeds were last given them
+        self._next_list_check = 0
         self.channels: Channels | None = None
         self._feeds: PositionFeeds | None = None
-        self._actuator: Actuator | None = None
         self._map: AtlasPart | None = None
         self._distribution: DistributionFiles | None = None
-        block = config.leases
-        self._terms = (
-            LeaseTerms(block.term, block.drift, block.overlap, block.voters) if block is not None else LeaseTerms()
-        )
-        node = peers.node
-        leases = LeasePart(node.membership_view, self._terms, self._random("leases"), self._keep("leases"))
-        node.add(leases)
-        self.leases = leases
+        self._services: list[Service] = []  # in the order in which they start and stop
+        self._terms = self._lease_terms(config)
+        self.leases = self._make_leases()
+        self._make_parts(config, started, folder)
+        peers.after.append(self._after)
+
+    def _make_parts(self, config: Config, started: Started | None, folder: Path) -> None:
+        """The optional parts, in the order in which the node has them."""
         if config.atlas is not None:
             self._make_map(config)
-        distance = self._map.distance if self._map is not None else lambda one, other: None
         if config.channels is not None:
-            self._make_channels(config, distance)
+            self._make_channels(config, self._distance())
         if config.rollout is not None:
             self._make_rollout(config, started)
         if config.distribution is not None:
             self._make_distribution(config, folder)
-        peers.after.append(self._after)
 
-    def _random(self, what: str) -> Random:
-        return Random(f"{self._gateway.settings.seed}/{self._peers.node.detector.boot_epoch}/{what}")
+    def _lease_terms(self, config: Config) -> LeaseTerms:
+        block = config.leases
+        if block is None:
+            return LeaseTerms()
+        return LeaseTerms(block.term, block.drift, block.overlap, block.voters)
+
+    def _make_leases(self) -> LeasePart:
+        node = self._peers.node
+        leases = LeasePart(node.membership_view, self._terms, self._random("leases"), self._store("leases"))
+        node.add(leases)
+        return leases
+
+    def _distance(self) -> Distance:
+        """Round trips between zones, for placement; without a map none is known."""
+        if self._map is None:
+            return lambda one, other: None
+        return self._map.distance
+
+    def _random(self, part: str) -> Random:
+        return Random(f"{self._gateway.settings.seed}/{self._peers.node.detector.boot_epoch}/{part}")
 
-    def _keep(self, what: str) -> KeyValueStore:
-        return FileStore(self._state / f"{what}-kept", self._log) if self._state is not None else NullStore()
+    def _store(self, part: str) -> KeyValueStore:
+        if self._state is None:
+            return NullStore()
+        return FileStore(self._state / f"{part}-kept", self._log)
 
     def _make_map(self, config: Config) -> None:
         from yardbank.cluster.latency_map.options import Options
@@ -128,22 +161,25 @@
             term=self._terms.term,
             overlap=self._terms.overlap,
         )
-        node, now = self._peers.node, self._gateway.now
+        node = self._peers.node
+        now = self._gateway.now
         part = ChannelPart(node.membership_view, self.leases, self._random("channels"), options, distance)
         node.add(part)
         part.ownership.heard_epoch = self.leases.epochs.hear
         self.channels = Channels(part, reactor=self._reactor, now=now, prompt=self._peers.prompt, log=self._log)
-        if block.positions:
-            self._feeds = PositionFeeds(
-                node.name,
-                self._gateway,
-                self.channels,
-                options,
-                self._random("positions"),
-                reactor=self._reactor,
-                now=now,
-                log=self._log,
-            )
+        if not block.positions:
+            return
+        self._feeds = PositionFeeds(
+            node.name,
+            self._gateway,
+            self.channels,
+            options,
+            self._random("positions"),
+            reactor=self._reactor,
+            now=now,
+            log=self._log,
+        )
+        self._services.append(self._feeds)
 
     def _make_rollout(self, config: Config, started: Started | None) -> None:
         from yardbank.cluster.rollout.actuator import Actuator, name_of
@@ -159,9 +195,9 @@
         name = name_of(version.file(started.given), version.program)
         options = Options(self._figures, started.force, name, block.beat)
         node = self._peers.node
-        part = RolloutPart(node.membership_view, self.leases, self._random("rollout"), self._keep("rollout"), options)
+        part = RolloutPart(node.membership_view, self.leases, self._random("rollout"), self._store("rollout"), options)
         node.add(part)
-        self._actuator = Actuator(
+        actuator = Actuator(
             part,
             started.given,
             block,
@@ -174,6 +210,7 @@
             reload=self._reload,
             leave=started.leave,
         )
+        self._services.append(actuator)
         if self.channels is not None:
             self.channels.part.prefer(lambda names: self._changed_first(part, names))
 
@@ -183,7 +220,8 @@
         from yardbank.cluster.list_distribution.part import DistributionPart
         from yardbank.config.build import fleet_groups
 
-        block, node = config.distribution, self._peers.node
+        block = config.distribution
+        node = self._peers.node
         assert block is not None
         part = DistributionPart(
             node.membership_view,
@@ -204,9 +242,10 @@
             log=self._log,
             prompt=self._peers.prompt,
         )
+        self._services.append(self._distribution)
 
     def _changed_first(self, part: RolloutPart, names: Iterable[str]) -> Sequence[str]:
-        """Channels go on to where the change has been already, so that they are not handed on at each stage."""
+        """Prefer owners that run the new version already: else channels would be transferred at each stage."""
         changed = part.changed()
         return sorted(names, key=lambda name: (name not in changed, name))
 
@@ -232,33 +271,40 @@
         return of_gateway(self._gateway.tallies.by_class, promises, beyond, memory)
 
     def start(self) -> None:
-        """Begin; the link is up."""
-        if self._feeds is not None:
-            self._feeds.start()
-        if self._actuator is not None:
-            self._actuator.start()
-        if self._distribution is not None:
-            self._distribution.start()
+        """Begin; the transport is up."""
+        for service in self._services:
+            service.start()
 
     def _after(self, now: int) -> None:
-        """The link has had a turn: hand on what the parts found."""
+        """The node has had a turn: pass on what the parts found."""
         for lease in self.leases.news():
             self._log.info("lease", resource=lease.resource, what=lease.what, epoch=lease.epoch, why=lease.why)
         if self._distribution is not None:
             self._distribution.after()
-        if self._map is not None:
-            for turn in self._map.changes():
-                ms = None if turn.ns is None else round(turn.ns / 1e6, 3)
-                self._log.info("map", **{"from": turn.pair[0]}, to=turn.pair[1], ms=ms, how=turn.how)
-            self._gateway.told_ways(self._map.ways(now))
-        if self._feeds is not None and now >= self._next_list:
-            self._next_list = now + LISTED_EVERY
-            if self._known != self._specs:
-                self._known = dict(self._specs)
-                self._feeds.listed(self._known.values())
+        self._apply_map(now)
+        self._update_feeds(now)
+
+    def _apply_map(self, now: int) -> None:
+        """Log latencies that changed; give the gateway those in force."""
+        if self._map is None:
+            return
+        for change in self._map.changes():
+            ms = None if change.ns is None else round(change.ns / 1e6, 3)
+            self._log.info("map", **{"from": change.pair[0]}, to=change.pair[1], ms=ms, how=change.how)
+        self._gateway.told_ways(self._map.ways(now))
+
+    def _update_feeds(self, now: int) -> None:
+        """Give the positions' feeds the gateway's servers, when these have changed."""
+        if self._feeds is None or now < self._next_list_check:
+            return
+        self._next_list_check = now + SERVER_LIST_CHECK_INTERVAL
+        if self._listed_specs == self._specs:
+            return
+        self._listed_specs = dict(self._specs)
+        self._feeds.listed(self._listed_specs.values())
 
     def stopping(self) -> Deferred[None]:
-        """This gateway is about to end: what it carries is handed on; fires when that is done, or has had its time."""
+        """The gateway is about to end: transfer its channels; fires when that is done, or has had its time."""
         if self.channels is None:
             return succeed(None)
         if self._feeds is not None:
@@ -266,12 +312,8 @@
         return self.channels.stopping()
 
     def stop(self) -> None:
-        """No more."""
-        if self._feeds is not None:
-            self._feeds.stop()
-        if self._actuator is not None:
-            self._actuator.stop()
-        if self._distribution is not None:
-            self._distribution.stop()
+        """End all parts; the channels last, which the others publish to."""
+        for service in self._services:
+            service.stop()
         if self.channels is not None:
             self.channels.stop()
