--- a/tests/cluster/channels/test_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -167,7 +167,7 @@
     owner = found.owner(channel)[0]
     liar = next(name for name in found.names if name != owner)
     epoch = found.running[owner].part.feed.carried[channel].epoch + 1000
-    lie = wire.Beat((wire.State(channel, epoch, 0, 0, liar, 1),))
+    lie = wire.Heartbeat((wire.ChannelState(channel, epoch, 0, 0, liar, 1),))
     for name in found.names:
         if name != liar:
             found.running[liar].part._say(name, lie)
--- a/tests/cluster/channels/test_items.py
+++ b/tests/cluster/channels/test_items.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Gap
 from yardbank.cluster.channels.items import HOLD, MOST_EARLY, Queue, Recent, Stream
 from yardbank.cluster.channels.members import Members
-from yardbank.cluster.channels.messages import Item, Me, Sets, What
+from yardbank.cluster.channels.messages import InterestDigest, InterestQuery, InterestSet, Item
 from yardbank.cluster.channels.placement import Placement, bound, place, successors
 
 GIVEN = [(1, 5), (2, 3), (5, 4)]  # epochs, and how many items each had
@@ -204,15 +204,15 @@
     one.here(["two"])
     two.here(["one"])
     one.change([f"own-{number}" for number in range(200)], ["x"])
-    assert [type(found) for found in two.heard("one", 1, one.me("two"))] == [What, Me]
-    parts = one.asked(What(one.hash))
+    assert [type(found) for found in two.heard("one", 1, one.me("two"))] == [InterestQuery, InterestDigest]
+    parts = one.asked(InterestQuery(one.hash))
     assert len(parts) > 1
-    two.told(Sets(one.hash, 0, 1, ("forged",), ()))
+    two.told(InterestSet(one.hash, 0, 1, ("forged",), ()))
     assert not two.told_of("one")
     for part in [*reversed(parts), *parts]:
         two.told(part)
     assert two.candidates("own-7") == {"one"} and two.followers("x") == {"one"} and len(two.channels()) == 200
-    assert two.heard("one", 1, Me(1, 5, 0)) == [] and two.told_of("one")  # an earlier version
+    assert two.heard("one", 1, InterestDigest(1, 5, 0)) == [] and two.told_of("one")  # an earlier version
     two.here([])
     assert not two.candidates("own-7")
     assert placement.turns(["a", "b"], {"a": 1}, 1) == ["b", "a"]
--- a/tests/golden/test_golden_channels.py
+++ b/tests/golden/test_golden_channels.py
@@ -3,19 +3,19 @@
 from tests.golden.cases import each, load
 from yardbank.cluster.channels.members import Members
 from yardbank.cluster.channels.messages import (
-    Again,
-    AskEnd,
-    Beat,
+    ChannelState,
     EndedAt,
-    Have,
+    EndQuery,
+    FollowerProgress,
+    Heartbeat,
+    InterestDigest,
+    InterestQuery,
+    InterestSet,
     Item,
-    Me,
-    Sets,
-    State,
+    OwnerQuery,
+    Retransmit,
     Subscribe,
-    Take,
-    What,
-    Who,
+    TransferNotice,
 )
 from yardbank.cluster.channels.messages import decode as read
 from yardbank.cluster.channels.messages import encode as write
@@ -24,7 +24,7 @@
 
 def state(channel, epoch, sequence, age, owner, boot_epoch, after):
     place = after and tuple(after)
-    return State(
+    return ChannelState(
         channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, boot_epoch=boot_epoch, after=place
     )
 
@@ -39,20 +39,22 @@
         boot_epoch=boot_epoch,
         after=after and tuple(after),
     ),
-    "heartbeat": lambda states: Beat(states=tuple(state(*values) for values in states)),
+    "heartbeat": lambda states: Heartbeat(states=tuple(state(*values) for values in states)),
     "subscribe": lambda channels: Subscribe(
-        channels=tuple(Have(channel=channel, epoch=epoch, sequence=sequence) for channel, epoch, sequence in channels)
+        channels=tuple(
+            FollowerProgress(channel=channel, epoch=epoch, sequence=sequence) for channel, epoch, sequence in channels
+        )
     ),
-    "retransmit request": lambda channel, epoch, first, last: Again(
+    "retransmit request": lambda channel, epoch, first, last: Retransmit(
         channel=channel, epoch=epoch, first=first, last=last
     ),
     "end of epoch": lambda channel, epoch, sequence: EndedAt(channel=channel, epoch=epoch, sequence=sequence),
-    "end query": lambda channel, epoch: AskEnd(channel=channel, epoch=epoch),
-    "handover": lambda channel: Take(channel=channel),
-    "holder query": lambda channels: Who(channels=tuple(channels)),
-    "interest digest": lambda number, own, other: Me(version=number, sets=own, yours=other),
-    "interest query": lambda digest: What(sets=digest),
-    "interest set": lambda digest, part, parts, owns, follows: Sets(
+    "end query": lambda channel, epoch: EndQuery(channel=channel, epoch=epoch),
+    "handover": lambda channel: TransferNotice(channel=channel),
+    "holder query": lambda channels: OwnerQuery(channels=tuple(channels)),
+    "interest digest": lambda number, own, other: InterestDigest(version=number, sets=own, yours=other),
+    "interest query": lambda digest: InterestQuery(sets=digest),
+    "interest set": lambda digest, part, parts, owns, follows: InterestSet(
         sets=digest, part=part, parts=parts, owns=tuple(owns), follows=tuple(follows)
     ),
 }
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -14,7 +14,7 @@
 from yardbank.cluster.channels.api import MS, PREFIX, SECOND, Ended, Options, Owned, resource
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.members import Members
-from yardbank.cluster.channels.messages import AskEnd
+from yardbank.cluster.channels.messages import EndQuery
 from yardbank.cluster.channels.placement import Placement
 from yardbank.cluster.channels.states import APART, BIDDING, CARRYING, ENTERING, HANDING, WAITING, Own
 from yardbank.cluster.lease.api import OWNED, Leases
@@ -223,7 +223,7 @@
             self._carry(now, channel, own)
         elif now - own.asked_at >= ASK_END:
             own.asked_at = now
-            self._say(own.source, AskEnd(channel, own.epoch))
+            self._say(own.source, EndQuery(channel, own.epoch))
 
     def _carry(self, now: int, channel: str, own: Own) -> None:
         own.source = ""
--- a/yardbank/cluster/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -10,7 +10,7 @@
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MS
 from yardbank.cluster.channels.items import Recent, Stream
-from yardbank.cluster.channels.messages import Again, EndedAt, Have, Item, State
+from yardbank.cluster.channels.messages import ChannelState, EndedAt, FollowerProgress, Item, Retransmit
 from yardbank.cluster.channels.outgoing import Carried, Known, Outgoing
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import Message
@@ -112,7 +112,7 @@
             return sequence > LEAP
         return epoch > known.epoch + FAR or (epoch == known.epoch and sequence > known.sequence + LEAP)
 
-    def beat(self, now: int, sender: str, states: Iterable[State]) -> None:
+    def beat(self, now: int, sender: str, states: Iterable[ChannelState]) -> None:
         """One said how far channels have come; what is news goes on at once."""
         news: dict[str, list[str]] = {}
         for state in states:
@@ -140,7 +140,7 @@
             self.flush(stream)
         self.tell(now, news, urgent=True)
 
-    def subscribe(self, now: int, child: str, channels: Iterable[Have]) -> None:
+    def subscribe(self, now: int, child: str, channels: Iterable[FollowerProgress]) -> None:
         """One asks to be fed, and says what it has: what it lacks of that goes out at once."""
         told = []
         for have in channels:
@@ -156,7 +156,7 @@
                     self.send_item(item, [child])
         self.tell(now, {child: told})
 
-    def again(self, asker: str, wanted: Again) -> None:
+    def again(self, asker: str, wanted: Retransmit) -> None:
         """One missed some."""
         if (recent := self.recent.get(wanted.channel)) is not None:
             for item in recent.some(wanted.epoch, wanted.first, wanted.last):
--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from yardbank.cluster.channels.messages import Me, Sets, What, name_batches
+from yardbank.cluster.channels.messages import InterestDigest, InterestQuery, InterestSet, name_batches
 
 MOST_PARTIAL = 16  # sets of which some parts have come
 
@@ -47,7 +47,7 @@
         self._own = _Channels()
         self._others: dict[str, _Interest] = {}
         self._sets: dict[int, _Channels] = {self.hash: self._own}
-        self._partial: dict[int, dict[int, Sets]] = {}
+        self._partial: dict[int, dict[int, InterestSet]] = {}
         self._present: frozenset[str] = frozenset()
         self._wide: tuple[int, dict[str, tuple[frozenset[str], frozenset[str]]]] = -1, {}
 
@@ -69,12 +69,12 @@
         self._tidy()
         return True
 
-    def me(self, to: str) -> Me:
+    def me(self, to: str) -> InterestDigest:
         """What to tell one of the others."""
         other = self._others.get(to)
-        return Me(self.version, self.hash, other.sets if other is not None else 0)
+        return InterestDigest(self.version, self.hash, other.sets if other is not None else 0)
 
-    def heard(self, sender: str, boot_epoch: int, told: Me) -> list[Me | What]:
+    def heard(self, sender: str, boot_epoch: int, told: InterestDigest) -> list[InterestDigest | InterestQuery]:
         """One told its hash: what to answer."""
         other = self._others.get(sender)
         if other is None or (boot_epoch, told.version) > (other.boot_epoch, other.version):
@@ -83,14 +83,14 @@
             self._others[sender] = _Interest(boot_epoch, told.version, told.sets)
         elif (boot_epoch, told.version) < (other.boot_epoch, other.version):
             return []
-        found: list[Me | What] = []
+        found: list[InterestDigest | InterestQuery] = []
         if told.sets not in self._sets:
-            found.append(What(told.sets))
+            found.append(InterestQuery(told.sets))
         if told.yours != self.hash:
             found.append(self.me(sender))
         return found
 
-    def asked(self, wanted: What) -> list[Sets]:
+    def asked(self, wanted: InterestQuery) -> list[InterestSet]:
         """Somebody asks what stands behind a hash."""
         found = self._sets.get(wanted.sets)
         if found is None:
@@ -99,11 +99,11 @@
         none: list[str] = []
         parts = [(some, none) for some in owns] + [(none, some) for some in follows] or [(none, none)]
         return [
-            Sets(wanted.sets, number, len(parts), tuple(own), tuple(follow))
+            InterestSet(wanted.sets, number, len(parts), tuple(own), tuple(follow))
             for number, (own, follow) in enumerate(parts)
         ]
 
-    def told(self, part: Sets) -> None:
+    def told(self, part: InterestSet) -> None:
         """A part of the answer; it counts once it is whole and fits the hash."""
         if part.sets in self._sets or part.part >= part.parts:
             return
--- a/yardbank/cluster/channels/messages.py
+++ b/yardbank/cluster/channels/messages.py
@@ -1,4 +1,8 @@
-"""Letters about channels: MessagePack arrays whose first element names the kind; what is beyond is ignored. No I/O."""
+"""Messages about channels: MessagePack arrays whose first element names the kind. No I/O.
+
+Elements beyond those known here are ignored, so that a later version may add some. Tags and the order of fields are
+what crosses between versions and stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from yardbank.cluster.channels.api import MAX_DATA
 from yardbank.cluster.peers.datagram import DroppedError
 
-LETTER = 900  # octets of a letter with many entries, about
+BATCH_OCTETS = 900  # of a message with many entries, approximately
 Entry = TypeVar("Entry")
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -32,7 +36,7 @@
     after: Place | None = None
 
 
-class State(Struct, array_like=True, frozen=True):
+class ChannelState(Struct, array_like=True, frozen=True):
     """The newest that is known of a channel; ``age``: ms since its owner said something."""
 
     channel: Name
@@ -44,14 +48,14 @@
     after: Place | None = None
 
 
-class Beat(Struct, array_like=True, frozen=True, tag="beat"):
-    """States, told to who would hear items by this way."""
+class Heartbeat(Struct, array_like=True, frozen=True, tag="beat"):
+    """States of channels, from a parent to those that it feeds and from an owner to its successors."""
 
-    states: Annotated[tuple[State, ...], Meta(max_length=64)]
+    states: Annotated[tuple[ChannelState, ...], Meta(max_length=64)]
 
 
-class Have(Struct, array_like=True, frozen=True):
-    """How far one has come with a channel."""
+class FollowerProgress(Struct, array_like=True, frozen=True):
+    """The last item of a channel that a follower has."""
 
     channel: Name
     epoch: Number
@@ -59,13 +63,13 @@
 
 
 class Subscribe(Struct, array_like=True, frozen=True, tag="sub"):
-    """Hand these on to me from there; holds for a while."""
+    """A subscription to the receiver, from the items given on; it expires unless it is renewed."""
 
-    channels: Annotated[tuple[Have, ...], Meta(max_length=64)]
+    channels: Annotated[tuple[FollowerProgress, ...], Meta(max_length=64)]
 
 
-class Again(Struct, array_like=True, frozen=True, tag="again"):
-    """These items once more, the last one included."""
+class Retransmit(Struct, array_like=True, frozen=True, tag="again"):
+    """A request to retransmit items, the last one included."""
 
     channel: Name
     epoch: Number
@@ -74,48 +78,48 @@
 
 
 class EndedAt(Struct, array_like=True, frozen=True, tag="ended"):
-    """An owner's last item under an epoch, said by itself."""
+    """The last item of an epoch, from its owner itself."""
 
     channel: Name
     epoch: Number
     sequence: Number
 
 
-class AskEnd(Struct, array_like=True, frozen=True, tag="end"):
-    """A question: where the asked one ended; the asker has it under this epoch."""
+class EndQuery(Struct, array_like=True, frozen=True, tag="end"):
+    """Asks a former owner for its last item; the sender owns the channel under this epoch."""
 
     channel: Name
     epoch: Number
 
 
-class Take(Struct, array_like=True, frozen=True, tag="take"):
-    """The sender begins to hand its lease on to the receiver."""
+class TransferNotice(Struct, array_like=True, frozen=True, tag="take"):
+    """The sender begins to transfer its lease to the receiver."""
 
     channel: Name
 
 
-class Who(Struct, array_like=True, frozen=True, tag="who"):
-    """Who carries these? Answered by a beat of what is known."""
+class OwnerQuery(Struct, array_like=True, frozen=True, tag="who"):
+    """Asks who owns these channels. Answered by a heartbeat of what is known."""
 
     channels: Annotated[tuple[Name, ...], Meta(max_length=64)]
 
 
-class Me(Struct, array_like=True, frozen=True, tag="me"):
-    """The sender's interests: their hash, and the hash that it has of the receiver's (0: none)."""
+class InterestDigest(Struct, array_like=True, frozen=True, tag="me"):
+    """The hash of the sender's interests, and the one that it has of the receiver's (0: none)."""
 
     version: Number
     sets: Hash
     yours: Hash
 
 
-class What(Struct, array_like=True, frozen=True, tag="what"):
-    """A question: which channels stand behind a hash."""
+class InterestQuery(Struct, array_like=True, frozen=True, tag="what"):
+    """Asks which channels a hash of interests stands for."""
 
     sets: Hash
 
 
-class Sets(Struct, array_like=True, frozen=True, tag="sets"):
-    """They are these; in several parts if they are many."""
+class InterestSet(Struct, array_like=True, frozen=True, tag="sets"):
+    """The channels that a hash stands for; in several parts if they are many."""
 
     sets: Hash
     part: Annotated[int, Meta(ge=0, lt=64)]
@@ -124,40 +128,52 @@
     follows: tuple[Name, ...]
 
 
-ChannelMessage = Item | Beat | Subscribe | Again | EndedAt | AskEnd | Take | Who | Me | What | Sets
+ChannelMessage = (
+    Item
+    | Heartbeat
+    | Subscribe
+    | Retransmit
+    | EndedAt
+    | EndQuery
+    | TransferNotice
+    | OwnerQuery
+    | InterestDigest
+    | InterestQuery
+    | InterestSet
+)
 _decoder = msgspec.msgpack.Decoder(ChannelMessage)
 
 
 def encode(message: ChannelMessage) -> bytes:
-    """Its octets."""
+    """A message as octets."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(body: bytes) -> ChannelMessage:
-    """What it says. Raises ``DroppedError``."""
+    """A message from octets. Raises ``DroppedError`` if they are none."""
     try:
         return _decoder.decode(body)
     except msgspec.DecodeError:
         raise DroppedError("shape") from None
 
 
-def beats(states: Iterable[State]) -> list[bytes]:
-    """As few letters as hold them."""
-    return [encode(Beat(tuple(some))) for some in _batches(states)]
+def encode_heartbeats(states: Iterable[ChannelState]) -> list[bytes]:
+    """Heartbeats with these states, as few as hold them."""
+    return [encode(Heartbeat(tuple(some))) for some in _batches(states)]
 
 
-def subscriptions(channels: Iterable[Have]) -> list[bytes]:
-    """As few letters as hold them."""
+def encode_subscriptions(channels: Iterable[FollowerProgress]) -> list[bytes]:
+    """Subscriptions to these channels, as few as hold them."""
     return [encode(Subscribe(tuple(some))) for some in _batches(channels)]
 
 
-def questions(channels: Iterable[str]) -> list[bytes]:
-    """As few letters as hold them."""
-    return [encode(Who(tuple(some))) for some in _batches(channels)]
+def encode_owner_queries(channels: Iterable[str]) -> list[bytes]:
+    """Queries for the owners of these channels, as few as hold them."""
+    return [encode(OwnerQuery(tuple(some))) for some in _batches(channels)]
 
 
 def name_batches(names: Iterable[str]) -> list[list[str]]:
-    """Names in parts that fit a letter each."""
+    """Names in parts that fit a message each."""
     return _batches(names)
 
 
@@ -168,7 +184,7 @@
         size = len(msgspec.msgpack.encode(entry))
         if size > left or len(found[-1]) >= 64:
             found.append([])
-            left = LETTER
+            left = BATCH_OCTETS
         found[-1].append(entry)
         left -= size
     return found
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -13,7 +13,7 @@
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MS, Delivered, Event, Gap, Options
 from yardbank.cluster.channels.items import Recent, Stream
-from yardbank.cluster.channels.messages import Again, Have, Item, Place, State
+from yardbank.cluster.channels.messages import ChannelState, FollowerProgress, Item, Place, Retransmit
 from yardbank.cluster.channels.subscriptions import Edges
 from yardbank.cluster.peers.parts import Message
 
@@ -96,7 +96,7 @@
             stream.tick(now)
             self.flush(stream)
             if (missing := stream.missing(now)) is not None and (to := self._helper(channel)):
-                body = wire.encode(Again(channel, missing.epoch, missing.first, missing.last))
+                body = wire.encode(Retransmit(channel, missing.epoch, missing.first, missing.last))
                 self.outgoing_messages.append(Message(to, body))
 
     def _helper(self, channel: str) -> str:
@@ -111,12 +111,12 @@
         return bool(self.waiting)
 
     def _subscribe(self, channels: Iterable[str]) -> None:
-        by: dict[str, list[Have]] = {}
+        by: dict[str, list[FollowerProgress]] = {}
         for channel in channels:
             if parent := self.edges.parent(channel):
-                by.setdefault(parent, []).append(Have(channel, *self.streams[channel].place))
+                by.setdefault(parent, []).append(FollowerProgress(channel, *self.streams[channel].place))
         for parent, haves in by.items():
-            self.outgoing_messages += [Message(parent, body) for body in wire.subscriptions(haves)]
+            self.outgoing_messages += [Message(parent, body) for body in wire.encode_subscriptions(haves)]
 
     def answer(self, now: int, asker: str, channels: Iterable[str]) -> None:
         """One asks who carries some."""
@@ -125,16 +125,16 @@
     def tell(self, now: int, channels: Mapping[str, Iterable[str]], urgent: bool = False) -> None:
         for to, some in channels.items():
             states = [state for channel in some if (state := self._state(now, channel)) is not None]
-            self.outgoing_messages += [Message(to, body, urgent) for body in wire.beats(states)]
+            self.outgoing_messages += [Message(to, body, urgent) for body in wire.encode_heartbeats(states)]
 
-    def _state(self, now: int, channel: str) -> State | None:
+    def _state(self, now: int, channel: str) -> ChannelState | None:
         mine, known = self.carried.get(channel), self.known.get(channel)
         if mine is not None and (known is None or known.epoch <= mine.epoch):
-            return State(channel, mine.epoch, mine.sequence, 0, self.name, self.boot_epoch, mine.after)
+            return ChannelState(channel, mine.epoch, mine.sequence, 0, self.name, self.boot_epoch, mine.after)
         if known is None or known.over:
             return None
         age = max(0, now - known.heard_at) // MS
-        return State(channel, known.epoch, known.sequence, age, known.owner, known.boot_epoch, known.after)
+        return ChannelState(channel, known.epoch, known.sequence, age, known.owner, known.boot_epoch, known.after)
 
     def flush(self, stream: Stream) -> None:
         if stream.waits():
--- a/yardbank/cluster/channels/ownership.py
+++ b/yardbank/cluster/channels/ownership.py
@@ -13,7 +13,7 @@
 from yardbank.cluster.channels import placement as placing
 from yardbank.cluster.channels.api import MS, SECOND, resource
 from yardbank.cluster.channels.election import Bidding
-from yardbank.cluster.channels.messages import AskEnd, EndedAt, Take
+from yardbank.cluster.channels.messages import EndedAt, EndQuery, TransferNotice
 from yardbank.cluster.channels.placement import BETTER, BETTER_BY
 from yardbank.cluster.channels.states import APART, BIDDING, CARRYING, HANDING, Own
 
@@ -68,7 +68,7 @@
         elif own is not None and own.state == APART and not self.soon:
             self.soon = now + 10 * MS
 
-    def asked_end(self, now: int, sender: str, asked: AskEnd) -> None:
+    def asked_end(self, now: int, sender: str, asked: EndQuery) -> None:
         """A successor has it: this gateway ends at once, and says where."""
         own = self.channels.get(asked.channel)
         if own is not None and own.state == HANDING and own.to == sender and asked.epoch > own.epoch:
@@ -111,7 +111,7 @@
             return False  # it is held here for too short a time yet
         own.to = to
         self._move(now, channel, own, HANDING)
-        self._say(to, Take(channel))
+        self._say(to, TransferNotice(channel))
         return True
 
     def _next(self, channel: str, own: Own, loads: Counter[str]) -> list[str]:
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -17,7 +17,19 @@
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.items import ASK_EVERY
 from yardbank.cluster.channels.members import Members
-from yardbank.cluster.channels.messages import Again, AskEnd, Beat, EndedAt, Item, Me, Sets, Subscribe, Take, What, Who
+from yardbank.cluster.channels.messages import (
+    EndedAt,
+    EndQuery,
+    Heartbeat,
+    InterestDigest,
+    InterestQuery,
+    InterestSet,
+    Item,
+    OwnerQuery,
+    Retransmit,
+    Subscribe,
+    TransferNotice,
+)
 from yardbank.cluster.channels.neighbours import Neighbours
 from yardbank.cluster.channels.ownership import Ownership
 from yardbank.cluster.channels.placement import Distance, Placement
@@ -137,29 +149,29 @@
         match message := wire.decode(body):
             case Item():
                 self.feed.item(now, sender, message)
-            case Beat():
+            case Heartbeat():
                 self.feed.beat(now, sender, message.states)
             case Subscribe():
                 self.feed.subscribe(now, sender, message.channels)
-            case Again():
+            case Retransmit():
                 self.feed.again(sender, message)
-            case Who():
+            case OwnerQuery():
                 self.feed.answer(now, sender, message.channels)
             case EndedAt():
                 self.ownership.ended(now, sender, message)
-            case AskEnd():
+            case EndQuery():
                 self.ownership.asked_end(now, sender, message)
-            case Take():
+            case TransferNotice():
                 self._next_poll = now
                 self.ownership.expect(now)
-            case Me():
+            case InterestDigest():
                 for answer in self.members.heard(sender, boot_epoch, message):
                     self._say(sender, answer)
                 self._neighbours.known(sender)
-            case What():
+            case InterestQuery():
                 for part in self.members.asked(message):
                     self._say(sender, part)
-            case Sets():
+            case InterestSet():
                 self.members.told(message)
         self._tell_events()
 
