--- a/tests/cluster/latency_map/test_fleet.py
+++ b/tests/cluster/latency_map/test_fleet.py
@@ -68,14 +68,14 @@
 def test_a_way_that_flaps_each_two_seconds_is_not_followed():
     fleet = three(probes=4)
     fleet.run(40)
-    seen, before = set(), {name: part.choice.moves for name, part in fleet.parts.items()}
+    seen, before = set(), {name: part.transition.moves for name, part in fleet.parts.items()}
     for number in range(30):
         fleet.change("a", "b", 80 if number % 2 else 10)
         for _ in range(4):
             fleet.run(0.5)
             seen |= {round(fleet.figure(name, "a", "b")) for name in fleet.parts}
     assert seen <= set(range(9, 13))
-    assert all(part.choice.moves <= before[name] + 2 for name, part in fleet.parts.items())
+    assert all(part.transition.moves <= before[name] + 2 for name, part in fleet.parts.items())
     spread = [one["spread"] for one in fleet.parts["g0"].view(fleet.gossip.own("g0"))["pairs"] if one["to"] == "b"]
     assert max(spread) > 30  # who looks sees that it is not well
 
--- a/tests/cluster/latency_map/test_fleet_faults.py
+++ b/tests/cluster/latency_map/test_fleet_faults.py
@@ -88,7 +88,7 @@
         second = [(sums[at + grain] - sums[at]) / grain for at in range(len(sums) - grain)]
         gained = [later - sooner for sooner, later in zip(second, second[grain:], strict=False)]
         assert max(gained) <= step + 1 / grain + 1e-9  # as fine as it is looked at
-    assert all(part.choice.moves >= 4 for part in fleet.parts.values())
+    assert all(part.transition.moves >= 4 for part in fleet.parts.values())
 
 
 def lie(fleet, name, value):
@@ -112,8 +112,8 @@
     part, now = fleet.parts["g0"], fleet.gossip.own("g0")
     rows = [("b", {"c": Entry(40 * MS, 0, 0, 1)}), ("c", {"b": Entry(9 * MS, 0, SECOND, 1)})]
     part.receive(now, "g1", 99, letter.encode(1, SLOW, rows))
-    told = [claim for claim in part.claims.about(("b", "c"), 0) if claim.order == (99, 1)]
-    assert [(claim.first, round(claim.value / MS)) for claim in told] == [(True, 40)]
+    told = [report for report in part.reports.about(("b", "c"), 0) if report.order == (99, 1)]
+    assert [(report.first, round(report.value / MS)) for report in told] == [(True, 40)]
     before = len(part.seen._ways["b"])
     part.saw_peer(now, "g1", 5 * MS)
     assert len(part.seen._ways["b"]) == before
@@ -168,13 +168,13 @@
     fleet = three(probes=1)
     fleet.run(40)
     before = {
-        name: sum(claim.first for claim in part.claims.about(("a", "b"), 0)) for name, part in fleet.parts.items()
+        name: sum(report.first for report in part.reports.about(("a", "b"), 0)) for name, part in fleet.parts.items()
     }
     zones = {**fleet.zones, "g1": "c"}
     for name, node in fleet.gossip.nodes.items():
         if name != "g8":  # it has the old list yet
             node.listed(fleet.gossip.own(name), list(zones), zones)
-    assert sum(claim.first for claim in fleet.parts["g0"].claims.about(("a", "b"), 0)) < before["g0"]
+    assert sum(report.first for report in fleet.parts["g0"].reports.about(("a", "b"), 0)) < before["g0"]
     fleet.run(30)
     assert fleet.gossip.nodes["g8"].dropped["map zone"] > 0
     assert all(right(fleet, name, "a", "b") for name in fleet.parts)
--- a/tests/cluster/latency_map/test_measurements.py
+++ b/tests/cluster/latency_map/test_measurements.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, Measurements
 from yardbank.cluster.latency_map.options import MOST, SECOND, Options
-from yardbank.cluster.latency_map.transition import Choice
+from yardbank.cluster.latency_map.transition import GradualTransition
 from yardbank.plan.model import Demand, Limits, PlanServer, Problem
 from yardbank.plan.solver import solve
 from yardbank.plan.zone_latencies import with_ways
@@ -32,7 +32,7 @@
 
 
 def watching():
-    hand = FirstHand(OPTIONS)
+    hand = Measurements(OPTIONS)
     hand.listed("here", {})
     return hand, seeing(hand, 20, SECOND, {"here": 1, "near": 20, "far": 80})
 
@@ -116,14 +116,14 @@
     st.sampled_from([0.05, 0.1, 0.34, 0.5]),
 )
 def test_no_zone_gets_more_than_a_step_more_within_a_second_whatever_the_map_says(moves, seed, step):
-    choice, now, picks = Choice(step, Random(seed)), 3600 * SECOND, []
+    transition, now, picks = GradualTransition(step, Random(seed)), 3600 * SECOND, []
     plan = [target for wait, target in moves for _ in range(wait + 1)] + [0] * 5
     for target in plan:
         for moment in range(GRAIN):
             now += SECOND // GRAIN
             if moment == GRAIN // 3:
-                choice.aim(now, TARGETS[target])
-            picks.append(choice_of(choice.at(now)))
+                transition.aim(now, TARGETS[target])
+            picks.append(choice_of(transition.at(now)))
     for zone in "abc":
         sums = [0]
         for pick in picks:
@@ -133,21 +133,21 @@
 
 
 def test_a_move_ends_where_the_map_pointed_and_wakes_when_it_changes():
-    choice, now = Choice(0.1, Random(4)), 50 * SECOND
-    assert choice.next_at(now) is None
-    choice.aim(now, TARGETS[1])
+    transition, now = GradualTransition(0.1, Random(4)), 50 * SECOND
+    assert transition.next_at(now) is None
+    transition.aim(now, TARGETS[1])
     seen, wakes = [], 0
-    while (at := choice.next_at(now)) is not None and wakes < 100:
-        assert all(choice.at(moment) == choice.at(now) for moment in (now, (now + at) // 2, at - 1))
+    while (at := transition.next_at(now)) is not None and wakes < 100:
+        assert all(transition.at(moment) == transition.at(now) for moment in (now, (now + at) // 2, at - 1))
         now, wakes = at, wakes + 1
-        choice.aim(now, TARGETS[1])
-        seen.append(choice.at(now))
+        transition.aim(now, TARGETS[1])
+        seen.append(transition.at(now))
     assert seen[-1] == TARGETS[1] and 15 <= wakes <= 30 and 10 <= now / SECOND - 50 <= 14
-    choice.aim(now, ((TARGETS[1][0][0], 5 * MS + MS // 2, 6 * MS),))
-    assert choice.moves == 1  # too little to go over for
+    transition.aim(now, ((TARGETS[1][0][0], 5 * MS + MS // 2, 6 * MS),))
+    assert transition.moves == 1  # too little to go over for
 
 
-@pytest.mark.parametrize("bad", [{"life": 0}, {"life": 11 * SECOND}, {"taken_up": 1}, {"step": 0}, {"step": 1.5}])
+@pytest.mark.parametrize("bad", [{"max_age": 0}, {"max_age": 11 * SECOND}, {"taken_up": 1}, {"step": 0}, {"step": 1.5}])
 def test_options_that_do_not_fit_are_refused(bad):
     with pytest.raises(ValueError, match="atlas"):
         Options(**bad)
--- a/tests/cluster/latency_map/test_reports.py
+++ b/tests/cluster/latency_map/test_reports.py
@@ -5,13 +5,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.latency_map import measurements as firsthand
+from yardbank.cluster.latency_map import measurements
 from yardbank.cluster.latency_map import messages as letter
-from yardbank.cluster.latency_map.estimates import Level, Levels
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.estimates import Estimate, Estimates
+from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, Measurements
 from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import LEAST, MAX_ZONES, MOST, SECOND, Options
-from yardbank.cluster.latency_map.reports import MAX_VOICES, SLACK, Belief, Claim, Claims, believed
+from yardbank.cluster.latency_map.reports import MAX_VOICES, SLACK, Consensus, LatencyReport, ReportStore, consensus
 from yardbank.cluster.peers.datagram import DroppedError
 
 MS = 1_000_000
@@ -82,7 +82,7 @@
 # What is believed
 
 CLAIMS = st.builds(
-    Claim,
+    LatencyReport,
     st.integers(LEAST, MOST),
     st.integers(0, SECOND),
     st.integers(50 * SECOND, 99 * SECOND),
@@ -96,16 +96,16 @@
 
 
 def table(told):
-    claims = Claims()
-    for pair, sender, claim in told:
-        claims.take(pair, sender, claim)
-    return {pair: sorted(claims.about(pair, 0), key=repr) for pair in [("z0", "z1"), ("z1", "z2")]}
+    reports = ReportStore()
+    for pair, sender, report in told:
+        reports.take(pair, sender, report)
+    return {pair: sorted(reports.about(pair, 0), key=repr) for pair in [("z0", "z1"), ("z1", "z2")]}
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(TOLD, st.randoms(use_true_random=False))
 def test_claims_may_come_in_any_order_and_again(told, random):
-    by = {(pair, sender, claim.order, claim.seen_at): (pair, sender, claim) for pair, sender, claim in told}
+    by = {(pair, sender, report.order, report.seen_at): (pair, sender, report) for pair, sender, report in told}
     told = list(by.values())  # one letter says one thing
     again = told * 2
     random.shuffle(again)
@@ -113,11 +113,11 @@
 
 
 def test_claims_are_bounded_and_the_oldest_gives_way():
-    claims = Claims()
+    reports = ReportStore()
     for number in range(100):
-        claims.take(("a", "b"), f"g{number}", Claim(MS, 0, (number * 37) % 100, 1, True, (1, 1)))
-    assert {claim.seen_at for claim in claims.about(("a", "b"), -1)} == set(range(100 - MAX_VOICES, 100))
-    assert claims.crowded == 100 - MAX_VOICES
+        reports.take(("a", "b"), f"g{number}", LatencyReport(MS, 0, (number * 37) % 100, 1, True, (1, 1)))
+    assert {report.seen_at for report in reports.about(("a", "b"), -1)} == set(range(100 - MAX_VOICES, 100))
+    assert reports.crowded == 100 - MAX_VOICES
 
 
 LIES = st.integers(LEAST, MOST)
@@ -127,18 +127,18 @@
 
 
 def heard(now, honest, lie=None, first=True):
-    claims = [Claim(value, 0, now - age, 1, mine, (1, 1)) for value, age, mine in honest]
-    return claims + ([] if lie is None else [Claim(lie, 0, now, 7, first, (9, 9))])
+    reports = [LatencyReport(value, 0, now - age, 1, mine, (1, 1)) for value, age, mine in honest]
+    return reports + ([] if lie is None else [LatencyReport(lie, 0, now, 7, first, (9, 9))])
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(HONEST, LIES, st.booleans(), st.randoms(use_true_random=False))
 def test_one_liar_among_three_voices_moves_a_pair_no_further_than_the_honest_reach(honest, lie, first, random):
     now = 100 * SECOND
-    claims = heard(now, honest, lie, first)
-    found = believed(now, None, False, claims, OPTIONS.window, lambda: None)
-    random.shuffle(claims)
-    assert found == believed(now, None, False, claims, OPTIONS.window, lambda: None)
+    reports = heard(now, honest, lie, first)
+    found = consensus(now, None, False, reports, OPTIONS.window, lambda: None)
+    random.shuffle(reports)
+    assert found == consensus(now, None, False, reports, OPTIONS.window, lambda: None)
     values = [value for value, _, _ in honest]
     assert min(values) <= found.value <= max(values) and found.seen_at <= now
 
@@ -146,20 +146,20 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.integers(5 * MS, 50 * MS), LIES, st.integers(0, 40 * MS), st.integers(0, 40 * MS), st.booleans())
 def test_a_liar_that_speaks_alone_or_against_one_is_held_to_ways_through_a_third_zone(value, lie, least, more, alone):
-    legs = (least, least + more + MS)
-    claims = heard(0, [] if alone else [(value, 0, True)], lie)
-    found = believed(0, None, False, claims, OPTIONS.window, lambda: legs)
-    assert int(legs[0] / SLACK) <= found.value <= int(legs[1] * SLACK) or found.value == value
-    blind = believed(0, None, False, claims, OPTIONS.window, lambda: None)
+    detour_bounds = (least, least + more + MS)
+    reports = heard(0, [] if alone else [(value, 0, True)], lie)
+    found = consensus(0, None, False, reports, OPTIONS.window, lambda: detour_bounds)
+    assert int(detour_bounds[0] / SLACK) <= found.value <= int(detour_bounds[1] * SLACK) or found.value == value
+    blind = consensus(0, None, False, reports, OPTIONS.window, lambda: None)
     assert blind is None or (not alone and min(lie, value) * 1.5 + 2 * MS >= blind.value)
-    own = firsthand.Figure(value, 0, 0, True)
-    assert believed(0, own, True, claims * 3, OPTIONS.window, lambda: None).value == value
+    own = measurements.Measurement(value, 0, 0, True)
+    assert consensus(0, own, True, reports * 3, OPTIONS.window, lambda: None).value == value
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 6), st.integers(MS, 90 * MS)), max_size=30))
 def test_what_nobody_sees_any_more_only_ages_until_it_is_unknown(seen):
-    hand, level, now, ages = FirstHand(OPTIONS), Level(), SECOND, []
+    hand, estimate, now, ages = Measurements(OPTIONS), Estimate(), SECOND, []
     hand.listed("z0", {})
     for wait, ns in seen:
         now += wait * SECOND
@@ -168,35 +168,37 @@
         now += SECOND
         hand.ticked(now, 0, 0)
         figure = hand.row(now).get("z1")
-        found = believed(now, figure, bool(figure and figure.fresh), [], OPTIONS.window, lambda: None)
+        found = consensus(now, figure, bool(figure and figure.fresh), [], OPTIONS.window, lambda: None)
         if found:
-            level.take(now, found, OPTIONS.hold)
-            ages.append(now - level.seen_at)
+            estimate.take(now, found, OPTIONS.hold)
+            ages.append(now - estimate.seen_at)
         else:
-            level.without(None)
-    assert ages == sorted(ages) and all(age < OPTIONS.life for age in ages) and level.how == 0
+            estimate.without(None)
+    assert ages == sorted(ages) and all(age < OPTIONS.max_age for age in ages) and estimate.how == 0
 
 
 def test_a_figure_that_differs_is_believed_after_a_while_and_not_if_it_turns_back():
-    level, said = Level(), lambda ms: Belief(ms * MS, 0, 0, 3)
-    assert level.take(0, said(10), OPTIONS.hold) and level.how == 2
+    estimate, said = Estimate(), lambda ms: Consensus(ms * MS, 0, 0, 3)
+    assert estimate.take(0, said(10), OPTIONS.hold) and estimate.how == 2
     for second, ms in enumerate([50, 10, 50, 5, 50, 50, 50], 1):
-        level.take(second * SECOND, said(ms), OPTIONS.hold)
-        assert level.value == (50 if second == 7 else 10) * MS
+        estimate.take(second * SECOND, said(ms), OPTIONS.hold)
+        assert estimate.value == (50 if second == 7 else 10) * MS
 
 
 def test_a_way_seen_by_nobody_goes_through_the_nearest_third_zone():
-    levels, now = Levels(), SECOND
-    levels.listed(["far", "far-too", "between", "off"])
+    estimates, now = Estimates(), SECOND
+    estimates.listed(["far", "far-too", "between", "off"])
     for pair, ms in {
         ("between", "far"): 40,
         ("between", "far-too"): 30,
         ("far", "off"): 60,
         ("far-too", "off"): 70,
     }.items():
-        levels.by[pair].take(now, believed(now, firsthand.Figure(ms * MS, 0, now, True), True, [], 1, lambda: None), 1)
-    levels.settle()
-    assert levels.legs(("far", "far-too")) == (10 * MS, 70 * MS)
-    assert levels.by["far", "far-too"].without(70 * MS) and levels.distance("far-too", "far") == 70 * MS
-    assert levels.by["far", "far-too"].turn(("far", "far-too")).how == "estimated"
-    assert levels.distance("between", "off") is None and levels.distance("off", "off") == 0
+        estimates.by[pair].take(
+            now, consensus(now, measurements.Measurement(ms * MS, 0, now, True), True, [], 1, lambda: None), 1
+        )
+    estimates.settle()
+    assert estimates.detour_bounds(("far", "far-too")) == (10 * MS, 70 * MS)
+    assert estimates.by["far", "far-too"].without(70 * MS) and estimates.distance("far-too", "far") == 70 * MS
+    assert estimates.by["far", "far-too"].change(("far", "far-too")).how == "estimated"
+    assert estimates.distance("between", "off") is None and estimates.distance("off", "off") == 0
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -2,7 +2,7 @@
 
 from tests.golden.cases import each, load
 from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL
-from yardbank.cluster.latency_map.messages import Entry, Told, decode, digest, encode
+from yardbank.cluster.latency_map.messages import Entry, ReceivedRows, decode, digest, encode
 from yardbank.cluster.latency_map.part import AtlasPart
 
 
@@ -19,7 +19,7 @@
     number, state, given, read = meaning
     zones = {zone for own, row in given for zone in (own, *row)}
     told = decode(octets, {digest(zone): zone for zone in zones})
-    assert told == Told(number=number, state=state, own=given[0][0], rows=rows(read))
+    assert told == ReceivedRows(number=number, state=state, own=given[0][0], rows=rows(read))
     assert encode(number, state, rows(given)) == octets
 
 
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -170,10 +170,10 @@
 
 def all_near():
     """Finds every way as short as none."""
-    from yardbank.cluster.latency_map.measurements import FirstHand
+    from yardbank.cluster.latency_map.measurements import Measurements
 
-    saw = FirstHand.saw
-    FirstHand.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, 1, *more)
+    saw = Measurements.saw
+    Measurements.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, 1, *more)
 
 
 BUGS = {made.__name__: made for made in (keeps_on, takes_twice, mute, restless, eager, deaf_to_stop, all_near)}
--- a/yardbank/cluster/latency_map/estimates.py
+++ b/yardbank/cluster/latency_map/estimates.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from yardbank.cluster.latency_map.options import SECOND, Pair, pair_of
-from yardbank.cluster.latency_map.reports import Belief
+from yardbank.cluster.latency_map.reports import Consensus
 
 MS = 1_000_000
 UNKNOWN, ESTIMATED, SEEN = 0, 1, 2
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class EstimateChange:
     """A way's figure has changed: for the log. ``ns`` is None where nothing is known any more."""
 
     pair: Pair
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Level:
+class Estimate:
     """One pair's figure."""
 
     value: int = 0
@@ -57,7 +57,7 @@
     upwards: bool = False
     told: int = 0  # the figure that was last told as a change
 
-    def take(self, now: int, belief: Belief, hold: int) -> bool:
+    def take(self, now: int, belief: Consensus, hold: int) -> bool:
         """Witnesses' figure, as of now; whether there is a change to tell."""
         self.spread = max(belief.spread, self.spread - self.spread // FADE)
         self.seen_at, self.witnesses = belief.seen_at, belief.witnesses
@@ -84,9 +84,9 @@
             return True
         return self._news()
 
-    def turn(self, pair: Pair) -> Turn:
+    def change(self, pair: Pair) -> EstimateChange:
         """As it is now."""
-        return Turn(pair, None if self.how == UNKNOWN else self.value, NAMES[self.how])
+        return EstimateChange(pair, None if self.how == UNKNOWN else self.value, NAMES[self.how])
 
     def _news(self) -> bool:
         if differs(self.value, self.told):
@@ -95,11 +95,11 @@
         return False
 
 
-class Levels:
+class Estimates:
     """All pairs of the zones that are known."""
 
     def __init__(self) -> None:
-        self.by: dict[Pair, Level] = {}
+        self.by: dict[Pair, Estimate] = {}
         self._zones: Sequence[str] = ()
         self._seen: dict[str, dict[str, int]] = {}
 
@@ -107,31 +107,31 @@
         """The zones there are."""
         self._zones = sorted(zones)
         wanted = {pair_of(a, b) for a in self._zones for b in self._zones}
-        self.by = {pair: self.by.get(pair) or Level() for pair in sorted(wanted)}
+        self.by = {pair: self.by.get(pair) or Estimate() for pair in sorted(wanted)}
 
     def distance(self, one: str, other: str) -> int | None:
         """The round trip between two zones, seen or estimated; None: not known. Within one that is not known: 0."""
-        level = self.by.get(pair_of(one, other))
-        if level is not None and level.how != UNKNOWN:
-            return level.value
+        estimate = self.by.get(pair_of(one, other))
+        if estimate is not None and estimate.how != UNKNOWN:
+            return estimate.value
         return 0 if one == other else None
 
     def from_zone(self, zone: str) -> tuple[tuple[str, int, int], ...]:
         """Of each other zone that is known: the round trip beyond one within this zone, and the longest usual one."""
         inside = self.distance(zone, zone) or 0
         return tuple(
-            (other, max(0, level.value - inside), level.value + level.spread)
+            (other, max(0, estimate.value - inside), estimate.value + estimate.spread)
             for other in self._zones
-            if other != zone and (level := self.by[pair_of(zone, other)]).how != UNKNOWN
+            if other != zone and (estimate := self.by[pair_of(zone, other)]).how != UNKNOWN
         )
 
     def prices(self) -> dict[tuple[str, str], int]:
         """What each way costs beyond one within the nearer of its ends, ns, in both directions."""
         found = {}
-        for (one, other), level in self.by.items():
-            if one != other and level.how != UNKNOWN:
+        for (one, other), estimate in self.by.items():
+            if one != other and estimate.how != UNKNOWN:
                 inside = min(self.distance(one, one) or 0, self.distance(other, other) or 0)
-                found[one, other] = found[other, one] = max(0, level.value - inside)
+                found[one, other] = found[other, one] = max(0, estimate.value - inside)
         return found
 
     def view(self, now: int) -> list[dict[str, Any]]:
@@ -140,17 +140,17 @@
             {
                 "from": one,
                 "to": other,
-                "ms": round(level.value / MS, 3),
-                "spread": round(level.spread / MS, 3),
-                "how": NAMES[level.how],
-                "age": round((now - level.seen_at) / SECOND, 1) if level.how == SEEN else None,
-                "witnesses": level.witnesses,
+                "ms": round(estimate.value / MS, 3),
+                "spread": round(estimate.spread / MS, 3),
+                "how": NAMES[estimate.how],
+                "age": round((now - estimate.seen_at) / SECOND, 1) if estimate.how == SEEN else None,
+                "witnesses": estimate.witnesses,
             }
-            for (one, other), level in self.by.items()
-            if level.how != UNKNOWN
+            for (one, other), estimate in self.by.items()
+            if estimate.how != UNKNOWN
         ]
 
-    def legs(self, pair: Pair) -> tuple[int, int] | None:
+    def detour_bounds(self, pair: Pair) -> tuple[int, int] | None:
         """Between what the ways through third zones put a pair: the least and the most; None: there are none.
 
         The most is the shortest sum of two ways; the least the largest difference, as far as that stays below it.
@@ -165,9 +165,9 @@
         return min(most, max(abs(one[third] - other[third]) for third in thirds)), most
 
     def settle(self) -> None:
-        """What is seen now is what ``legs`` goes by, until this is called again."""
+        """What is seen now is what ``detour_bounds`` goes by, until this is called again."""
         self._seen = {}
-        for (one, other), level in self.by.items():
-            if level.how == SEEN:
-                self._seen.setdefault(one, {})[other] = level.value
-                self._seen.setdefault(other, {})[one] = level.value
+        for (one, other), estimate in self.by.items():
+            if estimate.how == SEEN:
+                self._seen.setdefault(one, {})[other] = estimate.value
+                self._seen.setdefault(other, {})[one] = estimate.value
--- a/yardbank/cluster/latency_map/measurements.py
+++ b/yardbank/cluster/latency_map/measurements.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Figure:
+class Measurement:
     """A way as it is seen here."""
 
     low: int
@@ -51,7 +51,7 @@
     fresh: bool  # enough of them in one window
 
 
-class FirstHand:
+class Measurements:
     """One gateway's own round trips."""
 
     def __init__(self, options: Options) -> None:
@@ -104,12 +104,12 @@
                     self.apart += 1
         self.state = SLOW if stopped or risen else DOUBTFUL if slowness else WELL
         self._ticked = now
-        life = self._options.life
-        self._ways = {zone: seen for zone, seen in self._ways.items() if seen and now - seen[-1].at < life}
-        self._latest = {zone: seen for zone, seen in self._latest.items() if now - seen[-1][0] < life}
+        max_age = self._options.max_age
+        self._ways = {zone: seen for zone, seen in self._ways.items() if seen and now - seen[-1].at < max_age}
+        self._latest = {zone: seen for zone, seen in self._latest.items() if now - seen[-1][0] < max_age}
         if self.state != SLOW:
             self._usual.update({zone: (figure.low, now) for zone, figure in self.row(now).items()})
-        self._usual = {zone: one for zone, one in self._usual.items() if now - one[1] < life}
+        self._usual = {zone: one for zone, one in self._usual.items() if now - one[1] < max_age}
 
     def _rise(self, now: int) -> bool:
         """Whether all ways seen lately, the own zone's among them, are up together."""
@@ -128,10 +128,10 @@
         """How far all ways must be up."""
         return max(RISE, self._usual.get(self._zone, (0, 0))[0])
 
-    def row(self, now: int) -> dict[str, Figure]:
+    def row(self, now: int) -> dict[str, Measurement]:
         """Each zone's way as it is seen here."""
         found = {}
-        since, oldest = now - self._options.window, now - self._options.life
+        since, oldest = now - self._options.window, now - self._options.max_age
         for zone, seen in self._ways.items():
             times = [one.ns for one in takewhile(lambda one: one.at >= since, reversed(seen))]
             fresh = len(times) >= FEW
@@ -140,5 +140,5 @@
             if times:
                 times.sort()
                 low = times[len(times) // 6]
-                found[zone] = Figure(low, times[len(times) * 3 // 4] - low, seen[-1].at, fresh)
+                found[zone] = Measurement(low, times[len(times) * 3 // 4] - low, seen[-1].at, fresh)
         return found
--- a/yardbank/cluster/latency_map/messages.py
+++ b/yardbank/cluster/latency_map/messages.py
@@ -52,11 +52,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class ReceivedRows:
     """A letter that was read; zones that this gateway does not know are left out."""
 
     number: int
-    state: int  # the sender's, see ``firsthand``
+    state: int  # the sender's, see ``measurements``
     own: str | None  # the zone of the first row; None: unknown here
     rows: tuple[tuple[str, Row], ...]
 
@@ -100,7 +100,7 @@
     return msgspec.msgpack.encode(_Letter(KIND, number, state, b"".join(map(digest, zones)), body))
 
 
-def decode(body: bytes, known: Mapping[bytes, str]) -> Told:
+def decode(body: bytes, known: Mapping[bytes, str]) -> ReceivedRows:
     """Read it, with zones by digest. Raises ``DroppedError`` with a reason."""
     try:
         found = _decoder.decode(body)
@@ -129,4 +129,4 @@
                 if other is not None and (entry := unpacked(found.rows, at + 1 + place * ENTRY.size)) is not None
             }
             rows.append((zone, row))
-    return Told(found.number, found.state, own, tuple(rows))
+    return ReceivedRows(found.number, found.state, own, tuple(rows))
--- a/yardbank/cluster/latency_map/options.py
+++ b/yardbank/cluster/latency_map/options.py
@@ -13,12 +13,12 @@
 class Options:
     """The settings' ``atlas`` block. Raises ``ValueError`` where it does not fit together."""
 
-    life: int = 60 * SECOND  # so old, what was seen of a way counts no longer
+    max_age: int = 60 * SECOND  # so old, what was seen of a way counts no longer
     taken_up: int = 10 * SECOND  # a way that has changed for good is taken up within this, where it is seen often
     step: float = 0.1  # of the fleet's choice, that moves in one second
 
     def __post_init__(self) -> None:
-        if self.taken_up < SECOND or not 2 * self.taken_up <= self.life <= 120 * SECOND:
+        if self.taken_up < SECOND or not 2 * self.taken_up <= self.max_age <= 120 * SECOND:
             raise ValueError("atlas: taken_up is under 1 s, or life not between twice taken_up and 2 min")
         if not 0 < self.step <= 1:
             raise ValueError(f"atlas: step is not above 0 and at most 1: {self.step}")
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -10,14 +10,14 @@
 from random import Random
 from typing import Any
 
-from yardbank.cluster.latency_map import measurements as firsthand
+from yardbank.cluster.latency_map import measurements
 from yardbank.cluster.latency_map import messages as letter
-from yardbank.cluster.latency_map.estimates import SEEN, Levels, Turn
-from yardbank.cluster.latency_map.measurements import LATE, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.estimates import SEEN, EstimateChange, Estimates
+from yardbank.cluster.latency_map.measurements import LATE, SLOW, WELL, Measurements
 from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import MAX_ZONES, SECOND, Options, Pair, pair_of
-from yardbank.cluster.latency_map.reports import Claim, Claims, believed
-from yardbank.cluster.latency_map.transition import Choice, Ways
+from yardbank.cluster.latency_map.reports import LatencyReport, ReportStore, consensus
+from yardbank.cluster.latency_map.transition import GradualTransition, ZoneLatencies
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import MembershipView, Message
 
@@ -36,10 +36,10 @@
     def __init__(self, membership_view: MembershipView, random: Random, options: Options | None = None) -> None:
         self.options = options or Options()
         self._membership_view, self._random = membership_view, random
-        self.seen = FirstHand(self.options)
-        self.claims = Claims()
-        self.levels = Levels()
-        self.choice = Choice(self.options.step, Random(random.getrandbits(64)))
+        self.seen = Measurements(self.options)
+        self.reports = ReportStore()
+        self.estimates = Estimates()
+        self.transition = GradualTransition(self.options.step, Random(random.getrandbits(64)))
         self.left_out = self.turned_away = 0  # zones beyond the bound; round trips to more of them
         self._zone = ""
         self._known: dict[bytes, str] = {}
@@ -47,7 +47,7 @@
         self._slow: dict[str, int] = {}  # peers that find themselves slow, and when they said so
         self._boot_epochs: dict[str, int] = {}
         self._stood: dict[str, str] = {}  # the list's zones as they were
-        self._turns: dict[Pair, Turn] = {}
+        self._turns: dict[Pair, EstimateChange] = {}
         self._out: list[Message] = []
         self._number = 0
         self._next = self._next_letter = self._beats = 0
@@ -92,7 +92,7 @@
         self._boot_epochs = {name: boot_epoch for name, boot_epoch in self._boot_epochs.items() if name in zones}
         self._zone = zones[self._membership_view.name]
         self.seen.listed(self._zone, zones)
-        self.claims.keep(lambda pair, name, claim: name not in moved)
+        self.reports.keep(lambda pair, name, report: name not in moved)
         self._slow = {name: at for name, at in self._slow.items() if name in zones}
         self._settle()
 
@@ -102,9 +102,9 @@
         names = [self._zone, *sorted(listed - {self._zone}), *sorted(self._servers.keys() - listed)]
         self._known = {letter.digest(zone): zone for zone in reversed(names[:MAX_ZONES])}
         self.left_out = len(names) - len(self._known)
-        self.levels.listed(self._known.values())
-        kept = set(self.levels.by)
-        self.claims.keep(lambda pair, name, claim: pair in kept)
+        self.estimates.listed(self._known.values())
+        kept = set(self.estimates.by)
+        self.reports.keep(lambda pair, name, report: pair in kept)
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A peer's rows. Raises ``DroppedError``."""
@@ -118,7 +118,7 @@
             raise DroppedError("zone")  # our lists differ: what it saw belongs elsewhere
         if boot_epoch > self._boot_epochs.get(sender, 0):
             self._boot_epochs[sender] = boot_epoch
-            self.claims.keep(lambda pair, name, claim: name != sender)  # what an earlier start saw is its own no more
+            self.reports.keep(lambda pair, name, report: name != sender)  # what an earlier start saw is its own no more
         if told.state == SLOW:
             self._slow[sender] = now
         else:
@@ -127,10 +127,10 @@
         for row, entries in told.rows:
             for other, entry in entries.items():
                 pair, first = pair_of(row, other), row == zone
-                if entry.age < self.options.life and first == (zone in pair):  # of its own ways it says what it saw
+                if entry.age < self.options.max_age and first == (zone in pair):  # of its own ways it says what it saw
                     seen_at = now - entry.age
-                    self.claims.take(
-                        pair, sender, Claim(entry.value, entry.spread, seen_at, entry.witnesses, first, order)
+                    self.reports.take(
+                        pair, sender, LatencyReport(entry.value, entry.spread, seen_at, entry.witnesses, first, order)
                     )
 
     def tick(self, now: int) -> None:
@@ -143,14 +143,14 @@
             self._beats += 1
             self._forget(now)
             self._believe(now)
-            self.choice.aim(now, self.levels.from_zone(self._zone))
+            self.transition.aim(now, self.estimates.from_zone(self._zone))
         if now >= self._next_letter:
             self._next_letter = now + EVERY
             self._tell(now)
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
-        times = [self._next, self._next_letter, self.choice.next_at(self._now)]
+        times = [self._next, self._next_letter, self.transition.next_at(self._now)]
         return min((at for at in times if at), default=None)
 
     def outgoing_messages(self) -> list[Message]:
@@ -181,43 +181,43 @@
 
     def _believed_row(self, now: int, zone: str, others: list[str]) -> dict[str, Entry]:
         return {
-            other: Entry(level.value, level.spread, now - level.seen_at, level.witnesses)
+            other: Entry(estimate.value, estimate.spread, now - estimate.seen_at, estimate.witnesses)
             for other in others
-            if (level := self.levels.by[pair_of(zone, other)]).how == SEEN
+            if (estimate := self.estimates.by[pair_of(zone, other)]).how == SEEN
         }
 
     # What is believed
 
     def _forget(self, now: int) -> None:
-        life = self.options.life
+        max_age = self.options.max_age
         if self._beats % FAR == 0:
-            self.levels.settle()
-            self.claims.keep(lambda pair, name, claim: now - claim.seen_at < life)
-        self._slow = {name: at for name, at in self._slow.items() if now - at < life}
-        if gone := [zone for zone, at in self._servers.items() if now - at >= 2 * life]:
+            self.estimates.settle()
+            self.reports.keep(lambda pair, name, report: now - report.seen_at < max_age)
+        self._slow = {name: at for name, at in self._slow.items() if now - at < max_age}
+        if gone := [zone for zone, at in self._servers.items() if now - at >= 2 * max_age]:
             for zone in gone:
                 del self._servers[zone]
             self._settle()
 
     def _believe(self, now: int) -> None:
         own = self.seen.row(now)
-        for place, (pair, level) in enumerate(self.levels.by.items()):
+        for place, (pair, estimate) in enumerate(self.estimates.by.items()):
             near = self._zone in pair
             if not near and (place + self._beats) % FAR:
                 continue
             figure = own.get(pair[0] if pair[1] == self._zone else pair[1]) if near else None
-            leads = figure is not None and figure.fresh and self.seen.state == WELL
-            claims = self.claims.about(pair, now - self.options.life)
-            legs = partial(self.levels.legs, pair)
-            found = believed(now, figure, leads, claims, self.options.window, legs)
+            own_decides = figure is not None and figure.fresh and self.seen.state == WELL
+            reports = self.reports.about(pair, now - self.options.max_age)
+            detour_bounds = partial(self.estimates.detour_bounds, pair)
+            found = consensus(now, figure, own_decides, reports, self.options.window, detour_bounds)
             if found is not None:
-                news = level.take(now, found, self.options.hold)
+                news = estimate.take(now, found, self.options.hold)
             else:
-                news = level.without(between[1] if (between := legs()) else None)
+                news = estimate.without(between[1] if (between := detour_bounds()) else None)
             if news:
-                self._turns[pair] = level.turn(pair)
+                self._turns[pair] = estimate.change(pair)
 
-    def changes(self) -> list[Turn]:
+    def changes(self) -> list[EstimateChange]:
         """Ways whose figures have changed since this was asked last; the newest of each pair."""
         found, self._turns = list(self._turns.values()), {}
         return found
@@ -226,18 +226,18 @@
 
     def distance(self, zone_a: str, zone_b: str) -> int | None:
         """The round trip between two zones in ns, seen or estimated; None: unknown. Within one not known: 0."""
-        return self.levels.distance(zone_a, zone_b)
+        return self.estimates.distance(zone_a, zone_b)
 
-    def ways(self, now: int) -> Ways:
+    def ways(self, now: int) -> ZoneLatencies:
         """Of each other zone that is known: the round trip beyond one within the own zone, and the longest usual one.
 
         The last is the whole round trip with its spread: an attempt with less time left is of no use there.
         """
-        return self.choice.at(now)
+        return self.transition.at(now)
 
     def prices(self) -> dict[tuple[str, str], int]:
         """What each way costs beyond one within the nearer end's zone, ns, both directions; see ``plan.ways``."""
-        return self.levels.prices()
+        return self.estimates.prices()
 
     def view(self, now: int) -> dict[str, Any]:
         """The map, as plain values; times in ms, ages in seconds."""
@@ -247,12 +247,12 @@
         ]
         return {
             "zone": self._zone,
-            "state": firsthand.NAMES[self.seen.state],
+            "state": measurements.NAMES[self.seen.state],
             "ways": ways,
-            "pairs": self.levels.view(now),
+            "pairs": self.estimates.view(now),
             "odd": self.seen.odd,
             "apart": self.seen.apart,
-            "crowded": self.claims.crowded,
+            "crowded": self.reports.crowded,
             "left_out": self.left_out,
             "turned_away": self.turned_away,
         }
--- a/yardbank/cluster/latency_map/transition.py
+++ b/yardbank/cluster/latency_map/transition.py
@@ -19,10 +19,10 @@
 # Less than this part, or so many ns, is no reason to go over: of a round trip, and of the longest usual one.
 SHORTER, LONGEST = (0.15, 1_000_000), (0.5, 5_000_000)
 
-Ways = tuple[tuple[str, int, int], ...]
+ZoneLatencies = tuple[tuple[str, int, int], ...]
 
 
-def matters(one: Ways, other: Ways) -> bool:
+def matters(one: ZoneLatencies, other: ZoneLatencies) -> bool:
     """Whether two sets of figures differ so that it is worth going over."""
     a, b = {zone: figures for zone, *figures in one}, {zone: figures for zone, *figures in other}
     if a.keys() != b.keys():
@@ -30,13 +30,13 @@
     return any(differs(a[zone][0], b[zone][0], *SHORTER) or differs(a[zone][1], b[zone][1], *LONGEST) for zone in a)
 
 
-class Choice:
+class GradualTransition:
     """The figures in force."""
 
     def __init__(self, step: float, random: Random) -> None:
         self._step = step
-        self._old: Ways = ()
-        self._new: Ways = ()
+        self._old: ZoneLatencies = ()
+        self._new: ZoneLatencies = ()
         self._phase = random.randrange(SECOND)
         self._begun = 0  # number of the second after which the part grows
         self.moves = 0
@@ -48,7 +48,7 @@
         """The part of this second for which the new figures hold."""
         return min(1.0, self._step * max(0, self._second(now)[0] - self._begun))
 
-    def aim(self, now: int, target: Ways) -> None:
+    def aim(self, now: int, target: ZoneLatencies) -> None:
         """What the map says. A move under way is ended first."""
         if self._old != self._new and self.part(now) < 1.0:
             return
@@ -58,7 +58,7 @@
             self._new, self._begun = target, self._second(now)[0] + 1
             self.moves += 1
 
-    def at(self, now: int) -> Ways:
+    def at(self, now: int) -> ZoneLatencies:
         """The figures that hold at this time."""
         into = self._second(now)[1]
         return self._new if into < round(self.part(now) * SECOND) else self._old
