--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -19,7 +19,7 @@
 from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank import interface as api
 from yardbank.cluster.channels.api import Delivered, Options
-from yardbank.cluster.channels.positions import Place, Positions
+from yardbank.cluster.channels.positions import ListedServer, Positions
 from yardbank.gateway.passed import Passed
 from yardbank.policy import Router
 from yardbank.testing.rig.network import Effect
@@ -166,7 +166,7 @@
     def feed(self) -> None:
         """Each group's owner is one gateway; all deciders are the program's own."""
         places = [
-            Place(str(number), str(member.group), 1)
+            ListedServer(str(number), str(member.group), 1)
             for number, member in ((member.server, member) for member in self.members)
         ]
         self._deciders = [Positions(str(one.number), Random(one.number), Options()) for one in self.gateways]
@@ -217,8 +217,8 @@
 
     def _took(self, index: int, item: Delivered) -> None:
         decider, passed = self._deciders[index], self._passed[index]
-        decider.took(self.clock.now, item)
-        told, decider.told = decider.told, []
+        decider.on_item(self.clock.now, item)
+        told, decider.verified_positions = decider.verified_positions, []
         gateway = self.gateways[index]
         for one in told:
             number = int(one.server)
--- a/tests/cluster/channels/test_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -9,7 +9,7 @@
 from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import Delivered, resource
-from yardbank.cluster.channels.states import HANDING
+from yardbank.cluster.channels.states import OwnershipPhase
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.testing.rig.network import Effect
 
@@ -20,8 +20,8 @@
     old = found.owner(channel)[0]
     part, now = found.running[old].part, found.gossip.own(old)
     own = part.ownership.channels[channel]
-    new = part.ownership._next(channel, own, part.ownership.loads())[0]
-    assert part.ownership._hand(now, channel, own, new)
+    new = part.ownership._successors(channel, own, part.ownership.loads())[0]
+    assert part.ownership._transfer(now, channel, own, new)
     found.gossip.prompt(old)
     return channel, old, new
 
@@ -52,7 +52,7 @@
     assert found.owner(channel) in ((old,), ()) or found.owner(channel) != (new,)
     found.gossip.resume(new)
     found.run(TERM + 2 * SECOND)
-    assert found.all_owned() and HANDING not in {
+    assert found.all_owned() and OwnershipPhase.TRANSFERRING not in {
         own.state for own in found.running[old].part.ownership.channels.values()
     }
     sound(found)
@@ -117,7 +117,7 @@
     channel = found.channels[0]
 
     def fed(name: str) -> list[str]:
-        return found.running[name].part.feed.edges.children(found.gossip.own(name), channel)
+        return found.running[name].part.feed.subscriptions.children(found.gossip.own(name), channel)
 
     others = [name for name in found.names if (name,) != found.owner(channel)]
     inner = max(others, key=lambda name: len(fed(name)))
@@ -166,14 +166,14 @@
     channel = found.channels[0]
     owner = found.owner(channel)[0]
     liar = next(name for name in found.names if name != owner)
-    epoch = found.running[owner].part.feed.carried[channel].epoch + 1000
+    epoch = found.running[owner].part.feed.owned_channels[channel].epoch + 1000
     lie = wire.Heartbeat((wire.ChannelState(channel, epoch, 0, 0, liar, 1),))
     for name in found.names:
         if name != liar:
-            found.running[liar].part._say(name, lie)
+            found.running[liar].part._send(name, lie)
     found.gossip.prompt(liar)
     found.run(5 * SECOND)
-    mine = found.running[found.owner(channel)[0]].part.feed.carried[channel]
+    mine = found.running[found.owner(channel)[0]].part.feed.owned_channels[channel]
     assert mine.epoch > epoch  # the owner asked the voters for one above
     for listener in found.running.values():
         assert isinstance(listener.heard[channel][-1][1], Delivered)
--- a/tests/cluster/channels/test_items.py
+++ b/tests/cluster/channels/test_items.py
@@ -204,15 +204,20 @@
     one.here(["two"])
     two.here(["one"])
     one.change([f"own-{number}" for number in range(200)], ["x"])
-    assert [type(found) for found in two.heard("one", 1, one.me("two"))] == [InterestQuery, InterestDigest]
-    parts = one.asked(InterestQuery(one.hash))
+    assert [type(found) for found in two.on_interest_digest("one", 1, one.digest_for("two"))] == [
+        InterestQuery,
+        InterestDigest,
+    ]
+    parts = one.on_interest_query(InterestQuery(one.hash))
     assert len(parts) > 1
-    two.told(InterestSet(one.hash, 0, 1, ("forged",), ()))
-    assert not two.told_of("one")
+    two.on_interest_set(InterestSet(one.hash, 0, 1, ("forged",), ()))
+    assert not two.knows_interests("one")
     for part in [*reversed(parts), *parts]:
-        two.told(part)
+        two.on_interest_set(part)
     assert two.candidates("own-7") == {"one"} and two.followers("x") == {"one"} and len(two.channels()) == 200
-    assert two.heard("one", 1, InterestDigest(1, 5, 0)) == [] and two.told_of("one")  # an earlier version
+    assert two.on_interest_digest("one", 1, InterestDigest(1, 5, 0)) == [] and two.knows_interests(
+        "one"
+    )  # an earlier version
     two.here([])
     assert not two.candidates("own-7")
     assert placement.turns(["a", "b"], {"a": 1}, 1) == ["b", "a"]
--- a/tests/cluster/channels/test_large_fleet.py
+++ b/tests/cluster/channels/test_large_fleet.py
@@ -13,7 +13,7 @@
     assert found.moved() == 4
     found.run(3 * SECOND)
     children = [
-        len(listener.part.feed.edges.children(found.gossip.own(name), channel))
+        len(listener.part.feed.subscriptions.children(found.gossip.own(name), channel))
         for name, listener in found.running.items()
         for channel in found.channels
     ]
--- a/tests/cluster/channels/test_positions.py
+++ b/tests/cluster/channels/test_positions.py
@@ -7,10 +7,10 @@
 import pytest
 
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Options
-from yardbank.cluster.channels.positions import Place, Positions, channel_of
+from yardbank.cluster.channels.positions import ListedServer, Positions, channel_of
 from yardbank.cluster.channels.verification import FIRST, SPOT
 
-PLACES = [Place(f"n{number}", "numbers", 7) for number in range(3)]
+PLACES = [ListedServer(f"n{number}", "numbers", 7) for number in range(3)]
 CHANNEL = channel_of("numbers")
 
 
@@ -18,10 +18,10 @@
     """Its marks rise with time."""
 
     def __init__(self) -> None:
-        self.back = 0
+        self.regressed = 0
 
     def marks(self, now: int) -> dict[str, tuple[int | str, ...]]:
-        return {"a": (now // MS - self.back, "x")}
+        return {"a": (now // MS - self.regressed, "x")}
 
 
 class World:
@@ -53,10 +53,12 @@
                 self.sequence += 1
                 if not self.cut:
                     for other in self.others:
-                        other.took(self.now, Delivered(channel, self.epoch, self.sequence, data, "o", self.boot_epoch))
+                        other.on_item(
+                            self.now, Delivered(channel, self.epoch, self.sequence, data, "o", self.boot_epoch)
+                        )
 
-    def told(self) -> list:
-        found, self.others[0].told = self.others[0].told, []
+    def verified_positions(self) -> list:
+        found, self.others[0].verified_positions = self.others[0].verified_positions, []
         return found
 
 
@@ -66,7 +68,7 @@
     by_owner = sum(who == "o" for _, who, _ in world.asked)
     by_others = len(world.asked) - by_owner
     assert by_owner > 3 * 550 and by_others < 40 * 3 * 8
-    told = world.told()
+    told = world.verified_positions()
     assert {one.server for one in told} == {"n0", "n1", "n2"} and all(one.started == 7 for one in told)
     first = [at for at, who, _ in world.asked if who != "o"]
     assert max(sum(at // SECOND == second for at in first) for second in range(100)) < 80  # not all at once
@@ -75,67 +77,69 @@
 def test_nothing_is_believed_before_an_own_answer_has_it_all() -> None:
     world = World()
     follower = world.others[0]
-    follower.took(world.now, Delivered(CHANNEL, 1, 1, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x01\xa1x", "o", 1))
-    follower.took(world.now, Delivered(CHANNEL, 1, 2, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x02\xa1x", "o", 1))
-    assert world.told() == []
+    follower.on_item(world.now, Delivered(CHANNEL, 1, 1, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x01\xa1x", "o", 1))
+    follower.on_item(world.now, Delivered(CHANNEL, 1, 2, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x02\xa1x", "o", 1))
+    assert world.verified_positions() == []
     follower.answered(world.now + 1, "n0", {"a": (5, "x")}, world.now - 1)  # asked before it was told
-    follower.took(world.now + 2, Delivered(CHANNEL, 1, 3, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x03\xa1x", "o", 1))
-    assert world.told() == []
+    follower.on_item(world.now + 2, Delivered(CHANNEL, 1, 3, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x03\xa1x", "o", 1))
+    assert world.verified_positions() == []
     follower.answered(world.now + 3, "n0", {"a": (5, "x")}, world.now + 1)
-    follower.took(world.now + 4, Delivered(CHANNEL, 1, 4, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x06\xa1x", "o", 1))
-    assert [one.marks for one in world.told()] == [{"a": (6, "x")}]
-    follower.took(world.now + 5, Delivered(CHANNEL, 2, 1, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x07\xa1x", "p", 1))
-    assert world.told() == []  # another owner begins anew
+    follower.on_item(world.now + 4, Delivered(CHANNEL, 1, 4, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x06\xa1x", "o", 1))
+    assert [one.marks for one in world.verified_positions()] == [{"a": (6, "x")}]
+    follower.on_item(world.now + 5, Delivered(CHANNEL, 2, 1, b"\x91\x93\xa2n0\x07\x81\xa1a\x92\x07\xa1x", "p", 1))
+    assert world.verified_positions() == []  # another owner begins anew
 
 
 def test_an_owner_that_lies_is_found_by_checks_and_not_believed_for_its_life() -> None:
     world = World()
     world.run(2 * FIRST)
-    assert world.told()
+    assert world.verified_positions()
     follower = world.others[0]
     world.cut = True
     lied, found = 0, None
     for step in range(SPOT // (100 * MS) + 20):
         world.run(100 * MS)
         data = b"\x91\x93\xa2n0\x07\x81\xa1a\x92\xce" + (world.now // MS + 10**6).to_bytes(4, "big") + b"\xa1x"
-        follower.took(world.now, Delivered(CHANNEL, 1, 10**6 + step, data, "o", 1))
-        lied += len(world.told())
-        if lies := follower.lies():
+        follower.on_item(world.now, Delivered(CHANNEL, 1, 10**6 + step, data, "o", 1))
+        lied += len(world.verified_positions())
+        if lies := follower.false_reports():
             found = lies[0]
             break
     assert found is not None and (found.owner, found.boot_epoch, found.server) == ("o", 1, "n0")
     world.cut = False
     world.run(SPOT)
-    assert world.told() == [] and follower.alone() == ["n0", "n1", "n2"]  # nor on any other server
+    assert world.verified_positions() == [] and follower.alone() == ["n0", "n1", "n2"]  # nor on any other server
     world.boot_epoch, world.epoch = 2, 2
     world.run(2 * FIRST)
-    assert {one.server for one in world.told()} >= {"n1", "n2"}  # a new life is heard again
+    assert {one.server for one in world.verified_positions()} >= {"n1", "n2"}  # a new life is heard again
 
 
 def test_a_server_put_back_is_believed_by_none_until_it_has_it_all_again_and_nobody_is_called_a_liar() -> None:
     world = World()
     world.run(2 * FIRST)
-    world.told()
-    world.servers["n0"].back = 15_000  # of its milliseconds
+    world.verified_positions()
+    world.servers["n0"].regressed = 15_000  # of its milliseconds
     world.run(100 * MS)
-    world.told()
+    world.verified_positions()
     world.run(10 * SECOND)
-    assert "n0" not in {one.server for one in world.told()} and world.others[0].trust.back() == ["n0"]
+    assert "n0" not in {one.server for one in world.verified_positions()} and world.others[0].verifier.regressed() == [
+        "n0"
+    ]
     world.run(20 * SECOND)
-    assert "n0" in {one.server for one in world.told()} and world.others[0].trust.back() == []
-    assert world.others[0].lies() == []
+    assert "n0" in {one.server for one in world.verified_positions()} and world.others[0].verifier.regressed() == []
+    assert world.others[0].false_reports() == []
 
 
 def test_another_start_than_the_list_says_is_nobodys() -> None:
     world = World()
     world.run(2 * FIRST)
-    world.others[0].listed(world.now, [Place("n0", "numbers", 8), *PLACES[1:]])
-    world.told()
+    world.others[0].listed(world.now, [ListedServer("n0", "numbers", 8), *PLACES[1:]])
+    world.verified_positions()
     world.run(2 * SECOND)
-    assert {one.server for one in world.told()} == {"n1", "n2"}
-    world.others[0].listed(world.now, [Place("n0", "numbers", 7), *PLACES[1:]])
+    assert {one.server for one in world.verified_positions()} == {"n1", "n2"}
+    world.others[0].listed(world.now, [ListedServer("n0", "numbers", 7), *PLACES[1:]])
     world.run(SECOND // 2)
-    assert "n0" not in {one.server for one in world.told()}  # what was known of it is void
+    assert "n0" not in {one.server for one in world.verified_positions()}  # what was known of it is void
 
 
 def test_who_hears_nothing_asks_for_itself_not_all_at_once() -> None:
@@ -164,9 +168,9 @@
 )
 def test_odd_items_and_servers_that_the_list_does_not_name_change_nothing(data: bytes) -> None:
     world = World()
-    world.others[0].took(world.now, Delivered(CHANNEL, 1, 1, data, "o", 1))
+    world.others[0].on_item(world.now, Delivered(CHANNEL, 1, 1, data, "o", 1))
     world.others[0].tick(world.now + SECOND)
-    assert world.told() == [] and world.others[0].asks == []
+    assert world.verified_positions() == [] and world.others[0].asks == []
 
 
 def test_a_server_that_does_not_answer_is_asked_less_and_holds_up_no_other() -> None:
--- a/tests/cluster/channels/test_service.py
+++ b/tests/cluster/channels/test_service.py
@@ -85,12 +85,12 @@
     done = []
     face.stopping().addCallback(done.append)
     programs.run(SECOND)
-    assert done == [None] and face.part.held() == [] and [channel for channel, _ in ends] == ["news"]
+    assert done == [None] and face.part.held_channels() == [] and [channel for channel, _ in ends] == ["news"]
     lines = [facts for event, facts in programs.logs[who].lines if event == "channel"]
     assert [line["what"] for line in lines] == ["owned", "ended"] and lines[0]["epoch"] == lines[1]["epoch"] == ends[0][
         1
     ]
-    assert sum(bool(one.part.held()) for one in programs.faces.values()) == 1
+    assert sum(bool(one.part.held_channels()) for one in programs.faces.values()) == 1
     assert not any(facts.get("what") == "gap" for log in programs.logs.values() for _, facts in log.lines)
 
 
@@ -205,4 +205,4 @@
         feed.listed(servers[:0])
         feed.stop()
     programs.run(SECOND)
-    assert not any(face.part.held() for face in programs.faces.values())
+    assert not any(face.part.held_channels() for face in programs.faces.values())
--- a/tests/support/channels_fleet.py
+++ b/tests/support/channels_fleet.py
@@ -82,7 +82,7 @@
         """As SIGTERM does: hand all on, then end."""
         self.running[name].part.stopping(self.gossip.own(name))
         self.gossip.prompt(name)
-        self.run_until(lambda: not self.running[name].part.held(), 5 * SECOND)
+        self.run_until(lambda: not self.running[name].part.held_channels(), 5 * SECOND)
         self.run(200 * MS)
         self.kill(name)
 
@@ -109,12 +109,12 @@
 
     def _look(self, name: str, listener: Listener, publish: bool, holders: dict[str, list[str]]) -> None:
         now, part = self.gossip.own(name), listener.part
-        for channel in part.held():
+        for channel in part.held_channels():
             if part.ownership.epoch(now, channel) is not None:
                 holders[channel].append(name)
             if publish:
                 self.publish(name, channel)
-        if publish and part.held():
+        if publish and part.held_channels():
             self.gossip.prompt(name)
         self.collect(name)
 
@@ -124,7 +124,7 @@
         if why:
             self.refused[why] += 1
         else:
-            mine = part.feed.carried[channel]
+            mine = part.feed.owned_channels[channel]
             self.published[channel, mine.epoch] = mine.sequence
         return why
 
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -132,14 +132,14 @@
 
 def restless():
     """Hands on whatever it has, as soon as it can."""
-    from yardbank.cluster.channels.ownership import CARRYING, Ownership
+    from yardbank.cluster.channels.ownership import Ownership, OwnershipPhase
 
     def always(self, now, loads):
         for channel, own in self.channels.items():
-            if own.state == CARRYING and (names := self._next(channel, own, loads)):
-                self._hand(now, channel, own, names[0])
+            if own.state == OwnershipPhase.OWNER and (names := self._successors(channel, own, loads)):
+                self._transfer(now, channel, own, names[0])
 
-    Ownership._hand_to_better = always
+    Ownership._transfer_to_better = always
 
 
 def eager():
--- a/yardbank/cluster/channels/api.py
+++ b/yardbank/cluster/channels/api.py
@@ -29,7 +29,7 @@
             raise ValueError(f"options of channels do not fit together: {self}")
 
     @property
-    def beat(self) -> int:
+    def heartbeat(self) -> int:
         """Between two words of an owner to those that would follow it."""
         return max(20 * MS, min(500 * MS, self.term // 6))
 
--- a/yardbank/cluster/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.channels.api import MS
 from yardbank.cluster.channels.items import Recent, Stream
 from yardbank.cluster.channels.messages import ChannelState, EndedAt, FollowerProgress, Item, Retransmit
-from yardbank.cluster.channels.outgoing import Carried, Known, Outgoing
+from yardbank.cluster.channels.outgoing import Known, Outgoing, OwnedChannel
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import Message
 
@@ -24,7 +24,7 @@
 
     def joined(self, followers: Mapping[str, frozenset[str]], latest: Collection[str]) -> None:
         """The channels that this gateway takes part in, and who follows each; ``latest``: only the newest counts."""
-        self.edges.joined(followers)
+        self.subscriptions.joined(followers)
         for channel in self.streams.keys() - followers.keys():
             del self.streams[channel], self.recent[channel]
             self.known.pop(channel, None)
@@ -42,7 +42,7 @@
         """This gateway is the owner from now on: the first ones of the tree and the heirs hear it at once."""
         known, end = self.known.get(channel), self.ends.get(channel)
         after = end if end is not None and known is not None and end[0] == known.epoch < epoch else None
-        self.carried[channel] = Carried(epoch, 0, after)
+        self.owned_channels[channel] = OwnedChannel(epoch, 0, after)
         self.known[channel] = Known(epoch, 0, self.name, self.boot_epoch, now, after)
         self.above.pop(channel, None)
         if (stream := self.streams.get(channel)) is not None:
@@ -52,7 +52,7 @@
 
     def publish(self, now: int, channel: str, data: bytes) -> int:
         """Give out the next item of a channel carried here; how many gateways it was sent to."""
-        mine = self.carried[channel]
+        mine = self.owned_channels[channel]
         mine.sequence += 1
         item = Item(channel, mine.epoch, mine.sequence, data, self.name, self.boot_epoch, mine.after)
         known = self.known[channel]
@@ -65,7 +65,7 @@
 
     def stop(self, now: int, channel: str, to: Iterable[str]) -> None:
         """It is carried here no longer: said to the next owner and those that would be it, with where it ended."""
-        mine = self.carried.pop(channel)
+        mine = self.owned_channels.pop(channel)
         place = mine.epoch, mine.sequence
         self.ends[channel] = max(place, self.ends.get(channel, place))
         known = self.known[channel]
@@ -76,7 +76,7 @@
 
     def end(self, channel: str, before: int) -> EndedAt | None:
         """Where this gateway's own last epoch before another ended; None: it did not, or that is not known."""
-        if channel in self.carried or (place := self.ends.get(channel)) is None or place[0] >= before:
+        if channel in self.owned_channels or (place := self.ends.get(channel)) is None or place[0] >= before:
             return None
         return EndedAt(channel, *place)
 
@@ -88,9 +88,9 @@
             raise DroppedError("unasked")
         known = self.known.get(item.channel)
         if item.sequence < 1 or self._leaps(known, item.epoch, item.sequence):
-            self.odd += 1
+            self.rejected_leaps += 1
             raise DroppedError("leap")
-        self.edges.heard(now, item.channel, sender)
+        self.subscriptions.heard(now, item.channel, sender)
         if known is None or item.epoch > known.epoch:
             self.known[item.channel] = Known(item.epoch, item.sequence, item.owner, item.boot_epoch, now, item.after)
         elif item.epoch == known.epoch and item.sequence > known.sequence:
@@ -112,16 +112,16 @@
             return sequence > LEAP
         return epoch > known.epoch + FAR or (epoch == known.epoch and sequence > known.sequence + LEAP)
 
-    def beat(self, now: int, sender: str, states: Iterable[ChannelState]) -> None:
+    def heartbeat(self, now: int, sender: str, states: Iterable[ChannelState]) -> None:
         """One said how far channels have come; what is news goes on at once."""
         news: dict[str, list[str]] = {}
         for state in states:
             stream, known = self.streams.get(state.channel), self.known.get(state.channel)
             if stream is None:
                 continue
-            self.edges.heard(now, state.channel, sender)
+            self.subscriptions.heard(now, state.channel, sender)
             if self._leaps(known, state.epoch, state.sequence):
-                self.odd += 1
+                self.rejected_leaps += 1
                 continue
             heard_at = now - state.age * MS
             if known is None or state.epoch > known.epoch:
@@ -146,9 +146,9 @@
         for have in channels:
             if have.channel not in self.streams:
                 continue
-            if (mine := self.carried.get(have.channel)) is not None and have.epoch > mine.epoch:
+            if (mine := self.owned_channels.get(have.channel)) is not None and have.epoch > mine.epoch:
                 self.above[have.channel] = max(have.epoch, self.above.get(have.channel, 0))
-            if not self.edges.adopt(now, have.channel, child):
+            if not self.subscriptions.adopt(now, have.channel, child):
                 continue
             told.append(have.channel)
             if have.epoch:
@@ -156,7 +156,7 @@
                     self.send_item(item, [child])
         self.tell(now, {child: told})
 
-    def again(self, asker: str, wanted: Retransmit) -> None:
+    def retransmit(self, asker: str, wanted: Retransmit) -> None:
         """One missed some."""
         if (recent := self.recent.get(wanted.channel)) is not None:
             for item in recent.some(wanted.epoch, wanted.first, wanted.last):
--- a/yardbank/cluster/channels/items.py
+++ b/yardbank/cluster/channels/items.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from yardbank.cluster.channels.api import MS, Delivered, Gap
-from yardbank.cluster.channels.messages import Item, Place
+from yardbank.cluster.channels.messages import Item, ItemPosition
 
 HOLD = 600 * MS  # so long the next one in order is waited for
 ASK_EVERY = 60 * MS
@@ -35,14 +35,14 @@
 
     def __init__(self, channel: str, latest: bool = False) -> None:
         self.channel, self.latest = channel, latest
-        self.place: Place = (0, 0)  # of the last one delivered; (0, 0): none yet
+        self.place: ItemPosition = (0, 0)  # of the last one delivered; (0, 0): none yet
         self.out: list[Item | Gap] = []
         self.doubled = self.overtaken = 0
         self.seen = 0  # the highest epoch that was heard of
         self._newest = 0  # the highest sequence that was heard of under it
-        self._early: dict[Place, Item] = {}
-        self._after: dict[int, Place] = {}  # by epoch: where the one before it ended
-        self._ends: Place | None = None  # where an epoch ends, as its owner said
+        self._early: dict[ItemPosition, Item] = {}
+        self._after: dict[int, ItemPosition] = {}  # by epoch: where the one before it ended
+        self._ends: ItemPosition | None = None  # where an epoch ends, as its owner said
         self._waits_since = 0
         self._asked_at = -ASK_EVERY
 
@@ -62,14 +62,14 @@
         self._advance(now)
         return True
 
-    def heard(self, now: int, epoch: int, newest: int, after: Place | None) -> None:
+    def heard(self, now: int, epoch: int, newest: int, after: ItemPosition | None) -> None:
         """Somebody who hands it on said how far it has come."""
         if self.place == (0, 0) and not self._early:
             self.place = epoch, newest
         self._heard(epoch, 0 if self.latest else newest, after)  # the newest itself is still to come
         self._advance(now)
 
-    def ended(self, now: int, place: Place) -> None:
+    def ended(self, now: int, place: ItemPosition) -> None:
         """The owner of an epoch said where it ended."""
         if self._ends is None or place > self._ends:
             self._ends = place
@@ -94,7 +94,7 @@
         self._asked_at = now
         return Missing(epoch, sequence + 1, last) if last > sequence else None
 
-    def _heard(self, epoch: int, newest: int, after: Place | None) -> None:
+    def _heard(self, epoch: int, newest: int, after: ItemPosition | None) -> None:
         if after is not None and after[0] < epoch:
             self._after[epoch] = after
         if epoch > self.seen:
@@ -102,7 +102,7 @@
         elif epoch == self.seen:
             self._newest = max(self._newest, newest)
 
-    def _within(self, place: Place) -> bool:
+    def _within(self, place: ItemPosition) -> bool:
         """Whether it is of the epoch being delivered, whose end is known and not reached yet."""
         return place[0] == self.place[0] and place[1] <= self._told_end(place[0])
 
@@ -189,7 +189,7 @@
     """The last items of one channel, for those who missed some: at most ``RECENT``, and ``RECENT_OCTETS``."""
 
     def __init__(self) -> None:
-        self._items: OrderedDict[Place, Item] = OrderedDict()
+        self._items: OrderedDict[ItemPosition, Item] = OrderedDict()
         self._octets = 0
 
     def add(self, item: Item) -> None:
@@ -206,7 +206,7 @@
         found = [item for sequence in sequences if (item := self._items.get((epoch, sequence))) is not None]
         return found[:most]
 
-    def beyond(self, place: Place, most: int = 32) -> list[Item]:
+    def beyond(self, place: ItemPosition, most: int = 32) -> list[Item]:
         """Those after a place, in order."""
         return [self._items[key] for key in sorted(key for key in self._items if key > place)[:most]]
 
--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -69,12 +69,14 @@
         self._tidy()
         return True
 
-    def me(self, to: str) -> InterestDigest:
+    def digest_for(self, to: str) -> InterestDigest:
         """What to tell one of the others."""
         other = self._others.get(to)
         return InterestDigest(self.version, self.hash, other.sets if other is not None else 0)
 
-    def heard(self, sender: str, boot_epoch: int, told: InterestDigest) -> list[InterestDigest | InterestQuery]:
+    def on_interest_digest(
+        self, sender: str, boot_epoch: int, told: InterestDigest
+    ) -> list[InterestDigest | InterestQuery]:
         """One told its hash: what to answer."""
         other = self._others.get(sender)
         if other is None or (boot_epoch, told.version) > (other.boot_epoch, other.version):
@@ -87,10 +89,10 @@
         if told.sets not in self._sets:
             found.append(InterestQuery(told.sets))
         if told.yours != self.hash:
-            found.append(self.me(sender))
+            found.append(self.digest_for(sender))
         return found
 
-    def asked(self, wanted: InterestQuery) -> list[InterestSet]:
+    def on_interest_query(self, wanted: InterestQuery) -> list[InterestSet]:
         """Somebody asks what stands behind a hash."""
         found = self._sets.get(wanted.sets)
         if found is None:
@@ -103,7 +105,7 @@
             for number, (own, follow) in enumerate(parts)
         ]
 
-    def told(self, part: InterestSet) -> None:
+    def on_interest_set(self, part: InterestSet) -> None:
         """A part of the answer; it counts once it is whole and fits the hash."""
         if part.sets in self._sets or part.part >= part.parts:
             return
@@ -130,7 +132,7 @@
         other = self._others.get(name)
         return other.sets if other is not None and other.sets not in self._sets else 0
 
-    def told_of(self, name: str) -> bool:
+    def knows_interests(self, name: str) -> bool:
         """Whether it is known what one is interested in."""
         other = self._others.get(name)
         return other is not None and other.sets in self._sets
@@ -144,7 +146,7 @@
 
     def strangers(self, names: Iterable[str]) -> frozenset[str]:
         """Those of whom nothing is known yet: they may be candidates too."""
-        return frozenset(name for name in names if name != self.name and not self.told_of(name))
+        return frozenset(name for name in names if name != self.name and not self.knows_interests(name))
 
     def candidates(self, channel: str) -> frozenset[str]:
         """Who of those that are there would carry it, this gateway perhaps among them."""
--- a/yardbank/cluster/channels/messages.py
+++ b/yardbank/cluster/channels/messages.py
@@ -21,7 +21,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Hash = Annotated[int, Meta(ge=0)]
-Place = tuple[Number, Number]  # epoch, sequence
+ItemPosition = tuple[Number, Number]  # epoch, sequence
 
 
 class Item(Struct, array_like=True, frozen=True, tag="item"):
@@ -33,7 +33,7 @@
     data: Annotated[bytes, Meta(max_length=MAX_DATA)]
     owner: Name
     boot_epoch: Number
-    after: Place | None = None
+    after: ItemPosition | None = None
 
 
 class ChannelState(Struct, array_like=True, frozen=True):
@@ -45,7 +45,7 @@
     age: Number
     owner: Name
     boot_epoch: Number
-    after: Place | None = None
+    after: ItemPosition | None = None
 
 
 class Heartbeat(Struct, array_like=True, frozen=True, tag="beat"):
--- a/yardbank/cluster/channels/neighbours.py
+++ b/yardbank/cluster/channels/neighbours.py
@@ -35,7 +35,7 @@
         """Who is there: one that is doubted for a moment stays."""
         alive = self._membership_view.alive()
         for name in alive - self._here:
-            if name not in self._met and not members.told_of(name):
+            if name not in self._met and not members.knows_interests(name):
                 self._met[name] = now if self._first(name) else now + TOLD_LATER, TRIES
         for name in self._here - alive:
             self._absent.setdefault(name, now)
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -13,8 +13,8 @@
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MS, Delivered, Event, Gap, Options
 from yardbank.cluster.channels.items import Recent, Stream
-from yardbank.cluster.channels.messages import ChannelState, FollowerProgress, Item, Place, Retransmit
-from yardbank.cluster.channels.subscriptions import Edges
+from yardbank.cluster.channels.messages import ChannelState, FollowerProgress, Item, ItemPosition, Retransmit
+from yardbank.cluster.channels.subscriptions import Subscriptions
 from yardbank.cluster.peers.parts import Message
 
 
@@ -27,17 +27,17 @@
     owner: str
     boot_epoch: int
     heard_at: int
-    after: Place | None = None
+    after: ItemPosition | None = None
     over: bool = False  # the owner said itself that it is none any more
 
 
 @dataclass(slots=True)
-class Carried:
+class OwnedChannel:
     """What this gateway carries now."""
 
     epoch: int
     sequence: int
-    after: Place | None
+    after: ItemPosition | None
 
 
 class Outgoing:
@@ -48,23 +48,23 @@
         self.known: dict[str, Known] = {}
         self.above: dict[str, int] = {}  # channels carried here of which others have seen a higher epoch
         self.heirs: dict[str, list[str]] = {}  # by channel carried here: who would be next
-        self.edges = Edges(name, options.fan_out, random)
+        self.subscriptions = Subscriptions(name, options.fan_out, random)
         self.outgoing_messages: list[Message] = []
         self.events: list[Event] = []
         self.waiting: set[str] = set()  # channels of which something is missing
         self.followed: Collection[str] = ()  # here, by listeners: the others only pass through
-        self.carried: dict[str, Carried] = {}
-        self.ends: dict[str, Place] = {}  # where an owner said that it ended, the latest
-        self.odd = 0  # leaps that were not believed
-        self._random, self._beat = random, options.beat
+        self.owned_channels: dict[str, OwnedChannel] = {}
+        self.ends: dict[str, ItemPosition] = {}  # where an owner said that it ended, the latest
+        self.rejected_leaps = 0  # leaps that were not believed
+        self._random, self._beat = random, options.heartbeat
         self.streams: dict[str, Stream] = {}
         self.recent: dict[str, Recent] = {}
         self._beats = 0
 
     def targets(self, now: int, channel: str, heirs: bool = False) -> list[str]:
-        found = {*self.edges.children(now, channel)}
-        if channel in self.carried:
-            found.update(self.edges.roots(channel, self.name))
+        found = {*self.subscriptions.children(now, channel)}
+        if channel in self.owned_channels:
+            found.update(self.subscriptions.roots(channel, self.name))
             if heirs:
                 found.update(self.heirs.get(channel, ()))
         return sorted(found - {self.name})
@@ -77,11 +77,11 @@
         """One beat."""
         self._beats += 1
         owners = {channel: "" if known.over else known.owner for channel, known in self.known.items()}
-        changed = self.edges.choose(now, owners)
+        changed = self.subscriptions.choose(now, owners)
         self._subscribe(self.streams if self._beats % 4 == 0 else changed)
         to: dict[str, list[str]] = {}
         for channel in self.streams:
-            if channel in self.carried:
+            if channel in self.owned_channels:
                 for name in self.targets(now, channel, heirs=True):
                     to.setdefault(name, []).append(channel)
             elif self._beats % 2 == 0 and channel in self.known:
@@ -102,7 +102,7 @@
     def _helper(self, channel: str) -> str:
         """The parent or the owner, by chance, so that one of them that lacks it or is lost does not matter."""
         known = self.known.get(channel)
-        names = [name for name in (self.edges.parent(channel), known.owner if known else "") if name]
+        names = [name for name in (self.subscriptions.parent(channel), known.owner if known else "") if name]
         names = [name for name in names if name != self.name]
         return self._random.choice(names) if names else ""
 
@@ -113,7 +113,7 @@
     def _subscribe(self, channels: Iterable[str]) -> None:
         by: dict[str, list[FollowerProgress]] = {}
         for channel in channels:
-            if parent := self.edges.parent(channel):
+            if parent := self.subscriptions.parent(channel):
                 by.setdefault(parent, []).append(FollowerProgress(channel, *self.streams[channel].place))
         for parent, haves in by.items():
             self.outgoing_messages += [Message(parent, body) for body in wire.encode_subscriptions(haves)]
@@ -128,7 +128,7 @@
             self.outgoing_messages += [Message(to, body, urgent) for body in wire.encode_heartbeats(states)]
 
     def _state(self, now: int, channel: str) -> ChannelState | None:
-        mine, known = self.carried.get(channel), self.known.get(channel)
+        mine, known = self.owned_channels.get(channel), self.known.get(channel)
         if mine is not None and (known is None or known.epoch <= mine.epoch):
             return ChannelState(channel, mine.epoch, mine.sequence, 0, self.name, self.boot_epoch, mine.after)
         if known is None or known.over:
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -77,7 +77,7 @@
 
     def disown(self, now: int, channel: str) -> None:
         """Carry it no more."""
-        self.ownership.unwant(now, channel)
+        self.ownership.withdraw(now, channel)
         self._changed(now)
 
     def follow(self, now: int, channel: str, latest: bool = False) -> None:
@@ -104,13 +104,13 @@
         return ""
 
     def stopping(self, now: int) -> None:
-        """This gateway is about to end: what it has is handed on. It is through when ``held`` is empty."""
+        """This gateway is about to end: what it has is handed on. It is through when ``held_channels`` is empty."""
         self.ownership.stop(now)
         self._changed(now)
 
-    def held(self) -> list[str]:
+    def held_channels(self) -> list[str]:
         """Channels carried here."""
-        return self.ownership.held()
+        return self.ownership.held_channels()
 
     def prefer(self, order: Callable[[Iterable[str]], Sequence[str]] | None) -> None:
         """Who should be next at a planned end: of some gateways those that are preferred, the best first."""
@@ -140,7 +140,7 @@
         self.members.listed(zones)
         self.placement.listed(zones)
         self._neighbours.listed(zones)
-        self._next_beat = self._next_beat or now + self._random.randrange(self.options.beat)
+        self._next_beat = self._next_beat or now + self._random.randrange(self.options.heartbeat)
         self._look_around(now)
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
@@ -150,43 +150,43 @@
             case Item():
                 self.feed.item(now, sender, message)
             case Heartbeat():
-                self.feed.beat(now, sender, message.states)
+                self.feed.heartbeat(now, sender, message.states)
             case Subscribe():
                 self.feed.subscribe(now, sender, message.channels)
             case Retransmit():
-                self.feed.again(sender, message)
+                self.feed.retransmit(sender, message)
             case OwnerQuery():
                 self.feed.answer(now, sender, message.channels)
             case EndedAt():
                 self.ownership.ended(now, sender, message)
             case EndQuery():
-                self.ownership.asked_end(now, sender, message)
+                self.ownership.on_end_query(now, sender, message)
             case TransferNotice():
                 self._next_poll = now
-                self.ownership.expect(now)
+                self.ownership.expect_transfer(now)
             case InterestDigest():
-                for answer in self.members.heard(sender, boot_epoch, message):
-                    self._say(sender, answer)
+                for answer in self.members.on_interest_digest(sender, boot_epoch, message):
+                    self._send(sender, answer)
                 self._neighbours.known(sender)
             case InterestQuery():
-                for part in self.members.asked(message):
-                    self._say(sender, part)
+                for part in self.members.on_interest_query(message):
+                    self._send(sender, part)
             case InterestSet():
-                self.members.told(message)
+                self.members.on_interest_set(message)
         self._tell_events()
 
     def tick(self, now: int) -> None:
         """Time has passed."""
         self._now = now
         if now >= self._next_beat:
-            self._next_beat = now + self.options.beat
+            self._next_beat = now + self.options.heartbeat
             self._look_around(now)
-            for name in self._neighbours.due(now, self.options.beat):
-                self._say(name, self.members.me(name))
+            for name in self._neighbours.due(now, self.options.heartbeat):
+                self._send(name, self.members.digest_for(name))
             self.feed.tick(now)
-            self.ownership.beat(now)
+            self.ownership.check_all(now)
         elif self.ownership.soon and now >= self.ownership.soon:
-            self.ownership.beat(now)
+            self.ownership.check_all(now)
         elif self.ownership.busy(now) and now >= self._next_poll:
             self._next_poll = now + POLL
             self.ownership.poll(now)
@@ -215,7 +215,9 @@
         """What an operator should see."""
         feed = self.feed
         return {
-            "carried": {name: {"epoch": one.epoch, "sequence": one.sequence} for name, one in feed.carried.items()},
+            "carried": {
+                name: {"epoch": one.epoch, "sequence": one.sequence} for name, one in feed.owned_channels.items()
+            },
             "channels": {
                 channel: {
                     "owner": known.owner,
@@ -226,11 +228,11 @@
                 }
                 for channel, known in feed.known.items()
             },
-            "states": {channel: own.state for channel, own in self.ownership.channels.items()},
+            "states": {channel: own.state.value for channel, own in self.ownership.channels.items()},
             "moves": {f"{old} {new}": count for (old, new), count in self.ownership.moves.items()},
-            "broken_parents": feed.edges.broken,
-            "refused_children": feed.edges.refused,
-            "odd": feed.odd,
+            "broken_parents": feed.subscriptions.broken,
+            "refused_children": feed.subscriptions.refused,
+            "odd": feed.rejected_leaps,
             "lost_events": self.lost_events,
         }
 
@@ -243,14 +245,14 @@
         self.feed.followed = self._follows.keys()
         if self.members.change(owns, self._follows):
             for name in sorted(self.membership_view.alive()):
-                self._say(name, self.members.me(name))
+                self._send(name, self.members.digest_for(name))
         if self.members.changes != self._seen_changes:
             self._seen_changes = self.members.changes
             self.placement.keep(self._taken())
             latest = {channel for channel, only in self._follows.items() if only}
             self.feed.joined({channel: self.members.followers(channel) for channel in sorted(self._taken())}, latest)
 
-    def _say(self, to: str, message: wire.ChannelMessage) -> None:
+    def _send(self, to: str, message: wire.ChannelMessage) -> None:
         self.feed.outgoing_messages.append(Message(to, wire.encode(message)))
 
     def _tell_events(self) -> None:
--- a/yardbank/cluster/channels/placement.py
+++ b/yardbank/cluster/channels/placement.py
@@ -56,7 +56,7 @@
             found = self._wide[names] = frozenset(self._zones.get(name, "") for name in names)
         return found
 
-    def worst_way(self, zone: str, zones: Collection[str]) -> int | None:
+    def worst_latency(self, zone: str, zones: Collection[str]) -> int | None:
         """The longest way from a zone to others, ns; None: one of them is not known."""
         longest = 0
         for other in zones:
@@ -68,7 +68,7 @@
 
     def cost(self, name: str, followers: frozenset[str]) -> int | None:
         """The longest way from a gateway's zone to its followers', ns; None: not known."""
-        return self.worst_way(self._zones.get(name, ""), self.zones(followers))
+        return self.worst_latency(self._zones.get(name, ""), self.zones(followers))
 
     def order(self, channel: str, candidates: frozenset[str], followers: frozenset[str] = frozenset()) -> list[str]:
         """Candidates, the best place first."""
@@ -87,7 +87,7 @@
         return sorted(names, key=lambda name: steps[self._zones[name]] or 0)
 
     def _step(self, zone: str, zones: Collection[str]) -> int | None:
-        way = self.worst_way(zone, zones)
+        way = self.worst_latency(zone, zones)
         return None if way is None else round(FINE * math.log2(max(way, MS) / MS))
 
 
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from yardbank.cluster.channels.api import SECOND, Delivered, Options
-from yardbank.cluster.channels.positions import PREFIX, Place, Positions, channel_of
+from yardbank.cluster.channels.positions import PREFIX, ListedServer, Positions, channel_of
 from yardbank.cluster.channels.service import Channels
 from yardbank.gateway.api import ProbeResult, ServerSpec
 from yardbank.timeline import Vector
@@ -20,7 +20,7 @@
         """Ask a server where it stands."""
 
     def told_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
-        """Marks that another gateway passed on; ``checked``: by questions of one's own, as ``trust`` does."""
+        """Marks that another gateway passed on; ``checked``: by questions of one's own, as ``verifier`` does."""
 
 
 class PositionFeeds:
@@ -49,16 +49,16 @@
     def start(self) -> None:
         """Begin; ``listed`` may have been called before."""
         self._running = True
-        self._act()
+        self._step()
 
     def listed(self, servers: Iterable[ServerSpec]) -> None:
         """The list of servers has changed: those that may be sent to."""
-        places = [Place(spec.name, spec.group, spec.start) for spec in servers if spec.state == "ready"]
+        places = [ListedServer(spec.name, spec.group, spec.start) for spec in servers if spec.state == "ready"]
         new, gone = self.decider.listed(self._now(), places)
         for group in new:
             channel = channel_of(group)
             try:
-                self._ends[group] = self._channels.follow(channel, self._took, latest=True)
+                self._ends[group] = self._channels.follow(channel, self._on_item, latest=True)
                 self._channels.own(channel, self._owned, self._ended)
             except ValueError as problem:
                 self._log.error("positions_not_fed", group=group, reason=str(problem))
@@ -66,7 +66,7 @@
             self._channels.disown(channel_of(group))
             if (end := self._ends.pop(group, None)) is not None:
                 end()
-        self._act()
+        self._step()
 
     def stop(self) -> None:
         """No more questions."""
@@ -76,35 +76,35 @@
 
     def view(self) -> dict[str, Any]:
         """What an operator should see."""
-        trust = self.decider.trust
+        verifier = self.decider.verifier
         return {
             "alone": self.decider.alone(),
-            "went_back": trust.back(),
-            "not_believed": dict(trust.not_believed),
+            "went_back": verifier.regressed(),
+            "not_believed": dict(verifier.rejected),
             "malformed": self.decider.malformed,
         }
 
     def _owned(self, channel: str, epoch: int) -> None:
         self.decider.owned(self._now(), channel.removeprefix(PREFIX))
-        self._act()
+        self._step()
 
     def _ended(self, channel: str, epoch: int) -> None:
         self.decider.ended(channel.removeprefix(PREFIX))
 
-    def _took(self, item: Delivered) -> None:
-        self.decider.took(self._now(), item)
-        self._hand_over()
+    def _on_item(self, item: Delivered) -> None:
+        self.decider.on_item(self._now(), item)
+        self._carry_out()
 
-    def _act(self) -> None:
+    def _step(self) -> None:
         if not self._running:
             return
         self.decider.tick(self._now())
-        self._hand_over()
+        self._carry_out()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._timer = self._reactor.callLater(max(0, self.decider.next_at() - self._now()) / SECOND, self._act)
+        self._timer = self._reactor.callLater(max(0, self.decider.next_at() - self._now()) / SECOND, self._step)
 
-    def _hand_over(self) -> None:
+    def _carry_out(self) -> None:
         """Carry out what the decider said."""
         asks, self.decider.asks = self.decider.asks, []
         for server in asks:
@@ -117,10 +117,10 @@
         items, self.decider.items = self.decider.items, []
         for channel, data in items:
             self._channels.publish(channel, data)  # not the owner any more, or full: the next one stands for itself
-        told, self.decider.told = self.decider.told, []
+        told, self.decider.verified_positions = self.decider.verified_positions, []
         for one in told:
             self._gateway.told_position(one.server, one.started, one.marks, checked=True)
-        for lie in self.decider.lies():
+        for lie in self.decider.false_reports():
             self._log.warning("positions_owner_lied", owner=lie.owner, boot_epoch=lie.boot_epoch, server=lie.server)
         alone = self.decider.alone()
         if alone != self._alone:
@@ -130,4 +130,4 @@
     def _answered(self, server: str, position: ProbeResult | None, sent_at: int) -> None:
         self.decider.answered(self._now(), server, position.marks if position is not None else None, sent_at)
         if self.decider.items:
-            self._hand_over()
+            self._carry_out()
--- a/yardbank/cluster/channels/positions.py
+++ b/yardbank/cluster/channels/positions.py
@@ -2,7 +2,7 @@
 
 Each group has a channel ``positions/GROUP``. Its owner asks the group's servers every so often and gives out their
 marks as they worded them, bound to the start that its list says. The others check an owner before they believe it
-(``trust``) and hand marks on to their own gateway, which places them by its own timeline; nobody's word on roles is
+(``verifier``) and hand marks on to their own gateway, which places them by its own timeline; nobody's word on roles is
 passed at all. Who hears nothing of a server for long enough asks it once itself, at a moment drawn by seed, and from
 then on as without the feed.
 
@@ -21,7 +21,7 @@
 import msgspec
 
 from yardbank.cluster.channels.api import MAX_DATA, MS, Delivered, Options
-from yardbank.cluster.channels.verification import Lie, Trust
+from yardbank.cluster.channels.verification import FalseReport, PositionVerifier
 from yardbank.timeline import Vector
 
 PREFIX = "positions/"
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class ListedServer:
     """One server as this gateway's list has it."""
 
     name: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class VerifiedPosition:
     """Marks for this gateway's own timeline."""
 
     server: str
@@ -57,15 +57,15 @@
 
 @dataclass(slots=True)
 class _Server:
-    place: Place
+    place: ListedServer
     alone: bool = True
     heard_at: int = 0
     patience: int = 0
     asked_at: int = 0  # as the owner; 0: no question is out
     next_at: int = 0  # when to ask, as the owner
-    silent: int = 0
+    unanswered: int = 0  # questions in a row that brought nothing
     fresh: Vector | None = None  # not given out yet
-    said: Vector = field(default_factory=dict)
+    last_published: Vector = field(default_factory=dict)
 
 
 class Positions:
@@ -73,10 +73,10 @@
 
     def __init__(self, name: str, random: Random, options: Options) -> None:
         self.name = name
-        self.trust = Trust(random)
+        self.verifier = PositionVerifier(random)
         self.asks: list[str] = []  # servers to ask now; the caller takes them
         self.items: list[tuple[str, bytes]] = []  # channel, what to give out on it; the caller takes them
-        self.told: list[Told] = []  # for the own gateway; the caller takes them
+        self.verified_positions: list[VerifiedPosition] = []  # for the own gateway; the caller takes them
         self.malformed = 0
         self._random, self._options = random, options
         self._servers: dict[str, _Server] = {}
@@ -85,7 +85,7 @@
         self._next_round: dict[str, int] = {}
         self._next_look = 0
 
-    def listed(self, now: int, places: Iterable[Place]) -> tuple[list[str], list[str]]:
+    def listed(self, now: int, places: Iterable[ListedServer]) -> tuple[list[str], list[str]]:
         """The servers, as the list has them; groups that are new, and that are no more."""
         before = set(self._groups)
         servers, self._groups = {}, {}
@@ -95,7 +95,7 @@
             servers[place.name] = known if known is not None and same else _Server(place, patience=self._draw())
             self._groups.setdefault(place.group, []).append(place.name)
         self._servers = servers
-        self.trust.listed({name: one.place.started for name, one in servers.items()})
+        self.verifier.listed({name: one.place.started for name, one in servers.items()})
         for group in self._owned.keys() - self._groups.keys():
             self.ended(group)
         return sorted(self._groups.keys() - before), sorted(before - self._groups.keys())
@@ -122,7 +122,7 @@
                 self._ask(now, group)
         if now >= self._next_look:
             self._next_look = now + min(self._options.every, 50 * MS)
-            self.asks += [name for name in self.trust.due(now) if not self._servers[name].asked_at]
+            self.asks += [name for name in self.verifier.due(now) if not self._servers[name].asked_at]
             for name, server in self._servers.items():
                 if not server.alone and now - server.heard_at > server.patience:
                     server.alone, server.patience = True, self._draw()
@@ -136,8 +136,8 @@
         for name in self._groups[group]:
             server = self._servers[name]
             if server.asked_at:
-                server.silent += 1  # the last question brought nothing
-                server.next_at = now + (self._options.every << min(server.silent, MOST_SILENT))
+                server.unanswered += 1  # the last question brought nothing
+                server.next_at = now + (self._options.every << min(server.unanswered, MOST_SILENT))
                 server.asked_at = 0
             elif now >= server.next_at:
                 server.asked_at = now
@@ -148,10 +148,10 @@
         known = self._servers.get(server)
         if known is None or marks is None:
             return
-        self.trust.answered(now, server, marks, sent_at)
+        self.verifier.answered(now, server, marks, sent_at)
         if known.place.group not in self._owned:
             return
-        known.asked_at = known.silent = 0
+        known.asked_at = known.unanswered = 0
         known.fresh = dict(marks)
         waiting = any(self._servers[name].asked_at for name in self._groups[known.place.group])
         if not waiting:
@@ -164,9 +164,9 @@
         for name in self._groups[group]:
             server = self._servers[name]
             marks, server.fresh = server.fresh, None
-            if marks is None or (marks == server.said and self._owned[group] % WHOLE):
+            if marks is None or (marks == server.last_published and self._owned[group] % WHOLE):
                 continue
-            server.said = marks
+            server.last_published = marks
             entry = name, server.place.started, dict(marks)
             octets = len(msgspec.msgpack.encode(entry))
             if octets > MAX_DATA - 8:
@@ -180,7 +180,7 @@
         if entries:
             self.items.append((channel_of(group), msgspec.msgpack.encode(entries)))
 
-    def took(self, now: int, item: Delivered) -> None:
+    def on_item(self, now: int, item: Delivered) -> None:
         """An item of a group's channel."""
         if item.owner == self.name:
             return  # what this gateway asked itself, its gateway knows
@@ -194,13 +194,13 @@
             known = self._servers.get(name)
             if known is None or known.place.group != group:
                 continue  # another list: nobody's word brings in a server
-            if self.trust.told(now, item.owner, item.boot_epoch, item.epoch, name, started, marks):
+            if self.verifier.on_report(now, item.owner, item.boot_epoch, item.epoch, name, started, marks):
                 known.alone, known.heard_at = False, now
-                self.told.append(Told(name, started, marks))
+                self.verified_positions.append(VerifiedPosition(name, started, marks))
 
-    def lies(self) -> list[Lie]:
+    def false_reports(self) -> list[FalseReport]:
         """Lies found since this was asked last."""
-        found, self.trust.lies = self.trust.lies, []
+        found, self.verifier.false_reports = self.verifier.false_reports, []
         return found
 
     def alone(self) -> list[str]:
--- a/yardbank/cluster/channels/service.py
+++ b/yardbank/cluster/channels/service.py
@@ -126,7 +126,7 @@
         self._prompt()
 
         def look() -> None:
-            left = self.part.held()
+            left = self.part.held_channels()
             if left and self._now() < end:
                 self._reactor.callLater(LOOK, look)
                 return
--- a/yardbank/cluster/channels/subscriptions.py
+++ b/yardbank/cluster/channels/subscriptions.py
@@ -32,7 +32,7 @@
     attempt: int = 0
 
 
-class Edges:
+class Subscriptions:
     """This gateway's place in the trees of its channels."""
 
     def __init__(self, name: str, fan_out: int, random: Random) -> None:
--- a/yardbank/cluster/channels/verification.py
+++ b/yardbank/cluster/channels/verification.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Lie:
+class FalseReport:
     """An owner told of a server what it did not have, twice."""
 
     owner: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class _Word:
+class _OwnerReport:
     """What one owner said of one server under one epoch."""
 
     owner: str
@@ -75,49 +75,51 @@
     high: dict[str, LogPosition] = field(default_factory=dict)  # all that was believed or answered
     own: Vector = field(default_factory=dict)  # its own last answer
     own_at: int = 0  # when it was asked for
-    back: bool = False
-    look_at: int = 0  # while back
-    word: _Word | None = None
+    regressed: bool = False  # its positions went back for the same start
+    look_at: int = 0  # while it is regressed
+    report: _OwnerReport | None = None
 
 
-class Trust:
+class PositionVerifier:
     """One gateway's belief in what owners say of servers."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._servers: dict[str, _Server] = {}
-        self._liars: dict[tuple[str, int], None] = {}
-        self.lies: list[Lie] = []  # found; the caller takes them
-        self.not_believed: Counter[str] = Counter()  # words, by why
+        self._distrusted: dict[tuple[str, int], None] = {}
+        self.false_reports: list[FalseReport] = []  # found; the caller takes them
+        self.rejected: Counter[str] = Counter()  # words, by why
 
     def listed(self, servers: Mapping[str, int]) -> None:
         """Servers of the list, and their starts. Another start: nothing is known of it."""
         kept = {name: one for name, one in self._servers.items() if servers.get(name) == one.started}
         self._servers = {name: kept.get(name) or _Server(started) for name, started in servers.items()}
 
-    def told(self, now: int, owner: str, boot_epoch: int, epoch: int, server: str, started: int, marks: Vector) -> bool:
+    def on_report(
+        self, now: int, owner: str, boot_epoch: int, epoch: int, server: str, started: int, marks: Vector
+    ) -> bool:
         """An owner's word on a server; whether it may be passed on."""
         known = self._servers.get(server)
         if known is None or known.started != started:
-            return self._not("another start")
-        if (owner, boot_epoch) in self._liars:
-            return self._not("a liar's")
+            return self._reject("another start")
+        if (owner, boot_epoch) in self._distrusted:
+            return self._reject("a liar's")
         if len(marks) > MOST_ORIGINS:
-            return self._not("too long")
-        word = known.word
-        if word is None or (word.owner, word.boot_epoch, word.epoch) != (owner, boot_epoch, epoch):
-            word = known.word = _Word(owner, boot_epoch, epoch)
-        if not has(marks, word.last):
+            return self._reject("too long")
+        report = known.report
+        if report is None or (report.owner, report.boot_epoch, report.epoch) != (owner, boot_epoch, epoch):
+            report = known.report = _OwnerReport(owner, boot_epoch, epoch)
+        if not has(marks, report.last):
             self._went_back(now, known)
-        word.last = dict(marks)
-        if word.test is None and (word.state != TRUSTED or now >= word.check_at):
-            word.test, word.tested_at = dict(marks), now
-            wait = {UNTESTED: FIRST, STRUCK: AGAIN}.get(word.state, 0)
-            word.check_at = now + round(wait * self._random.random())
-        if known.back:
-            return self._not("it went back")
-        if word.state != TRUSTED:
-            return self._not(word.state)
+        report.last = dict(marks)
+        if report.test is None and (report.state != TRUSTED or now >= report.check_at):
+            report.test, report.tested_at = dict(marks), now
+            wait = {UNTESTED: FIRST, STRUCK: AGAIN}.get(report.state, 0)
+            report.check_at = now + round(wait * self._random.random())
+        if known.regressed:
+            return self._reject("it went back")
+        if report.state != TRUSTED:
+            return self._reject(report.state)
         self._rise(known, marks)
         return True
 
@@ -128,48 +130,48 @@
             return
         went_back = not has(marks, known.own)
         known.own, known.own_at = dict(marks), sent_at
-        if known.back and has(marks, known.high):
-            known.back = False
+        if known.regressed and has(marks, known.high):
+            known.regressed = False
         elif went_back:
             self._went_back(now, known)
-        if not known.back:
+        if not known.regressed:
             self._rise(known, marks)
-        word = known.word
-        if word is None or word.test is None or sent_at < word.tested_at:
+        report = known.report
+        if report is None or report.test is None or sent_at < report.tested_at:
             return
-        test, word.test = word.test, None
+        test, report.test = report.test, None
         if has(marks, test):
-            word.state = TRUSTED
-            word.check_at = now + round(SPOT * (0.25 + 0.75 * self._random.random()))
-        elif known.back:
-            word.state = UNTESTED  # it says nothing of the owner
-        elif word.state == STRUCK:
-            self._lied(server, word)
+            report.state = TRUSTED
+            report.check_at = now + round(SPOT * (0.25 + 0.75 * self._random.random()))
+        elif known.regressed:
+            report.state = UNTESTED  # it says nothing of the owner
+        elif report.state == STRUCK:
+            self._distrust(server, report)
         else:
-            word.state = STRUCK
+            report.state = STRUCK
 
     def due(self, now: int) -> list[str]:
         """Servers that this gateway is to ask itself now, to check a word; again a while later if no answer comes."""
         found = []
         for name, known in self._servers.items():
-            word = known.word
-            if word is not None and word.test is not None and now >= word.check_at:
-                word.check_at = now + AGAIN
+            report = known.report
+            if report is not None and report.test is not None and now >= report.check_at:
+                report.check_at = now + AGAIN
                 found.append(name)
-            elif known.back and now >= known.look_at:
+            elif known.regressed and now >= known.look_at:
                 known.look_at = now + round(BACK_EVERY * (0.5 + self._random.random()))
                 found.append(name)
         return found
 
-    def back(self) -> list[str]:
+    def regressed(self) -> list[str]:
         """Servers whose marks went back for the same start."""
-        return sorted(name for name, known in self._servers.items() if known.back)
+        return sorted(name for name, known in self._servers.items() if known.regressed)
 
     def _went_back(self, now: int, known: _Server) -> None:
-        if not known.back:
-            known.back, known.look_at = True, now + round(AGAIN * self._random.random())
-        if known.word is not None:
-            self._rise(known, known.word.last if known.word.state == TRUSTED else {})
+        if not known.regressed:
+            known.regressed, known.look_at = True, now + round(AGAIN * self._random.random())
+        if known.report is not None:
+            self._rise(known, known.report.last if known.report.state == TRUSTED else {})
 
     def _rise(self, known: _Server, marks: Vector) -> None:
         for origin, mark in marks.items():
@@ -178,12 +180,12 @@
         while len(known.high) > MOST_ORIGINS:
             del known.high[next(iter(known.high))]
 
-    def _lied(self, server: str, word: _Word) -> None:
-        self._liars[word.owner, word.boot_epoch] = None
-        while len(self._liars) > MOST_LIARS:
-            del self._liars[next(iter(self._liars))]
-        self.lies.append(Lie(word.owner, word.boot_epoch, server))
+    def _distrust(self, server: str, report: _OwnerReport) -> None:
+        self._distrusted[report.owner, report.boot_epoch] = None
+        while len(self._distrusted) > MOST_LIARS:
+            del self._distrusted[next(iter(self._distrusted))]
+        self.false_reports.append(FalseReport(report.owner, report.boot_epoch, server))
 
-    def _not(self, why: str) -> bool:
-        self.not_believed[why] += 1
+    def _reject(self, why: str) -> bool:
+        self.rejected[why] += 1
         return False
