--- a/tests/cluster/channels/test_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -20,8 +20,8 @@
     old = found.owner(channel)[0]
     part, now = found.running[old].part, found.gossip.own(old)
     own = part.ownership.channels[channel]
-    new = part.ownership._successors(channel, own, part.ownership.loads())[0]
-    assert part.ownership._transfer(now, channel, own, new)
+    new = part.ownership.succession.successors(channel, own, part.ownership.loads())[0]
+    assert part.ownership.transfers.begin(now, channel, own, new)
     found.gossip.prompt(old)
     return channel, old, new
 
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -132,14 +132,14 @@
 
 def restless():
     """Hands on whatever it has, as soon as it can."""
-    from yardbank.cluster.channels.ownership import Ownership, OwnershipPhase
+    from yardbank.cluster.channels.transfers import Transfers
 
     def always(self, now, loads):
-        for channel, own in self.channels.items():
-            if own.state == OwnershipPhase.OWNER and (names := self._successors(channel, own, loads)):
-                self._transfer(now, channel, own, names[0])
+        for channel, own in self._table.owned():
+            if names := self._succession.successors(channel, own, loads):
+                self.begin(now, channel, own, names[0])
 
-    Ownership._transfer_to_better = always
+    Transfers.to_better = always
 
 
 def eager():
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -1,48 +1,49 @@
-"""When a gateway bids for a channel, and what it does once it has it. No I/O; times (ns) come in.
+"""When a gateway becomes a candidate for a channel without an owner. No I/O; times (ns) come in.
 
-Safety is the lease's. A channel without an owner is bid for by turns: the first by placement as soon as the owner is
-silent, the others later by rank: a fleet that starts at once, or loses many owners, does not ask for all at a time.
+Safety is the lease's. Candidates come one after another by rank: the first by placement as soon as the owner is silent,
+the others later. So a fleet that starts at once, or loses many owners, does not request all leases at the same time.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import dataclass
 from random import Random
 
-from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels import placement as placing
-from yardbank.cluster.channels.api import MS, PREFIX, SECOND, Ended, Options, Owned, resource
+from yardbank.cluster.channels.api import MS, SECOND, Options, resource
+from yardbank.cluster.channels.channel_table import ChannelTable
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.members import Members
-from yardbank.cluster.channels.messages import EndQuery
 from yardbank.cluster.channels.placement import Placement
-from yardbank.cluster.channels.states import (
-    CHANGING,
-    LEASED,
-    NOT_REQUESTED,
-    PUBLISHING,
-    OwnershipPhase,
-    OwnerState,
-)
-from yardbank.cluster.lease.api import OWNED, Leases
-from yardbank.cluster.peers.parts import MembershipView, Message
+from yardbank.cluster.channels.states import NOT_REQUESTED, OwnershipPhase, OwnerState
+from yardbank.cluster.channels.succession import DIRECT_HEIRS
+from yardbank.cluster.lease.api import Leases
+from yardbank.cluster.peers.parts import MembershipView
 
 CANDIDACY_STEP = 300 * MS  # between the candidacies of two ranks
-DIRECT_HEIRS = 3  # so many hear from the owner directly that it lives
-FAR_RANK_DELAY = 1500 * MS  # the others hear it over the tree, so they wait longer for its heartbeat
+FAR_RANK_DELAY = 1500 * MS  # beyond the heirs: they hear the owner over the tree, so they wait longer for its heartbeat
 MAX_RANK = 12  # beyond, all wait alike
 STARTUP_PERIOD = 15 * SECOND  # so long after a start whom nothing is known of counts as a candidate too
 MAX_CANDIDACIES = 8  # at a time
-POLL = 20 * MS  # between two looks at what became of a bid
-ASK_END = 50 * MS
-PATIENCE = 2  # leases: how long one bids
+PATIENCE = 2  # leases: how long one is a candidate
+MISSED_HEARTBEATS = 3  # after so many an owner counts as silent
+
+
+@dataclass(slots=True, frozen=True)
+class Orphans:
+    """Channels without an owner for which the first rank is due."""
+
+    candidates: dict[str, list[str]]  # by channel, the best first
+    most: int  # channels that one gateway may have
 
 
 class Election:
-    """All channels that this gateway would carry."""
+    """This gateway's candidacies."""
 
     def __init__(
         self,
+        table: ChannelTable,
         membership_view: MembershipView,
         leases: Leases,
         members: Members,
@@ -51,225 +52,114 @@
         options: Options,
         random: Random,
     ) -> None:
-        self.channels: dict[str, OwnerState] = {}
-        self.stopping = False
-        self.moves: Counter[tuple[OwnershipPhase, OwnershipPhase]] = Counter()  # of ``TABLE``
-        self._membership_view, self._leases, self._members, self._feed = membership_view, leases, members, feed
-        self._placement, self._options, self._random = placement, options, random
-        self._began = self._expects = 0
-        self._busy: set[str] = set()  # channels of which something is to happen soon
-        self._held_channels: set[str] = set()  # that are carried, or about to be
-
-    def acquire(self, now: int, channel: str) -> None:
-        """Carry it whenever that is this gateway's turn."""
+        self._table = table
+        self._membership_view = membership_view
+        self._leases = leases
+        self._members = members
+        self._placement = placement
+        self._feed = feed
+        self._options = options
+        self._random = random
+        self._began = 0  # when the first channel became of interest; 0: none has
+
+    def begin(self, now: int) -> None:
+        """A channel is of interest."""
         self._began = self._began or now
-        self.channels.setdefault(channel, OwnerState(now, at=now))
-
-    def withdraw(self, now: int, channel: str) -> None:
-        """No more; whoever comes next bids for it."""
-        own = self.channels.pop(channel, None)
-        if own is not None and own.state not in NOT_REQUESTED:
-            self._leases.release(now, resource(channel))
-            self._end(now, channel, own, "given up")
-        self._busy.discard(channel)
-        self._held_channels.discard(channel)
-
-    def held_channels(self) -> list[str]:
-        """What is carried here, or about to be."""
-        return sorted(self._held_channels)
-
-    def epoch(self, now: int, channel: str) -> int | None:
-        """Under which epoch an item may go out at this very time; None: none may."""
-        own = self.channels.get(channel)
-        if own is None or own.state not in PUBLISHING:
-            return None
-        epoch = self._leases.epoch(now, resource(channel))
-        return epoch if epoch == own.epoch else None
-
-    # Looking
-
-    def poll(self, now: int) -> None:
-        """What the leases say."""
-        for name, source in self._leases.offered(PREFIX):
-            channel = name.removeprefix(PREFIX)
-            own = self.channels.get(channel)
-            if own is not None and own.state not in LEASED and not self.stopping:
-                if own.state != OwnershipPhase.CANDIDATE:
-                    self._stand(now, channel, own)
-                own.source, own.at = source, now
-        for turn in self._leases.turns(PREFIX):
-            channel = turn.resource.removeprefix(PREFIX)
-            own = self.channels.get(channel)
-            if turn.what == OWNED:
-                self._granted(now, channel, own, turn.epoch)
-            elif own is not None and own.epoch == turn.epoch and own.state in LEASED:
-                self._lost(now, channel, own, turn.why or "the lease ended")
-        for channel in sorted(self._busy):
-            own = self.channels[channel]
-            if own.state == OwnershipPhase.TAKING_OVER:
-                self._enter(now, channel, own)
-            elif own.state == OwnershipPhase.TRANSFERRING and now - own.at > self._options.overlap + 250 * MS:
-                own.tried.add(own.to)
-                self._move(now, channel, own, OwnershipPhase.OWNER)
-
-    def expect_transfer(self, now: int) -> None:
-        """Another hands on to this gateway; the lease's own word may come a little later."""
-        self._expects = now + self._options.overlap
-        self.poll(now)
-
-    def busy(self, now: int) -> bool:
-        """Whether ``poll`` should come soon again."""
-        return now < self._expects or bool(self._busy)
 
-    def loads(self) -> Counter[str]:
-        """How many channels each gateway carries, as far as is known here."""
-        found = Counter(known.owner for known in self._feed.known.values() if not known.over)
-        found[self._membership_view.name] = len(self.held_channels())
-        return found
+    def stand(self, now: int, channel: str, own: OwnerState) -> None:
+        """Request the lease."""
+        self._leases.acquire(now, resource(channel))
+        self._table.move(now, channel, own, OwnershipPhase.CANDIDATE)
 
-    def _check_candidacies(self, now: int) -> None:
-        for channel in sorted(self._busy):
-            own = self.channels[channel]
+    def end_hopeless(self, now: int) -> None:
+        """Give up candidacies for channels that others took, or that lasted too long."""
+        for channel in self._table.changing():
+            own = self._table.channels[channel]
             if own.state != OwnershipPhase.CANDIDATE:
                 continue
-            known = self._feed.known.get(channel)
-            taken = (
-                known is not None
-                and not known.over
-                and known.owner != self._membership_view.name
-                and known.heard_at > own.at
-            )
-            patient = self._options.overlap * 2 if own.source else self._options.term * PATIENCE
-            if (taken and not own.source) or now - own.at > patient or self.stopping:
-                self._leases.release(now, resource(channel))
-                own.source = ""
-                own.not_before = now + (0 if taken else round(self._random.uniform(0.2, 1) * self._options.term))
-                self._move(now, channel, own, OwnershipPhase.IDLE)
+            taken = self._taken(channel, own)
+            expired = now - own.at > self._patience(own)
+            if not ((taken and not own.source) or expired or self._table.stopping):
+                continue
+            self._leases.release(now, resource(channel))
+            own.source = ""
+            own.not_before = now
+            if not taken:
+                own.not_before += round(self._random.uniform(0.2, 1) * self._options.term)
+            self._table.move(now, channel, own, OwnershipPhase.IDLE)
+
+    def _taken(self, channel: str, own: OwnerState) -> bool:
+        """Whether another owner was heard since the candidacy began."""
+        known = self._feed.known.get(channel)
+        if known is None or known.over:
+            return False
+        return known.owner != self._membership_view.name and known.heard_at > own.at
+
+    def _patience(self, own: OwnerState) -> int:
+        if own.source:
+            return self._options.overlap * 2
+        return self._options.term * PATIENCE
 
-    def _check_silent_owners(self, now: int, loads: Counter[str]) -> None:
-        orphans: dict[str, list[str]] = {}
+    def replace_silent_owners(self, now: int, loads: Counter[str]) -> None:
+        """Stand for channels without an owner, once this gateway's rank is due."""
+        orphans = self._orphans(now)
+        for channel, queue in placing.place(orphans.candidates, loads, orphans.most).items():
+            if self._membership_view.name not in queue:
+                continue
+            own = self._table.channels[channel]
+            if own.state == OwnershipPhase.IDLE:
+                self._table.move(now, channel, own, OwnershipPhase.WAITING)
+            own.candidacy_at = self._candidacy_time(channel, own, queue.index(self._membership_view.name))
+            if now >= own.candidacy_at and self._table.changing_count() < MAX_CANDIDACIES:
+                self.stand(now, channel, own)
+
+    def _orphans(self, now: int) -> Orphans:
+        strangers: frozenset[str] = frozenset()
+        if now < self._began + STARTUP_PERIOD:  # at a start nobody knows who else there is
+            strangers = self._members.strangers(self._membership_view.zones())
+        found: dict[str, list[str]] = {}
         most = 1
-        young = now < self._began + STARTUP_PERIOD  # at a start nobody knows who else there is
-        strangers = self._members.strangers(self._membership_view.zones()) if young else frozenset()
-        for channel, own in self.channels.items():
+        for channel, own in self._table.channels.items():
             if own.state not in NOT_REQUESTED:
                 continue
             if not self._silent(now, channel):
                 if own.state == OwnershipPhase.WAITING:
-                    self._move(now, channel, own, OwnershipPhase.IDLE)
-                continue
-            if now < self._candidacy_time(channel, own, 0):
+                    self._table.move(now, channel, own, OwnershipPhase.IDLE)
                 continue
-            known, names = self._feed.known.get(channel), self._members.candidates(channel)
-            if known is None:
-                names |= strangers
-            elif not known.over:
-                names -= {known.owner}
-            orphans[channel] = self._placement.order(channel, names, self._members.followers(channel))
-            most = max(most, placing.bound(len(self.channels), len(names)))
-        for channel, queue in placing.place(orphans, loads, most).items():
-            own = self.channels[channel]
-            if self._membership_view.name not in queue:
-                continue
-            if own.state == OwnershipPhase.IDLE:
-                self._move(now, channel, own, OwnershipPhase.WAITING)
-            own.candidacy_at = self._candidacy_time(channel, own, queue.index(self._membership_view.name))
-            if now >= own.candidacy_at and len(self._busy) < MAX_CANDIDACIES:
-                self._stand(now, channel, own)
+            if now >= self._candidacy_time(channel, own, 0):
+                names = self._candidates(channel, strangers)
+                found[channel] = self._placement.order(channel, names, self._members.followers(channel))
+                most = max(most, placing.bound(len(self._table.channels), len(names)))
+        return Orphans(found, most)
+
+    def _candidates(self, channel: str, strangers: frozenset[str]) -> frozenset[str]:
+        names = self._members.candidates(channel)
+        known = self._feed.known.get(channel)
+        if known is None:
+            return names | strangers
+        if known.over:
+            return names
+        return names - {known.owner}
 
     def _silent(self, now: int, channel: str) -> bool:
         known = self._feed.known.get(channel)
-        return known is None or known.over or now - known.heard_at > 3 * self._options.heartbeat
+        if known is None or known.over:
+            return True
+        return now - known.heard_at > MISSED_HEARTBEATS * self._options.heartbeat
 
     def _candidacy_time(self, channel: str, own: OwnerState, rank: int) -> int:
-        known, term = self._feed.known.get(channel), self._options.term
+        """When the candidate of a rank stands."""
+        known = self._feed.known.get(channel)
+        term = self._options.term
         rank = min(rank, MAX_RANK)
         if known is None:  # voters that have just started are silent for one lease
             begin = own.since + term + SECOND
         elif known.over:
             begin = max(own.at, known.heard_at)
         elif rank == 0:  # alone until the lease must be over: several that ask as it ends take votes from each other
-            begin = known.heard_at + 3 * self._options.heartbeat
+            begin = known.heard_at + MISSED_HEARTBEATS * self._options.heartbeat
+        elif rank < DIRECT_HEIRS:
+            begin = known.heard_at + term
         else:
-            begin = known.heard_at + term + (FAR_RANK_DELAY if rank >= DIRECT_HEIRS else 0)
+            begin = known.heard_at + term + FAR_RANK_DELAY
         return max(begin + rank * CANDIDACY_STEP, own.not_before)
-
-    # Changes of state
-
-    def _move(self, now: int, channel: str, own: OwnerState, state: OwnershipPhase) -> None:
-        self.moves[own.state, state] += 1
-        own.state = state
-        own.at = now
-        self._mark(self._busy, channel, state in CHANGING)
-        self._mark(self._held_channels, channel, state in LEASED)
-
-    def _mark(self, channels: set[str], channel: str, member: bool) -> None:
-        if member:
-            channels.add(channel)
-        else:
-            channels.discard(channel)
-
-    def _stand(self, now: int, channel: str, own: OwnerState) -> None:
-        self._leases.acquire(now, resource(channel))
-        self._move(now, channel, own, OwnershipPhase.CANDIDATE)
-
-    def _granted(self, now: int, channel: str, own: OwnerState | None, epoch: int) -> None:
-        if own is None or own.state in NOT_REQUESTED or self.stopping:
-            self._leases.release(now, resource(channel))  # too late: it is not wanted any more
-            return
-        if own.state != OwnershipPhase.CANDIDATE:
-            self._end(now, channel, own, "granted anew")
-        own.epoch, own.tried = epoch, set()
-        if own.source:
-            self._move(now, channel, own, OwnershipPhase.TAKING_OVER)
-            self._enter(now, channel, own)
-        else:
-            self._carry(now, channel, own)
-
-    def _enter(self, now: int, channel: str, own: OwnerState) -> None:
-        """Begin once the one before is known to have ended: then nothing is missed at the change."""
-        end = self._feed.ends.get(channel)
-        known = self._feed.known.get(channel)
-        told = end is not None and known is not None and known.over and end[0] == known.epoch < own.epoch
-        if told or now - own.at >= self._options.overlap:
-            self._carry(now, channel, own)
-        elif now - own.asked_at >= ASK_END:
-            own.asked_at = now
-            self._send(own.source, EndQuery(channel, own.epoch))
-
-    def _carry(self, now: int, channel: str, own: OwnerState) -> None:
-        own.source = ""
-        self._move(now, channel, own, OwnershipPhase.OWNER)
-        self._feed.heirs[channel] = self._heirs(channel, self.loads())
-        self._feed.carry(now, channel, own.epoch)
-        self._feed.events.append(Owned(channel, own.epoch))
-
-    def _lost(self, now: int, channel: str, own: OwnerState, why: str) -> None:
-        """The lease is over; where that was not planned it is still wanted."""
-        state = OwnershipPhase.IDLE if own.state == OwnershipPhase.TRANSFERRING else OwnershipPhase.CANDIDATE
-        if state == OwnershipPhase.IDLE:
-            self._leases.release(now, resource(channel))
-            own.not_before = now + 2 * self._options.overlap
-        self._end(now, channel, own, why, state)
-
-    def _end(
-        self, now: int, channel: str, own: OwnerState, why: str, state: OwnershipPhase = OwnershipPhase.IDLE
-    ) -> None:
-        was_owner = own.state in PUBLISHING
-        self._move(now, channel, own, state)
-        if was_owner:
-            self._feed.stop(now, channel, [own.to] if own.to else [])
-            self._feed.events.append(Ended(channel, own.epoch, why))
-        own.source = own.to = ""
-        own.better_since = 0
-        self._feed.heirs.pop(channel, None)
-
-    def _heirs(self, channel: str, loads: Counter[str]) -> list[str]:
-        """Who would be next if this gateway died; they are told directly that it lives."""
-        names = self._members.candidates(channel) - {self._membership_view.name}
-        most = placing.bound(len(self.channels), len(names) + 1)
-        order = self._placement.order(channel, names, self._members.followers(channel))
-        return placing.turns(order, loads, most)[:DIRECT_HEIRS]
-
-    def _send(self, to: str, message: wire.ChannelMessage) -> None:
-        self._feed.outgoing_messages.append(Message(to, wire.encode(message), urgent=True))
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -73,6 +73,10 @@
         body = wire.encode(item)
         self.outgoing_messages += [Message(name, body) for name in to]
 
+    def send_urgent(self, to: str, message: wire.ChannelMessage) -> None:
+        """A message that does not wait for the next batch."""
+        self.outgoing_messages.append(Message(to, wire.encode(message), urgent=True))
+
     def tick(self, now: int) -> None:
         """One beat."""
         self._beats += 1
--- a/yardbank/cluster/channels/ownership.py
+++ b/yardbank/cluster/channels/ownership.py
@@ -1,62 +1,199 @@
-"""Who carries a channel, as one gateway sees it: keep it, hand it on, and to whom. No I/O; times (ns) come in.
+"""Who owns a channel, as one gateway sees it. No I/O; times (ns) come in.
 
-Who holds a channel keeps it, until it has too many, another place is better by far and for long, or it stops. Then one
-successor after another is offered the lease; where none takes it, it is given up and whoever's turn it is bids.
+``Ownership`` holds the parts: ``ChannelTable`` (phases), ``Election`` (candidacies), ``Tenure`` (from grant to end),
+``Succession`` (who is next) and ``Transfers`` (planned ends); it passes on what leases and other gateways say. An owner
+keeps a channel until it has too many, another place is much better for long, or it stops.
 """
 
 from __future__ import annotations
 
-import math
 from collections import Counter
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable
+from random import Random
 
-from yardbank.cluster.channels import placement as placing
-from yardbank.cluster.channels.api import MS, SECOND, resource
+from yardbank.cluster.channels.api import MS, PREFIX, SECOND, Options, resource
+from yardbank.cluster.channels.channel_table import ChannelTable
 from yardbank.cluster.channels.election import Election
-from yardbank.cluster.channels.messages import EndedAt, EndQuery, TransferNotice
-from yardbank.cluster.channels.placement import BETTER, BETTER_BY
-from yardbank.cluster.channels.states import OwnershipPhase, OwnerState
+from yardbank.cluster.channels.feed import Feed
+from yardbank.cluster.channels.members import Members
+from yardbank.cluster.channels.messages import EndedAt, EndQuery
+from yardbank.cluster.channels.placement import Placement
+from yardbank.cluster.channels.states import LEASED, NOT_REQUESTED, PUBLISHING, OwnershipPhase, OwnerState
+from yardbank.cluster.channels.succession import Succession
+from yardbank.cluster.channels.tenure import Tenure
+from yardbank.cluster.channels.transfers import Transfers
+from yardbank.cluster.lease.api import OWNED, Leases
+from yardbank.cluster.peers.parts import MembershipView
+
+POLL = 20 * MS  # between two polls of the leases while something changes
+CONTEST_INTERVAL = SECOND  # between two requests of a lease above an epoch that others have seen
+PLACEMENT_HEARTBEATS = 4  # between two looks at heirs and better places
+TRANSFER_SLACK = 250 * MS  # beyond the overlap, before a successor counts as one that does not take it
+SOON = 10 * MS  # after an owner's end
+
+
+class Ownership:
+    """All channels that this gateway would own."""
+
+    def __init__(
+        self,
+        membership_view: MembershipView,
+        leases: Leases,
+        members: Members,
+        placement: Placement,
+        feed: Feed,
+        options: Options,
+        random: Random,
+    ) -> None:
+        self.heard_epoch: Callable[[int, int], object] | None = None  # tells the leases to grant above an epoch
+        self.soon = 0  # an owner said that it ended: when to look who is next; 0: nothing
+        self.table = ChannelTable(membership_view.name)
+        self.succession = Succession(self.table, membership_view, members, placement)
+        self.tenure = Tenure(self.table, leases, self.succession, feed, options)
+        self.transfers = Transfers(self.table, leases, self.succession, self.tenure, members, placement, feed, options)
+        self.election = Election(self.table, membership_view, leases, members, placement, feed, options, random)
+        self._leases = leases
+        self._feed = feed
+        self._options = options
+        self._expects_until = 0  # a transfer to this gateway was announced
+        self._heartbeats = 0
+
+    @property
+    def channels(self) -> dict[str, OwnerState]:
+        """Those of interest, with their phases."""
+        return self.table.channels
+
+    @property
+    def stopping(self) -> bool:
+        """Whether this gateway is about to end."""
+        return self.table.stopping
+
+    def acquire(self, now: int, channel: str) -> None:
+        """Own it whenever that is this gateway's turn."""
+        self.election.begin(now)
+        self.channels.setdefault(channel, OwnerState(now, at=now))
+
+    def withdraw(self, now: int, channel: str) -> None:
+        """Own it no more; the next candidate takes it."""
+        own = self.channels.pop(channel, None)
+        if own is not None and own.state not in NOT_REQUESTED:
+            self._leases.release(now, resource(channel))
+            self.tenure.end(now, channel, own, "given up")
+        self.table.forget(channel)
 
-MAX_SUCCESSORS_TRIED = 3  # successors, before a channel is given up without one
-MAX_TRANSFERS, MAX_TRANSFERS_AT_STOP = 4, 64  # at a time
-BETTER_FOR = 10 * SECOND
-CONTEST = SECOND  # between two bids to come above an epoch that others have seen
-LOOK_EVERY = 4  # beats, after heirs and better places
+    def stop(self, now: int) -> None:
+        """This gateway is about to end: all it has goes to others."""
+        self.table.stopping = True
+        self.check_all(now)
 
+    def held_channels(self) -> list[str]:
+        """Channels that are owned here, or about to be."""
+        return self.table.leased()
 
-class Ownership(Election):
-    """All channels that this gateway would carry."""
+    def loads(self) -> Counter[str]:
+        """How many channels each gateway owns, as far as is known here."""
+        return self.table.loads(self._feed.known.values())
 
-    prefer: Callable[[Iterable[str]], Sequence[str]] | None = None  # who should be next at a planned end
-    heard_epoch: Callable[[int, int], object] | None = None  # tells the leases of one: the next is to be above it
-    soon = 0  # an owner said that it ended: when to look who is next; 0: nothing
-    _beats = 0
+    def epoch(self, now: int, channel: str) -> int | None:
+        """Under which epoch an item may go out at this very time; None: none may."""
+        own = self.channels.get(channel)
+        if own is None or own.state not in PUBLISHING:
+            return None
+        epoch = self._leases.epoch(now, resource(channel))
+        return epoch if epoch == own.epoch else None
 
-    def stop(self, now: int) -> None:
-        """This gateway is about to end: all it has goes to others."""
-        self.stopping = True
-        self.check_all(now)
+    # Time
 
     def check_all(self, now: int) -> None:
-        """Look after everything, at each beat and whenever an owner said that it ended."""
+        """Look after everything, at each heartbeat and whenever an owner said that it ended."""
         self.soon = 0
-        self._beats += 1
+        self._heartbeats += 1
         self.poll(now)
         loads = self.loads()
-        self._check_candidacies(now)
+        self.election.end_hopeless(now)
         if not self.stopping:
-            self._check_silent_owners(now, loads)
+            self.election.replace_silent_owners(now, loads)
         self._check_owned(now, loads)
 
     def busy(self, now: int) -> bool:
         """Whether ``poll`` should come soon again."""
-        return super().busy(now) or (self.stopping and bool(self.held_channels()))
+        if now < self._expects_until or self.table.changing_count():
+            return True
+        return self.stopping and bool(self.held_channels())
 
     def poll(self, now: int) -> None:
-        """What the leases say; at a stop, who is next where the last one asked did not take it."""
-        super().poll(now)
+        """Take in what the leases say; at a stop, offer the next successors what the last ones did not take."""
+        self._take_offers(now)
+        self._take_lease_events(now)
+        self._check_changing(now)
         if self.stopping:
-            self._transfer_all(now)
+            self.transfers.all(now)
+
+    def _take_offers(self, now: int) -> None:
+        for name, source in self._leases.offered(PREFIX):
+            channel = name.removeprefix(PREFIX)
+            own = self.channels.get(channel)
+            if own is None or own.state in LEASED or self.stopping:
+                continue
+            if own.state != OwnershipPhase.CANDIDATE:
+                self.election.stand(now, channel, own)
+            own.source = source
+            own.at = now
+
+    def _take_lease_events(self, now: int) -> None:
+        for event in self._leases.turns(PREFIX):
+            channel = event.resource.removeprefix(PREFIX)
+            own = self.channels.get(channel)
+            if event.what == OWNED:
+                self.tenure.granted(now, channel, own, event.epoch)
+            elif own is not None and own.epoch == event.epoch and own.state in LEASED:
+                self.tenure.lost(now, channel, own, event.why or "the lease ended")
+
+    def _check_changing(self, now: int) -> None:
+        for channel in self.table.changing():
+            own = self.channels[channel]
+            if own.state == OwnershipPhase.TAKING_OVER:
+                self.tenure.take_over(now, channel, own)
+            elif own.state == OwnershipPhase.TRANSFERRING and now - own.at > self._options.overlap + TRANSFER_SLACK:
+                own.tried.add(own.to)
+                self.table.move(now, channel, own, OwnershipPhase.OWNER)
+
+    def _check_owned(self, now: int, loads: Counter[str]) -> None:
+        owned = self.table.owned()
+        for channel, own in owned:
+            if self._leases.epoch(now, resource(channel)) is not None:  # else its end comes as a lease event
+                self._contest(now, channel, own)
+        if self.stopping or self._heartbeats % PLACEMENT_HEARTBEATS:
+            return
+        for channel, _ in owned:
+            self._feed.heirs[channel] = self.succession.heirs(channel, loads)
+        self.transfers.surplus(now, loads)
+        self.transfers.to_better(now, loads)
+
+    def _contest(self, now: int, channel: str, own: OwnerState) -> None:
+        """Request a lease above a higher epoch that others have seen: they drop items of this one."""
+        highest = self._highest_epoch(channel)
+        if highest <= own.epoch or now < own.contested_at + CONTEST_INTERVAL:
+            return
+        own.contested_at = now
+        if self.heard_epoch is not None:
+            self.heard_epoch(now, highest)
+        self._leases.release(now, resource(channel))
+        self.tenure.end(now, channel, own, "others have seen a higher epoch")
+        self._feed.above.pop(channel, None)
+        self.election.stand(now, channel, own)
+
+    def _highest_epoch(self, channel: str) -> int:
+        """The highest epoch that anybody here has heard of."""
+        known = self._feed.known.get(channel)
+        return max(self._feed.above.get(channel, 0), known.epoch if known is not None else 0)
+
+    # What other gateways say
+
+    def expect_transfer(self, now: int) -> None:
+        """An owner transfers a channel to this gateway; the lease's offer may come a little later."""
+        self._expects_until = now + self._options.overlap
+        self.poll(now)
 
     def ended(self, now: int, sender: str, told: EndedAt) -> None:
         """An owner said where it ended."""
@@ -66,124 +203,20 @@
         if expected:
             self.poll(now)
         elif own is not None and own.state == OwnershipPhase.IDLE and not self.soon:
-            self.soon = now + 10 * MS
+            self.soon = now + SOON
 
     def on_end_query(self, now: int, sender: str, asked: EndQuery) -> None:
-        """A successor has it: this gateway ends at once, and says where."""
+        """A successor has the lease: this gateway ends at once, and says where."""
         own = self.channels.get(asked.channel)
-        if (
-            own is not None
-            and own.state == OwnershipPhase.TRANSFERRING
-            and own.to == sender
-            and asked.epoch > own.epoch
-        ):
+        if own is not None and self._transfers_to(own, sender) and asked.epoch > own.epoch:
             self._leases.release(now, resource(asked.channel))
             self.poll(now)
             if own.state == OwnershipPhase.TRANSFERRING:
-                self._lost(now, asked.channel, own, "handed on")
-        elif (end := self._feed.end(asked.channel, asked.epoch)) is not None:
-            self._send(sender, end)
-
-    def _check_owned(self, now: int, loads: Counter[str]) -> None:
-        channels = [(channel, own) for channel, own in self.channels.items() if own.state == OwnershipPhase.OWNER]
-        for channel, own in channels:
-            if self._leases.epoch(now, resource(channel)) is None:
-                continue  # its end comes as a turn
-            if self._highest(channel) > own.epoch and now >= own.contested_at + CONTEST:
-                own.contested_at = now
-                if self.heard_epoch is not None:
-                    self.heard_epoch(now, self._highest(channel))
-                self._leases.release(now, resource(channel))
-                self._end(now, channel, own, "others have seen a higher epoch")
-                self._feed.above.pop(channel, None)
-                self._stand(now, channel, own)
-        if self.stopping or self._beats % LOOK_EVERY:
+                self.tenure.lost(now, asked.channel, own, "handed on")
             return
-        for channel, _ in channels:
-            self._feed.heirs[channel] = self._heirs(channel, loads)
-        self._transfer_surplus(now, loads)
-        self._transfer_to_better(now, loads)
+        end = self._feed.end(asked.channel, asked.epoch)
+        if end is not None:
+            self._feed.send_urgent(sender, end)
 
-    def _highest(self, channel: str) -> int:
-        """The highest epoch that anybody here has heard of."""
-        known = self._feed.known.get(channel)
-        return max(self._feed.above.get(channel, 0), known.epoch if known is not None else 0)
-
-    # Planned ends
-
-    def _transfer(self, now: int, channel: str, own: OwnerState, to: str) -> bool:
-        if not self._leases.transfer(now, resource(channel), to):
-            return False  # it is held here for too short a time yet
-        own.to = to
-        self._move(now, channel, own, OwnershipPhase.TRANSFERRING)
-        self._send(to, TransferNotice(channel))
-        return True
-
-    def _successors(self, channel: str, own: OwnerState, loads: Counter[str]) -> list[str]:
-        """Who may take it, the best first."""
-        names = (
-            (self._members.candidates(channel) & self._membership_view.alive())
-            - own.tried
-            - {self._membership_view.name}
-        )
-        most = placing.bound(len(self.channels), len(names) + (not self.stopping))
-        order = self._placement.order(channel, names, self._members.followers(channel))
-        return placing.successors(order, loads, most, self.prefer)
-
-    def _transfer_all(self, now: int) -> None:
-        handing = sum(own.state == OwnershipPhase.TRANSFERRING for own in self.channels.values())
-        loads: Counter[str] | None = None
-        for channel, own in self.channels.items():
-            if own.state == OwnershipPhase.CANDIDATE:
-                self._leases.release(now, resource(channel))
-                self._move(now, channel, own, OwnershipPhase.IDLE)
-            if own.state != OwnershipPhase.OWNER or handing >= MAX_TRANSFERS_AT_STOP:
-                continue
-            loads = self.loads() if loads is None else loads
-            names = self._successors(channel, own, loads)
-            if len(own.tried) < MAX_SUCCESSORS_TRIED and names and self._transfer(now, channel, own, names[0]):
-                handing += 1
-                loads[names[0]] += 1
-            elif len(own.tried) >= MAX_SUCCESSORS_TRIED or not names or now - own.at > 2 * self._options.overlap:
-                self._leases.release(now, resource(channel))
-                self._end(now, channel, own, "given up")
-
-    def _transfer_surplus(self, now: int, loads: Counter[str]) -> None:
-        """Who has too many hands some on, a few at a time, to those that have less than their share."""
-        here = [(channel, own) for channel, own in self.channels.items() if own.state == OwnershipPhase.OWNER]
-        handing = sum(own.state == OwnershipPhase.TRANSFERRING for own in self.channels.values())
-        for channel, own in here:
-            gateways = len(self._members.candidates(channel))
-            even = math.ceil(len(self.channels) / max(1, gateways))
-            if handing >= MAX_TRANSFERS or len(here) + handing <= placing.bound(len(self.channels), gateways):
-                return
-            own.tried.clear()
-            names = [name for name in self._successors(channel, own, loads) if loads[name] < even]
-            if names and self._transfer(now, channel, own, names[0]):
-                loads[names[0]] += 1
-                loads[self._membership_view.name] -= 1
-                handing += 1
-                here = here[1:]
-
-    def _transfer_to_better(self, now: int, loads: Counter[str]) -> None:
-        """A place whose worst way to the followers is much shorter, for a while, takes one channel after another."""
-        for channel, own in self.channels.items():
-            if own.state != OwnershipPhase.OWNER:
-                continue
-            followers = self._members.followers(channel)
-            cost = self._placement.cost(self._membership_view.name, followers)
-            names = self._successors(channel, own, loads)
-            best = self._placement.cost(names[0], followers) if names else None
-            most = placing.bound(len(self.channels), len(names) + 1)
-            better = cost is not None and best is not None and best <= BETTER * cost and cost - best >= BETTER_BY
-            if not better or loads[names[0]] >= most:
-                own.better_since = 0
-            elif not own.better_since:
-                own.better_since = now
-            elif now - own.better_since >= BETTER_FOR:
-                own.better_since = 0
-                if self._transfer(now, channel, own, names[0]):
-                    return  # one at a time
-
-
-__all__ = ["Ownership", "OwnershipPhase"]
+    def _transfers_to(self, own: OwnerState, name: str) -> bool:
+        return own.state == OwnershipPhase.TRANSFERRING and own.to == name
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -13,7 +13,6 @@
 
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MAX_CHANNELS, MAX_DATA, MS, PREFIX, Event, Options
-from yardbank.cluster.channels.election import POLL
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.items import ASK_EVERY
 from yardbank.cluster.channels.members import Members
@@ -31,7 +30,7 @@
     TransferNotice,
 )
 from yardbank.cluster.channels.neighbours import Neighbours
-from yardbank.cluster.channels.ownership import Ownership
+from yardbank.cluster.channels.ownership import POLL, Ownership
 from yardbank.cluster.channels.placement import Distance, Placement
 from yardbank.cluster.lease.api import Leases
 from yardbank.cluster.peers.outbox import Rate
@@ -114,7 +113,7 @@
 
     def prefer(self, order: Callable[[Iterable[str]], Sequence[str]] | None) -> None:
         """Who should be next at a planned end: of some gateways those that are preferred, the best first."""
-        self.ownership.prefer = order
+        self.ownership.succession.prefer = order
 
     def events(self) -> list[Event]:
         """What happened to channels here since this was asked last."""
@@ -229,7 +228,7 @@
                 for channel, known in feed.known.items()
             },
             "states": {channel: own.state.value for channel, own in self.ownership.channels.items()},
-            "moves": {f"{old} {new}": count for (old, new), count in self.ownership.moves.items()},
+            "moves": {f"{old} {new}": count for (old, new), count in self.ownership.table.moves.items()},
             "broken_parents": feed.subscriptions.broken,
             "refused_children": feed.subscriptions.refused,
             "odd": feed.rejected_leaps,
