--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -47,7 +47,7 @@
     assert load_text(EXAMPLE).peers is None
     proxy, log = made(tmp_path, TOGETHER)
     assert tuple(parts(proxy)) == ("lease", "map", "feed")  # a rollout wants a settings file that was started from
-    assert ("rollout_off", {"why": "this process was not started from a settings file"}) in log.lines
+    assert ("rollout_disabled", {"why": "this process was not started from a settings file"}) in log.lines
     assert proxy.channels.part.topic == "feed"
 
 
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -61,7 +61,7 @@
                 self._ends[group] = self._channels.follow(channel, self._on_item, latest=True)
                 self._channels.own(channel, self._owned, self._ended)
             except ValueError as problem:
-                self._log.error("positions_not_fed", group=group, reason=str(problem))
+                self._log.error("positions_feed_failed", group=group, reason=str(problem))
         for group in gone:
             self._channels.disown(channel_of(group))
             if (end := self._ends.pop(group, None)) is not None:
@@ -120,12 +120,17 @@
         told, self.decider.verified_positions = self.decider.verified_positions, []
         for one in told:
             self._gateway.told_position(one.server, one.started, one.marks, checked=True)
-        for lie in self.decider.false_reports():
-            self._log.warning("positions_owner_lied", owner=lie.owner, boot_epoch=lie.boot_epoch, server=lie.server)
+        for report in self.decider.false_reports():
+            self._log.warning(
+                "position_owner_inconsistent",
+                owner=report.owner,
+                boot_epoch=report.boot_epoch,
+                server=report.server,
+            )
         alone = self.decider.alone()
         if alone != self._alone:
             self._alone = alone
-            self._log.info("positions_alone", servers=alone)
+            self._log.info("positions_feed_silent", servers=alone)
 
     def _answered(self, server: str, position: ProbeResult | None, sent_at: int) -> None:
         self.decider.answered(self._now(), server, position.marks if position is not None else None, sent_at)
--- a/yardbank/cluster/channels/service.py
+++ b/yardbank/cluster/channels/service.py
@@ -131,7 +131,7 @@
                 self._reactor.callLater(LOOK, look)
                 return
             if left:
-                self._log.warning("channels_not_handed_on", channels=left)
+                self._log.warning("channels_transfer_incomplete", channels=left)
             self._drain()
             done.callback(None)
 
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -189,7 +189,7 @@
         block = config.rollout
         assert block is not None
         if started is None:  # an embedding program: there is no settings file that could be changed for another
-            self._log.warning("rollout_off", why="this process was not started from a settings file")
+            self._log.warning("rollout_disabled", why="this process was not started from a settings file")
             return
         version = started.force.now
         name = name_of(version.file(started.given), version.program)
