--- a/tests/cluster/channels/test_positions.py
+++ b/tests/cluster/channels/test_positions.py
@@ -8,7 +8,7 @@
 
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Options
 from yardbank.cluster.channels.positions import ListedServer, Positions, channel_of
-from yardbank.cluster.channels.verification import FIRST, SPOT
+from yardbank.cluster.channels.verification import FIRST_CHECK_SPREAD, MAX_CHECK_INTERVAL
 
 PLACES = [ListedServer(f"n{number}", "numbers", 7) for number in range(3)]
 CHANNEL = channel_of("numbers")
@@ -92,12 +92,12 @@
 
 def test_an_owner_that_lies_is_found_by_checks_and_not_believed_for_its_life() -> None:
     world = World()
-    world.run(2 * FIRST)
+    world.run(2 * FIRST_CHECK_SPREAD)
     assert world.verified_positions()
     follower = world.others[0]
     world.cut = True
     lied, found = 0, None
-    for step in range(SPOT // (100 * MS) + 20):
+    for step in range(MAX_CHECK_INTERVAL // (100 * MS) + 20):
         world.run(100 * MS)
         data = b"\x91\x93\xa2n0\x07\x81\xa1a\x92\xce" + (world.now // MS + 10**6).to_bytes(4, "big") + b"\xa1x"
         follower.on_item(world.now, Delivered(CHANNEL, 1, 10**6 + step, data, "o", 1))
@@ -107,16 +107,16 @@
             break
     assert found is not None and (found.owner, found.boot_epoch, found.server) == ("o", 1, "n0")
     world.cut = False
-    world.run(SPOT)
+    world.run(MAX_CHECK_INTERVAL)
     assert world.verified_positions() == [] and follower.alone() == ["n0", "n1", "n2"]  # nor on any other server
     world.boot_epoch, world.epoch = 2, 2
-    world.run(2 * FIRST)
+    world.run(2 * FIRST_CHECK_SPREAD)
     assert {one.server for one in world.verified_positions()} >= {"n1", "n2"}  # a new life is heard again
 
 
 def test_a_server_put_back_is_believed_by_none_until_it_has_it_all_again_and_nobody_is_called_a_liar() -> None:
     world = World()
-    world.run(2 * FIRST)
+    world.run(2 * FIRST_CHECK_SPREAD)
     world.verified_positions()
     world.servers["n0"].regressed = 15_000  # of its milliseconds
     world.run(100 * MS)
@@ -132,7 +132,7 @@
 
 def test_another_start_than_the_list_says_is_nobodys() -> None:
     world = World()
-    world.run(2 * FIRST)
+    world.run(2 * FIRST_CHECK_SPREAD)
     world.others[0].listed(world.now, [ListedServer("n0", "numbers", 8), *PLACES[1:]])
     world.verified_positions()
     world.run(2 * SECOND)
@@ -144,7 +144,7 @@
 
 def test_who_hears_nothing_asks_for_itself_not_all_at_once() -> None:
     world = World(30)
-    world.run(2 * FIRST)
+    world.run(2 * FIRST_CHECK_SPREAD)
     assert all(one.alone() == [] for one in world.others)
     world.cut, world.asked = True, []
     world.run(3 * SECOND)
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -1,8 +1,9 @@
-"""A gateway's channels as one part of its link: letters and time in, letters and events out. No I/O.
+"""A gateway's channels as one part of the peers' node: messages and time in, messages and events out. No I/O.
 
-Puts together who is interested (``members``), who should carry what (``placement``, ``ownership``) and what crosses
-(``feed``). Safety rests on leases alone: before an item goes out the lease is asked, and who follows drops what comes
-under an epoch lower than one that it has seen.
+Owns ``members`` (who is interested), ``placement`` and ``ownership`` (who should own what) and ``feed`` (items and
+their retransmission). Bounds: ``MAX_CHANNELS`` owned or followed, ``MAX_EVENTS`` not fetched, the rate of the options.
+Invariant: before an item goes out the lease is asked, and a follower drops what comes under an epoch lower than one
+that it has seen; safety rests on this alone.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from yardbank.cluster.peers.outbox import Rate
 from yardbank.cluster.peers.parts import MembershipView, Message
 
-MOST_EVENTS = 8192
+MAX_EVENTS = 8192  # kept until the program fetches them; beyond, the oldest are dropped
 ITEM_HEAD = 160  # octets that one item takes beside its data, in a datagram of its own
 
 
@@ -69,13 +70,13 @@
     # The program's side
 
     def own(self, now: int, channel: str) -> None:
-        """Carry a channel whenever that is this gateway's turn. Raises ``ValueError`` if it cannot."""
+        """Own a channel whenever that is this gateway's turn. Raises ``ValueError``: a wrong name, one too many."""
         self._check(channel)
         self.ownership.acquire(now, channel)
         self._changed(now)
 
     def disown(self, now: int, channel: str) -> None:
-        """Carry it no more."""
+        """Own it no more."""
         self.ownership.withdraw(now, channel)
         self._changed(now)
 
@@ -86,7 +87,7 @@
         self._changed(now)
 
     def unfollow(self, now: int, channel: str) -> None:
-        """No more of them."""
+        """Take no more of its items."""
         self._follows.pop(channel, None)
         self._changed(now)
 
@@ -103,12 +104,12 @@
         return ""
 
     def stopping(self, now: int) -> None:
-        """This gateway is about to end: what it has is handed on. It is through when ``held_channels`` is empty."""
+        """Transfer all channels; that is done when ``held_channels`` is empty."""
         self.ownership.stop(now)
         self._changed(now)
 
     def held_channels(self) -> list[str]:
-        """Channels carried here."""
+        """Channels owned here, or about to be."""
         return self.ownership.held_channels()
 
     def prefer(self, order: Callable[[Iterable[str]], Sequence[str]] | None) -> None:
@@ -130,7 +131,7 @@
     def _taken(self) -> set[str]:
         return self.ownership.channels.keys() | self._follows.keys()
 
-    # The link's side
+    # The node's side
 
     def listed(self, now: int) -> None:
         """The list has changed."""
@@ -143,9 +144,21 @@
         self._look_around(now)
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A letter. Raises ``DroppedError``."""
+        """A message of another gateway. Raises ``DroppedError`` with the reason."""
         self._now = now
-        match message := wire.decode(body):
+        message = wire.decode(body)
+        if isinstance(message, InterestDigest | InterestQuery | InterestSet):
+            self._receive_interests(sender, boot_epoch, message)
+        elif isinstance(message, EndedAt | EndQuery | TransferNotice):
+            self._receive_ownership(now, sender, message)
+        else:
+            self._receive_feed(now, sender, message)
+        self._tell_events()
+
+    def _receive_feed(
+        self, now: int, sender: str, message: Item | Heartbeat | Subscribe | Retransmit | OwnerQuery
+    ) -> None:
+        match message:
             case Item():
                 self.feed.item(now, sender, message)
             case Heartbeat():
@@ -156,6 +169,9 @@
                 self.feed.retransmit(sender, message)
             case OwnerQuery():
                 self.feed.answer(now, sender, message.channels)
+
+    def _receive_ownership(self, now: int, sender: str, message: EndedAt | EndQuery | TransferNotice) -> None:
+        match message:
             case EndedAt():
                 self.ownership.ended(now, sender, message)
             case EndQuery():
@@ -163,6 +179,11 @@
             case TransferNotice():
                 self._next_poll = now
                 self.ownership.expect_transfer(now)
+
+    def _receive_interests(
+        self, sender: str, boot_epoch: int, message: InterestDigest | InterestQuery | InterestSet
+    ) -> None:
+        match message:
             case InterestDigest():
                 for answer in self.members.on_interest_digest(sender, boot_epoch, message):
                     self._send(sender, answer)
@@ -172,7 +193,6 @@
                     self._send(sender, part)
             case InterestSet():
                 self.members.on_interest_set(message)
-        self._tell_events()
 
     def tick(self, now: int) -> None:
         """Time has passed."""
@@ -255,7 +275,7 @@
         self.feed.outgoing_messages.append(Message(to, wire.encode(message)))
 
     def _tell_events(self) -> None:
-        surplus = len(self.feed.events) - MOST_EVENTS
+        surplus = len(self.feed.events) - MAX_EVENTS
         if surplus > 0:  # the program did not fetch them
             self.lost_events += surplus
             del self.feed.events[:surplus]
