--- a/tests/cluster/latency_map/test_fleet.py
+++ b/tests/cluster/latency_map/test_fleet.py
@@ -115,7 +115,7 @@
         )
         assert found is None  # it does not even know the zone
     fleet.parts["g4"].saw_server(fleet.gossip.own("g4"), "s", MS)  # its list names servers there
-    fleet.parts["g4"].seen._ways.clear()
+    fleet.parts["g4"].seen._round_trips.clear()
     fleet.run(40)
     view = fleet.parts["g4"].view(fleet.gossip.own("g4"))["pairs"]
     found = next(one for one in view if {one["from"], one["to"]} == {"c", "s"})
--- a/tests/cluster/latency_map/test_fleet_faults.py
+++ b/tests/cluster/latency_map/test_fleet_faults.py
@@ -5,7 +5,7 @@
 from benchmarks.atlas_fleet import Fleet
 from tests.cluster.latency_map.test_fleet import THREE, right, three, wrong
 from yardbank.cluster.latency_map import messages as letter
-from yardbank.cluster.latency_map.measurements import SLOW
+from yardbank.cluster.latency_map.measurements import GatewayHealth
 from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import LEAST, MOST, SECOND, Options
 from yardbank.cluster.peers.parts import Message
@@ -51,8 +51,8 @@
     for _ in range(20):
         fleet.run(2)
         assert not wrong(fleet, off=0.3)
-    assert all(fleet.parts[name].seen.state == SLOW for name in slow)
-    assert not any(fleet.parts[name].seen.state == SLOW for name in everybody if name not in slow)
+    assert all(fleet.parts[name].seen.state == GatewayHealth.SLOW for name in slow)
+    assert not any(fleet.parts[name].seen.state == GatewayHealth.SLOW for name in everybody if name not in slow)
 
 
 def test_one_that_was_stopped_takes_its_own_stop_for_no_way():
@@ -61,7 +61,7 @@
     fleet.gossip.pause("g0")
     fleet.run(20)
     fleet.gossip.resume("g0")
-    assert fleet.parts["g0"].seen.state == SLOW
+    assert fleet.parts["g0"].seen.state == GatewayHealth.SLOW
     assert fleet.gossip.nodes["g0"].dropped["map late"] > 1  # letters that waited: nobody knows how old they are
     for _ in range(20):
         fleet.run(1)
@@ -111,15 +111,15 @@
     fleet.run(20)
     part, now = fleet.parts["g0"], fleet.gossip.own("g0")
     rows = [("b", {"c": Entry(40 * MS, 0, 0, 1)}), ("c", {"b": Entry(9 * MS, 0, SECOND, 1)})]
-    part.receive(now, "g1", 99, letter.encode(1, SLOW, rows))
+    part.receive(now, "g1", 99, letter.encode(1, GatewayHealth.SLOW, rows))
     told = [report for report in part.reports.about(("b", "c"), 0) if report.order == (99, 1)]
     assert [(report.first, round(report.value / MS)) for report in told] == [(True, 40)]
-    before = len(part.seen._ways["b"])
+    before = len(part.seen._round_trips["b"])
     part.saw_peer(now, "g1", 5 * MS)
-    assert len(part.seen._ways["b"]) == before
+    assert len(part.seen._round_trips["b"]) == before
     part.receive(now, "g1", 99, letter.encode(2, 0, rows))
     part.saw_peer(now, "g1", 5 * MS)
-    assert len(part.seen._ways["b"]) == before + 1
+    assert len(part.seen._round_trips["b"]) == before + 1
 
 
 @pytest.mark.parametrize("value", [LEAST, MOST])
--- a/tests/cluster/latency_map/test_measurements.py
+++ b/tests/cluster/latency_map/test_measurements.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, Measurements
+from yardbank.cluster.latency_map.measurements import GatewayHealth, Measurements
 from yardbank.cluster.latency_map.options import MOST, SECOND, Options
 from yardbank.cluster.latency_map.transition import GradualTransition
 from yardbank.plan.model import Demand, Limits, PlanServer, Problem
@@ -40,16 +40,16 @@
 def test_a_gateway_that_is_slow_itself_puts_that_on_no_way():
     hand, now = watching()
     now = seeing(hand, 20, now, {"here": 41, "near": 60, "far": 120})
-    assert hand.state == SLOW and hand.apart > 100
+    assert hand.state == GatewayHealth.SLOW and hand.apart > 100
     assert {zone: figure.low for zone, figure in hand.row(now).items()} == {"here": MS, "near": 20 * MS, "far": 80 * MS}
     now = seeing(hand, 10, now, {"here": 1, "near": 20, "far": 80})
-    assert hand.state == WELL and hand.row(now)["near"].low == 20 * MS
+    assert hand.state == GatewayHealth.WELL and hand.row(now)["near"].low == 20 * MS
 
 
 def test_ways_that_are_up_without_the_own_zones_are_up():
     hand, now = watching()
     now = seeing(hand, 8, now, {"here": 1, "near": 60, "far": 120})
-    assert hand.state == WELL
+    assert hand.state == GatewayHealth.WELL
     assert (hand.row(now)["near"].low, hand.row(now)["far"].low) == (60 * MS, 120 * MS)
 
 
@@ -57,17 +57,17 @@
     hand, now = watching()
     hand.saw(now + MS, "near", 3 * MS)
     hand.ticked(now + 3 * SECOND, 2 * SECOND, 8)
-    assert hand.state == SLOW and hand.row(now + 3 * SECOND)["near"].low == 20 * MS
+    assert hand.state == GatewayHealth.SLOW and hand.row(now + 3 * SECOND)["near"].low == 20 * MS
     hand.ticked(now + 4 * SECOND, 0, 8)
-    assert hand.state == DOUBTFUL
+    assert hand.state == GatewayHealth.DOUBTFUL
     hand.ticked(now + 5 * SECOND, 0, 0)
-    assert hand.state == WELL
+    assert hand.state == GatewayHealth.WELL
 
 
 def test_a_gateway_that_is_slow_for_a_life_takes_it_for_how_it_is():
     hand, now = watching()
     now = seeing(hand, 80, now, {"here": 41, "near": 60, "far": 120})
-    assert hand.state == WELL and hand.row(now)["far"].low == 120 * MS
+    assert hand.state == GatewayHealth.WELL and hand.row(now)["far"].low == 120 * MS
 
 
 @pytest.mark.parametrize("each", [SECOND // 20, SECOND // 2])
--- a/tests/cluster/latency_map/test_reports.py
+++ b/tests/cluster/latency_map/test_reports.py
@@ -8,7 +8,7 @@
 from yardbank.cluster.latency_map import measurements
 from yardbank.cluster.latency_map import messages as letter
 from yardbank.cluster.latency_map.estimates import Estimate, Estimates
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, Measurements
+from yardbank.cluster.latency_map.measurements import GatewayHealth, Measurements
 from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import LEAST, MAX_ZONES, MOST, SECOND, Options
 from yardbank.cluster.latency_map.reports import MAX_VOICES, SLACK, Consensus, LatencyReport, ReportStore, consensus
@@ -30,7 +30,7 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(ROWS, st.integers(0, 1 << 60), st.sampled_from([WELL, DOUBTFUL, SLOW]))
+@given(ROWS, st.integers(0, 1 << 60), st.sampled_from([GatewayHealth.WELL, GatewayHealth.DOUBTFUL, GatewayHealth.SLOW]))
 def test_a_letter_says_what_was_put_in_and_makes_nothing_younger(rows, number, state):
     told = letter.decode(letter.encode(number, state, rows), KNOWN)
     assert (told.number, told.state, told.own) == (number, state, rows[0][0])
@@ -65,7 +65,7 @@
 
 
 def test_a_letter_of_a_later_program_is_read_and_one_too_large_is_not():
-    body = msgspec.msgpack.decode(letter.encode(1, WELL, [("z0", {"z1": Entry(MS, 0, 0, 1)})]))
+    body = msgspec.msgpack.decode(letter.encode(1, GatewayHealth.WELL, [("z0", {"z1": Entry(MS, 0, 0, 1)})]))
     assert letter.decode(msgspec.msgpack.encode([*body, "more", 7]), KNOWN).rows[0][0] == "z0"
     with pytest.raises(DroppedError, match="kind"):
         letter.decode(msgspec.msgpack.encode([2, *body[1:]]), KNOWN)
@@ -73,10 +73,12 @@
         letter.decode(
             msgspec.msgpack.encode([1, 1, 0, bytes(4 * (MAX_ZONES + 1)), bytes(1 + 4 * (MAX_ZONES + 1))]), KNOWN
         )
-    old = letter.encode(1, WELL, [("z0", {"z1": Entry(MS, 0, 200 * SECOND, 1), "z2": Entry(MS, 0, 0, 1)})])
+    old = letter.encode(
+        1, GatewayHealth.WELL, [("z0", {"z1": Entry(MS, 0, 200 * SECOND, 1), "z2": Entry(MS, 0, 0, 1)})]
+    )
     assert set(letter.decode(old, KNOWN).rows[0][1]) == {"z2"}  # too old to say how old
     many = {f"y{number:03}": Entry(MS, 0, 0, 1) for number in range(100)}
-    assert len(letter.encode(1, WELL, [(zone, many) for zone in list(many)[:3]])) < 600
+    assert len(letter.encode(1, GatewayHealth.WELL, [(zone, many) for zone in list(many)[:3]])) < 600
 
 
 # What is believed
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -1,7 +1,7 @@
 """Letters of the map of round trips; figures are rounded on the way, so what is read differs from what was given."""
 
 from tests.golden.cases import each, load
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL
+from yardbank.cluster.latency_map.measurements import GatewayHealth
 from yardbank.cluster.latency_map.messages import Entry, ReceivedRows, decode, digest, encode
 from yardbank.cluster.latency_map.part import AtlasPart
 
@@ -25,4 +25,4 @@
 
 def test_topic_and_states_stay_the_same():
     assert AtlasPart.topic == load("atlas")["topic"]
-    assert load("atlas")["states"] == [WELL, DOUBTFUL, SLOW]
+    assert load("atlas")["states"] == [GatewayHealth.WELL, GatewayHealth.DOUBTFUL, GatewayHealth.SLOW]
--- a/yardbank/cluster/latency_map/options.py
+++ b/yardbank/cluster/latency_map/options.py
@@ -1,11 +1,11 @@
-"""How the map is kept. Times in nanoseconds."""
+"""Options and bounds of the latency map. Times in nanoseconds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SECOND = 1_000_000_000
-LEAST, MOST = 1_000, 10 * SECOND  # a round trip; what lies beyond is no way's
+LEAST, MOST = 1_000, 10 * SECOND  # bounds of a round trip; what lies beyond is not taken
 MAX_ZONES = 32  # on the map; beyond, those later by name are left out, and counted
 
 
@@ -13,9 +13,9 @@
 class Options:
     """The settings' ``atlas`` block. Raises ``ValueError`` where it does not fit together."""
 
-    max_age: int = 60 * SECOND  # so old, what was seen of a way counts no longer
-    taken_up: int = 10 * SECOND  # a way that has changed for good is taken up within this, where it is seen often
-    step: float = 0.1  # of the fleet's choice, that moves in one second
+    max_age: int = 60 * SECOND  # older measurements and reports do not count (`life` in the settings)
+    taken_up: int = 10 * SECOND  # a lasting change is taken within this, where round trips are frequent
+    step: float = 0.1  # the part of the fleet's choices that moves in one second
 
     def __post_init__(self) -> None:
         if self.taken_up < SECOND or not 2 * self.taken_up <= self.max_age <= 120 * SECOND:
@@ -25,12 +25,12 @@
 
     @property
     def window(self) -> int:
-        """What is seen in so long is one estimate: longer than a flap of 2 s up and 2 s down."""
+        """Round trips of so long make one measurement: longer than a flap of 2 s up and 2 s down."""
         return self.taken_up * 6 // 10
 
     @property
     def hold(self) -> int:
-        """A figure that differs must do so for so long before it is believed."""
+        """A value that differs must do so for so long before it is taken."""
         return self.taken_up * 2 // 10
 
 
@@ -38,5 +38,5 @@
 
 
 def pair_of(one: str, other: str) -> Pair:
-    """The way between two zones. A round trip goes both ways, so it has no direction."""
+    """A pair of zones. A round trip goes in both directions, so the pair has no order."""
     return (one, other) if one <= other else (other, one)
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -12,8 +12,8 @@
 
 from yardbank.cluster.latency_map import measurements
 from yardbank.cluster.latency_map import messages as letter
-from yardbank.cluster.latency_map.estimates import SEEN, EstimateChange, Estimates
-from yardbank.cluster.latency_map.measurements import LATE, SLOW, WELL, Measurements
+from yardbank.cluster.latency_map.estimates import Basis, EstimateChange, Estimates
+from yardbank.cluster.latency_map.measurements import LATE, GatewayHealth, Measurements
 from yardbank.cluster.latency_map.messages import Entry
 from yardbank.cluster.latency_map.options import MAX_ZONES, SECOND, Options, Pair, pair_of
 from yardbank.cluster.latency_map.reports import LatencyReport, ReportStore, consensus
@@ -119,7 +119,7 @@
         if boot_epoch > self._boot_epochs.get(sender, 0):
             self._boot_epochs[sender] = boot_epoch
             self.reports.keep(lambda pair, name, report: name != sender)  # what an earlier start saw is its own no more
-        if told.state == SLOW:
+        if told.state == GatewayHealth.SLOW:
             self._slow[sender] = now
         else:
             self._slow.pop(sender, None)
@@ -183,7 +183,7 @@
         return {
             other: Entry(estimate.value, estimate.spread, now - estimate.seen_at, estimate.witnesses)
             for other in others
-            if (estimate := self.estimates.by[pair_of(zone, other)]).how == SEEN
+            if (estimate := self.estimates.by[pair_of(zone, other)]).how == Basis.MEASURED
         }
 
     # What is believed
@@ -206,7 +206,7 @@
             if not near and (place + self._beats) % FAR:
                 continue
             figure = own.get(pair[0] if pair[1] == self._zone else pair[1]) if near else None
-            own_decides = figure is not None and figure.fresh and self.seen.state == WELL
+            own_decides = figure is not None and figure.fresh and self.seen.state == GatewayHealth.WELL
             reports = self.reports.about(pair, now - self.options.max_age)
             detour_bounds = partial(self.estimates.detour_bounds, pair)
             found = consensus(now, figure, own_decides, reports, self.options.window, detour_bounds)
