--- a/tests/cluster/latency_map/test_measurements.py
+++ b/tests/cluster/latency_map/test_measurements.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL, FirstHand
+from yardbank.cluster.latency_map.measurements import GatewayHealth, Measurements
 from yardbank.cluster.latency_map.options import MOST, SECOND, Options
-from yardbank.cluster.latency_map.transition import Choice
+from yardbank.cluster.latency_map.transition import GradualTransition
 from yardbank.plan.model import Demand, Limits, PlanServer, Problem
 from yardbank.plan.solver import solve
 from yardbank.plan.zone_latencies import with_ways
@@ -32,7 +32,7 @@
 
 
 def watching():
-    hand = FirstHand(OPTIONS)
+    hand = Measurements(OPTIONS)
     hand.listed("here", {})
     return hand, seeing(hand, 20, SECOND, {"here": 1, "near": 20, "far": 80})
 
@@ -40,16 +40,16 @@
 def test_a_gateway_that_is_slow_itself_puts_that_on_no_way():
     hand, now = watching()
     now = seeing(hand, 20, now, {"here": 41, "near": 60, "far": 120})
-    assert hand.state == SLOW and hand.apart > 100
+    assert hand.state == GatewayHealth.SLOW and hand.apart > 100
     assert {zone: figure.low for zone, figure in hand.row(now).items()} == {"here": MS, "near": 20 * MS, "far": 80 * MS}
     now = seeing(hand, 10, now, {"here": 1, "near": 20, "far": 80})
-    assert hand.state == WELL and hand.row(now)["near"].low == 20 * MS
+    assert hand.state == GatewayHealth.WELL and hand.row(now)["near"].low == 20 * MS
 
 
 def test_ways_that_are_up_without_the_own_zones_are_up():
     hand, now = watching()
     now = seeing(hand, 8, now, {"here": 1, "near": 60, "far": 120})
-    assert hand.state == WELL
+    assert hand.state == GatewayHealth.WELL
     assert (hand.row(now)["near"].low, hand.row(now)["far"].low) == (60 * MS, 120 * MS)
 
 
@@ -57,17 +57,17 @@
     hand, now = watching()
     hand.saw(now + MS, "near", 3 * MS)
     hand.ticked(now + 3 * SECOND, 2 * SECOND, 8)
-    assert hand.state == SLOW and hand.row(now + 3 * SECOND)["near"].low == 20 * MS
+    assert hand.state == GatewayHealth.SLOW and hand.row(now + 3 * SECOND)["near"].low == 20 * MS
     hand.ticked(now + 4 * SECOND, 0, 8)
-    assert hand.state == DOUBTFUL
+    assert hand.state == GatewayHealth.DOUBTFUL
     hand.ticked(now + 5 * SECOND, 0, 0)
-    assert hand.state == WELL
+    assert hand.state == GatewayHealth.WELL
 
 
 def test_a_gateway_that_is_slow_for_a_life_takes_it_for_how_it_is():
     hand, now = watching()
     now = seeing(hand, 80, now, {"here": 41, "near": 60, "far": 120})
-    assert hand.state == WELL and hand.row(now)["far"].low == 120 * MS
+    assert hand.state == GatewayHealth.WELL and hand.row(now)["far"].low == 120 * MS
 
 
 @pytest.mark.parametrize("each", [SECOND // 20, SECOND // 2])
@@ -116,14 +116,14 @@
     st.sampled_from([0.05, 0.1, 0.34, 0.5]),
 )
 def test_no_zone_gets_more_than_a_step_more_within_a_second_whatever_the_map_says(moves, seed, step):
-    choice, now, picks = Choice(step, Random(seed)), 3600 * SECOND, []
+    transition, now, picks = GradualTransition(step, Random(seed)), 3600 * SECOND, []
     plan = [target for wait, target in moves for _ in range(wait + 1)] + [0] * 5
     for target in plan:
         for moment in range(GRAIN):
             now += SECOND // GRAIN
             if moment == GRAIN // 3:
-                choice.aim(now, TARGETS[target])
-            picks.append(choice_of(choice.at(now)))
+                transition.aim(now, TARGETS[target])
+            picks.append(choice_of(transition.at(now)))
     for zone in "abc":
         sums = [0]
         for pick in picks:
@@ -133,21 +133,21 @@
 
 
 def test_a_move_ends_where_the_map_pointed_and_wakes_when_it_changes():
-    choice, now = Choice(0.1, Random(4)), 50 * SECOND
-    assert choice.next_at(now) is None
-    choice.aim(now, TARGETS[1])
+    transition, now = GradualTransition(0.1, Random(4)), 50 * SECOND
+    assert transition.next_at(now) is None
+    transition.aim(now, TARGETS[1])
     seen, wakes = [], 0
-    while (at := choice.next_at(now)) is not None and wakes < 100:
-        assert all(choice.at(moment) == choice.at(now) for moment in (now, (now + at) // 2, at - 1))
+    while (at := transition.next_at(now)) is not None and wakes < 100:
+        assert all(transition.at(moment) == transition.at(now) for moment in (now, (now + at) // 2, at - 1))
         now, wakes = at, wakes + 1
-        choice.aim(now, TARGETS[1])
-        seen.append(choice.at(now))
+        transition.aim(now, TARGETS[1])
+        seen.append(transition.at(now))
     assert seen[-1] == TARGETS[1] and 15 <= wakes <= 30 and 10 <= now / SECOND - 50 <= 14
-    choice.aim(now, ((TARGETS[1][0][0], 5 * MS + MS // 2, 6 * MS),))
-    assert choice.moves == 1  # too little to go over for
+    transition.aim(now, ((TARGETS[1][0][0], 5 * MS + MS // 2, 6 * MS),))
+    assert transition.moves == 1  # too little to go over for
 
 
-@pytest.mark.parametrize("bad", [{"life": 0}, {"life": 11 * SECOND}, {"taken_up": 1}, {"step": 0}, {"step": 1.5}])
+@pytest.mark.parametrize("bad", [{"max_age": 0}, {"max_age": 11 * SECOND}, {"taken_up": 1}, {"step": 0}, {"step": 1.5}])
 def test_options_that_do_not_fit_are_refused(bad):
     with pytest.raises(ValueError, match="atlas"):
         Options(**bad)
--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -47,7 +47,7 @@
     assert load_text(EXAMPLE).peers is None
     proxy, log = made(tmp_path, TOGETHER)
     assert tuple(parts(proxy)) == ("lease", "map", "feed")  # a rollout wants a settings file that was started from
-    assert ("rollout_off", {"why": "this process was not started from a settings file"}) in log.lines
+    assert ("rollout_disabled", {"why": "this process was not started from a settings file"}) in log.lines
     assert proxy.channels.part.topic == "feed"
 
 
@@ -61,7 +61,7 @@
 
 def test_only_what_is_asked_for_is_made(tmp_path):
     proxy, _ = made(tmp_path, without("rollout", "atlas", "channels", "leases"))
-    assert not parts(proxy) and proxy._joint is None
+    assert not parts(proxy) and proxy._coordination is None
     with pytest.raises(RuntimeError, match="no channels block"):
         _ = proxy.channels
     proxy, _ = made(tmp_path, without("rollout", "channels", "leases"))
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -1,8 +1,8 @@
 """Letters of the map of round trips; figures are rounded on the way, so what is read differs from what was given."""
 
 from tests.golden.cases import each, load
-from yardbank.cluster.latency_map.measurements import DOUBTFUL, SLOW, WELL
-from yardbank.cluster.latency_map.messages import Entry, Told, decode, digest, encode
+from yardbank.cluster.latency_map.measurements import GatewayHealth
+from yardbank.cluster.latency_map.messages import Entry, ReceivedRows, decode, digest, encode
 from yardbank.cluster.latency_map.part import AtlasPart
 
 
@@ -19,10 +19,10 @@
     number, state, given, read = meaning
     zones = {zone for own, row in given for zone in (own, *row)}
     told = decode(octets, {digest(zone): zone for zone in zones})
-    assert told == Told(number=number, state=state, own=given[0][0], rows=rows(read))
+    assert told == ReceivedRows(number=number, state=state, own=given[0][0], rows=rows(read))
     assert encode(number, state, rows(given)) == octets
 
 
 def test_topic_and_states_stay_the_same():
     assert AtlasPart.topic == load("atlas")["topic"]
-    assert load("atlas")["states"] == [WELL, DOUBTFUL, SLOW]
+    assert load("atlas")["states"] == [GatewayHealth.WELL, GatewayHealth.DOUBTFUL, GatewayHealth.SLOW]
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -132,14 +132,14 @@
 
 def restless():
     """Hands on whatever it has, as soon as it can."""
-    from yardbank.cluster.channels.ownership import CARRYING, Ownership
+    from yardbank.cluster.channels.transfers import Transfers
 
     def always(self, now, loads):
-        for channel, own in self.channels.items():
-            if own.state == CARRYING and (names := self._next(channel, own, loads)):
-                self._hand(now, channel, own, names[0])
+        for channel, own in self._table.owned():
+            if names := self._succession.successors(channel, own, loads):
+                self.begin(now, channel, own, names[0])
 
-    Ownership._hand_to_better = always
+    Transfers.to_better = always
 
 
 def eager():
@@ -170,10 +170,10 @@
 
 def all_near():
     """Finds every way as short as none."""
-    from yardbank.cluster.latency_map.measurements import FirstHand
+    from yardbank.cluster.latency_map.measurements import Measurements
 
-    saw = FirstHand.saw
-    FirstHand.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, 1, *more)
+    saw = Measurements.saw
+    Measurements.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, 1, *more)
 
 
 BUGS = {made.__name__: made for made in (keeps_on, takes_twice, mute, restless, eager, deaf_to_stop, all_near)}
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -1,8 +1,9 @@
-"""A gateway's channels as one part of its link: letters and time in, letters and events out. No I/O.
+"""A gateway's channels as one part of the peers' node: messages and time in, messages and events out. No I/O.
 
-Puts together who is interested (``members``), who should carry what (``placement``, ``ownership``) and what crosses
-(``feed``). Safety rests on leases alone: before an item goes out the lease is asked, and who follows drops what comes
-under an epoch lower than one that it has seen.
+Owns ``members`` (who is interested), ``placement`` and ``ownership`` (who should own what) and ``feed`` (items and
+their retransmission). Bounds: ``MAX_CHANNELS`` owned or followed, ``MAX_EVENTS`` not fetched, the rate of the options.
+Invariant: before an item goes out the lease is asked, and a follower drops what comes under an epoch lower than one
+that it has seen; safety rests on this alone.
 """
 
 from __future__ import annotations
@@ -13,19 +14,30 @@
 
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MAX_CHANNELS, MAX_DATA, MS, PREFIX, Event, Options
-from yardbank.cluster.channels.election import POLL
 from yardbank.cluster.channels.feed import Feed
 from yardbank.cluster.channels.items import ASK_EVERY
 from yardbank.cluster.channels.members import Members
-from yardbank.cluster.channels.messages import Again, AskEnd, Beat, EndedAt, Item, Me, Sets, Subscribe, Take, What, Who
+from yardbank.cluster.channels.messages import (
+    EndedAt,
+    EndQuery,
+    Heartbeat,
+    InterestDigest,
+    InterestQuery,
+    InterestSet,
+    Item,
+    OwnerQuery,
+    Retransmit,
+    Subscribe,
+    TransferNotice,
+)
 from yardbank.cluster.channels.neighbours import Neighbours
-from yardbank.cluster.channels.ownership import Ownership
+from yardbank.cluster.channels.ownership import POLL, Ownership
 from yardbank.cluster.channels.placement import Distance, Placement
 from yardbank.cluster.lease.api import Leases
 from yardbank.cluster.peers.outbox import Rate
 from yardbank.cluster.peers.parts import MembershipView, Message
 
-MOST_EVENTS = 8192
+MAX_EVENTS = 8192  # kept until the program fetches them; beyond, the oldest are dropped
 ITEM_HEAD = 160  # octets that one item takes beside its data, in a datagram of its own
 
 
@@ -58,14 +70,14 @@
     # The program's side
 
     def own(self, now: int, channel: str) -> None:
-        """Carry a channel whenever that is this gateway's turn. Raises ``ValueError`` if it cannot."""
+        """Own a channel whenever that is this gateway's turn. Raises ``ValueError``: a wrong name, one too many."""
         self._check(channel)
         self.ownership.acquire(now, channel)
         self._changed(now)
 
     def disown(self, now: int, channel: str) -> None:
-        """Carry it no more."""
-        self.ownership.unwant(now, channel)
+        """Own it no more."""
+        self.ownership.withdraw(now, channel)
         self._changed(now)
 
     def follow(self, now: int, channel: str, latest: bool = False) -> None:
@@ -75,7 +87,7 @@
         self._changed(now)
 
     def unfollow(self, now: int, channel: str) -> None:
-        """No more of them."""
+        """Take no more of its items."""
         self._follows.pop(channel, None)
         self._changed(now)
 
@@ -92,17 +104,17 @@
         return ""
 
     def stopping(self, now: int) -> None:
-        """This gateway is about to end: what it has is handed on. It is through when ``held`` is empty."""
+        """Transfer all channels; that is done when ``held_channels`` is empty."""
         self.ownership.stop(now)
         self._changed(now)
 
-    def held(self) -> list[str]:
-        """Channels carried here."""
-        return self.ownership.held()
+    def held_channels(self) -> list[str]:
+        """Channels owned here, or about to be."""
+        return self.ownership.held_channels()
 
     def prefer(self, order: Callable[[Iterable[str]], Sequence[str]] | None) -> None:
         """Who should be next at a planned end: of some gateways those that are preferred, the best first."""
-        self.ownership.prefer = order
+        self.ownership.succession.prefer = order
 
     def events(self) -> list[Event]:
         """What happened to channels here since this was asked last."""
@@ -119,7 +131,7 @@
     def _taken(self) -> set[str]:
         return self.ownership.channels.keys() | self._follows.keys()
 
-    # The link's side
+    # The node's side
 
     def listed(self, now: int) -> None:
         """The list has changed."""
@@ -128,53 +140,72 @@
         self.members.listed(zones)
         self.placement.listed(zones)
         self._neighbours.listed(zones)
-        self._next_beat = self._next_beat or now + self._random.randrange(self.options.beat)
+        self._next_beat = self._next_beat or now + self._random.randrange(self.options.heartbeat)
         self._look_around(now)
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A letter. Raises ``DroppedError``."""
+        """A message of another gateway. Raises ``DroppedError`` with the reason."""
         self._now = now
-        match message := wire.decode(body):
+        message = wire.decode(body)
+        if isinstance(message, InterestDigest | InterestQuery | InterestSet):
+            self._receive_interests(sender, boot_epoch, message)
+        elif isinstance(message, EndedAt | EndQuery | TransferNotice):
+            self._receive_ownership(now, sender, message)
+        else:
+            self._receive_feed(now, sender, message)
+        self._tell_events()
+
+    def _receive_feed(
+        self, now: int, sender: str, message: Item | Heartbeat | Subscribe | Retransmit | OwnerQuery
+    ) -> None:
+        match message:
             case Item():
                 self.feed.item(now, sender, message)
-            case Beat():
-                self.feed.beat(now, sender, message.states)
+            case Heartbeat():
+                self.feed.heartbeat(now, sender, message.states)
             case Subscribe():
                 self.feed.subscribe(now, sender, message.channels)
-            case Again():
-                self.feed.again(sender, message)
-            case Who():
+            case Retransmit():
+                self.feed.retransmit(sender, message)
+            case OwnerQuery():
                 self.feed.answer(now, sender, message.channels)
+
+    def _receive_ownership(self, now: int, sender: str, message: EndedAt | EndQuery | TransferNotice) -> None:
+        match message:
             case EndedAt():
                 self.ownership.ended(now, sender, message)
-            case AskEnd():
-                self.ownership.asked_end(now, sender, message)
-            case Take():
+            case EndQuery():
+                self.ownership.on_end_query(now, sender, message)
+            case TransferNotice():
                 self._next_poll = now
-                self.ownership.expect(now)
-            case Me():
-                for answer in self.members.heard(sender, boot_epoch, message):
-                    self._say(sender, answer)
+                self.ownership.expect_transfer(now)
+
+    def _receive_interests(
+        self, sender: str, boot_epoch: int, message: InterestDigest | InterestQuery | InterestSet
+    ) -> None:
+        match message:
+            case InterestDigest():
+                for answer in self.members.on_interest_digest(sender, boot_epoch, message):
+                    self._send(sender, answer)
                 self._neighbours.known(sender)
-            case What():
-                for part in self.members.asked(message):
-                    self._say(sender, part)
-            case Sets():
-                self.members.told(message)
-        self._tell_events()
+            case InterestQuery():
+                for part in self.members.on_interest_query(message):
+                    self._send(sender, part)
+            case InterestSet():
+                self.members.on_interest_set(message)
 
     def tick(self, now: int) -> None:
         """Time has passed."""
         self._now = now
         if now >= self._next_beat:
-            self._next_beat = now + self.options.beat
+            self._next_beat = now + self.options.heartbeat
             self._look_around(now)
-            for name in self._neighbours.due(now, self.options.beat):
-                self._say(name, self.members.me(name))
+            for name in self._neighbours.due(now, self.options.heartbeat):
+                self._send(name, self.members.digest_for(name))
             self.feed.tick(now)
-            self.ownership.beat(now)
+            self.ownership.check_all(now)
         elif self.ownership.soon and now >= self.ownership.soon:
-            self.ownership.beat(now)
+            self.ownership.check_all(now)
         elif self.ownership.busy(now) and now >= self._next_poll:
             self._next_poll = now + POLL
             self.ownership.poll(now)
@@ -203,7 +234,9 @@
         """What an operator should see."""
         feed = self.feed
         return {
-            "carried": {name: {"epoch": one.epoch, "sequence": one.sequence} for name, one in feed.carried.items()},
+            "carried": {
+                name: {"epoch": one.epoch, "sequence": one.sequence} for name, one in feed.owned_channels.items()
+            },
             "channels": {
                 channel: {
                     "owner": known.owner,
@@ -214,11 +247,11 @@
                 }
                 for channel, known in feed.known.items()
             },
-            "states": {channel: own.state for channel, own in self.ownership.channels.items()},
-            "moves": {f"{old} {new}": count for (old, new), count in self.ownership.moves.items()},
-            "broken_parents": feed.edges.broken,
-            "refused_children": feed.edges.refused,
-            "odd": feed.odd,
+            "states": {channel: own.state.value for channel, own in self.ownership.channels.items()},
+            "moves": {f"{old} {new}": count for (old, new), count in self.ownership.table.moves.items()},
+            "broken_parents": feed.subscriptions.broken,
+            "refused_children": feed.subscriptions.refused,
+            "odd": feed.rejected_leaps,
             "lost_events": self.lost_events,
         }
 
@@ -231,18 +264,18 @@
         self.feed.followed = self._follows.keys()
         if self.members.change(owns, self._follows):
             for name in sorted(self.membership_view.alive()):
-                self._say(name, self.members.me(name))
+                self._send(name, self.members.digest_for(name))
         if self.members.changes != self._seen_changes:
             self._seen_changes = self.members.changes
             self.placement.keep(self._taken())
             latest = {channel for channel, only in self._follows.items() if only}
             self.feed.joined({channel: self.members.followers(channel) for channel in sorted(self._taken())}, latest)
 
-    def _say(self, to: str, message: wire.ChannelMessage) -> None:
+    def _send(self, to: str, message: wire.ChannelMessage) -> None:
         self.feed.outgoing_messages.append(Message(to, wire.encode(message)))
 
     def _tell_events(self) -> None:
-        surplus = len(self.feed.events) - MOST_EVENTS
+        surplus = len(self.feed.events) - MAX_EVENTS
         if surplus > 0:  # the program did not fetch them
             self.lost_events += surplus
             del self.feed.events[:surplus]
--- a/yardbank/cluster/channels/service.py
+++ b/yardbank/cluster/channels/service.py
@@ -126,12 +126,12 @@
         self._prompt()
 
         def look() -> None:
-            left = self.part.held()
+            left = self.part.held_channels()
             if left and self._now() < end:
                 self._reactor.callLater(LOOK, look)
                 return
             if left:
-                self._log.warning("channels_not_handed_on", channels=left)
+                self._log.warning("channels_transfer_incomplete", channels=left)
             self._drain()
             done.callback(None)
 
