--- a/tests/cluster/lease/test_bounds.py
+++ b/tests/cluster/lease/test_bounds.py
@@ -64,5 +64,5 @@
     for number in range(2000):
         voter.acquire(bus.now, f"r{number}")
         voter.receive(bus.now, "b", 1, encode(Offer(f"o{number}", 1)))
-    assert len(voter.claims.claims) == 1024 and len(voter.claims.offers) == 256
+    assert len(voter.claims.claims) == 1024 and len(voter.claims.offers.offers) == 256
     assert voter.turns("")[-1].why == "too many are wanted"
--- a/tests/cluster/lease/test_electorate.py
+++ b/tests/cluster/lease/test_electorate.py
@@ -74,7 +74,7 @@
     bus.run(4 * long_lease(TERMS))
     assert bus.holders() == ["a"] and all(len(part.lists.sets(bus.now, R)) == 1 for part in bus.parts.values())
     assert all(not part.lists.older for part in bus.parts.values())
-    assert bus.parts["a"].claims.turns[-1].what == "owned"  # never lost on the way
+    assert bus.parts["a"].claims.log.events[-1].what == "owned"  # never lost on the way
 
 
 def test_one_that_started_without_memory_waits_while_it_hears_of_a_list_that_it_does_not_know():
--- a/yardbank/cluster/lease/claim.py
+++ b/yardbank/cluster/lease/claim.py
@@ -1,89 +1,109 @@
-"""What one gateway wants or holds: its states, and what is known of its vote."""
+"""One resource that this gateway wants or holds: its state and what its voters answered. No I/O.
+
+Invariants: a claim is held only in ``HOLDING`` and ``TRANSFERRING`` and only before ``until``; ``TRANSITIONS`` lists
+every change of state; at most ``MAX_REQUESTS`` requests wait for replies.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
+from enum import IntEnum
+
+
+class ClaimState(IntEnum):
+    """Where a claim stands."""
+
+    WAITING = 1
+    REQUESTING = 2
+    HOLDING = 3
+    TRANSFERRING = 4
+
 
-WAITING, ASKING, HOLDING, HANDING = 1, 2, 3, 4
-NAMES = {WAITING: "waiting", ASKING: "asking", HOLDING: "holding", HANDING: "handing on"}
+STATE_NAMES = {
+    ClaimState.WAITING: "waiting",
+    ClaimState.REQUESTING: "asking",
+    ClaimState.HOLDING: "holding",
+    ClaimState.TRANSFERRING: "handing on",
+}
 # From, by, to.
-TABLE = (
-    (WAITING, "its turn has come", ASKING),
-    (ASKING, "a majority grants", HOLDING),
-    (ASKING, "an epoch was used", ASKING),
-    (ASKING, "refused, or time is up", WAITING),
-    (HOLDING, "a majority renews", HOLDING),
-    (HOLDING, "time is up", WAITING),
-    (HOLDING, "hand on", HANDING),
-    (HANDING, "the next one has it, or time is up", None),
-    (HANDING, "a majority renews: taken back", HOLDING),
-    (HOLDING, "release", None),
+TRANSITIONS = (
+    (ClaimState.WAITING, "the backoff is over", ClaimState.REQUESTING),
+    (ClaimState.REQUESTING, "a majority grants", ClaimState.HOLDING),
+    (ClaimState.REQUESTING, "an epoch was used", ClaimState.REQUESTING),
+    (ClaimState.REQUESTING, "refused, or time is up", ClaimState.WAITING),
+    (ClaimState.HOLDING, "a majority renews", ClaimState.HOLDING),
+    (ClaimState.HOLDING, "time is up", ClaimState.WAITING),
+    (ClaimState.HOLDING, "transfer", ClaimState.TRANSFERRING),
+    (ClaimState.TRANSFERRING, "the successor has it, or time is up", None),
+    (ClaimState.TRANSFERRING, "a majority renews: taken back", ClaimState.HOLDING),
+    (ClaimState.HOLDING, "release", None),
 )
-MAX_SENT = 16  # asks whose answers still count
+MAX_REQUESTS = 16  # requests whose replies still count
 
-Sets = Sequence[tuple[tuple[str, ...], int]]
+Sets = Sequence[tuple[tuple[str, ...], int]]  # voters, and how many of them must agree
 
 
 @dataclass(slots=True)
 class Claim:
-    """Times are this gateway's own clock, ns."""
+    """Times are nanoseconds of this gateway's own clock. ``Proposer`` and ``Holder`` say which fields each writes."""
 
     resource: str
-    state: int = WAITING
+    state: ClaimState = ClaimState.WAITING
     epoch: int = 0
     until: int = 0  # held so long and no longer, whatever is heard later
-    at: int = 0  # when there is something to do
-    deadline: int = 0  # of the vote
-    since: int = 0  # held
-    round_at: int = 0  # when the asks that are under way began
-    fails: int = 0
-    raised: int = 0
-    contested: bool = False  # another held it when this was asked last: one voter is asked first, all if it is free
-    lone: str = ""  # that one
-    to: str = ""  # who is next
-    named: int = 0  # the number under which the voters were told of it
-    cap: int = 0  # the latest end of a handing on
-    back: int = 0  # when it is taken back
+    due_at: int = 0  # when there is something to do
+    vote_deadline: int = 0
+    held_since: int = 0
+    round_started_at: int = 0  # when the requests that are under way began
+    failed_votes: int = 0
+    raised_epochs: int = 0  # within this vote
+    contested: bool = False  # another held it at the last vote: one voter is asked first, all if it is free
+    first_voter: str = ""  # that one, while its reply is awaited
+    successor: str = ""  # of a transfer
+    notice_number: int = 0  # the number under which the voters were notified of the successor
+    transfer_until: int = 0  # the latest end of a transfer
+    reclaim_at: int = 0  # when an unanswered transfer is taken back
     grants: dict[str, int] = field(default_factory=dict)  # by voter: until when its grant counts
-    sent: dict[int, int] = field(default_factory=dict)  # by number of the ask: when it was sent
-    refused: dict[str, int] = field(default_factory=dict)  # by voter: when it may think otherwise
-    told: set[str] = field(default_factory=set)  # voters that have noted who is next
+    requests: dict[int, int] = field(default_factory=dict)  # by number of the request: when it was sent
+    refusals: dict[str, int] = field(default_factory=dict)  # by voter: when it may answer otherwise
+    informed_voters: set[str] = field(default_factory=set)  # voters that have noted the successor
 
     def holds(self, now: int) -> bool:
         """Whether it is held at this very time."""
-        return self.state in (HOLDING, HANDING) and now < self.until
+        return self.state in (ClaimState.HOLDING, ClaimState.TRANSFERRING) and now < self.until
 
-    def asked(self, now: int, number: int) -> None:
-        """An ask went out."""
-        self.sent[number] = now
-        while len(self.sent) > MAX_SENT:
-            del self.sent[next(iter(self.sent))]
+    def record_request(self, now: int, number: int) -> None:
+        """A request for votes is sent now."""
+        self.requests[number] = now
+        while len(self.requests) > MAX_REQUESTS:
+            del self.requests[next(iter(self.requests))]
 
-    def ends(self, sets: Sets) -> int:
+    def granted_until(self, sets: Sets) -> int:
         """Until when the grants are a majority of each set."""
-        found = []
+        ends = []
         for voters, needed in sets:
             if needed > len(voters):
                 return 0
-            found.append(sorted((self.grants.get(voter, 0) for voter in voters), reverse=True)[needed - 1])
-        return min(found)
+            ends.append(sorted((self.grants.get(voter, 0) for voter in voters), reverse=True)[needed - 1])
+        return min(ends)
 
-    def lost(self, sets: Sets) -> bool:
+    def is_vote_lost(self, sets: Sets) -> bool:
         """Whether so many have refused that the vote cannot be won."""
-        return any(sum(voter not in self.refused for voter in voters) < needed for voters, needed in sets)
+        return any(sum(voter not in self.refusals for voter in voters) < needed for voters, needed in sets)
 
     def free_at(self, now: int, sets: Sets) -> int:
-        """When a majority of each set may be free, as far as they have said."""
-        found = now
+        """When a majority of each set may be free, as far as the replies tell."""
+        latest = now
         for voters, needed in sets:
             if needed <= len(voters):
-                found = max(found, sorted(max(now, self.refused.get(voter, now)) for voter in voters)[needed - 1])
-        return found
+                ends = sorted(max(now, self.refusals.get(voter, now)) for voter in voters)
+                latest = max(latest, ends[needed - 1])
+        return latest
 
-    def clear(self) -> None:
-        """Nothing that was said so far counts any more."""
+    def forget_replies(self) -> None:
+        """Nothing that was answered so far counts any more."""
         self.grants.clear()
-        self.sent.clear()
-        self.refused.clear()
-        self.told.clear()
+        self.requests.clear()
+        self.refusals.clear()
+        self.informed_voters.clear()
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -1,168 +1,213 @@
 """One gateway as a candidate and a holder. No I/O: time (ns, its own clock) and randomness come in.
 
-A grant counts from when its ask was sent, by this clock, shortened for drift. Whatever comes in, first everything that
-has run out by now ends: an ownership that has lapsed is never taken up again under its epoch. Lamport's advice on
-leases with quorums, as in Chubby (Burrows, OSDI 2006), whose sequencers are the epochs here.
+Owns no lease itself: it gives each call and each message to the ``Proposer`` (votes) or the ``Holder`` (claims and what
+is held). Whatever comes in, first everything that has run out by now ends: an ownership that has lapsed is never taken
+up again under its epoch. Lamport's advice on leases with quorums, as in Chubby (Burrows, OSDI 2006), whose sequencers
+are the epochs here.
 """
 
 from __future__ import annotations
 
-from yardbank.cluster.lease.api import ENDED, OWNED
-from yardbank.cluster.lease.claim import ASKING, HANDING, HOLDING, WAITING, Claim
+from random import Random
+
+from yardbank.cluster.lease.api import ENDED, LeaseTerms
+from yardbank.cluster.lease.claim import Claim, ClaimState
+from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.epochs import Epochs
+from yardbank.cluster.lease.holder import HELD_STATES, Holder
 from yardbank.cluster.lease.messages import GRANTED, HELD, LOW, MAX_RESOURCE, NAMED, SILENT, TAKEN, Answer, Offer, Took
-from yardbank.cluster.lease.votes import Votes
+from yardbank.cluster.lease.outbox import Outbox
+from yardbank.cluster.lease.ownership_log import OwnershipLog
+from yardbank.cluster.lease.proposer import Proposer
+from yardbank.cluster.lease.timing import long_lease
+from yardbank.cluster.lease.transfer_offers import TransferOffers
 
-MAX_CLAIMS, MAX_OFFERS = 1024, 256
-MAX_RAISED = 3  # higher epochs tried in one vote
 MS = 1_000_000
 
 
-class Claims(Votes):
-    """What the user does, and what comes in."""
-
-    __slots__ = ()
+class Claims:
+    """What the user does, and what comes in. Counts what it dropped: ``full`` (too many claims), ``stale`` replies."""
+
+    __slots__ = (
+        "_boot_epoch",
+        "_electorate",
+        "_name",
+        "_outbox",
+        "_terms",
+        "full",
+        "holder",
+        "log",
+        "longest_lease",
+        "offers",
+        "proposer",
+        "stale",
+    )
+
+    def __init__(
+        self,
+        name: str,
+        boot_epoch: int,
+        terms: LeaseTerms,
+        random: Random,
+        electorate: Lists,
+        epochs: Epochs,
+        outbox: Outbox,
+    ) -> None:
+        self._name = name
+        self._boot_epoch = boot_epoch
+        self._terms = terms
+        self._electorate = electorate
+        self._outbox = outbox
+        self.longest_lease = long_lease(terms)  # ns
+        self.offers = TransferOffers(terms.overlap)
+        self.log = OwnershipLog(name)
+        self.proposer = Proposer(name, boot_epoch, terms, random, electorate, epochs, outbox, self.offers)
+        self.holder = Holder(name, boot_epoch, terms, electorate, outbox, self.offers, self.log, self.proposer)
+        self.full = 0
+        self.stale = 0
+
+    @property
+    def claims(self) -> dict[str, Claim]:
+        """All that is wanted or held, by resource."""
+        return self.holder.claims
 
     # What the user does
 
     def acquire(self, now: int, resource: str) -> None:
-        """See ``api.Leases``. Raises ``ValueError`` for a name that no letter can carry."""
+        """See ``api.Leases``. Raises ``ValueError`` for a name that no message can carry."""
         if not 0 < len(resource) <= MAX_RESOURCE:
             raise ValueError(f"a resource's name has 1 to {MAX_RESOURCE} characters: {resource!r}")
         if resource in self.claims:
             return
-        if len(self.claims) >= MAX_CLAIMS:
+        claim = self.holder.add(resource)
+        if claim is None:
             self.full += 1
-            self._turn(resource, ENDED, 0, "too many are wanted")
+            self.log.record(resource, ENDED, 0, "too many are wanted")
             return
-        claim = self.claims[resource] = Claim(resource)
-        claim.at = now if self._offer(now, resource) else now + self._some(self._vote)
+        claim.due_at = now
+        if not self.offers.is_open(now, resource):
+            claim.due_at += self.proposer.random_delay(self.proposer.vote_time)
         self._act(now, claim)
 
     def release(self, now: int, resource: str) -> None:
         """See ``api.Leases``."""
-        if (claim := self.claims.get(resource)) is None:
-            return
-        self._expire(now, claim)
-        if claim.state in (HOLDING, HANDING):
-            self._turn(resource, ENDED, claim.epoch, "released")
-        if resource in self.claims:
-            self._drop(now, claim)
+        claim = self.claims.get(resource)
+        if claim is not None:
+            self.holder.release(now, claim)
 
     def transfer(self, now: int, resource: str, to: str) -> bool:
-        """See ``api.Leases``. Not within ``overlap`` of having got it: the one before may hold it still."""
+        """See ``api.Leases``."""
         claim = self.claims.get(resource)
-        if claim is None or to == self.name or to not in self._lists.zones:
+        if claim is None or to == self._name or to not in self._electorate.zones:
             return False
-        self._expire(now, claim)
-        if claim.state != HOLDING or now < claim.since + self._terms.overlap:
-            return False
-        claim.state, claim.to, claim.cap, claim.back = HANDING, to, now + self._short, now + self._short * 3 // 5
-        claim.until = min(claim.until, claim.cap)
-        claim.grants = {voter: min(end, claim.cap) for voter, end in claim.grants.items()}
-        claim.sent.clear()  # answers to what was asked before count no more
-        claim.refused.clear()
-        claim.told.clear()
-        claim.named = self._next()
-        self._name(now, claim)
-        return True
+        self.holder.expire(now, claim)
+        return self.holder.transfer(now, claim, to)
 
     # What comes in
 
-    def answer(self, now: int, voter: str, word: Answer) -> None:
-        """A voter's word."""
-        claim = self.claims.get(word.resource)
-        if claim is None or word.boot_epoch != self.boot_epoch:
+    def answer(self, now: int, voter: str, reply: Answer) -> None:
+        """A voter's reply."""
+        claim = self.claims.get(reply.resource)
+        if claim is None or reply.boot_epoch != self._boot_epoch:
             self.stale += 1
             return
-        self._expire(now, claim)
-        if word.holder and word.verdict == HELD:
-            self._hint(word.resource, word.holder, word.top)
-        if word.verdict == NAMED:
-            if claim.state == HANDING and word.number == claim.named:
-                claim.told.add(voter)
+        self.holder.expire(now, claim)
+        if reply.holder and reply.verdict == HELD:
+            self.log.record_hint(reply.resource, reply.holder, reply.top)
+        if reply.verdict == NAMED:
+            self.holder.successor_noted(claim, voter, reply.number)
             return
-        sets = self._lists.sets(now, claim.resource)
-        if (asked := claim.sent.get(word.number)) is None or not any(voter in voters for voters, _ in sets):
+        requested_at = claim.requests.get(reply.number)
+        if requested_at is None or not self._is_voter(now, claim, voter):
             self.stale += 1
-        elif word.verdict == GRANTED:
-            claim.grants[voter] = max(claim.grants.get(voter, 0), asked + self._terms.held())
-            claim.refused.pop(voter, None)
-            self._granted(now, claim, claim.ends(sets))
-            if claim.state == ASKING and claim.lone:
-                claim.lone = ""
-                self._ask(now, claim)
-        elif word.verdict == LOW and claim.state == ASKING and claim.raised < MAX_RAISED:
-            claim.raised += 1
-            self._propose(now, claim)
+        elif reply.verdict == GRANTED:
+            self._take_grant(now, claim, voter, requested_at)
         else:
-            left = min(int(word.left * MS * (1 + 2 * self._terms.drift)), self._long)
-            if word.verdict not in (HELD, SILENT, TAKEN):
-                left = self._terms.term // 8
-            claim.refused[voter] = now + (0 if word.verdict == TAKEN else left)
-            if claim.state == ASKING and not self._offer(now, claim.resource):
-                if claim.lost(sets) or (claim.lone and word.verdict in (HELD, TAKEN)):
-                    self._fail(now, claim)
-                elif claim.lone:
-                    claim.lone = ""
-                    self._ask(now, claim)
-            elif claim.state == HANDING and word.holder == claim.to and claim.lost(sets):
-                self._end(now, claim, "handed on")
-
-    def _granted(self, now: int, claim: Claim, until: int) -> None:
-        if until <= claim.until or until <= now:
+            self._take_refusal(now, claim, voter, reply)
+
+    def _is_voter(self, now: int, claim: Claim, name: str) -> bool:
+        return any(name in voters for voters, _ in self._electorate.sets(now, claim.resource))
+
+    def _take_grant(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
+        self.holder.granted(now, claim, voter, requested_at)
+        if claim.state == ClaimState.REQUESTING and claim.first_voter:
+            self.proposer.ask_all(now, claim)
+
+    def _take_refusal(self, now: int, claim: Claim, voter: str, reply: Answer) -> None:
+        is_candidate = claim.state == ClaimState.REQUESTING
+        if reply.verdict == LOW and is_candidate and self.proposer.raise_epoch(now, claim):
             return
-        claim.until = until
-        if claim.state == ASKING:
-            claim.state, claim.since, claim.fails = HOLDING, now, 0
-            self._turn(claim.resource, OWNED, claim.epoch)
-            if offer := self.offers.get(claim.resource):
-                self._say(offer[0], Took(claim.resource, claim.epoch))
-        elif claim.state == HANDING and until > claim.cap:
-            claim.state, claim.to = HOLDING, ""
-        if until >= claim.round_at + self._terms.held():
-            claim.at = claim.round_at + self._terms.term // 3
-
-    def offer(self, now: int, sender: str, word: Offer) -> None:
-        """Another names this gateway as the next one."""
-        claim = self.claims.get(word.resource)
+        claim.refusals[voter] = now + self._refused_for(reply)
+        if is_candidate:
+            self.proposer.refused(now, claim, is_taken=reply.verdict in (HELD, TAKEN))
+        elif claim.state == ClaimState.TRANSFERRING and reply.holder == claim.successor:
+            if claim.is_vote_lost(self._electorate.sets(now, claim.resource)):
+                self.holder.end(now, claim, "handed on")
+
+    def _refused_for(self, reply: Answer) -> int:
+        """How long (ns) the voter will refuse at least."""
+        if reply.verdict == TAKEN:
+            return 0
+        if reply.verdict in (HELD, SILENT):
+            return min(int(reply.left * MS * (1 + 2 * self._terms.drift)), self.longest_lease)
+        return self._terms.term // 8
+
+    def offer(self, now: int, sender: str, message: Offer) -> None:
+        """Another gateway names this one as its successor."""
+        claim = self.claims.get(message.resource)
         if claim is not None and claim.holds(now):
-            if claim.epoch > word.epoch:
-                self._say(sender, Took(word.resource, claim.epoch))
+            if claim.epoch > message.epoch:
+                self._outbox.send(sender, Took(message.resource, claim.epoch))
+            return
+        if not self.offers.record(now, sender, message):
             return
-        known = self.offers.get(word.resource)
-        if known is None or known[:2] != (sender, word.epoch):
-            if known is None and len(self.offers) >= MAX_OFFERS:
-                self.full += 1
-                return
-            self.offered[word.resource] = sender
-        self.offers[word.resource] = sender, word.epoch, now
-        if claim is not None and claim.state == WAITING:
-            claim.at = now
+        if claim is not None and claim.state == ClaimState.WAITING:
+            claim.due_at = now
             self._act(now, claim)
 
-    def took(self, now: int, sender: str, word: Took) -> None:
-        """The next one says that it holds."""
-        claim = self.claims.get(word.resource)
-        if claim is not None and claim.state == HANDING and claim.to == sender and word.epoch > claim.epoch:
-            self._expire(now, claim)
-            if claim.state == HANDING:
-                self._end(now, claim, "handed on")
+    def took(self, now: int, sender: str, message: Took) -> None:
+        """The successor says that it holds."""
+        claim = self.claims.get(message.resource)
+        if claim is None or claim.state != ClaimState.TRANSFERRING:
+            return
+        if claim.successor != sender or message.epoch <= claim.epoch:
+            return
+        self.holder.expire(now, claim)
+        if claim.state == ClaimState.TRANSFERRING:
+            self.holder.end(now, claim, "handed on")
+
+    # Time
 
     def tick(self, now: int) -> None:
         """Time has passed."""
         for claim in list(self.claims.values()):
-            self._expire(now, claim)
+            self.holder.expire(now, claim)
             self._act(now, claim)
-        for resource in [resource for resource, offer in self.offers.items() if offer[2] + self._terms.overlap <= now]:
-            del self.offers[resource]
-            self.offered.pop(resource, None)
+        self.offers.expire(now)
+
+    def _act(self, now: int, claim: Claim) -> None:
+        """Do what is due."""
+        if claim.resource not in self.claims:
+            return
+        if claim.state == ClaimState.HOLDING:
+            if self.holder.is_renewal_due(now, claim):
+                self.holder.renew(now, claim)
+            return
+        if now < claim.due_at:
+            return
+        if claim.state == ClaimState.WAITING:
+            self.proposer.start_vote(now, claim)
+        elif claim.state == ClaimState.REQUESTING:
+            self.proposer.continue_vote(now, claim)
+        else:
+            self.holder.continue_transfer(now, claim)
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
-        return min(
-            (
-                min(claim.at, claim.until) if claim.state in (HOLDING, HANDING) else claim.at
-                for claim in self.claims.values()
-            ),
-            default=None,
-        )
+        return min((_next_at(claim) for claim in self.claims.values()), default=None)
+
+
+def _next_at(claim: Claim) -> int:
+    if claim.state in HELD_STATES:
+        return min(claim.due_at, claim.until)
+    return claim.due_at
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -154,6 +154,10 @@
         found = [(voters, majority(len(voters)))]
         return found + [bound for one in self.older if (bound := self._binding(now, one, resource))]
 
+    def all_voters(self, now: int, resource: str) -> list[str]:
+        """Whoever is in one of the sets, by name."""
+        return sorted({voter for voters, _ in self.sets(now, resource) for voter in voters})
+
     def accepts(self, now: int, ask: Ask) -> bool:
         """Whether one who asks goes by the same list, and through all that still bind this gateway."""
         if ask.list != self.hash or (not ask.renewal and self.doubt(now)):
--- /dev/null
+++ b/yardbank/cluster/lease/holder.py
@@ -0,0 +1,185 @@
+"""Leases that this gateway holds: won, renewed, transferred, ended. No I/O: time (ns, its own clock) comes in.
+
+Owns the claims, at most ``MAX_CLAIMS``. Writes of a ``Claim``: ``until``, ``held_since``, ``successor``,
+``notice_number``, ``transfer_until``, ``reclaim_at``, ``grants``, ``informed_voters``, and the states ``HOLDING`` and
+``TRANSFERRING``. A grant counts from when its request was sent, by this clock, shortened for drift; a transfer never
+outlasts the overlap by any clock.
+"""
+
+from __future__ import annotations
+
+from yardbank.cluster.lease.api import ENDED, OWNED, LeaseTerms
+from yardbank.cluster.lease.claim import Claim, ClaimState
+from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.messages import NextIs, Offer, Took
+from yardbank.cluster.lease.outbox import Outbox
+from yardbank.cluster.lease.ownership_log import OwnershipLog
+from yardbank.cluster.lease.proposer import Proposer
+from yardbank.cluster.lease.timing import short_overlap
+from yardbank.cluster.lease.transfer_offers import TransferOffers
+
+MAX_CLAIMS = 1024
+HELD_STATES = (ClaimState.HOLDING, ClaimState.TRANSFERRING)
+
+
+class Holder:
+    """The claims, and what is done with those that are held."""
+
+    __slots__ = (
+        "_boot_epoch",
+        "_electorate",
+        "_log",
+        "_name",
+        "_offers",
+        "_outbox",
+        "_proposer",
+        "_terms",
+        "_transfer_time",
+        "claims",
+    )
+
+    def __init__(
+        self,
+        name: str,
+        boot_epoch: int,
+        terms: LeaseTerms,
+        electorate: Lists,
+        outbox: Outbox,
+        offers: TransferOffers,
+        log: OwnershipLog,
+        proposer: Proposer,
+    ) -> None:
+        self._name = name
+        self._boot_epoch = boot_epoch
+        self._terms = terms
+        self._electorate = electorate
+        self._outbox = outbox
+        self._offers = offers
+        self._log = log
+        self._proposer = proposer
+        self._transfer_time = short_overlap(terms)
+        self.claims: dict[str, Claim] = {}
+
+    def add(self, resource: str) -> Claim | None:
+        """A new claim; None: there are too many."""
+        if len(self.claims) >= MAX_CLAIMS:
+            return None
+        claim = Claim(resource)
+        self.claims[resource] = claim
+        return claim
+
+    def granted(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
+        """A voter grants or renews what was requested then."""
+        until = requested_at + self._terms.held()
+        claim.grants[voter] = max(claim.grants.get(voter, 0), until)
+        claim.refusals.pop(voter, None)
+        self._extend(now, claim, claim.granted_until(self._electorate.sets(now, claim.resource)))
+
+    def _extend(self, now: int, claim: Claim, until: int) -> None:
+        if until <= claim.until or until <= now:
+            return
+        claim.until = until
+        if claim.state == ClaimState.REQUESTING:
+            self._begin(now, claim)
+        elif claim.state == ClaimState.TRANSFERRING and until > claim.transfer_until:
+            claim.state = ClaimState.HOLDING
+            claim.successor = ""
+        if self._is_round_complete(claim):
+            claim.due_at = claim.round_started_at + self._terms.term // 3
+
+    def _begin(self, now: int, claim: Claim) -> None:
+        claim.state = ClaimState.HOLDING
+        claim.held_since = now
+        claim.failed_votes = 0
+        self._log.record(claim.resource, OWNED, claim.epoch)
+        if offer := self._offers.offers.get(claim.resource):
+            self._outbox.send(offer.sender, Took(claim.resource, claim.epoch))
+
+    def _is_round_complete(self, claim: Claim) -> bool:
+        return claim.until >= claim.round_started_at + self._terms.held()
+
+    def is_renewal_due(self, now: int, claim: Claim) -> bool:
+        """Whether it is time to renew.
+
+        After a complete round this is somewhat early, so that the renewals of one gateway go together.
+        """
+        early = self._terms.term // 16 if self._is_round_complete(claim) else 0
+        return now + early >= claim.due_at
+
+    def renew(self, now: int, claim: Claim) -> None:
+        """Ask for a renewal: a new round, or again within the round that is not complete."""
+        if self._is_round_complete(claim):
+            claim.round_started_at = now
+        self._proposer.request_votes(now, claim)
+
+    def transfer(self, now: int, claim: Claim, to: str) -> bool:
+        """Begin a transfer; not within ``overlap`` of having got it: the one before may hold it still."""
+        if claim.state != ClaimState.HOLDING or now < claim.held_since + self._terms.overlap:
+            return False
+        claim.state = ClaimState.TRANSFERRING
+        claim.successor = to
+        claim.transfer_until = now + self._transfer_time
+        claim.reclaim_at = now + self._transfer_time * 3 // 5
+        claim.until = min(claim.until, claim.transfer_until)
+        claim.grants = {voter: min(end, claim.transfer_until) for voter, end in claim.grants.items()}
+        claim.requests.clear()  # replies to what was requested before count no more
+        claim.refusals.clear()
+        claim.informed_voters.clear()
+        claim.notice_number = self._outbox.next_number()
+        self._notify_successor(now, claim)
+        return True
+
+    def continue_transfer(self, now: int, claim: Claim) -> None:
+        """Repeat who is next, or take the lease back once that has had its time."""
+        if now < claim.reclaim_at:
+            self._notify_successor(now, claim)
+            return
+        if claim.round_started_at < claim.reclaim_at:
+            claim.round_started_at = now
+        self._proposer.request_votes(now, claim)
+
+    def _notify_successor(self, now: int, claim: Claim) -> None:
+        """Notify the voters and the successor."""
+        notice = NextIs(claim.resource, self._boot_epoch, claim.notice_number, claim.epoch, claim.successor)
+        claim.due_at = min(now + max(1, self._terms.overlap // 8), claim.reclaim_at)
+        for voter in self._electorate.all_voters(now, claim.resource):
+            if voter not in claim.informed_voters:
+                self._outbox.send(voter, notice)
+        self._outbox.send(claim.successor, Offer(claim.resource, claim.epoch))
+
+    def successor_noted(self, claim: Claim, voter: str, number: int) -> None:
+        """A voter has noted the successor."""
+        if claim.state == ClaimState.TRANSFERRING and number == claim.notice_number:
+            claim.informed_voters.add(voter)
+
+    def expire(self, now: int, claim: Claim) -> None:
+        """End what has run out by now."""
+        if claim.state not in HELD_STATES or now < claim.until:
+            return
+        reason = "lapsed" if claim.state == ClaimState.HOLDING else "handed on, unanswered"
+        self.end(now, claim, reason)
+
+    def end(self, now: int, claim: Claim, reason: str) -> None:
+        """The lease is over here: for good after a transfer, else it is tried for again."""
+        self._log.record(claim.resource, ENDED, claim.epoch, reason)
+        if claim.state == ClaimState.TRANSFERRING:
+            self._remove(now, claim)
+            return
+        self._proposer.release_voters(now, claim)
+        claim.forget_replies()
+        claim.state = ClaimState.WAITING
+        claim.due_at = now + self._proposer.random_delay(self._proposer.vote_time)
+
+    def release(self, now: int, claim: Claim) -> None:
+        """The user wants it no more."""
+        self.expire(now, claim)
+        if claim.state in HELD_STATES:
+            self._log.record(claim.resource, ENDED, claim.epoch, "released")
+        if claim.resource in self.claims:
+            self._remove(now, claim)
+
+    def _remove(self, now: int, claim: Claim) -> None:
+        self._proposer.release_voters(now, claim)
+        del self.claims[claim.resource]
+        claim.state = ClaimState.WAITING  # for callers that still refer to it
+        claim.forget_replies()
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -7,9 +7,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from yardbank.cluster.lease import votes
+from yardbank.cluster.lease import holder
 from yardbank.cluster.lease.api import LeaseTerms
-from yardbank.cluster.lease.claim import HANDING, HOLDING, Claim
+from yardbank.cluster.lease.claim import Claim
 from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.voter import Voter
 
@@ -26,7 +26,7 @@
 
 
 def _wakes() -> Any:
-    return patch.object(Claim, "holds", lambda claim, now: claim.state in (HOLDING, HANDING))
+    return patch.object(Claim, "holds", lambda claim, now: claim.state in holder.HELD_STATES)
 
 
 def _reuses() -> Any:
@@ -46,7 +46,7 @@
 
 
 def _uncapped() -> Any:
-    return patch.object(votes, "short_overlap", lambda terms: terms.term)
+    return patch.object(holder, "short_overlap", lambda terms: terms.term)
 
 
 BUGS: dict[str, tuple[str, Callable[[], Any]]] = {
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -10,16 +10,26 @@
 from yardbank.cluster.lease.claims import Claims
 from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.epochs import Epochs
+from yardbank.cluster.lease.holder import Holder
+from yardbank.cluster.lease.outbox import Outbox
+from yardbank.cluster.lease.ownership_log import OwnershipLog
 from yardbank.cluster.lease.part import LeasePart
+from yardbank.cluster.lease.proposer import Proposer
+from yardbank.cluster.lease.transfer_offers import TransferOffers
 from yardbank.cluster.lease.voter import Voter
 
 # What of each changes in place; all else is shared, or the same for good.
 _CHANGING: dict[type, tuple[str, ...]] = {
-    Claim: ("grants", "sent", "refused", "told"),
+    Claim: ("grants", "requests", "refusals", "informed_voters"),
     Epochs: (),
     Lists: ("older", "heard"),
     Voter: ("entries",),
-    Claims: ("claims", "offers", "offered", "hints", "turns", "news", "out"),
+    Outbox: ("queue",),
+    TransferOffers: ("offers", "unseen"),
+    OwnershipLog: ("events", "log_events", "hints"),
+    Proposer: (),
+    Holder: ("claims",),
+    Claims: (),
     LeasePart: (),
 }
 _SLOTS = {kind: tuple(slot for one in kind.__mro__ for slot in getattr(one, "__slots__", ())) for kind in _CHANGING}
@@ -40,14 +50,35 @@
     """A copy that shares nothing that changes; what was to be said must have been taken off."""
     made: LeasePart = _copy(part)
     made.epochs, made.lists, made.voter, made.claims = map(_copy, (part.epochs, part.lists, part.voter, part.claims))
-    made.voter._epochs = made.claims._epochs = made.epochs
-    made.claims._lists = made.lists
-    made._out, made._letters = made.claims.out, []
-    for name, claim in part.claims.claims.items():
-        made.claims.claims[name] = _copy(claim)
+    made.voter._epochs = made.epochs
+    made._outbox = _copy(part._outbox)
+    made._letters = []
+    _copy_claims(made.claims, made)
     return made
 
 
+def _copy_claims(claims: Claims, part: LeasePart) -> None:
+    """Copy what the claims are made of, and join the copies to those of the part."""
+    claims._electorate = part.lists
+    claims._outbox = part._outbox
+    claims.offers = _copy(claims.offers)
+    claims.log = _copy(claims.log)
+    proposer: Proposer = _copy(claims.proposer)
+    proposer._electorate = part.lists
+    proposer._epochs = part.epochs
+    proposer._outbox = part._outbox
+    proposer._offers = claims.offers
+    claims.proposer = proposer
+    holder: Holder = _copy(claims.holder)
+    holder._electorate = part.lists
+    holder._outbox = part._outbox
+    holder._offers = claims.offers
+    holder._log = claims.log
+    holder._proposer = proposer
+    holder.claims = {resource: _copy(claim) for resource, claim in holder.claims.items()}
+    claims.holder = holder
+
+
 class Zero(Random):
     """Draws that are always the lowest: whoever may act acts as soon as it may. Whatever waits longer is a stop."""
 
@@ -74,30 +105,30 @@
     numbers: list[Numbered] = []
     claims = []
     for claim in part.claims.claims.values():
-        sent = [(number, at + held - now) for number, at in claim.sent.items() if at + held > now]
+        sent = [(number, at + held - now) for number, at in claim.requests.items() if at + held > now]
         numbers += [(part.name, part.boot_epoch, number) for number, _ in sent]
-        numbers.append((part.name, part.boot_epoch, claim.named))
+        numbers.append((part.name, part.boot_epoch, claim.notice_number))
         claims.append(
             (
                 claim.resource,
                 claim.state,
                 claim.epoch,
                 ahead(claim.until),
-                ahead(claim.at),
-                ahead(claim.deadline),
-                ahead(claim.since + overlap),
-                claim.until - claim.round_at,
-                ahead(claim.round_at + held),
-                claim.raised,
-                claim.to,
+                ahead(claim.due_at),
+                ahead(claim.vote_deadline),
+                ahead(claim.held_since + overlap),
+                claim.until - claim.round_started_at,
+                ahead(claim.round_started_at + held),
+                claim.raised_epochs,
+                claim.successor,
                 claim.contested,
-                claim.lone,
-                ahead(claim.cap),
-                ahead(claim.back),
+                claim.first_voter,
+                ahead(claim.transfer_until),
+                ahead(claim.reclaim_at),
                 tuple(left for _, left in sent),
                 tuple(sorted((voter, end - now) for voter, end in claim.grants.items() if end > now)),
-                tuple(sorted((voter, ahead(at)) for voter, at in claim.refused.items())),
-                tuple(sorted(claim.told)),
+                tuple(sorted((voter, ahead(at)) for voter, at in claim.refusals.items())),
+                tuple(sorted(claim.informed_voters)),
             )
         )
     entries = []
@@ -105,8 +136,8 @@
         numbers.append((entry.holder, entry.boot_epoch, entry.number))
         bound = (entry.until - now, entry.next, entry.holds) if entry.until > now else ()
         entries.append((name, *entry[:3], bound, entry.highest))
-    offers = tuple((name, *offer[:2], ahead(offer[2] + overlap)) for name, offer in part.claims.offers.items())
-    lists, epochs, long = part.lists, part.epochs, part.claims._long
+    offers = tuple((name, *offer[:2], ahead(offer[2] + overlap)) for name, offer in part.claims.offers.offers.items())
+    lists, epochs, long = part.lists, part.epochs, part.claims.longest_lease
     heard = tuple(
         (name, one.hash, one.older, ahead(one.since + long), ahead(one.at + 2 * long))
         for name, one in sorted(lists.heard.items())
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -230,7 +230,7 @@
             return True
         part = self.nodes[letter.target].part
         claim = part.claims.claims.get(word.resource)
-        waited = claim is not None and (word.number in claim.sent or word.number == claim.named)
+        waited = claim is not None and (word.number in claim.requests or word.number == claim.notice_number)
         return waited and word.boot_epoch == part.boot_epoch
 
     def holders(self) -> list[tuple[str, int]]:
--- /dev/null
+++ b/yardbank/cluster/lease/outbox.py
@@ -0,0 +1,38 @@
+"""What one gateway's leases have to send. No I/O.
+
+Owns the queue of outgoing messages and the count of numbered ones. Urgent is what keeps or transfers a lease. What only
+requests one waits for the link's rate, so that many candidates cannot starve holders.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from yardbank.cluster.lease.messages import Word
+
+
+class Outgoing(NamedTuple):
+    """One message; ``to`` may be this gateway itself."""
+
+    to: str
+    message: Word
+    urgent: bool
+
+
+class Outbox:
+    """Messages in the order in which they are to be sent; emptied after each event."""
+
+    __slots__ = ("_last_number", "queue")
+
+    def __init__(self) -> None:
+        self.queue: list[Outgoing] = []
+        self._last_number = 0
+
+    def send(self, to: str, message: Word, urgent: bool = True) -> None:
+        """Queue a message."""
+        self.queue.append(Outgoing(to, message, urgent))
+
+    def next_number(self) -> int:
+        """A number above all that were given since this start."""
+        self._last_number += 1
+        return self._last_number
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -10,14 +10,15 @@
 import xxhash
 
 from yardbank.cluster.lease.api import LeaseEvent, LeaseTerms
-from yardbank.cluster.lease.claim import HANDING, HOLDING
-from yardbank.cluster.lease.claim import NAMES as STATES
+from yardbank.cluster.lease.claim import STATE_NAMES, ClaimState
 from yardbank.cluster.lease.claims import Claims
 from yardbank.cluster.lease.electorate import Lists
 from yardbank.cluster.lease.epochs import SHIFT, Epochs
+from yardbank.cluster.lease.holder import HELD_STATES
 from yardbank.cluster.lease.messages import GRANTED, LIST, LOW, NAMED, Answer, Ask, Hello, NextIs, Offer, Release, Word
 from yardbank.cluster.lease.messages import decode as read
 from yardbank.cluster.lease.messages import encode as written
+from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.voter import Voter
 from yardbank.cluster.peers.parts import KeyValueStore, MembershipView, Message
 
@@ -45,7 +46,7 @@
         "_keep",
         "_letters",
         "_membership_view",
-        "_out",
+        "_outbox",
         "begun",
         "boot_epoch",
         "claims",
@@ -63,12 +64,12 @@
             membership_view.name,
             membership_view.boot_epoch,
         )  # as a holder; it stays, whatever the link learns of old lives
-        self._out: list[tuple[str, Word, bool]] = []  # to whom, what, whether it is urgent
+        self._outbox = Outbox()
         self._letters: list[Message] = []
         self.epochs = Epochs()
         self.lists = Lists(self.name, terms)
         self.voter = Voter(terms, self.epochs)
-        self.claims = Claims(self.name, self.boot_epoch, terms, random, self.lists, self.epochs, self._out)
+        self.claims = Claims(self.name, self.boot_epoch, terms, random, self.lists, self.epochs, self._outbox)
         self.begun = False
         self.not_kept = 0
 
@@ -84,8 +85,8 @@
         if self.lists.listed(now, xxhash.xxh3_64_intdigest(agreed.encode()), self._membership_view.zones()):
             self._save()
             for claim in self.claims.claims.values():
-                if claim.state == HOLDING:
-                    claim.at = now  # the new voters are asked at once
+                if claim.state == ClaimState.HOLDING:
+                    claim.due_at = now  # the new voters are asked at once
         self._done(now)
 
     def _begin(self, now: int) -> None:
@@ -119,7 +120,7 @@
             )  # an earlier start was further
         self.claims.tick(now)
         for peer in self.lists.tick(now):
-            self._out.append((peer, self._hello(answer=True), False))
+            self._outbox.send(peer, self._hello(answer=True), urgent=False)
         self._done(now)
 
     def next_at(self) -> int | None:
@@ -156,28 +157,21 @@
 
     def offered(self, prefix: str) -> list[tuple[str, str]]:
         """See ``api.Leases``."""
-        found = [one for one in self.claims.offered.items() if one[0].startswith(prefix)]
-        for resource, _ in found:
-            del self.claims.offered[resource]
-        return found
+        return self.claims.offers.take(prefix)
 
     def turns(self, prefix: str) -> list[LeaseEvent]:
         """See ``api.Leases``."""
-        found = [turn for turn in self.claims.turns if turn.resource.startswith(prefix)]
-        self.claims.turns = [turn for turn in self.claims.turns if not turn.resource.startswith(prefix)]
-        return found
+        return self.claims.log.take_events(prefix)
 
     def news(self) -> list[LeaseEvent]:
         """The turns of all resources once more, for the log; taken off. The oldest give way where nobody asks."""
-        found = list(self.claims.news)
-        self.claims.news.clear()
-        return found
+        return self.claims.log.take_log_events()
 
     def holder(self, resource: str) -> tuple[str, int] | None:
         """See ``api.Leases``."""
         entry = self.voter.entries.get(resource)
         seen = (entry.holder, entry.epoch) if entry is not None and entry.holds else None
-        hint = self.claims.hints.get(resource)
+        hint = self.claims.log.hints.get(resource)
         return max((one for one in (seen, hint) if one), key=lambda one: one[1], default=None)
 
     # Words
@@ -199,7 +193,7 @@
         elif isinstance(word, Hello):
             self._hear(now, sender, word)
             if word.answer:
-                self._out.append((sender, self._hello(answer=False), False))
+                self._outbox.send(sender, self._hello(answer=False), urgent=False)
         else:
             self.claims.took(now, sender, word)
 
@@ -208,7 +202,7 @@
             self._answer(sender, ask, LIST)
         elif verdict := self.voter.ask(now, sender, ask):
             if verdict.verdict == GRANTED and ask.renewal:
-                self.claims.hints.pop(ask.resource, None)  # the entry says it
+                self.claims.log.hints.pop(ask.resource, None)  # the entry says it
             self._answer(sender, ask, verdict.verdict, verdict.holder, verdict.left)
 
     def _answer(self, to: str, ask: Ask | NextIs, verdict: int, holder: str = "", left: int = 0) -> None:
@@ -224,7 +218,7 @@
             holder,
             left,
         )
-        self._out.append((to, answer, verdict in (GRANTED, LOW, NAMED)))
+        self._outbox.send(to, answer, urgent=verdict in (GRANTED, LOW, NAMED))
 
     def _hello(self, answer: bool) -> Hello:
         return Hello("", self.lists.hash, self.lists.binding(), self.epochs.top, answer)
@@ -238,9 +232,9 @@
 
     def _done(self, now: int) -> None:
         """Words to itself are taken at once; the others go out, after what they rest on is kept."""
-        out = self._out
-        while out:
-            to, word, urgent = out.pop(0)
+        queue = self._outbox.queue
+        while queue:
+            to, word, urgent = queue.pop(0)
             if to == self.name:
                 self._take(now, to, word)
             else:
@@ -260,11 +254,11 @@
             claim.resource: {
                 "epoch": claim.epoch,
                 "left": (claim.until - now) // MS,
-                "state": STATES[claim.state],
+                "state": STATE_NAMES[claim.state],
                 "voters": list(self.lists.voters(claim.resource)),
             }
             for claim in claims.values()
-            if claim.state in (HOLDING, HANDING) and claim.holds(now)
+            if claim.state in HELD_STATES and claim.holds(now)
         }
         granted: Mapping[str, Any] = {
             resource: {"holder": entry.holder, "epoch": entry.epoch, "left": (entry.until - now) // MS}
@@ -273,12 +267,12 @@
         }
         counts = {
             "epochs_too_far": self.epochs.refused,
-            "full": self.voter.full + self.claims.full,
+            "full": self.voter.full + self.claims.full + self.claims.offers.rejected,
             "late": self.voter.ignored + self.claims.stale,
             "clashes": self.voter.clashes,
             "lists_forgotten": self.lists.forgotten,
             "not_kept": self.not_kept,
-            "turns_lost": self.claims.turns_lost,
+            "turns_lost": self.claims.log.events_lost,
         }
         return {
             "held": dict(list(held.items())[:SHOWN]),
