--- a/tests/cluster/lease/test_bounds.py
+++ b/tests/cluster/lease/test_bounds.py
@@ -5,7 +5,7 @@
 from tests.support.lease_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease import LeaseTerms
 from yardbank.cluster.lease.epochs import FAR, Epochs
-from yardbank.cluster.lease.messages import FULL, GRANTED, Answer, Ask, Offer, decode, encode
+from yardbank.cluster.lease.messages import FULL, GRANTED, LeaseRequest, TransferOffer, VoteReply, decode, encode
 from yardbank.cluster.lease.voter import MAX_RESOURCES, Verdict
 
 
@@ -16,7 +16,7 @@
     assert epochs.hear(0, epochs.top + FAR)
     assert epochs.hear(SECOND, epochs.above())  # a second later there is room again
     bus = Bus("abc")
-    bus.parts["a"].receive(bus.now, "b", 1, encode(Answer(R, 1, 1, GRANTED, (1 << 63) - 1, 0)))
+    bus.parts["a"].receive(bus.now, "b", 1, encode(VoteReply(R, 1, 1, GRANTED, (1 << 63) - 1, 0)))
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
     assert bus.holders() == ["a"] and bus.parts["a"].view(bus.now)["counts"]["epochs_too_far"] == 1
@@ -55,14 +55,16 @@
     bus = Bus("abc")
     voter = bus.parts["a"]
     for number in range(MAX_RESOURCES + 5):
-        voter.receive(bus.now, "b", 1, encode(Ask(f"r{number}", 1, number + 1, 1 << 20, False, voter.lists.hash)))
+        voter.receive(
+            bus.now, "b", 1, encode(LeaseRequest(f"r{number}", 1, number + 1, 1 << 20, False, voter.lists.hash))
+        )
     assert len(voter.voter.entries) == MAX_RESOURCES and voter.view(bus.now)["counts"]["full"] == 5
     assert decode(voter.outgoing_messages()[-1].body).verdict == FULL
     bus.now += TERMS.term
-    voter.receive(bus.now, "b", 1, encode(Ask("more", 1, 9999, 1 << 20, False, voter.lists.hash)))
+    voter.receive(bus.now, "b", 1, encode(LeaseRequest("more", 1, 9999, 1 << 20, False, voter.lists.hash)))
     assert len(voter.voter.entries) == 1 and voter.epochs.floor == 1 << 20  # made room; no epoch is forgotten by that
     for number in range(2000):
         voter.acquire(bus.now, f"r{number}")
-        voter.receive(bus.now, "b", 1, encode(Offer(f"o{number}", 1)))
+        voter.receive(bus.now, "b", 1, encode(TransferOffer(f"o{number}", 1)))
     assert len(voter.claims.claims) == 1024 and len(voter.claims.offers.offers) == 256
     assert voter.turns("")[-1].why == "too many are wanted"
--- a/tests/cluster/lease/test_electorate.py
+++ b/tests/cluster/lease/test_electorate.py
@@ -6,7 +6,7 @@
 
 from tests.support.lease_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease import LeaseTerms
-from yardbank.cluster.lease.messages import Ask, Hello, Word, decode, encode
+from yardbank.cluster.lease.messages import LeaseMessage, LeaseRequest, VoterAnnouncement, decode, encode
 from yardbank.cluster.lease.model_check.nodes import Kept
 from yardbank.cluster.lease.model_check.scenes import SCENES
 from yardbank.cluster.lease.quorum import majority, voters_of
@@ -37,7 +37,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=60), st.integers(0, 200), st.integers(0, 255))
 def test_letters_are_taken_whole_or_dropped_and_newer_ones_are_read(data, at, value):
-    sound = Ask(R, 1, 2, 3, False, (1 << 64) - 1, (5, 6))
+    sound = LeaseRequest(R, 1, 2, 3, False, (1 << 64) - 1, (5, 6))
     assert decode(encode(sound)) == sound
     longer = msgspec.msgpack.encode([*msgspec.msgpack.decode(encode(sound)), {"new": 1}])
     assert decode(longer) == sound
@@ -50,7 +50,7 @@
         except DroppedError:
             pass
         for letter in part.outgoing_messages():
-            assert isinstance(decode(letter.body), Word)
+            assert isinstance(decode(letter.body), LeaseMessage)
 
 
 def test_a_list_that_changes_asks_old_and_new_voters_until_the_old_ones_have_left():
@@ -115,4 +115,4 @@
     for data in (b"", b"\xc1", b"\x92\x01", msgspec.msgpack.encode([-5, "x"])):
         part = Bus("abc").start("a", keep=Kept(data))
         assert part.begun and part.lists.fresh
-    assert not isinstance(decode(encode(Hello("", 1, (), 2, True))), Ask)
+    assert not isinstance(decode(encode(VoterAnnouncement("", 1, (), 2, True))), LeaseRequest)
--- a/tests/cluster/lease/test_lease.py
+++ b/tests/cluster/lease/test_lease.py
@@ -6,7 +6,7 @@
 
 from tests.support.lease_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease.epochs import SHIFT
-from yardbank.cluster.lease.messages import Ask, Took, encode
+from yardbank.cluster.lease.messages import LeaseRequest, LeaseTaken, encode
 from yardbank.cluster.lease.model_check.nodes import Kept
 from yardbank.cluster.lease.timing import long_lease, short_overlap, vote_time
 
@@ -82,7 +82,7 @@
     a.tick(bus.now)
     assert a.turns("")[-1].why == "handed on, unanswered"
     bus.cut.clear()
-    a.receive(bus.now, "b", 1, encode(Took(R, 1 << 20)))  # after its end: no harm
+    a.receive(bus.now, "b", 1, encode(LeaseTaken(R, 1 << 20)))  # after its end: no harm
     a.release(bus.now, R)
 
 
@@ -148,7 +148,7 @@
             bus.parts[f"g{(number + more) % 20}"].acquire(bus.now, resource)
     bus.run(2 * long_lease(TERMS))
     assert all(len(bus.holders(resource)) == 1 for resource in resources)
-    asks = sum(isinstance(word, Ask) for _, _, word in bus.said)
+    asks = sum(isinstance(word, LeaseRequest) for _, _, word in bus.said)
     assert asks < 100 * 2 * 3 * 20
 
 
--- a/tests/golden/test_golden_lease.py
+++ b/tests/golden/test_golden_lease.py
@@ -15,13 +15,13 @@
     NAMED,
     SILENT,
     TAKEN,
-    Answer,
-    Ask,
-    Hello,
-    NextIs,
-    Offer,
+    LeaseRequest,
+    LeaseTaken,
     Release,
-    Took,
+    SuccessorNotice,
+    TransferOffer,
+    VoterAnnouncement,
+    VoteReply,
     decode,
     encode,
 )
@@ -30,7 +30,7 @@
 from yardbank.cluster.peers.parts import KeyValueStore
 
 LETTERS = {
-    "vote request": lambda resource, boot_epoch, number, epoch, renewal, current, past: Ask(
+    "vote request": lambda resource, boot_epoch, number, epoch, renewal, current, past: LeaseRequest(
         resource=resource,
         boot_epoch=boot_epoch,
         number=number,
@@ -39,7 +39,7 @@
         list=current,
         past=tuple(past),
     ),
-    "vote reply": lambda resource, boot_epoch, number, verdict, top, current, older, holder, left: Answer(
+    "vote reply": lambda resource, boot_epoch, number, verdict, top, current, older, holder, left: VoteReply(
         resource=resource,
         boot_epoch=boot_epoch,
         number=number,
@@ -53,12 +53,12 @@
     "release": lambda resource, boot_epoch, number, epoch: Release(
         resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch
     ),
-    "successor": lambda resource, boot_epoch, number, epoch, to: NextIs(
+    "successor": lambda resource, boot_epoch, number, epoch, to: SuccessorNotice(
         resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch, next=to
     ),
-    "transfer offer": lambda resource, epoch: Offer(resource=resource, epoch=epoch),
-    "transfer done": lambda resource, epoch: Took(resource=resource, epoch=epoch),
-    "status": lambda resource, current, older, top, answer: Hello(
+    "transfer offer": lambda resource, epoch: TransferOffer(resource=resource, epoch=epoch),
+    "transfer done": lambda resource, epoch: LeaseTaken(resource=resource, epoch=epoch),
+    "status": lambda resource, current, older, top, answer: VoterAnnouncement(
         resource=resource, list=current, older=tuple(older), top=top, answer=answer
     ),
 }
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -12,10 +12,21 @@
 
 from yardbank.cluster.lease.api import ENDED, LeaseTerms
 from yardbank.cluster.lease.claim import Claim, ClaimState
-from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.epochs import Epochs
 from yardbank.cluster.lease.holder import HELD_STATES, Holder
-from yardbank.cluster.lease.messages import GRANTED, HELD, LOW, MAX_RESOURCE, NAMED, SILENT, TAKEN, Answer, Offer, Took
+from yardbank.cluster.lease.messages import (
+    GRANTED,
+    HELD,
+    LOW,
+    MAX_RESOURCE,
+    NAMED,
+    SILENT,
+    TAKEN,
+    LeaseTaken,
+    TransferOffer,
+    VoteReply,
+)
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.ownership_log import OwnershipLog
 from yardbank.cluster.lease.proposer import Proposer
@@ -49,7 +60,7 @@
         boot_epoch: int,
         terms: LeaseTerms,
         random: Random,
-        electorate: Lists,
+        electorate: Electorate,
         epochs: Epochs,
         outbox: Outbox,
     ) -> None:
@@ -105,7 +116,7 @@
 
     # What comes in
 
-    def answer(self, now: int, voter: str, reply: Answer) -> None:
+    def answer(self, now: int, voter: str, reply: VoteReply) -> None:
         """A voter's reply."""
         claim = self.claims.get(reply.resource)
         if claim is None or reply.boot_epoch != self._boot_epoch:
@@ -133,7 +144,7 @@
         if claim.state == ClaimState.REQUESTING and claim.first_voter:
             self.proposer.ask_all(now, claim)
 
-    def _take_refusal(self, now: int, claim: Claim, voter: str, reply: Answer) -> None:
+    def _take_refusal(self, now: int, claim: Claim, voter: str, reply: VoteReply) -> None:
         is_candidate = claim.state == ClaimState.REQUESTING
         if reply.verdict == LOW and is_candidate and self.proposer.raise_epoch(now, claim):
             return
@@ -144,7 +155,7 @@
             if claim.is_vote_lost(self._electorate.sets(now, claim.resource)):
                 self.holder.end(now, claim, "handed on")
 
-    def _refused_for(self, reply: Answer) -> int:
+    def _refused_for(self, reply: VoteReply) -> int:
         """How long (ns) the voter will refuse at least."""
         if reply.verdict == TAKEN:
             return 0
@@ -152,12 +163,12 @@
             return min(int(reply.left * MS * (1 + 2 * self._terms.drift)), self.longest_lease)
         return self._terms.term // 8
 
-    def offer(self, now: int, sender: str, message: Offer) -> None:
+    def offer(self, now: int, sender: str, message: TransferOffer) -> None:
         """Another gateway names this one as its successor."""
         claim = self.claims.get(message.resource)
         if claim is not None and claim.holds(now):
             if claim.epoch > message.epoch:
-                self._outbox.send(sender, Took(message.resource, claim.epoch))
+                self._outbox.send(sender, LeaseTaken(message.resource, claim.epoch))
             return
         if not self.offers.record(now, sender, message):
             return
@@ -165,7 +176,7 @@
             claim.due_at = now
             self._act(now, claim)
 
-    def took(self, now: int, sender: str, message: Took) -> None:
+    def took(self, now: int, sender: str, message: LeaseTaken) -> None:
         """The successor says that it holds."""
         claim = self.claims.get(message.resource)
         if claim is None or claim.state != ClaimState.TRANSFERRING:
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from yardbank.cluster.lease.api import LeaseTerms
-from yardbank.cluster.lease.messages import MAX_LISTS, Ask
+from yardbank.cluster.lease.messages import MAX_LISTS, LeaseRequest
 from yardbank.cluster.lease.quorum import majority, voters_of
 from yardbank.cluster.lease.timing import long_lease
 
@@ -41,7 +41,7 @@
     at: int
 
 
-class Lists:
+class Electorate:
     """The lists of one gateway, and what it has heard of its peers'."""
 
     __slots__ = (
@@ -158,7 +158,7 @@
         """Whoever is in one of the sets, by name."""
         return sorted({voter for voters, _ in self.sets(now, resource) for voter in voters})
 
-    def accepts(self, now: int, ask: Ask) -> bool:
+    def accepts(self, now: int, ask: LeaseRequest) -> bool:
         """Whether one who asks goes by the same list, and through all that still bind this gateway."""
         if ask.list != self.hash or (not ask.renewal and self.doubt(now)):
             return False
--- a/yardbank/cluster/lease/holder.py
+++ b/yardbank/cluster/lease/holder.py
@@ -10,8 +10,8 @@
 
 from yardbank.cluster.lease.api import ENDED, OWNED, LeaseTerms
 from yardbank.cluster.lease.claim import Claim, ClaimState
-from yardbank.cluster.lease.electorate import Lists
-from yardbank.cluster.lease.messages import NextIs, Offer, Took
+from yardbank.cluster.lease.electorate import Electorate
+from yardbank.cluster.lease.messages import LeaseTaken, SuccessorNotice, TransferOffer
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.ownership_log import OwnershipLog
 from yardbank.cluster.lease.proposer import Proposer
@@ -43,7 +43,7 @@
         name: str,
         boot_epoch: int,
         terms: LeaseTerms,
-        electorate: Lists,
+        electorate: Electorate,
         outbox: Outbox,
         offers: TransferOffers,
         log: OwnershipLog,
@@ -93,7 +93,7 @@
         claim.failed_votes = 0
         self._log.record(claim.resource, OWNED, claim.epoch)
         if offer := self._offers.offers.get(claim.resource):
-            self._outbox.send(offer.sender, Took(claim.resource, claim.epoch))
+            self._outbox.send(offer.sender, LeaseTaken(claim.resource, claim.epoch))
 
     def _is_round_complete(self, claim: Claim) -> bool:
         return claim.until >= claim.round_started_at + self._terms.held()
@@ -140,12 +140,12 @@
 
     def _notify_successor(self, now: int, claim: Claim) -> None:
         """Notify the voters and the successor."""
-        notice = NextIs(claim.resource, self._boot_epoch, claim.notice_number, claim.epoch, claim.successor)
+        notice = SuccessorNotice(claim.resource, self._boot_epoch, claim.notice_number, claim.epoch, claim.successor)
         claim.due_at = min(now + max(1, self._terms.overlap // 8), claim.reclaim_at)
         for voter in self._electorate.all_voters(now, claim.resource):
             if voter not in claim.informed_voters:
                 self._outbox.send(voter, notice)
-        self._outbox.send(claim.successor, Offer(claim.resource, claim.epoch))
+        self._outbox.send(claim.successor, TransferOffer(claim.resource, claim.epoch))
 
     def successor_noted(self, claim: Claim, voter: str, number: int) -> None:
         """A voter has noted the successor."""
--- a/yardbank/cluster/lease/messages.py
+++ b/yardbank/cluster/lease/messages.py
@@ -38,7 +38,7 @@
 Hashes = Annotated[tuple[Hash, ...], Meta(max_length=MAX_LISTS)]
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """To a voter: grant me this. ``renewal``: I hold it under this epoch now; else the epoch is a new one."""
 
     resource: Resource
@@ -50,7 +50,7 @@
     past: Hashes = ()  # lists that the asker has been through lately: it keeps to their voters, or knows they are over
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class VoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """From a voter, to one ask. ``top``: the highest epoch it knows of, of any resource."""
 
     resource: Resource
@@ -73,7 +73,7 @@
     epoch: Number
 
 
-class NextIs(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class SuccessorNotice(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """To a voter: this one may have it while I still hold it."""
 
     resource: Resource
@@ -83,21 +83,21 @@
     next: Name
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True, tag=5):
+class TransferOffer(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """To the next one: the voters are being told that you may have it."""
 
     resource: Resource
     epoch: Number
 
 
-class Took(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class LeaseTaken(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """From the next one: it is held here now, under this epoch."""
 
     resource: Resource
     epoch: Number
 
 
-class Hello(msgspec.Struct, array_like=True, frozen=True, tag=7):
+class VoterAnnouncement(msgspec.Struct, array_like=True, frozen=True, tag=7):
     """Where one stands with lists and epochs; ``answer``: and you? ``resource`` is empty."""
 
     resource: Annotated[str, Meta(max_length=0)]
@@ -107,12 +107,12 @@
     answer: bool
 
 
-Word = Ask | Answer | Release | NextIs | Offer | Took | Hello
-_decoder = msgspec.msgpack.Decoder(Word)
+LeaseMessage = LeaseRequest | VoteReply | Release | SuccessorNotice | TransferOffer | LeaseTaken | VoterAnnouncement
+_decoder = msgspec.msgpack.Decoder(LeaseMessage)
 encode = msgspec.msgpack.encode
 
 
-def decode(body: bytes) -> Word:
+def decode(body: bytes) -> LeaseMessage:
     """A letter's word. Raises ``DroppedError``."""
     try:
         return _decoder.decode(body)
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -10,7 +10,7 @@
 from yardbank.cluster.lease import holder
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.claim import Claim
-from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.voter import Voter
 
 
@@ -42,7 +42,7 @@
 
 
 def _one_set() -> Any:
-    return patch.object(Lists, "_binding", lambda lists, now, one, resource: None)
+    return patch.object(Electorate, "_binding", lambda lists, now, one, resource: None)
 
 
 def _uncapped() -> Any:
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -8,7 +8,7 @@
 
 from yardbank.cluster.lease.claim import Claim
 from yardbank.cluster.lease.claims import Claims
-from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.epochs import Epochs
 from yardbank.cluster.lease.holder import Holder
 from yardbank.cluster.lease.outbox import Outbox
@@ -22,7 +22,7 @@
 _CHANGING: dict[type, tuple[str, ...]] = {
     Claim: ("grants", "requests", "refusals", "informed_voters"),
     Epochs: (),
-    Lists: ("older", "heard"),
+    Electorate: ("older", "heard"),
     Voter: ("entries",),
     Outbox: ("queue",),
     TransferOffers: ("offers", "unseen"),
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -7,7 +7,17 @@
 
 import xxhash
 
-from yardbank.cluster.lease.messages import Answer, Ask, NextIs, Release, Word, decode
+from yardbank.cluster.lease.messages import (
+    LeaseMessage,
+    LeaseRequest,
+    LeaseTaken,
+    Release,
+    SuccessorNotice,
+    TransferOffer,
+    VoterAnnouncement,
+    VoteReply,
+    decode,
+)
 from yardbank.cluster.lease.model_check.freeze import Numbered, key
 from yardbank.cluster.lease.part import LeasePart
 
@@ -67,7 +77,16 @@
         return found
 
 
-_words: dict[bytes, Word] = {}
+_KINDS: dict[type[LeaseMessage], str] = {
+    LeaseRequest: "Ask",
+    VoteReply: "Answer",
+    Release: "Release",
+    SuccessorNotice: "NextIs",
+    TransferOffer: "Offer",
+    LeaseTaken: "Took",
+    VoterAnnouncement: "Hello",
+}
+_words: dict[bytes, LeaseMessage] = {}
 _keys: dict[Message, tuple[tuple[Any, ...], Numbered]] = {}
 
 
@@ -78,7 +97,7 @@
     target: str
     body: bytes
 
-    def word(self) -> Word:
+    def word(self) -> LeaseMessage:
         """What it says."""
         if (found := _words.get(self.body)) is None:
             found = _words[self.body] = decode(self.body)
@@ -89,11 +108,11 @@
         if (found := _keys.get(self)) is None:
             word, number = self.word(), ("", 0, 0)
             fields: list[Any] = [getattr(word, one) for one in word.__struct_fields__ if one != "number"]
-            if isinstance(word, Ask | Release | NextIs | Answer):
-                number = (self.target if isinstance(word, Answer) else self.source), word.boot_epoch, word.number
+            if isinstance(word, LeaseRequest | Release | SuccessorNotice | VoteReply):
+                number = (self.target if isinstance(word, VoteReply) else self.source), word.boot_epoch, word.number
             found = _keys[self] = (self.source, self.target, type(word).__name__, *fields), number
         return found
 
     def kind(self) -> str:
-        """As it stands in actions."""
-        return type(self.word()).__name__
+        """As it stands in actions, those of stored counterexamples too."""
+        return _KINDS[type(self.word())]
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from yardbank.cluster.lease.api import OWNED, LeaseTerms
-from yardbank.cluster.lease.messages import Answer, Hello, decode
+from yardbank.cluster.lease.messages import VoterAnnouncement, VoteReply, decode
 from yardbank.cluster.lease.model_check.freeze import Zero, copied
 from yardbank.cluster.lease.model_check.nodes import Kept, MembershipView, Message, Node
 from yardbank.cluster.lease.part import LeasePart
@@ -213,7 +213,8 @@
         """Take off what it wants sent, and what became of it."""
         part = self.nodes[name].part
         for letter in part.outgoing_messages():
-            if letter.to in self.nodes and (self.scene.hellos or not isinstance(decode(letter.body), Hello)):
+            is_lost = not self.scene.hellos and isinstance(decode(letter.body), VoterAnnouncement)
+            if letter.to in self.nodes and not is_lost:
                 self.letters = (*self.letters, Message(name, letter.to, letter.body))[-self.scene.letters :]
         for turn in part.turns(""):
             if turn.what == OWNED and part.epoch(self.own(name), turn.resource) == turn.epoch:  # not over by now
@@ -226,7 +227,7 @@
     def _matters(self, letter: Message) -> bool:
         """Whether it may ever change anything: an answer that nobody waits for cannot."""
         word = letter.word()
-        if not isinstance(word, Answer) or len(self.scene.lists) > 1:
+        if not isinstance(word, VoteReply) or len(self.scene.lists) > 1:
             return True
         part = self.nodes[letter.target].part
         claim = part.claims.claims.get(word.resource)
--- a/yardbank/cluster/lease/outbox.py
+++ b/yardbank/cluster/lease/outbox.py
@@ -8,14 +8,14 @@
 
 from typing import NamedTuple
 
-from yardbank.cluster.lease.messages import Word
+from yardbank.cluster.lease.messages import LeaseMessage
 
 
 class Outgoing(NamedTuple):
     """One message; ``to`` may be this gateway itself."""
 
     to: str
-    message: Word
+    message: LeaseMessage
     urgent: bool
 
 
@@ -28,7 +28,7 @@
         self.queue: list[Outgoing] = []
         self._last_number = 0
 
-    def send(self, to: str, message: Word, urgent: bool = True) -> None:
+    def send(self, to: str, message: LeaseMessage, urgent: bool = True) -> None:
         """Queue a message."""
         self.queue.append(Outgoing(to, message, urgent))
 
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -12,10 +12,22 @@
 from yardbank.cluster.lease.api import LeaseEvent, LeaseTerms
 from yardbank.cluster.lease.claim import STATE_NAMES, ClaimState
 from yardbank.cluster.lease.claims import Claims
-from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.epochs import SHIFT, Epochs
 from yardbank.cluster.lease.holder import HELD_STATES
-from yardbank.cluster.lease.messages import GRANTED, LIST, LOW, NAMED, Answer, Ask, Hello, NextIs, Offer, Release, Word
+from yardbank.cluster.lease.messages import (
+    GRANTED,
+    LIST,
+    LOW,
+    NAMED,
+    LeaseMessage,
+    LeaseRequest,
+    Release,
+    SuccessorNotice,
+    TransferOffer,
+    VoterAnnouncement,
+    VoteReply,
+)
 from yardbank.cluster.lease.messages import decode as read
 from yardbank.cluster.lease.messages import encode as written
 from yardbank.cluster.lease.outbox import Outbox
@@ -67,7 +79,7 @@
         self._outbox = Outbox()
         self._letters: list[Message] = []
         self.epochs = Epochs()
-        self.lists = Lists(self.name, terms)
+        self.lists = Electorate(self.name, terms)
         self.voter = Voter(terms, self.epochs)
         self.claims = Claims(self.name, self.boot_epoch, terms, random, self.lists, self.epochs, self._outbox)
         self.begun = False
@@ -176,28 +188,28 @@
 
     # Words
 
-    def _take(self, now: int, sender: str, word: Word) -> None:
-        if isinstance(word, Ask):
+    def _take(self, now: int, sender: str, word: LeaseMessage) -> None:
+        if isinstance(word, LeaseRequest):
             self._vote(now, sender, word)
-        elif isinstance(word, Answer):
+        elif isinstance(word, VoteReply):
             self._hear(now, sender, word)
             self.claims.answer(now, sender, word)
         elif isinstance(word, Release):
             self.voter.release(sender, word)
-        elif isinstance(word, NextIs):
+        elif isinstance(word, SuccessorNotice):
             if self.voter.name(now, sender, word):
                 self._answer(sender, word, NAMED)
-        elif isinstance(word, Offer):
+        elif isinstance(word, TransferOffer):
             self.epochs.hear(now, word.epoch)
             self.claims.offer(now, sender, word)
-        elif isinstance(word, Hello):
+        elif isinstance(word, VoterAnnouncement):
             self._hear(now, sender, word)
             if word.answer:
                 self._outbox.send(sender, self._hello(answer=False), urgent=False)
         else:
             self.claims.took(now, sender, word)
 
-    def _vote(self, now: int, sender: str, ask: Ask) -> None:
+    def _vote(self, now: int, sender: str, ask: LeaseRequest) -> None:
         if not self.lists.accepts(now, ask):
             self._answer(sender, ask, LIST)
         elif verdict := self.voter.ask(now, sender, ask):
@@ -205,9 +217,11 @@
                 self.claims.log.hints.pop(ask.resource, None)  # the entry says it
             self._answer(sender, ask, verdict.verdict, verdict.holder, verdict.left)
 
-    def _answer(self, to: str, ask: Ask | NextIs, verdict: int, holder: str = "", left: int = 0) -> None:
+    def _answer(
+        self, to: str, ask: LeaseRequest | SuccessorNotice, verdict: int, holder: str = "", left: int = 0
+    ) -> None:
         lists = self.lists
-        answer = Answer(
+        answer = VoteReply(
             ask.resource,
             ask.boot_epoch,
             ask.number,
@@ -220,10 +234,10 @@
         )
         self._outbox.send(to, answer, urgent=verdict in (GRANTED, LOW, NAMED))
 
-    def _hello(self, answer: bool) -> Hello:
-        return Hello("", self.lists.hash, self.lists.binding(), self.epochs.top, answer)
+    def _hello(self, answer: bool) -> VoterAnnouncement:
+        return VoterAnnouncement("", self.lists.hash, self.lists.binding(), self.epochs.top, answer)
 
-    def _hear(self, now: int, sender: str, word: Answer | Hello) -> None:
+    def _hear(self, now: int, sender: str, word: VoteReply | VoterAnnouncement) -> None:
         """What a peer knows of epochs and lists."""
         if self.epochs.hear(now, word.top):
             self.lists.hear(now, sender, word.list, word.older)
--- a/yardbank/cluster/lease/proposer.py
+++ b/yardbank/cluster/lease/proposer.py
@@ -13,9 +13,9 @@
 
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.claim import Claim, ClaimState
-from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.epochs import Epochs
-from yardbank.cluster.lease.messages import Ask, Release
+from yardbank.cluster.lease.messages import LeaseRequest, Release
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.timing import vote_time
 from yardbank.cluster.lease.transfer_offers import TransferOffers
@@ -45,7 +45,7 @@
         boot_epoch: int,
         terms: LeaseTerms,
         random: Random,
-        electorate: Lists,
+        electorate: Electorate,
         epochs: Epochs,
         outbox: Outbox,
         offers: TransferOffers,
@@ -108,7 +108,7 @@
         is_candidate = claim.state == ClaimState.REQUESTING
         is_offered = self._offers.is_open(now, claim.resource)
         urgent = not is_candidate or is_offered
-        request = Ask(
+        request = LeaseRequest(
             claim.resource,
             self._boot_epoch,
             number,
--- a/yardbank/cluster/lease/transfer_offers.py
+++ b/yardbank/cluster/lease/transfer_offers.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from yardbank.cluster.lease.messages import Offer
+from yardbank.cluster.lease.messages import TransferOffer
 
 MAX_OFFERS = 256
 
@@ -37,7 +37,7 @@
         offer = self.offers.get(resource)
         return offer is not None and now < offer.received_at + self._overlap
 
-    def record(self, now: int, sender: str, message: Offer) -> bool:
+    def record(self, now: int, sender: str, message: TransferOffer) -> bool:
         """An offer came, perhaps again; whether there was room for it."""
         known = self.offers.get(message.resource)
         if known is None and len(self.offers) >= MAX_OFFERS:
--- a/yardbank/cluster/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -11,7 +11,18 @@
 
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.epochs import Epochs
-from yardbank.cluster.lease.messages import FAR, FULL, GRANTED, HELD, LOW, SILENT, TAKEN, Ask, NextIs, Release
+from yardbank.cluster.lease.messages import (
+    FAR,
+    FULL,
+    GRANTED,
+    HELD,
+    LOW,
+    SILENT,
+    TAKEN,
+    LeaseRequest,
+    Release,
+    SuccessorNotice,
+)
 from yardbank.cluster.lease.timing import long_lease, vote_time
 
 MAX_RESOURCES = 4096
@@ -57,7 +68,7 @@
         """After a start: be silent until all that was promised before is over, ``longest`` by any terms before."""
         self.silent_until = now + max(longest, long_lease(self._terms))
 
-    def ask(self, now: int, sender: str, ask: Ask) -> Verdict | None:
+    def ask(self, now: int, sender: str, ask: LeaseRequest) -> Verdict | None:
         """One that asks; None: a late word, not to be answered."""
         if now < self.silent_until:
             return Verdict(SILENT, left=_ms(self.silent_until - now))
@@ -90,7 +101,7 @@
         )
         return Verdict(GRANTED)
 
-    def name(self, now: int, sender: str, word: NextIs) -> bool:
+    def name(self, now: int, sender: str, word: SuccessorNotice) -> bool:
         """The holder says who is next; whether that is noted. Its next renewal takes it back."""
         entry = self._of(sender, word)
         if entry is None or now >= entry.until:
@@ -103,7 +114,7 @@
         if (entry := self._of(sender, word)) is not None:
             self.entries[word.resource] = entry._replace(until=0, number=word.number, next="", holds=False)
 
-    def _of(self, sender: str, word: NextIs | Release) -> Entry | None:
+    def _of(self, sender: str, word: SuccessorNotice | Release) -> Entry | None:
         """The entry that a word of its holder is about; None: it is late, or about another ownership."""
         entry = self.entries.get(word.resource)
         if entry is None or (entry.holder, entry.boot_epoch, entry.epoch) != (sender, word.boot_epoch, word.epoch):
