--- a/tests/cluster/lease/test_bounds.py
+++ b/tests/cluster/lease/test_bounds.py
@@ -5,18 +5,18 @@
 from tests.support.lease_bus import SECOND, TERMS, Bus, R
 from yardbank.cluster.lease import LeaseTerms
 from yardbank.cluster.lease.epochs import FAR, Epochs
-from yardbank.cluster.lease.messages import FULL, GRANTED, LeaseRequest, TransferOffer, VoteReply, decode, encode
-from yardbank.cluster.lease.voter import MAX_RESOURCES, Verdict
+from yardbank.cluster.lease.messages import LeaseRequest, TransferOffer, Verdict, VoteReply, decode, encode
+from yardbank.cluster.lease.voter import MAX_RESOURCES, Decision
 
 
 def test_a_liar_cannot_use_up_the_epochs_and_its_harm_goes_on_no_longer_than_itself():
     epochs = Epochs()
     epochs.begin(0, 1_800_000_000, 0)
-    assert not epochs.hear(0, epochs.top + 2 * FAR) and epochs.refused == 1
-    assert epochs.hear(0, epochs.top + FAR)
-    assert epochs.hear(SECOND, epochs.above())  # a second later there is room again
+    assert not epochs.hear(0, epochs.highest_epoch + 2 * FAR) and epochs.refused == 1
+    assert epochs.hear(0, epochs.highest_epoch + FAR)
+    assert epochs.hear(SECOND, epochs.next_epoch())  # a second later there is room again
     bus = Bus("abc")
-    bus.parts["a"].receive(bus.now, "b", 1, encode(VoteReply(R, 1, 1, GRANTED, (1 << 63) - 1, 0)))
+    bus.parts["a"].receive(bus.now, "b", 1, encode(VoteReply(R, 1, 1, Verdict.GRANTED, (1 << 63) - 1, 0)))
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
     assert bus.holders() == ["a"] and bus.parts["a"].view(bus.now)["counts"]["epochs_too_far"] == 1
@@ -28,7 +28,7 @@
     worst = 0
     for seed in range(40):
         bus = Bus("abcdef", LeaseTerms(voters=voters), seed=seed)
-        liar = bus.parts[bus.random.choice(bus.parts["a"].lists.voters(R))]
+        liar = bus.parts[bus.random.choice(bus.parts["a"].electorate.voters(R))]
         liar.voter = Yes(liar.voter)
         for _ in range(40):
             bus.cut = {name for name in bus.parts if bus.random.random() < 0.3 and bus.parts[name] is not liar}
@@ -45,7 +45,7 @@
         self.voter = voter
 
     def ask(self, now, sender, ask):
-        return Verdict(GRANTED)
+        return Decision(Verdict.GRANTED)
 
     def __getattr__(self, name):
         return getattr(self.voter, name)
@@ -56,12 +56,12 @@
     voter = bus.parts["a"]
     for number in range(MAX_RESOURCES + 5):
         voter.receive(
-            bus.now, "b", 1, encode(LeaseRequest(f"r{number}", 1, number + 1, 1 << 20, False, voter.lists.hash))
+            bus.now, "b", 1, encode(LeaseRequest(f"r{number}", 1, number + 1, 1 << 20, False, voter.electorate.hash))
         )
     assert len(voter.voter.entries) == MAX_RESOURCES and voter.view(bus.now)["counts"]["full"] == 5
-    assert decode(voter.outgoing_messages()[-1].body).verdict == FULL
+    assert decode(voter.outgoing_messages()[-1].body).verdict == Verdict.FULL
     bus.now += TERMS.term
-    voter.receive(bus.now, "b", 1, encode(LeaseRequest("more", 1, 9999, 1 << 20, False, voter.lists.hash)))
+    voter.receive(bus.now, "b", 1, encode(LeaseRequest("more", 1, 9999, 1 << 20, False, voter.electorate.hash)))
     assert len(voter.voter.entries) == 1 and voter.epochs.floor == 1 << 20  # made room; no epoch is forgotten by that
     for number in range(2000):
         voter.acquire(bus.now, f"r{number}")
--- a/tests/cluster/lease/test_electorate.py
+++ b/tests/cluster/lease/test_electorate.py
@@ -68,12 +68,12 @@
     takes("c")
     bus.parts["b"].acquire(bus.now, R)
     bus.run(60 * SECOND)  # as long as the lists differ: the old ones go on, the new ones wait
-    assert bus.holders() == ["a"] and len(bus.parts["b"].lists.sets(bus.now, R)) == 2
+    assert bus.holders() == ["a"] and len(bus.parts["b"].electorate.sets(bus.now, R)) == 2
     for name in "ade":
         takes(name)
     bus.run(4 * long_lease(TERMS))
-    assert bus.holders() == ["a"] and all(len(part.lists.sets(bus.now, R)) == 1 for part in bus.parts.values())
-    assert all(not part.lists.older for part in bus.parts.values())
+    assert bus.holders() == ["a"] and all(len(part.electorate.sets(bus.now, R)) == 1 for part in bus.parts.values())
+    assert all(not part.electorate.older_lists for part in bus.parts.values())
     assert bus.parts["a"].claims.log.events[-1].what == "owned"  # never lost on the way
 
 
@@ -87,10 +87,10 @@
         bus.start(name)
     bus.parts["b"].acquire(bus.now, R)
     bus.run(30 * SECOND)
-    assert bus.holders() in ([], ["a"]) and bus.parts["b"].lists.doubt(bus.now)
+    assert bus.holders() in ([], ["a"]) and bus.parts["b"].electorate.may_be_behind(bus.now)
     keep = Kept(None)
     bus.start("c", keep=keep)
-    assert not bus.start("c", keep=keep).lists.fresh and bus.parts["c"].lists.older == []
+    assert not bus.start("c", keep=keep).electorate.without_memory and bus.parts["c"].electorate.older_lists == []
 
 
 def test_other_terms_are_as_another_list_and_a_start_with_shorter_ones_is_silent_for_the_longer():
@@ -108,11 +108,13 @@
     for _ in range(100):
         bus.run(SECOND // 10)
         assert len(bus.holders()) < 2
-    assert bus.holders() == ["b"] and bus.parts["b"].lists.sets(bus.now, R) == [(bus.parts["b"].lists.voters(R), 2)]
+    assert bus.holders() == ["b"] and bus.parts["b"].electorate.sets(bus.now, R) == [
+        (bus.parts["b"].electorate.voters(R), 2)
+    ]
 
 
 def test_what_is_kept_and_cannot_be_read_is_as_if_there_were_nothing():
     for data in (b"", b"\xc1", b"\x92\x01", msgspec.msgpack.encode([-5, "x"])):
         part = Bus("abc").start("a", keep=Kept(data))
-        assert part.begun and part.lists.fresh
+        assert part.begun and part.electorate.without_memory
     assert not isinstance(decode(encode(VoterAnnouncement("", 1, (), 2, True))), LeaseRequest)
--- a/tests/cluster/lease/test_lease.py
+++ b/tests/cluster/lease/test_lease.py
@@ -108,7 +108,7 @@
 
 def test_both_dying_in_mid_handing_on_leave_it_to_others_after_a_lease_and_a_vote():
     bus = Bus("abcdefgh")
-    voters = bus.parts["a"].lists.voters(R)
+    voters = bus.parts["a"].electorate.voters(R)
     old, new, third = [name for name in "abcdefgh" if name not in voters][:3]
     bus.parts[old].acquire(bus.now, R)
     bus.run(SECOND)
@@ -137,7 +137,7 @@
     part = Bus("abc").parts["a"]
     part._membership_view.boot_epoch = 50
     part.tick(10**12)
-    assert part.epochs.above() > 50 << SHIFT and part.epochs.floor == 50 << SHIFT and part.boot_epoch < 50
+    assert part.epochs.next_epoch() > 50 << SHIFT and part.epochs.floor == 50 << SHIFT and part.boot_epoch < 50
 
 
 def test_a_thousand_wants_in_a_fleet_that_starts_are_all_held_within_two_leases():
--- a/tests/golden/test_golden_lease.py
+++ b/tests/golden/test_golden_lease.py
@@ -6,20 +6,12 @@
 from tests.golden.cases import each, load
 from yardbank.cluster.lease import LeaseTerms
 from yardbank.cluster.lease.messages import (
-    FAR,
-    FULL,
-    GRANTED,
-    HELD,
-    LIST,
-    LOW,
-    NAMED,
-    SILENT,
-    TAKEN,
     LeaseRequest,
     LeaseTaken,
     Release,
     SuccessorNotice,
     TransferOffer,
+    Verdict,
     VoterAnnouncement,
     VoteReply,
     decode,
@@ -30,36 +22,42 @@
 from yardbank.cluster.peers.parts import KeyValueStore
 
 LETTERS = {
-    "vote request": lambda resource, boot_epoch, number, epoch, renewal, current, past: LeaseRequest(
+    "vote request": lambda resource, boot_epoch, number, epoch, renewal, current, known_lists: LeaseRequest(
         resource=resource,
         boot_epoch=boot_epoch,
         number=number,
         epoch=epoch,
         renewal=renewal,
-        list=current,
-        past=tuple(past),
+        list_hash=current,
+        known_lists=tuple(known_lists),
     ),
-    "vote reply": lambda resource, boot_epoch, number, verdict, top, current, older, holder, left: VoteReply(
-        resource=resource,
-        boot_epoch=boot_epoch,
-        number=number,
-        verdict=verdict,
-        top=top,
-        list=current,
-        older=tuple(older),
-        holder=holder,
-        left=left,
+    "vote reply": lambda resource, boot_epoch, number, verdict, highest_epoch, current, older_lists, holder, remaining_ms: (
+        VoteReply(
+            resource=resource,
+            boot_epoch=boot_epoch,
+            number=number,
+            verdict=verdict,
+            highest_epoch=highest_epoch,
+            list_hash=current,
+            older_lists=tuple(older_lists),
+            holder=holder,
+            remaining_ms=remaining_ms,
+        )
     ),
     "release": lambda resource, boot_epoch, number, epoch: Release(
         resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch
     ),
     "successor": lambda resource, boot_epoch, number, epoch, to: SuccessorNotice(
-        resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch, next=to
+        resource=resource, boot_epoch=boot_epoch, number=number, epoch=epoch, successor=to
     ),
     "transfer offer": lambda resource, epoch: TransferOffer(resource=resource, epoch=epoch),
     "transfer done": lambda resource, epoch: LeaseTaken(resource=resource, epoch=epoch),
-    "status": lambda resource, current, older, top, answer: VoterAnnouncement(
-        resource=resource, list=current, older=tuple(older), top=top, answer=answer
+    "status": lambda resource, current, older_lists, highest_epoch, wants_reply: VoterAnnouncement(
+        resource=resource,
+        list_hash=current,
+        older_lists=tuple(older_lists),
+        highest_epoch=highest_epoch,
+        wants_reply=wants_reply,
     ),
 }
 
@@ -82,11 +80,21 @@
         node.membership_view, LeaseTerms(term=term, drift=drift, overlap=overlap, voters=voters), Random(1), storage
     )
     part.listed(0)
-    assert (part.epochs.top, part.lists.long) == (epoch, longest)
-    assert part.lists.kept() == [tuple(one) for one in lists]
+    assert (part.epochs.highest_epoch, part.electorate.longest_lease) == (epoch, longest)
+    assert part.electorate.stored_lists() == [tuple(one) for one in lists]
     storage.save.assert_called_once_with(octets)
 
 
 def test_topic_and_verdicts_stay_the_same():
     assert LeasePart.topic == load("lease")["topic"]
-    assert load("lease")["verdicts"] == [GRANTED, HELD, TAKEN, SILENT, LOW, LIST, FULL, FAR, NAMED]
+    assert load("lease")["verdicts"] == [
+        Verdict.GRANTED,
+        Verdict.HELD,
+        Verdict.TAKEN,
+        Verdict.SILENT,
+        Verdict.LOW,
+        Verdict.LIST,
+        Verdict.FULL,
+        Verdict.FAR,
+        Verdict.NAMED,
+    ]
--- a/tests/support/channels_fleet.py
+++ b/tests/support/channels_fleet.py
@@ -147,7 +147,7 @@
     def votable_owned(self) -> bool:
         """Each channel has one owner, those apart of whose voters most are dead."""
         leases = next(iter(self.running.values())).leases
-        voters = {channel: leases.lists.voters(resource(channel)) for channel in self.channels}
+        voters = {channel: leases.electorate.voters(resource(channel)) for channel in self.channels}
         return all(
             len(self.owner(channel)) == 1
             for channel in self.channels
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -15,18 +15,7 @@
 from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.epochs import Epochs
 from yardbank.cluster.lease.holder import HELD_STATES, Holder
-from yardbank.cluster.lease.messages import (
-    GRANTED,
-    HELD,
-    LOW,
-    MAX_RESOURCE,
-    NAMED,
-    SILENT,
-    TAKEN,
-    LeaseTaken,
-    TransferOffer,
-    VoteReply,
-)
+from yardbank.cluster.lease.messages import MAX_RESOURCE, LeaseTaken, TransferOffer, Verdict, VoteReply
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.ownership_log import OwnershipLog
 from yardbank.cluster.lease.proposer import Proposer
@@ -123,15 +112,15 @@
             self.stale += 1
             return
         self.holder.expire(now, claim)
-        if reply.holder and reply.verdict == HELD:
-            self.log.record_hint(reply.resource, reply.holder, reply.top)
-        if reply.verdict == NAMED:
+        if reply.holder and reply.verdict == Verdict.HELD:
+            self.log.record_hint(reply.resource, reply.holder, reply.highest_epoch)
+        if reply.verdict == Verdict.NAMED:
             self.holder.successor_noted(claim, voter, reply.number)
             return
         requested_at = claim.requests.get(reply.number)
         if requested_at is None or not self._is_voter(now, claim, voter):
             self.stale += 1
-        elif reply.verdict == GRANTED:
+        elif reply.verdict == Verdict.GRANTED:
             self._take_grant(now, claim, voter, requested_at)
         else:
             self._take_refusal(now, claim, voter, reply)
@@ -146,21 +135,21 @@
 
     def _take_refusal(self, now: int, claim: Claim, voter: str, reply: VoteReply) -> None:
         is_candidate = claim.state == ClaimState.REQUESTING
-        if reply.verdict == LOW and is_candidate and self.proposer.raise_epoch(now, claim):
+        if reply.verdict == Verdict.LOW and is_candidate and self.proposer.raise_epoch(now, claim):
             return
         claim.refusals[voter] = now + self._refused_for(reply)
         if is_candidate:
-            self.proposer.refused(now, claim, is_taken=reply.verdict in (HELD, TAKEN))
+            self.proposer.refused(now, claim, is_taken=reply.verdict in (Verdict.HELD, Verdict.TAKEN))
         elif claim.state == ClaimState.TRANSFERRING and reply.holder == claim.successor:
             if claim.is_vote_lost(self._electorate.sets(now, claim.resource)):
                 self.holder.end(now, claim, "handed on")
 
     def _refused_for(self, reply: VoteReply) -> int:
         """How long (ns) the voter will refuse at least."""
-        if reply.verdict == TAKEN:
+        if reply.verdict == Verdict.TAKEN:
             return 0
-        if reply.verdict in (HELD, SILENT):
-            return min(int(reply.left * MS * (1 + 2 * self._terms.drift)), self.longest_lease)
+        if reply.verdict in (Verdict.HELD, Verdict.SILENT):
+            return min(int(reply.remaining_ms * MS * (1 + 2 * self._terms.drift)), self.longest_lease)
         return self._terms.term // 8
 
     def offer(self, now: int, sender: str, message: TransferOffer) -> None:
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -19,11 +19,14 @@
 from yardbank.cluster.lease.quorum import majority, voters_of
 from yardbank.cluster.lease.timing import long_lease
 
-GREETED = 1  # at once
-CACHED = 4096  # resources whose voters are remembered
+ANNOUNCED_AT_ONCE = 1
+MAX_CACHED = 4096  # resources whose voters are remembered
 
+VoterSet = tuple[tuple[str, ...], int]  # voters, and how many of them must agree
+StoredList = tuple[int, dict[str, str], int]  # hash, zones by name, how many vote on each resource
 
-class Older(NamedTuple):
+
+class OlderList(NamedTuple):
     """A list that was in force here; ``since``: when it was left. ``votes``: how many vote on each resource."""
 
     hash: int
@@ -32,185 +35,231 @@
     since: int
 
 
-class Heard(NamedTuple):
+class Announcement(NamedTuple):
     """Where a peer stands, as it said last; ``since``: as long as it says just this; ``at``: when it said it last."""
 
     hash: int
-    older: tuple[int, ...]
+    older_lists: tuple[int, ...]
     since: int
     at: int
 
 
 class Electorate:
-    """The lists of one gateway, and what it has heard of its peers'."""
+    """The lists of one gateway, and what it has heard of its peers'. Times are ns of its own clock.
+
+    Owns the list in force, at most ``MAX_LISTS // 2`` older ones that still bind and as many past ones that do not, one
+    announcement of each peer, and a cache of voters (``MAX_CACHED``).
+    """
 
     __slots__ = (
+        "_announce_at",
         "_cache",
-        "_greet_at",
-        "_last",
+        "_last_peer",
         "_terms",
+        "announcements",
         "forgotten",
-        "fresh",
         "hash",
-        "heard",
-        "long",
+        "longest_lease",
         "name",
-        "older",
-        "past",
+        "older_lists",
+        "past_lists",
+        "without_memory",
         "zones",
     )
 
     def __init__(self, name: str, terms: LeaseTerms) -> None:
-        self.name, self._terms = name, terms
-        self.long = long_lease(terms)  # or longer, if terms were in an earlier life
-        self.hash, self.zones = 0, dict[str, str]()
-        self.older: list[Older] = []  # the newest first
-        self.past: tuple[int, ...] = ()  # lists that bind no more
-        self.heard: dict[str, Heard] = {}
-        self.fresh = True  # without memory of lists from before this start
+        self.name = name
+        self._terms = terms
+        self.longest_lease = long_lease(terms)  # or longer, if terms were before this start
+        self.hash = 0
+        self.zones: dict[str, str] = {}
+        self.older_lists: list[OlderList] = []  # the newest first
+        self.past_lists: tuple[int, ...] = ()  # lists that bind no more
+        self.announcements: dict[str, Announcement] = {}
+        self.without_memory = True  # of lists from before this start
         self.forgotten = 0  # older lists given up because there were too many
-        self._greet_at, self._last = 0, ""
+        self._announce_at = 0
+        self._last_peer = ""
         self._cache: dict[tuple[int, str], tuple[str, ...]] = {}
 
-    def restore(self, now: int, lists: Iterable[tuple[int, Mapping[str, str], int]], long: int) -> None:
-        """What an earlier life went through, the newest first, and the longest lease that it knew (ns)."""
-        self.long = max(self.long, long)
-        for number, zones, count in lists:
-            self.fresh = False
-            self.older.append(Older(number, dict(zones), count, now))
-
-    def kept(self) -> list[tuple[int, dict[str, str], int]]:
-        """What a later life needs."""
-        own = (self.hash, dict(self.zones), self._terms.voters)
-        return [own, *((one.hash, dict(one.zones), one.votes) for one in self.older)]
-
-    def listed(self, now: int, number: int, zones: Mapping[str, str]) -> bool:
-        """The list as it is now; ``number`` stands for it and for the terms. Whether it is another."""
-        if number == self.hash:
+    def restore(self, now: int, lists: Iterable[StoredList], longest_lease: int) -> None:
+        """What was stored before this start, the newest list first, and the longest lease known then (ns)."""
+        self.longest_lease = max(self.longest_lease, longest_lease)
+        for list_hash, zones, votes in lists:
+            self.without_memory = False
+            self.older_lists.append(OlderList(list_hash, dict(zones), votes, now))
+
+    def stored_lists(self) -> list[StoredList]:
+        """What a later start needs."""
+        found = [(self.hash, dict(self.zones), self._terms.voters)]
+        found += [(older.hash, dict(older.zones), older.votes) for older in self.older_lists]
+        return found
+
+    def update_list(self, now: int, list_hash: int, zones: Mapping[str, str]) -> bool:
+        """The list as it is now; ``list_hash`` stands for it and for the terms. Whether it is another."""
+        if list_hash == self.hash:
             return False
         if self.hash:
-            self.older.insert(0, Older(self.hash, self.zones, self._terms.voters, now))
-        self.older = [one for one in self.older if one.hash != number]
-        for one in self.older[MAX_LISTS // 2 :]:
+            self.older_lists.insert(0, OlderList(self.hash, self.zones, self._terms.voters, now))
+        self.older_lists = [older for older in self.older_lists if older.hash != list_hash]
+        for older in self.older_lists[MAX_LISTS // 2 :]:
             self.forgotten += 1
-            self._over(one)
-        self.hash, self.zones = number, dict(zones)
-        self.heard = {name: heard for name, heard in self.heard.items() if name in zones}
-        self._greet_at, self._last = now, ""
+            self._retire(older)
+        self.hash = list_hash
+        self.zones = dict(zones)
+        self.announcements = {peer: said for peer, said in self.announcements.items() if peer in zones}
+        self._announce_at = now
+        self._last_peer = ""
         return True
 
-    def _over(self, one: Older) -> None:
-        self.older.remove(one)
-        self.past = (one.hash, *self.past)[: MAX_LISTS // 2]
+    def _retire(self, older: OlderList) -> None:
+        self.older_lists.remove(older)
+        self.past_lists = (older.hash, *self.past_lists)[: MAX_LISTS // 2]
 
-    def hear(self, now: int, peer: str, number: int, older: tuple[int, ...]) -> None:
+    def record_announcement(self, now: int, peer: str, list_hash: int, older_lists: tuple[int, ...]) -> None:
         """A peer says by which list it goes, and which older ones still bind it."""
         if peer == self.name or peer not in self.zones:
             return
-        last = self.heard.get(peer)
-        same = last is not None and last.hash == number
-        self.heard[peer] = Heard(number, older, last.since if same and last else now, now)
+        last = self.announcements.get(peer)
+        since = now
+        if last is not None and last.hash == list_hash:
+            since = last.since
+        self.announcements[peer] = Announcement(list_hash, older_lists, since, now)
 
-    def settled(self, now: int, peer: str) -> bool:
-        """Whether a peer has been at this list for a lease, bound by no list that this gateway does not know."""
-        if peer == self.name:
-            return True  # asked only when its own change is a lease ago
-        return self._here(now, peer) and {*self.known(), self.hash}.issuperset(self.heard[peer].older)
+    # Who must agree
 
-    def _here(self, now: int, peer: str) -> bool:
-        """Whether a peer has been at this list for a lease."""
-        heard = self.heard.get(peer)
-        return heard is not None and heard.hash == self.hash and heard.since + self.long <= now
+    def voters(self, resource: str) -> tuple[str, ...]:
+        """Those that the list in force gives it."""
+        return self._voters(resource, self.hash, self.zones, self._terms.voters)
 
-    def _voters(self, resource: str, number: int, zones: Mapping[str, str], count: int) -> tuple[str, ...]:
-        key = number, resource
-        if (found := self._cache.get(key)) is None:
-            if len(self._cache) >= CACHED:
+    def _voters(self, resource: str, list_hash: int, zones: Mapping[str, str], votes: int) -> tuple[str, ...]:
+        key = list_hash, resource
+        found = self._cache.get(key)
+        if found is None:
+            if len(self._cache) >= MAX_CACHED:
                 self._cache.clear()
-            found = self._cache[key] = voters_of(resource, zones, count)
+            found = voters_of(resource, zones, votes)
+            self._cache[key] = found
         return found
 
-    def voters(self, resource: str) -> tuple[str, ...]:
-        """Those that the list in force gives it."""
-        return self._voters(resource, self.hash, self.zones, self._terms.voters)
+    def sets(self, now: int, resource: str) -> list[VoterSet]:
+        """Sets of voters, and how many of each must agree."""
+        voters = self.voters(resource)
+        found: list[VoterSet] = [(voters, majority(len(voters)))]
+        for older in self.older_lists:
+            if bound := self._binding(now, older, resource):
+                found.append(bound)
+        return found
 
-    def _binding(self, now: int, one: Older, resource: str) -> tuple[tuple[str, ...], int] | None:
+    def _binding(self, now: int, older: OlderList, resource: str) -> VoterSet | None:
         """The voters of an older list that must agree, and how many of them; None: it binds no more."""
-        voters = self._voters(resource, one.hash, one.zones, one.votes)
+        voters = self._voters(resource, older.hash, older.zones, older.votes)
         if set(voters) == set(self.voters(resource)):
             return None  # any two majorities of them share one
-        most = majority(len(voters))
-        if now < one.since + self.long:
-            return voters, most
-        left = tuple(name for name in voters if name in self.zones)
-        needed = len(left) - most + 1  # then the others are no majority
-        if needed <= sum(self.settled(now, name) for name in left):
+        quorum = majority(len(voters))
+        if now < older.since + self.longest_lease:
+            return voters, quorum
+        remaining = tuple(name for name in voters if name in self.zones)
+        needed = len(remaining) - quorum + 1  # then the others are no majority
+        if needed <= sum(self._has_settled(now, name) for name in remaining):
             return None
-        return left, needed
+        return remaining, needed
 
-    def sets(self, now: int, resource: str) -> list[tuple[tuple[str, ...], int]]:
-        """Sets of voters, and how many of each must agree."""
-        voters = self.voters(resource)
-        found = [(voters, majority(len(voters)))]
-        return found + [bound for one in self.older if (bound := self._binding(now, one, resource))]
+    def _has_settled(self, now: int, peer: str) -> bool:
+        """Whether a peer has been at this list for a lease, bound by no list that this gateway does not know."""
+        if peer == self.name:
+            return True  # asked only when its own change is a lease ago
+        return self._is_at_list(now, peer) and self._all_known().issuperset(self.announcements[peer].older_lists)
+
+    def _is_at_list(self, now: int, peer: str) -> bool:
+        """Whether a peer has been at this list for a lease."""
+        said = self.announcements.get(peer)
+        return said is not None and said.hash == self.hash and said.since + self.longest_lease <= now
 
     def all_voters(self, now: int, resource: str) -> list[str]:
         """Whoever is in one of the sets, by name."""
         return sorted({voter for voters, _ in self.sets(now, resource) for voter in voters})
 
-    def accepts(self, now: int, ask: LeaseRequest) -> bool:
-        """Whether one who asks goes by the same list, and through all that still bind this gateway."""
-        if ask.list != self.hash or (not ask.renewal and self.doubt(now)):
+    def accepts(self, now: int, request: LeaseRequest) -> bool:
+        """Whether the candidate goes by the same list, and through all that still bind this gateway."""
+        if request.list_hash != self.hash:
+            return False
+        if not request.renewal and self.may_be_behind(now):
             return False
-        return all(one.hash in ask.past or self._binding(now, one, ask.resource) is None for one in self.older)
+        for older in self.older_lists:
+            if older.hash not in request.known_lists and self._binding(now, older, request.resource) is not None:
+                return False
+        return True
+
+    # Which lists are known
 
-    def known(self) -> tuple[int, ...]:
-        """Lists gone through lately, as they stand in asks."""
-        return tuple(one.hash for one in self.older) + self.past
+    def known_lists(self) -> tuple[int, ...]:
+        """Lists gone through lately, as they stand in requests."""
+        return self.binding_lists() + self.past_lists
 
-    def binding(self) -> tuple[int, ...]:
-        """Older lists that are not over, as they stand in answers."""
-        return tuple(one.hash for one in self.older)
+    def binding_lists(self) -> tuple[int, ...]:
+        """Older lists that are not over, as they stand in replies."""
+        return tuple(older.hash for older in self.older_lists)
 
-    def doubt(self, now: int) -> bool:
+    def _all_known(self) -> set[int]:
+        return {*self.known_lists(), self.hash}
+
+    def may_be_behind(self, now: int) -> bool:
         """Whether a list that this gateway never saw may be in force elsewhere."""
-        if not self.fresh:
+        if not self.without_memory:
             return False
-        known = {*self.known(), self.hash}
-        return any(heard.hash not in known and now < heard.at + 2 * self.long for heard in self.heard.values())
+        known = self._all_known()
+        return any(
+            said.hash not in known and now < said.at + 2 * self.longest_lease for said in self.announcements.values()
+        )
 
-    def _missing(self) -> list[str]:
+    def _unconfirmed_peers(self) -> list[str]:
         """Peers that have not said that they are at this list, bound by none that is unknown here."""
-        known = {*self.known(), self.hash}
-        here = {name for name, heard in self.heard.items() if heard.hash == self.hash and known.issuperset(heard.older)}
-        return sorted(name for name in self.zones if name != self.name and name not in here)
+        known = self._all_known()
+        confirmed = {
+            peer
+            for peer, said in self.announcements.items()
+            if said.hash == self.hash and known.issuperset(said.older_lists)
+        }
+        return sorted(name for name in self.zones if name != self.name and name not in confirmed)
+
+    # Time
 
     def tick(self, now: int) -> list[str]:
-        """Whom to greet now."""
-        if not self.hash or now < self._greet_at or not (self.older or self.fresh):
+        """To whom to announce oneself now: ``ANNOUNCED_AT_ONCE`` at a time."""
+        if not self.hash or now < self._announce_at or not (self.older_lists or self.without_memory):
             return []
-        self._clear(now)
-        missing = [name for name in self._missing() if name > self._last]
-        self._greet_at = now + self._terms.term // 8
-        if not missing:  # once through all of them
-            self._last, self._greet_at = "", now + self._terms.term
-            others = len(self.zones) - 1
-            if self.fresh and not self.doubt(now) and 2 * len(self._missing()) <= others:
-                self.fresh = False  # half of the list say the same, and nobody anything else
+        self._retire_older_lists(now)
+        peers = [name for name in self._unconfirmed_peers() if name > self._last_peer]
+        if not peers:
+            self._end_pass(now)
             return []
-        self._last = missing[:GREETED][-1]
-        return missing[:GREETED]
-
-    def _clear(self, now: int) -> None:
+        self._announce_at = now + self._terms.term // 8
+        chosen = peers[:ANNOUNCED_AT_ONCE]
+        self._last_peer = chosen[-1]
+        return chosen
+
+    def _end_pass(self, now: int) -> None:
+        """All peers were asked once; half of the list say the same, and nobody anything else: nothing is missing."""
+        self._last_peer = ""
+        self._announce_at = now + self._terms.term
+        others = len(self.zones) - 1
+        if self.without_memory and not self.may_be_behind(now) and 2 * len(self._unconfirmed_peers()) <= others:
+            self.without_memory = False
+
+    def _retire_older_lists(self, now: int) -> None:
         """Forget older lists once so few may go by any other than this one that they are no majority anywhere.
 
-        Lists that only others went through are over then as well, so nobody waits for anybody in a node.
+        Lists that only others went through are over then as well, so nobody waits for anybody in a cycle.
         """
-        late = sum(name != self.name and not self._here(now, name) for name in self.zones)
-        for one in list(self.older):
-            if now >= one.since + self.long and late < majority(min(one.votes, len(one.zones))):
-                self._over(one)
+        late = sum(name != self.name and not self._is_at_list(now, name) for name in self.zones)
+        for older in list(self.older_lists):
+            is_lease_over = now >= older.since + self.longest_lease
+            if is_lease_over and late < majority(min(older.votes, len(older.zones))):
+                self._retire(older)
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
-        return self._greet_at if self.hash and (self.older or self.fresh) else None
+        if self.hash and (self.older_lists or self.without_memory):
+            return self._announce_at
+        return None
--- a/yardbank/cluster/lease/messages.py
+++ b/yardbank/cluster/lease/messages.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import Annotated
 
 import msgspec
@@ -18,18 +19,20 @@
 MAX_EPOCH = (1 << 63) - 1
 MAX_LISTS = 16  # older lists that are named at once
 
-GRANTED, HELD, TAKEN, SILENT, LOW, LIST, FULL, FAR, NAMED = range(1, 10)
-VERDICTS = {
-    GRANTED: "granted",
-    HELD: "another holds it",
-    TAKEN: "another asked first",
-    SILENT: "started lately",
-    LOW: "the epoch was used",
-    LIST: "another list",
-    FULL: "too many resources",
-    FAR: "the epoch is too far ahead",
-    NAMED: "the next one is noted",
-}
+
+class Verdict(IntEnum):
+    """A voter's decision, as it stands in replies. A later program may send others: they count as a refusal."""
+
+    GRANTED = 1
+    HELD = 2  # another holds it
+    TAKEN = 3  # another candidate asked first
+    SILENT = 4  # the voter started lately
+    LOW = 5  # the epoch was used
+    LIST = 6  # the voter goes by another list
+    FULL = 7  # the voter has too many resources
+    FAR = 8  # the epoch is too far ahead
+    NAMED = 9  # the successor is noted
+
 
 Resource = Annotated[str, Meta(min_length=1, max_length=MAX_RESOURCE)]
 Name = Annotated[str, Meta(max_length=MAX_NAME)]
@@ -39,29 +42,29 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """To a voter: grant me this. ``renewal``: I hold it under this epoch now; else the epoch is a new one."""
+    """To a voter: grant this lease. ``renewal``: the sender holds it under this epoch now; else the epoch is new."""
 
     resource: Resource
     boot_epoch: Number
     number: Number
     epoch: Number
     renewal: bool
-    list: Hash
-    past: Hashes = ()  # lists that the asker has been through lately: it keeps to their voters, or knows they are over
+    list_hash: Hash
+    known_lists: Hashes = ()  # gone through lately: the sender keeps to their voters, or knows that they are over
 
 
 class VoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """From a voter, to one ask. ``top``: the highest epoch it knows of, of any resource."""
+    """From a voter, to one ask. ``highest_epoch``: the highest epoch it knows of, of any resource."""
 
     resource: Resource
     boot_epoch: Number
     number: Number
     verdict: Annotated[int, Meta(ge=1, le=255)]
-    top: Number
-    list: Hash
-    older: Hashes = ()  # lists whose voters still bind the answerer
+    highest_epoch: Number
+    list_hash: Hash
+    older_lists: Hashes = ()  # lists whose voters still bind the answerer
     holder: Name = ""  # with HELD and TAKEN
-    left: Number = 0  # ms until it may be otherwise
+    remaining_ms: Number = 0  # until it may be otherwise
 
 
 class Release(msgspec.Struct, array_like=True, frozen=True, tag=3):
@@ -74,13 +77,13 @@
 
 
 class SuccessorNotice(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """To a voter: this one may have it while I still hold it."""
+    """To a voter: the successor may have it while the sender still holds it."""
 
     resource: Resource
     boot_epoch: Number
     number: Number
     epoch: Number
-    next: Name
+    successor: Name
 
 
 class TransferOffer(msgspec.Struct, array_like=True, frozen=True, tag=5):
@@ -98,13 +101,13 @@
 
 
 class VoterAnnouncement(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Where one stands with lists and epochs; ``answer``: and you? ``resource`` is empty."""
+    """Where one stands with lists and epochs; ``wants_reply``: the other is to say the same. ``resource`` is empty."""
 
     resource: Annotated[str, Meta(max_length=0)]
-    list: Hash
-    older: Hashes
-    top: Number
-    answer: bool
+    list_hash: Hash
+    older_lists: Hashes
+    highest_epoch: Number
+    wants_reply: bool
 
 
 LeaseMessage = LeaseRequest | VoteReply | Release | SuccessorNotice | TransferOffer | LeaseTaken | VoterAnnouncement
@@ -113,8 +116,8 @@
 
 
 def decode(body: bytes) -> LeaseMessage:
-    """A letter's word. Raises ``DroppedError``."""
+    """The message in a body. Raises ``DroppedError``."""
     try:
         return _decoder.decode(body)
-    except msgspec.DecodeError:
-        raise DroppedError("shape") from None
+    except msgspec.DecodeError as error:
+        raise DroppedError("shape") from error
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -22,7 +22,7 @@
 _CHANGING: dict[type, tuple[str, ...]] = {
     Claim: ("grants", "requests", "refusals", "informed_voters"),
     Epochs: (),
-    Electorate: ("older", "heard"),
+    Electorate: ("older_lists", "announcements"),
     Voter: ("entries",),
     Outbox: ("queue",),
     TransferOffers: ("offers", "unseen"),
@@ -49,28 +49,31 @@
 def copied(part: LeasePart) -> LeasePart:
     """A copy that shares nothing that changes; what was to be said must have been taken off."""
     made: LeasePart = _copy(part)
-    made.epochs, made.lists, made.voter, made.claims = map(_copy, (part.epochs, part.lists, part.voter, part.claims))
+    made.epochs = _copy(part.epochs)
+    made.electorate = _copy(part.electorate)
+    made.voter = _copy(part.voter)
+    made.claims = _copy(part.claims)
     made.voter._epochs = made.epochs
     made._outbox = _copy(part._outbox)
-    made._letters = []
+    made._outgoing = []
     _copy_claims(made.claims, made)
     return made
 
 
 def _copy_claims(claims: Claims, part: LeasePart) -> None:
     """Copy what the claims are made of, and join the copies to those of the part."""
-    claims._electorate = part.lists
+    claims._electorate = part.electorate
     claims._outbox = part._outbox
     claims.offers = _copy(claims.offers)
     claims.log = _copy(claims.log)
     proposer: Proposer = _copy(claims.proposer)
-    proposer._electorate = part.lists
+    proposer._electorate = part.electorate
     proposer._epochs = part.epochs
     proposer._outbox = part._outbox
     proposer._offers = claims.offers
     claims.proposer = proposer
     holder: Holder = _copy(claims.holder)
-    holder._electorate = part.lists
+    holder._electorate = part.electorate
     holder._outbox = part._outbox
     holder._offers = claims.offers
     holder._log = claims.log
@@ -134,30 +137,32 @@
     entries = []
     for name, entry in part.voter.entries.items():
         numbers.append((entry.holder, entry.boot_epoch, entry.number))
-        bound = (entry.until - now, entry.next, entry.holds) if entry.until > now else ()
+        bound = (entry.until - now, entry.successor, entry.holds) if entry.until > now else ()
         entries.append((name, *entry[:3], bound, entry.highest))
     offers = tuple((name, *offer[:2], ahead(offer[2] + overlap)) for name, offer in part.claims.offers.offers.items())
-    lists, epochs, long = part.lists, part.epochs, part.claims.longest_lease
+    electorate = part.electorate
+    epochs = part.epochs
+    lease = part.claims.longest_lease
     heard = tuple(
-        (name, one.hash, one.older, ahead(one.since + long), ahead(one.at + 2 * long))
-        for name, one in sorted(lists.heard.items())
+        (name, one.hash, one.older_lists, ahead(one.since + lease), ahead(one.at + 2 * lease))
+        for name, one in sorted(electorate.announcements.items())
     )
-    older = tuple((one.hash, ahead(one.since + long)) for one in lists.older)
+    older_lists = tuple((one.hash, ahead(one.since + lease)) for one in electorate.older_lists)
     found = (
         part.boot_epoch,
         tuple(claims),
         tuple(entries),
         offers,
         ahead(part.voter.silent_until),
-        lists.hash,
-        older,
-        lists.past,
+        electorate.hash,
+        older_lists,
+        electorate.past_lists,
         heard,
-        lists.fresh,
-        ahead(lists._greet_at),
-        lists._last,
-        epochs.top,
+        electorate.without_memory,
+        ahead(electorate._announce_at),
+        electorate._last_peer,
+        epochs.highest_epoch,
         epochs.floor,
-        epochs.kept,
+        epochs.stored,
     )
     return found, tuple(numbers)
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -65,7 +65,7 @@
 
     def kept(self) -> bytes | None:
         """What its store has."""
-        keep = self.part._keep
+        keep = self.part._store
         assert isinstance(keep, Kept)
         return keep.data
 
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -180,7 +180,7 @@
             self.nodes[name] = node._replace(stalled=(now, letter.source, letter.body), keys={})
             return True
         part = copied(node.part)
-        part._keep = Kept(node.kept())
+        part._store = Kept(node.kept())
         self.nodes[name] = Node(part, {}, node.at)
         if what == "wake":
             assert node.stalled is not None
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from random import Random
 from typing import Any
 
@@ -12,78 +11,81 @@
 from yardbank.cluster.lease.api import LeaseEvent, LeaseTerms
 from yardbank.cluster.lease.claim import STATE_NAMES, ClaimState
 from yardbank.cluster.lease.claims import Claims
-from yardbank.cluster.lease.electorate import Electorate
+from yardbank.cluster.lease.electorate import Electorate, StoredList
 from yardbank.cluster.lease.epochs import SHIFT, Epochs
 from yardbank.cluster.lease.holder import HELD_STATES
 from yardbank.cluster.lease.messages import (
-    GRANTED,
-    LIST,
-    LOW,
-    NAMED,
     LeaseMessage,
     LeaseRequest,
+    LeaseTaken,
     Release,
     SuccessorNotice,
     TransferOffer,
+    Verdict,
     VoterAnnouncement,
     VoteReply,
 )
 from yardbank.cluster.lease.messages import decode as read
 from yardbank.cluster.lease.messages import encode as written
 from yardbank.cluster.lease.outbox import Outbox
-from yardbank.cluster.lease.voter import Voter
+from yardbank.cluster.lease.voter import Decision, Voter
 from yardbank.cluster.peers.parts import KeyValueStore, MembershipView, Message
 
-SHOWN = 256  # resources in a view
+MAX_SHOWN = 256  # resources in a view
+URGENT_VERDICTS = (Verdict.GRANTED, Verdict.LOW, Verdict.NAMED)
 MS = 1_000_000
 
 
-class _Kept(msgspec.Struct, array_like=True):
+class _StoredState(msgspec.Struct, array_like=True):
     """What outlives the process. Old programs ignore what they do not know."""
 
     epoch: int
-    lists: list[tuple[int, dict[str, str], int]]  # the newest first, with the count of voters
-    longest: int = 0  # lease, by any terms so far
+    lists: list[StoredList]  # the newest first
+    longest_lease: int = 0  # ns, by any terms so far
 
 
 class LeasePart:
-    """Implements ``peers.parts.Part`` and ``lease.api.Leases``. Made anew at each start of the process.
+    """Implements ``peers.parts.Part`` and ``lease.api.Leases``. Made again at each start of the process.
 
-    ``now`` must be read after what is passed in has come off the socket: an ask is then never older than it seems.
+    Owns the parts of a gateway as a voter (``voter``, ``electorate``, ``epochs``) and as a candidate and a holder
+    (``claims``), and what is stored. ``now`` must be read after what is passed in has come off the socket: a request is
+    then never older than it seems.
     """
 
     topic = "lease"
     rate: tuple[int, int] | None = None
     __slots__ = (
-        "_keep",
-        "_letters",
         "_membership_view",
         "_outbox",
+        "_outgoing",
+        "_store",
         "begun",
         "boot_epoch",
         "claims",
+        "electorate",
         "epochs",
-        "lists",
+        "failed_writes",
         "name",
-        "not_kept",
         "terms",
         "voter",
     )
 
-    def __init__(self, membership_view: MembershipView, terms: LeaseTerms, random: Random, keep: KeyValueStore) -> None:
-        self._membership_view, self.terms, self._keep = membership_view, terms, keep
-        self.name, self.boot_epoch = (
-            membership_view.name,
-            membership_view.boot_epoch,
-        )  # as a holder; it stays, whatever the link learns of old lives
+    def __init__(
+        self, membership_view: MembershipView, terms: LeaseTerms, random: Random, store: KeyValueStore
+    ) -> None:
+        self._membership_view = membership_view
+        self.terms = terms
+        self._store = store
+        self.name = membership_view.name
+        self.boot_epoch = membership_view.boot_epoch  # as a holder; it stays, whatever the link learns of old starts
         self._outbox = Outbox()
-        self._letters: list[Message] = []
+        self._outgoing: list[Message] = []
         self.epochs = Epochs()
-        self.lists = Electorate(self.name, terms)
+        self.electorate = Electorate(self.name, terms)
         self.voter = Voter(terms, self.epochs)
-        self.claims = Claims(self.name, self.boot_epoch, terms, random, self.lists, self.epochs, self._outbox)
+        self.claims = Claims(self.name, self.boot_epoch, terms, random, self.electorate, self.epochs, self._outbox)
         self.begun = False
-        self.not_kept = 0
+        self.failed_writes = 0
 
     # Part
 
@@ -91,57 +93,67 @@
         """The list is there, or has changed."""
         if not self.begun:
             self._begin(now)
-        terms = self.terms
-        agreed = f"{self._membership_view.list_hash()}/{terms.term}/{terms.drift}/{terms.overlap}/{terms.voters}"
-        # other terms are as another list: who has them grants nothing to who has not
-        if self.lists.listed(now, xxhash.xxh3_64_intdigest(agreed.encode()), self._membership_view.zones()):
+        if self.electorate.update_list(now, self._list_hash(), self._membership_view.zones()):
             self._save()
             for claim in self.claims.claims.values():
                 if claim.state == ClaimState.HOLDING:
                     claim.due_at = now  # the new voters are asked at once
-        self._done(now)
+        self._flush(now)
+
+    def _list_hash(self) -> int:
+        """Of the list and the terms: who has other terms grants nothing to who has not."""
+        terms = self.terms
+        agreed = f"{self._membership_view.list_hash()}/{terms.term}/{terms.drift}/{terms.overlap}/{terms.voters}"
+        return xxhash.xxh3_64_intdigest(agreed.encode())
 
     def _begin(self, now: int) -> None:
         self.begun = True
-        kept = _Kept(0, [])
+        stored = self._load()
+        self.epochs.begin(now, self.boot_epoch, stored.epoch)
+        self.electorate.restore(now, stored.lists, stored.longest_lease)
+        self.voter.begin(now, self.electorate.longest_lease)
+
+    def _load(self) -> _StoredState:
+        """What was stored; what cannot be read is as if there were no store: the boot epoch stands in for it."""
+        data = self._store.load()
+        if data is None:
+            return _StoredState(0, [])
         try:
-            if (data := self._keep.load()) is not None:
-                kept = msgspec.msgpack.decode(data, type=_Kept)
+            return msgspec.msgpack.decode(data, type=_StoredState)
         except msgspec.DecodeError:
-            pass  # as if there were no store: the life number stands in for it
-        self.epochs.begin(now, self.boot_epoch, kept.epoch)
-        self.lists.restore(now, kept.lists, kept.longest)
-        self.voter.begin(now, self.lists.long)
+            return _StoredState(0, [])
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A letter came."""
-        word = read(body)
+        """A message came. Raises ``DroppedError``."""
+        message = read(body)
         if self.begun:
-            self._take(now, sender, word)
-            self._done(now)
+            self._take(now, sender, message)
+            self._flush(now)
 
     def tick(self, now: int) -> None:
         """Time has passed."""
         if not self.begun:
             return
-        if self._membership_view.boot_epoch > self.boot_epoch and self.epochs.hear(
-            now, self._membership_view.boot_epoch << SHIFT
-        ):
-            self.epochs.floor = max(
-                self.epochs.floor, self._membership_view.boot_epoch << SHIFT
-            )  # an earlier start was further
+        self._follow_boot_epoch(now)
         self.claims.tick(now)
-        for peer in self.lists.tick(now):
-            self._outbox.send(peer, self._hello(answer=True), urgent=False)
-        self._done(now)
+        for peer in self.electorate.tick(now):
+            self._announce(peer, wants_reply=True)
+        self._flush(now)
+
+    def _follow_boot_epoch(self, now: int) -> None:
+        """The link may have learned that an earlier start was further."""
+        boot_epoch = self._membership_view.boot_epoch
+        if boot_epoch > self.boot_epoch and self.epochs.hear(now, boot_epoch << SHIFT):
+            self.epochs.floor = max(self.epochs.floor, boot_epoch << SHIFT)
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
-        return min((at for at in (self.claims.next_at(), self.lists.next_at()) if at is not None), default=None)
+        return min((at for at in (self.claims.next_at(), self.electorate.next_at()) if at is not None), default=None)
 
     def outgoing_messages(self) -> list[Message]:
         """What is to be sent; taken off."""
-        found, self._letters = self._letters, []
+        found = self._outgoing
+        self._outgoing = []
         return found
 
     # Leases
@@ -149,17 +161,17 @@
     def acquire(self, now: int, resource: str) -> None:
         """See ``api.Leases``."""
         self.claims.acquire(now, resource)
-        self._done(now)
+        self._flush(now)
 
     def release(self, now: int, resource: str) -> None:
         """See ``api.Leases``."""
         self.claims.release(now, resource)
-        self._done(now)
+        self._flush(now)
 
     def transfer(self, now: int, resource: str, to: str) -> bool:
         """See ``api.Leases``."""
         begun = self.claims.transfer(now, resource, to)
-        self._done(now)
+        self._flush(now)
         return begun
 
     def epoch(self, now: int, resource: str) -> int | None:
@@ -182,123 +194,141 @@
     def holder(self, resource: str) -> tuple[str, int] | None:
         """See ``api.Leases``."""
         entry = self.voter.entries.get(resource)
-        seen = (entry.holder, entry.epoch) if entry is not None and entry.holds else None
-        hint = self.claims.log.hints.get(resource)
-        return max((one for one in (seen, hint) if one), key=lambda one: one[1], default=None)
-
-    # Words
-
-    def _take(self, now: int, sender: str, word: LeaseMessage) -> None:
-        if isinstance(word, LeaseRequest):
-            self._vote(now, sender, word)
-        elif isinstance(word, VoteReply):
-            self._hear(now, sender, word)
-            self.claims.answer(now, sender, word)
-        elif isinstance(word, Release):
-            self.voter.release(sender, word)
-        elif isinstance(word, SuccessorNotice):
-            if self.voter.name(now, sender, word):
-                self._answer(sender, word, NAMED)
-        elif isinstance(word, TransferOffer):
-            self.epochs.hear(now, word.epoch)
-            self.claims.offer(now, sender, word)
-        elif isinstance(word, VoterAnnouncement):
-            self._hear(now, sender, word)
-            if word.answer:
-                self._outbox.send(sender, self._hello(answer=False), urgent=False)
-        else:
-            self.claims.took(now, sender, word)
-
-    def _vote(self, now: int, sender: str, ask: LeaseRequest) -> None:
-        if not self.lists.accepts(now, ask):
-            self._answer(sender, ask, LIST)
-        elif verdict := self.voter.ask(now, sender, ask):
-            if verdict.verdict == GRANTED and ask.renewal:
-                self.claims.log.hints.pop(ask.resource, None)  # the entry says it
-            self._answer(sender, ask, verdict.verdict, verdict.holder, verdict.left)
-
-    def _answer(
-        self, to: str, ask: LeaseRequest | SuccessorNotice, verdict: int, holder: str = "", left: int = 0
-    ) -> None:
-        lists = self.lists
-        answer = VoteReply(
-            ask.resource,
-            ask.boot_epoch,
-            ask.number,
-            verdict,
-            self.epochs.top,
-            lists.hash,
-            lists.binding(),
-            holder,
-            left,
+        known = []
+        if entry is not None and entry.holds:
+            known.append((entry.holder, entry.epoch))
+        if hint := self.claims.log.hints.get(resource):
+            known.append(hint)
+        return max(known, key=lambda holder: holder[1], default=None)
+
+    # Messages
+
+    def _take(self, now: int, sender: str, message: LeaseMessage) -> None:
+        match message:
+            case LeaseRequest():
+                self._vote(now, sender, message)
+            case VoteReply():
+                self._observe(now, sender, message)
+                self.claims.answer(now, sender, message)
+            case Release():
+                self.voter.release(sender, message)
+            case SuccessorNotice():
+                if self.voter.note_successor(now, sender, message):
+                    self._reply(sender, message, Decision(Verdict.NAMED))
+            case TransferOffer():
+                self.epochs.hear(now, message.epoch)
+                self.claims.offer(now, sender, message)
+            case VoterAnnouncement():
+                self._observe(now, sender, message)
+                if message.wants_reply:
+                    self._announce(sender, wants_reply=False)
+            case LeaseTaken():
+                self.claims.took(now, sender, message)
+
+    def _vote(self, now: int, sender: str, request: LeaseRequest) -> None:
+        if not self.electorate.accepts(now, request):
+            self._reply(sender, request, Decision(Verdict.LIST))
+            return
+        decision = self.voter.ask(now, sender, request)
+        if decision is None:
+            return
+        if decision.verdict == Verdict.GRANTED and request.renewal:
+            self.claims.log.hints.pop(request.resource, None)  # the entry says it
+        self._reply(sender, request, decision)
+
+    def _reply(self, to: str, request: LeaseRequest | SuccessorNotice, decision: Decision) -> None:
+        reply = VoteReply(
+            request.resource,
+            request.boot_epoch,
+            request.number,
+            decision.verdict,
+            self.epochs.highest_epoch,
+            self.electorate.hash,
+            self.electorate.binding_lists(),
+            decision.holder,
+            decision.remaining_ms,
         )
-        self._outbox.send(to, answer, urgent=verdict in (GRANTED, LOW, NAMED))
+        self._outbox.send(to, reply, urgent=decision.verdict in URGENT_VERDICTS)
 
-    def _hello(self, answer: bool) -> VoterAnnouncement:
-        return VoterAnnouncement("", self.lists.hash, self.lists.binding(), self.epochs.top, answer)
+    def _announce(self, to: str, wants_reply: bool) -> None:
+        electorate = self.electorate
+        announcement = VoterAnnouncement(
+            "", electorate.hash, electorate.binding_lists(), self.epochs.highest_epoch, wants_reply
+        )
+        self._outbox.send(to, announcement, urgent=False)
 
-    def _hear(self, now: int, sender: str, word: VoteReply | VoterAnnouncement) -> None:
+    def _observe(self, now: int, sender: str, message: VoteReply | VoterAnnouncement) -> None:
         """What a peer knows of epochs and lists."""
-        if self.epochs.hear(now, word.top):
-            self.lists.hear(now, sender, word.list, word.older)
-        if self.lists.older or now < self.voter.silent_until:
+        if self.epochs.hear(now, message.highest_epoch):
+            self.electorate.record_announcement(now, sender, message.list_hash, message.older_lists)
+        if self.electorate.older_lists or now < self.voter.silent_until:
             self.epochs.raise_floor()  # other voters' promises pass to this one: new epochs must be above theirs
 
-    def _done(self, now: int) -> None:
-        """Words to itself are taken at once; the others go out, after what they rest on is kept."""
+    def _flush(self, now: int) -> None:
+        """Messages to itself are taken at once; the others go out, after what they rest on is stored."""
         queue = self._outbox.queue
         while queue:
-            to, word, urgent = queue.pop(0)
+            to, message, urgent = queue.pop(0)
             if to == self.name:
-                self._take(now, to, word)
+                self._take(now, to, message)
             else:
-                self._letters.append(Message(to, written(word), urgent))
-        if self.epochs.top > self.epochs.kept:
+                self._outgoing.append(Message(to, written(message), urgent))
+        if self.epochs.highest_epoch > self.epochs.stored:
             self._save()
 
     def _save(self) -> None:
-        epoch = self.epochs.to_keep() or self.epochs.kept
-        if not self._keep.save(msgspec.msgpack.encode(_Kept(epoch, self.lists.kept(), self.lists.long))):
-            self.not_kept += 1  # the life number stands in for it
+        epoch = self.epochs.to_store() or self.epochs.stored
+        state = _StoredState(epoch, self.electorate.stored_lists(), self.electorate.longest_lease)
+        if not self._store.save(msgspec.msgpack.encode(state)):
+            self.failed_writes += 1  # the boot epoch stands in for it
+
+    # What an operator sees
 
     def view(self, now: int) -> dict[str, Any]:
         """What an operator should see; times in ms."""
-        claims, entries = self.claims.claims, self.voter.entries
-        held = {
+        held = self._view_held(now)
+        granted = self._view_granted(now)
+        return {
+            "held": dict(list(held.items())[:MAX_SHOWN]),
+            "held_count": len(held),
+            "wanted": len(self.claims.claims),
+            "granted": dict(list(granted.items())[:MAX_SHOWN]),
+            "granted_count": len(granted),
+            "silent": max(0, self.voter.silent_until - now) // MS,
+            "epoch": self.epochs.highest_epoch,
+            "list": f"{self.electorate.hash:016x}",
+            "older_lists": len(self.electorate.older_lists),
+            "doubt": self.electorate.may_be_behind(now),
+            "clash": self.voter.clash,
+            "counts": self._view_counts(),
+        }
+
+    def _view_held(self, now: int) -> dict[str, Any]:
+        return {
             claim.resource: {
                 "epoch": claim.epoch,
                 "left": (claim.until - now) // MS,
                 "state": STATE_NAMES[claim.state],
-                "voters": list(self.lists.voters(claim.resource)),
+                "voters": list(self.electorate.voters(claim.resource)),
             }
-            for claim in claims.values()
+            for claim in self.claims.claims.values()
             if claim.state in HELD_STATES and claim.holds(now)
         }
-        granted: Mapping[str, Any] = {
+
+    def _view_granted(self, now: int) -> dict[str, Any]:
+        return {
             resource: {"holder": entry.holder, "epoch": entry.epoch, "left": (entry.until - now) // MS}
-            for resource, entry in entries.items()
+            for resource, entry in self.voter.entries.items()
             if now < entry.until
         }
-        counts = {
+
+    def _view_counts(self) -> dict[str, int]:
+        return {
             "epochs_too_far": self.epochs.refused,
             "full": self.voter.full + self.claims.full + self.claims.offers.rejected,
             "late": self.voter.ignored + self.claims.stale,
             "clashes": self.voter.clashes,
-            "lists_forgotten": self.lists.forgotten,
-            "not_kept": self.not_kept,
+            "lists_forgotten": self.electorate.forgotten,
+            "not_kept": self.failed_writes,
             "turns_lost": self.claims.log.events_lost,
         }
-        return {
-            "held": dict(list(held.items())[:SHOWN]),
-            "held_count": len(held),
-            "wanted": len(claims),
-            "granted": dict(list(granted.items())[:SHOWN]),
-            "granted_count": len(granted),
-            "silent": max(0, self.voter.silent_until - now) // MS,
-            "epoch": self.epochs.top,
-            "list": f"{self.lists.hash:016x}",
-            "older_lists": len(self.lists.older),
-            "doubt": self.lists.doubt(now),
-            "clash": self.voter.clash,
-            "counts": counts,
-        }
--- a/yardbank/cluster/lease/proposer.py
+++ b/yardbank/cluster/lease/proposer.py
@@ -62,7 +62,7 @@
 
     def start_vote(self, now: int, claim: Claim) -> None:
         """The backoff of a claim is over."""
-        if self._electorate.doubt(now) or not self._electorate.hash:
+        if self._electorate.may_be_behind(now) or not self._electorate.hash:
             claim.due_at = now + max(1, self._terms.term // 8)
             return
         claim.raised_epochs = 0
@@ -81,7 +81,7 @@
         """Begin a vote under an epoch above all that are known."""
         claim.forget_replies()
         claim.state = ClaimState.REQUESTING
-        claim.epoch = self._epochs.above()
+        claim.epoch = self._epochs.next_epoch()
         claim.until = 0
         claim.round_started_at = now
         claim.vote_deadline = now + self.vote_time
@@ -115,7 +115,7 @@
             claim.epoch,
             not is_candidate,
             self._electorate.hash,
-            self._electorate.known(),
+            self._electorate.known_lists(),
         )
         voters = [claim.first_voter] if claim.first_voter else self._voters(now, claim)
         for voter in voters:
--- a/yardbank/cluster/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -1,8 +1,8 @@
 """One voter's promises. No I/O: time (ns, its own clock) comes in.
 
-A promise binds for one term of the voter's clock from when it was given. It outlives no start: a voter that has just
-started is silent until every promise that it may have given is over, so nothing needs to be stored for safety, and an
-old store does no harm. Gray and Cheriton, Leases (SOSP 1989).
+Owns one entry a resource, at most ``MAX_RESOURCES``. A promise binds for one term of the voter's clock from when it was
+given. It outlives no start: a voter that has just started is silent until every promise that it may have given is over,
+so nothing needs to be stored for safety, and an old store does no harm. Gray and Cheriton, Leases (SOSP 1989).
 """
 
 from __future__ import annotations
@@ -11,18 +11,7 @@
 
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.epochs import Epochs
-from yardbank.cluster.lease.messages import (
-    FAR,
-    FULL,
-    GRANTED,
-    HELD,
-    LOW,
-    SILENT,
-    TAKEN,
-    LeaseRequest,
-    Release,
-    SuccessorNotice,
-)
+from yardbank.cluster.lease.messages import LeaseRequest, Release, SuccessorNotice, Verdict
 from yardbank.cluster.lease.timing import long_lease, vote_time
 
 MAX_RESOURCES = 4096
@@ -35,19 +24,19 @@
     holder: str = ""
     boot_epoch: int = 0
     epoch: int = 0
-    number: int = 0  # of the holder's last word that was taken
+    number: int = 0  # of the holder's last message that was taken
     until: int = 0
-    next: str = ""  # may have it before that
+    successor: str = ""  # may have it before that
     holds: bool = False  # it has said that it holds; else it was only a candidate
     highest: int = 0  # epoch that was ever granted or renewed here
 
 
-class Verdict(NamedTuple):
-    """What is answered; ``left`` in ms."""
+class Decision(NamedTuple):
+    """What is replied."""
 
-    verdict: int
+    verdict: Verdict
     holder: str = ""
-    left: int = 0
+    remaining_ms: int = 0
 
 
 class Voter:
@@ -56,11 +45,12 @@
     __slots__ = ("_epochs", "_terms", "clash", "clashes", "entries", "full", "ignored", "silent_until")
 
     def __init__(self, terms: LeaseTerms, epochs: Epochs) -> None:
-        self._terms, self._epochs = terms, epochs
+        self._terms = terms
+        self._epochs = epochs
         self.entries: dict[str, Entry] = {}
         self.silent_until = 0
-        self.full = 0  # asks refused because too many resources are bound
-        self.ignored = 0  # late or doubled words
+        self.full = 0  # requests refused because too many resources are bound
+        self.ignored = 0  # late or doubled messages
         self.clashes = 0  # two said that they hold one resource; see ``clash``
         self.clash = ""
 
@@ -68,63 +58,80 @@
         """After a start: be silent until all that was promised before is over, ``longest`` by any terms before."""
         self.silent_until = now + max(longest, long_lease(self._terms))
 
-    def ask(self, now: int, sender: str, ask: LeaseRequest) -> Verdict | None:
-        """One that asks; None: a late word, not to be answered."""
+    def ask(self, now: int, sender: str, request: LeaseRequest) -> Decision | None:
+        """Decide on a request; None: it is late, not to be answered."""
         if now < self.silent_until:
-            return Verdict(SILENT, left=_ms(self.silent_until - now))
-        entry = self.entries.get(ask.resource) or Entry()
-        same = (entry.holder, entry.boot_epoch) == (sender, ask.boot_epoch)
-        if same and ask.number <= entry.number:
+            return Decision(Verdict.SILENT, remaining_ms=_ms(self.silent_until - now))
+        entry = self.entries.get(request.resource) or Entry()
+        is_same_sender = (entry.holder, entry.boot_epoch) == (sender, request.boot_epoch)
+        if is_same_sender and request.number <= entry.number:
             self.ignored += 1
             return None
-        bound = now < entry.until
-        if bound and not same and (ask.renewal or entry.next != sender):
-            if entry.holds and ask.renewal:
-                self.clashes, self.clash = self.clashes + 1, f"{ask.resource}: {entry.holder} and {sender}"
-            left = entry.until - now
-            lasting = entry.holds or left < self._terms.term - vote_time(self._terms)  # no vote takes so long
-            return Verdict(HELD if lasting else TAKEN, entry.holder, _ms(left))
-        if ask.renewal:
-            if bound and entry.epoch != ask.epoch:
-                return Verdict(LOW)  # it has asked for another since
-        elif ask.epoch <= max(entry.highest, self._epochs.floor) and not (same and ask.epoch == entry.epoch):
-            return Verdict(LOW)
-        if not self._epochs.hear(now, ask.epoch):
-            return Verdict(FAR)
-        if ask.resource not in self.entries and not self._room(now):
+        if now < entry.until and not is_same_sender and (request.renewal or entry.successor != sender):
+            return self._refuse_other(now, sender, request, entry)
+        if self._is_epoch_used(now, request, entry, is_same_sender):
+            return Decision(Verdict.LOW)
+        if not self._epochs.hear(now, request.epoch):
+            return Decision(Verdict.FAR)
+        if request.resource not in self.entries and not self._make_room(now):
             self.full += 1
-            return Verdict(FULL)
-        highest = max(entry.highest, ask.epoch)
-        until = now + self._terms.term
-        self.entries[ask.resource] = Entry(
-            sender, ask.boot_epoch, ask.epoch, ask.number, until, "", ask.renewal, highest
+            return Decision(Verdict.FULL)
+        self.entries[request.resource] = Entry(
+            sender,
+            request.boot_epoch,
+            request.epoch,
+            request.number,
+            until=now + self._terms.term,
+            holds=request.renewal,
+            highest=max(entry.highest, request.epoch),
         )
-        return Verdict(GRANTED)
+        return Decision(Verdict.GRANTED)
+
+    def _refuse_other(self, now: int, sender: str, request: LeaseRequest, entry: Entry) -> Decision:
+        """The promise binds to another than the sender."""
+        if entry.holds and request.renewal:
+            self.clashes += 1
+            self.clash = f"{request.resource}: {entry.holder} and {sender}"
+        remaining = entry.until - now
+        verdict = Verdict.TAKEN
+        if entry.holds or remaining < self._terms.term - vote_time(self._terms):  # no vote takes so long
+            verdict = Verdict.HELD
+        return Decision(verdict, entry.holder, _ms(remaining))
+
+    def _is_epoch_used(self, now: int, request: LeaseRequest, entry: Entry, is_same_sender: bool) -> bool:
+        if request.renewal:
+            return now < entry.until and entry.epoch != request.epoch  # it has asked for another since
+        if is_same_sender and request.epoch == entry.epoch:
+            return False
+        return request.epoch <= max(entry.highest, self._epochs.floor)
 
-    def name(self, now: int, sender: str, word: SuccessorNotice) -> bool:
+    def note_successor(self, now: int, sender: str, notice: SuccessorNotice) -> bool:
         """The holder says who is next; whether that is noted. Its next renewal takes it back."""
-        entry = self._of(sender, word)
+        entry = self._entry_of(sender, notice)
         if entry is None or now >= entry.until:
             return False
-        self.entries[word.resource] = entry._replace(next=word.next, number=word.number, holds=True)
+        self.entries[notice.resource] = entry._replace(successor=notice.successor, number=notice.number, holds=True)
         return True
 
-    def release(self, sender: str, word: Release) -> None:
+    def release(self, sender: str, message: Release) -> None:
         """The holder needs it no more."""
-        if (entry := self._of(sender, word)) is not None:
-            self.entries[word.resource] = entry._replace(until=0, number=word.number, next="", holds=False)
-
-    def _of(self, sender: str, word: SuccessorNotice | Release) -> Entry | None:
-        """The entry that a word of its holder is about; None: it is late, or about another ownership."""
-        entry = self.entries.get(word.resource)
-        if entry is None or (entry.holder, entry.boot_epoch, entry.epoch) != (sender, word.boot_epoch, word.epoch):
+        entry = self._entry_of(sender, message)
+        if entry is not None:
+            self.entries[message.resource] = entry._replace(until=0, number=message.number, successor="", holds=False)
+
+    def _entry_of(self, sender: str, message: SuccessorNotice | Release) -> Entry | None:
+        """The entry that its holder's message is about; None: it is late, or about another ownership."""
+        entry = self.entries.get(message.resource)
+        if entry is None:
+            return None
+        if (entry.holder, entry.boot_epoch, entry.epoch) != (sender, message.boot_epoch, message.epoch):
             return None
-        if word.number <= entry.number:
+        if message.number <= entry.number:
             self.ignored += 1
             return None
         return entry
 
-    def _room(self, now: int) -> bool:
+    def _make_room(self, now: int) -> bool:
         """Whether one more resource can be taken; those that are free make room. No epoch is forgotten by that."""
         if len(self.entries) < MAX_RESOURCES:
             return True
@@ -134,4 +141,5 @@
 
 
 def _ms(span: int) -> int:
+    """Milliseconds, rounded up."""
     return -(-span // MS)
