--- a/tests/cluster/lease/test_bounds.py
+++ b/tests/cluster/lease/test_bounds.py
@@ -67,4 +67,4 @@
         voter.acquire(bus.now, f"r{number}")
         voter.receive(bus.now, "b", 1, encode(TransferOffer(f"o{number}", 1)))
     assert len(voter.claims.claims) == 1024 and len(voter.claims.offers.offers) == 256
-    assert voter.turns("")[-1].why == "too many are wanted"
+    assert voter.take_events("")[-1].why == "too many are wanted"
--- a/tests/cluster/lease/test_fleet.py
+++ b/tests/cluster/lease/test_fleet.py
@@ -78,7 +78,7 @@
 
     def judge(self, name):
         part, now = self.part(name), self.own(name)
-        for turn in part.turns(""):
+        for turn in part.take_events(""):
             if turn.what == "owned":
                 assert turn.epoch > self.epochs.get(turn.resource, 0), (name, turn)
                 self.epochs[turn.resource] = turn.epoch
--- a/tests/cluster/lease/test_lease.py
+++ b/tests/cluster/lease/test_lease.py
@@ -24,11 +24,11 @@
     assert bus.holders() == []
     bus.run(4 * SECOND)
     assert bus.holders() == ["b"] and bus.parts["b"].epoch(bus.now, R) > first
-    assert [(turn.what, turn.why) for turn in bus.parts["a"].turns("channel/")] == [
+    assert [(turn.what, turn.why) for turn in bus.parts["a"].take_events("channel/")] == [
         ("owned", ""),
         ("ended", "released"),
     ]
-    assert bus.parts["a"].turns("") == []
+    assert bus.parts["a"].take_events("") == []
 
 
 def test_a_holder_that_is_cut_off_ends_by_its_own_clock_and_another_follows_within_a_lease_and_a_vote():
@@ -38,9 +38,9 @@
     bus.parts["b"].acquire(bus.now, R)
     bus.run(5 * SECOND)
     bus.cut.add("a")
-    bus.run(TERMS.held() + 1)
+    bus.run(TERMS.holding_time() + 1)
     assert bus.parts["a"].epoch(bus.now, R) is None  # asked, without a tick in between
-    bus.run(long_lease(TERMS) - TERMS.held() + TERMS.term // 8 + 2 * vote_time(TERMS))
+    bus.run(long_lease(TERMS) - TERMS.holding_time() + TERMS.term // 8 + 2 * vote_time(TERMS))
     assert bus.holders() == ["b"]
 
 
@@ -54,7 +54,7 @@
     assert a.transfer(bus.now, R, "b") and not a.transfer(bus.now, R, "c")
     bus.run(SECOND)
     assert b.offered("permit/") == [] and bus.holders() == ["a"]  # not taken up: stays, under its epoch
-    assert a.epoch(bus.now, R) == epoch and [turn.what for turn in a.turns("")] == ["owned"]
+    assert a.epoch(bus.now, R) == epoch and [turn.what for turn in a.take_events("")] == ["owned"]
     assert a.transfer(bus.now, R, "b")
     bus.flush()
     assert b.offered("channel/") == [(R, "a")] and b.offered("") == []
@@ -63,7 +63,7 @@
     assert bus.holders() == ["b"] and b.epoch(bus.now, R) > epoch
     assert not b.transfer(bus.now, R, "c")  # the one before might hold it still
     bus.run(2 * SECOND)
-    assert bus.holders() == ["b"] and a.turns("")[-1].why == "handed on" and R not in a.claims.claims
+    assert bus.holders() == ["b"] and a.take_events("")[-1].why == "handed on" and R not in a.claims.claims
 
 
 def test_who_is_cut_off_in_mid_handing_on_ends_by_the_overlap():
@@ -80,7 +80,7 @@
     bus.now += short_overlap(TERMS)
     assert bus.holders() == ["b"]
     a.tick(bus.now)
-    assert a.turns("")[-1].why == "handed on, unanswered"
+    assert a.take_events("")[-1].why == "handed on, unanswered"
     bus.cut.clear()
     a.receive(bus.now, "b", 1, encode(LeaseTaken(R, 1 << 20)))  # after its end: no harm
     a.release(bus.now, R)
@@ -103,7 +103,7 @@
     bus.cut.clear()
     assert a.epoch(bus.now, R) is None and bus.parts["c"].epoch(bus.now, R) >= epoch + 2
     bus.run(3 * long_lease(TERMS))
-    assert bus.holders() == ["c"] and len(a.turns("")) == 2 and len(a.news()) == 2
+    assert bus.holders() == ["c"] and len(a.take_events("")) == 2 and len(a.take_log_events()) == 2
 
 
 def test_both_dying_in_mid_handing_on_leave_it_to_others_after_a_lease_and_a_vote():
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -98,7 +98,7 @@
     """Holds for good what it was granted once."""
     from yardbank.cluster.lease.part import LeasePart
 
-    epoch, turns, had = LeasePart.epoch, LeasePart.turns, {}
+    epoch, take_events, had = LeasePart.epoch, LeasePart.take_events, {}
 
     def for_good(self, now, resource):
         found = epoch(self, now, resource)
@@ -106,7 +106,7 @@
         return had.get(resource)
 
     LeasePart.epoch = for_good
-    LeasePart.turns = lambda self, prefix: [turn for turn in turns(self, prefix) if turn.what != "ended"]
+    LeasePart.take_events = lambda self, prefix: [event for event in take_events(self, prefix) if event.what != "ended"]
 
 
 def takes_twice():
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -89,7 +89,7 @@
                 if own.state != BIDDING:
                     self._bid(now, channel, own)
                 own.source, own.at = source, now
-        for turn in self._leases.turns(PREFIX):
+        for turn in self._leases.take_events(PREFIX):
             channel = turn.resource.removeprefix(PREFIX)
             own = self.channels.get(channel)
             if turn.what == OWNED:
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -242,7 +242,7 @@
 
     def _after(self, now: int) -> None:
         """The link has had a turn: hand on what the parts found."""
-        for lease in self.leases.news():
+        for lease in self.leases.take_log_events():
             self._log.info("lease", resource=lease.resource, what=lease.what, epoch=lease.epoch, why=lease.why)
         if self._distribution is not None:
             self._distribution.after()
--- a/yardbank/cluster/lease/holder.py
+++ b/yardbank/cluster/lease/holder.py
@@ -70,7 +70,7 @@
 
     def granted(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
         """A voter grants or renews what was requested then."""
-        until = requested_at + self._terms.held()
+        until = requested_at + self._terms.holding_time()
         claim.grants[voter] = max(claim.grants.get(voter, 0), until)
         claim.refusals.pop(voter, None)
         self._extend(now, claim, claim.granted_until(self._electorate.sets(now, claim.resource)))
@@ -96,7 +96,7 @@
             self._outbox.send(offer.sender, LeaseTaken(claim.resource, claim.epoch))
 
     def _is_round_complete(self, claim: Claim) -> bool:
-        return claim.until >= claim.round_started_at + self._terms.held()
+        return claim.until >= claim.round_started_at + self._terms.holding_time()
 
     def is_renewal_due(self, now: int, claim: Claim) -> bool:
         """Whether it is time to renew.
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -15,7 +15,7 @@
 
 
 def _drift() -> Any:
-    return patch.object(LeaseTerms, "held", lambda terms: terms.term)
+    return patch.object(LeaseTerms, "holding_time", lambda terms: terms.term)
 
 
 def _forgets() -> Any:
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -104,7 +104,7 @@
     def ahead(at: int) -> int:
         return at - now if at > now else 0
 
-    held, overlap = part.terms.held(), part.terms.overlap
+    held, overlap = part.terms.holding_time(), part.terms.overlap
     numbers: list[Numbered] = []
     claims = []
     for claim in part.claims.claims.values():
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -56,7 +56,7 @@
         self.nodes = {name: self._started(name, 1, 0, None) for name in names}
         self.time = 25 * SECOND  # all that bound at the start is over
         for name, node in self.nodes.items():
-            node.part.tick(self.own(name))
+            node.part.tick(self.clock_of(name))
             node.part.outgoing_messages()
         for action in self.scene.prefix:
             made = self.after(tuple(action))
@@ -67,16 +67,16 @@
 
     def _started(self, name: str, boot_epoch: int, at: int, kept: bytes | None) -> Node:
         part = LeasePart(MembershipView(name, boot_epoch, self.scene.lists[at]), TERMS, Zero(), Kept(kept))
-        part.listed(self.own(name))
+        part.listed(self.clock_of(name))
         return Node(part, {}, at)
 
-    def own(self, name: str) -> int:
+    def clock_of(self, name: str) -> int:
         """What a gateway's clock says now."""
         return 100 * SECOND + self.time // 5 * (SLOW if name in self.scene.slow else FAST)
 
     def key(self) -> int:
         """Equal where all that can follow is equal, but for a chance of one in 2**64 for two that differ."""
-        nodes = [node.key(self.own(name)) for name, node in self.nodes.items()]
+        nodes = [node.key(self.clock_of(name)) for name, node in self.nodes.items()]
         letters = [letter.key() for letter in self.letters]
         numbers = {number for node in nodes for number in node[1]}
         numbers.update(letter[1] for letter in letters if letter[1])
@@ -92,43 +92,57 @@
 
     def actions(self) -> Iterator[Action]:
         """All that may happen next."""
-        have, scene = self.budgets, self.scene
-        if have.get("pass"):
+        if self.budgets.get("pass"):
             yield ("pass",)
-        seen = set()
-        for at, letter in enumerate(self.letters):
-            if letter in seen:
-                continue
-            seen.add(letter)
-            if self.nodes[letter.target].stalled is None:
-                said = (letter.source, letter.target, letter.kind(), self._which(at))
-                yield ("deliver", *said)
-                if have.get("double"):
-                    yield ("double", *said)
-                if have.get("stall"):
-                    yield ("stall", *said)
+        yield from self._message_actions()
         for name, node in self.nodes.items():
-            part, now = node.part, self.own(name)
-            if have.get("restart"):
+            if self.budgets.get("restart"):
                 yield "restart", name
-            if have.get("forget"):
+            if self.budgets.get("forget"):
                 yield "forget", name
             if node.stalled is not None:
                 yield "wake", name
                 continue
-            if have.get("tick", 1) and (due := part.next_at()) is not None and due <= now:
-                yield "tick", name
-            if name in scene.wanting and scene.resource not in part.claims.claims:
-                yield "want", name
-            if have.get("list") and node.at + 1 < len(scene.lists) and (not scene.only or name in scene.only):
-                yield "list", name
-            if part.epoch(now, scene.resource) is not None:
-                if have.get("release"):
-                    yield "release", name
-                if have.get("hand"):
-                    for other in scene.wanting:
-                        if other != name:
-                            yield "hand", name, other
+            yield from self._node_actions(name, node)
+            if node.part.epoch(self.clock_of(name), self.scene.resource) is not None:
+                yield from self._holder_actions(name)
+
+    def _message_actions(self) -> Iterator[Action]:
+        """What may happen to messages on their way; each of those that are alike once."""
+        seen = set()
+        for index, message in enumerate(self.letters):
+            if message in seen:
+                continue
+            seen.add(message)
+            if self.nodes[message.target].stalled is not None:
+                continue
+            which = (message.source, message.target, message.kind(), self._which(index))
+            yield ("deliver", *which)
+            if self.budgets.get("double"):
+                yield ("double", *which)
+            if self.budgets.get("stall"):
+                yield ("stall", *which)
+
+    def _node_actions(self, name: str, node: Node) -> Iterator[Action]:
+        """What a gateway that is not stopped may do, whether it holds or not."""
+        scene = self.scene
+        due = node.part.next_at()
+        if self.budgets.get("tick", 1) and due is not None and due <= self.clock_of(name):
+            yield "tick", name
+        if name in scene.wanting and scene.resource not in node.part.claims.claims:
+            yield "want", name
+        has_next_list = node.at + 1 < len(scene.lists) and (not scene.only or name in scene.only)
+        if self.budgets.get("list") and has_next_list:
+            yield "list", name
+
+    def _holder_actions(self, name: str) -> Iterator[Action]:
+        if self.budgets.get("release"):
+            yield "release", name
+        if not self.budgets.get("hand"):
+            return
+        for other in self.scene.wanting:
+            if other != name:
+                yield "hand", name, other
 
     def _which(self, at: int) -> int:
         """How many like it are older."""
@@ -167,57 +181,79 @@
         return made.checked() if done else None
 
     def _do(self, what: str, name: str, node: Node, action: Action, letter: Message | None) -> bool:
-        now, resource = self.own(name), self.scene.resource
+        """Let one gateway do something; whether it can be done here."""
         if what in ("restart", "forget"):
-            kept = node.kept() if what == "restart" else None
-            boot_epoch = max(one.part.boot_epoch for one in self.nodes.values()) + 1  # as clocks that are right give it
-            self.nodes[name] = self._started(name, boot_epoch, node.at, kept)
-            return self._said(name)
+            self._restart(name, node, keeps_store=what == "restart")
+            return self._collect(name)
         if (node.stalled is not None) != (what == "wake"):
             return False
         if what == "stall":
             assert letter is not None
-            self.nodes[name] = node._replace(stalled=(now, letter.source, letter.body), keys={})
+            self.nodes[name] = node._replace(stalled=(self.clock_of(name), letter.source, letter.body), keys={})
             return True
         part = copied(node.part)
         part._store = Kept(node.kept())
         self.nodes[name] = Node(part, {}, node.at)
-        if what == "wake":
-            assert node.stalled is not None
-            then, source, body = node.stalled
-            part.receive(then, source, 0, body)
-        elif letter is not None:
-            part.receive(now, letter.source, 0, letter.body)
-        elif what == "tick":
-            if (due := part.next_at()) is None or due > now:
-                return False
-            part.tick(now)
-        elif what == "want":
-            part.acquire(now, resource)
-        elif what == "release":
-            part.release(now, resource)
-        elif what == "hand":
-            epoch = part.epoch(now, resource)
-            if epoch is None or not part.transfer(now, resource, action[2]):
-                return False
-            self.planned = (*self.planned, (name, epoch, self.time + TERMS.overlap))
-        elif what == "list":
-            if node.at + 1 >= len(self.scene.lists):
-                return False
-            self.nodes[name] = Node(part, {}, node.at + 1)
-            part._membership_view = MembershipView(name, part.boot_epoch, self.scene.lists[node.at + 1])
-            part.listed(now)
-        return self._said(name)
-
-    def _said(self, name: str) -> bool:
+        if what == "list":
+            is_done = self._take_next_list(name, node, part)
+        else:
+            is_done = self._call(what, name, node, part, action, letter)
+        return is_done and self._collect(name)
+
+    def _restart(self, name: str, node: Node, keeps_store: bool) -> None:
+        stored = node.kept() if keeps_store else None
+        boot_epoch = max(one.part.boot_epoch for one in self.nodes.values()) + 1  # as clocks that are right give it
+        self.nodes[name] = self._started(name, boot_epoch, node.at, stored)
+
+    def _call(self, what: str, name: str, node: Node, part: LeasePart, action: Action, letter: Message | None) -> bool:
+        now, resource = self.clock_of(name), self.scene.resource
+        match what:
+            case "wake":
+                assert node.stalled is not None
+                stalled_at, source, body = node.stalled
+                part.receive(stalled_at, source, 0, body)
+            case "deliver" | "double":
+                assert letter is not None
+                part.receive(now, letter.source, 0, letter.body)
+            case "tick":
+                due = part.next_at()
+                if due is None or due > now:
+                    return False
+                part.tick(now)
+            case "want":
+                part.acquire(now, resource)
+            case "release":
+                part.release(now, resource)
+            case "hand":
+                return self._transfer(name, part, action[2])
+        return True
+
+    def _transfer(self, name: str, part: LeasePart, to: str) -> bool:
+        now, resource = self.clock_of(name), self.scene.resource
+        epoch = part.epoch(now, resource)
+        if epoch is None or not part.transfer(now, resource, to):
+            return False
+        self.planned = (*self.planned, (name, epoch, self.time + TERMS.overlap))
+        return True
+
+    def _take_next_list(self, name: str, node: Node, part: LeasePart) -> bool:
+        at = node.at + 1
+        if at >= len(self.scene.lists):
+            return False
+        self.nodes[name] = Node(part, {}, at)
+        part._membership_view = MembershipView(name, part.boot_epoch, self.scene.lists[at])
+        part.listed(self.clock_of(name))
+        return True
+
+    def _collect(self, name: str) -> bool:
         """Take off what it wants sent, and what became of it."""
         part = self.nodes[name].part
         for letter in part.outgoing_messages():
             is_lost = not self.scene.hellos and isinstance(decode(letter.body), VoterAnnouncement)
             if letter.to in self.nodes and not is_lost:
                 self.letters = (*self.letters, Message(name, letter.to, letter.body))[-self.scene.letters :]
-        for turn in part.turns(""):
-            if turn.what == OWNED and part.epoch(self.own(name), turn.resource) == turn.epoch:  # not over by now
+        for turn in part.take_events(""):
+            if turn.what == OWNED and part.epoch(self.clock_of(name), turn.resource) == turn.epoch:  # not over by now
                 if turn.epoch <= self.highest:
                     self.wrong = f"epoch {turn.epoch} at {name} is not above {self.highest}"
                 self.highest = max(self.highest, turn.epoch)
@@ -236,7 +272,7 @@
 
     def holders(self) -> list[tuple[str, int]]:
         """Who holds by its own clock now, and under which epoch."""
-        found = ((name, node.part.epoch(self.own(name), self.scene.resource)) for name, node in self.nodes.items())
+        found = ((name, node.part.epoch(self.clock_of(name), self.scene.resource)) for name, node in self.nodes.items())
         return [(name, epoch) for name, epoch in found if epoch is not None]
 
     def checked(self) -> World:
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -183,11 +183,11 @@
         """See ``api.Leases``."""
         return self.claims.offers.take(prefix)
 
-    def turns(self, prefix: str) -> list[LeaseEvent]:
+    def take_events(self, prefix: str) -> list[LeaseEvent]:
         """See ``api.Leases``."""
         return self.claims.log.take_events(prefix)
 
-    def news(self) -> list[LeaseEvent]:
+    def take_log_events(self) -> list[LeaseEvent]:
         """The turns of all resources once more, for the log; taken off. The oldest give way where nobody asks."""
         return self.claims.log.take_log_events()
 
--- a/yardbank/cluster/lease/proposer.py
+++ b/yardbank/cluster/lease/proposer.py
@@ -104,7 +104,7 @@
         """Ask those voters of whom this round has no grant yet, for a new lease or for a renewal."""
         number = self._outbox.next_number()
         claim.record_request(now, number)
-        round_end = claim.round_started_at + self._terms.held()
+        round_end = claim.round_started_at + self._terms.holding_time()
         is_candidate = claim.state == ClaimState.REQUESTING
         is_offered = self._offers.is_open(now, claim.resource)
         urgent = not is_candidate or is_offered
