--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -13,7 +13,7 @@
 
 from benchmarks.common import chart, keep, table
 from tests.support.rollout_fleet import SECOND, Kind, World, change, zoned
-from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.stage_plan import StagePlan
 
 SIZES = (8, 24, 48, 200)
 RATE = 30.0  # requests a second of each gateway
@@ -52,7 +52,7 @@
 
 def without(size: int, waits: bool) -> tuple[int, int]:
     """Gateways and requests that meet a bad version where nobody judges: at once, or by stages with fixed waits."""
-    order = Order("c1", zoned(size, 3), STAGES)
+    order = StagePlan("c1", zoned(size, 3), STAGES)
     each = (DOWN + SETTLE) / at_once(size)
     on, at = [], 0.0  # when each goes over
     for stage in range(1, len(STAGES) + 1):
--- a/tests/cluster/rollout/test_false_records.py
+++ b/tests/cluster/rollout/test_false_records.py
@@ -16,9 +16,9 @@
 
 def lie(world, name, change_it):
     """From now on what a gateway says of itself is changed so, before it is told."""
-    book = world.processes[name].part._book
-    honest = book.say
-    book.say = lambda said: honest(change_it(said))
+    record_log = world.processes[name].part._record_log
+    honest = record_log.say
+    record_log.say = lambda said: honest(change_it(said))
 
 
 def bad(said):
@@ -49,7 +49,7 @@
     for liar in (0, 1):
         world = worse(begun(8, asked=change(longest=200 * SECOND)), Kind(failed=0.15))
         assert moved(world)
-        pair = world.processes["g000"].part._progress.trial.pairs[0]
+        pair = world.processes["g000"].part._progress.canary_analysis.pairs[0]
 
         def good(record):
             cells = tuple(Cell(cell.name, sum(cell.counts()), 0, 0, 0, 0) for cell in record.cells)
@@ -61,19 +61,27 @@
 
 
 def test_two_are_needed_to_tell_of_a_third():
-    book = RecordLog("g0", Random(1))
-    book.listed(["g0", "g1", "g2", "g3"])
+    record_log = RecordLog("g0", Random(1))
+    record_log.listed(["g0", "g1", "g2", "g3"])
     forged = encoded(GatewayRecord("g3", 1, 9, "c1", 7, FELL))
-    assert book.take("g1", letter([forged])) == book.take("g1", letter([forged])) == [] and book.said("g3") is None
+    assert (
+        record_log.take("g1", letter([forged])) == record_log.take("g1", letter([forged])) == []
+        and record_log.said("g3") is None
+    )
     other = encoded(GatewayRecord("g3", 1, 9, "c1", 7, NEW))
-    assert book.take("g2", letter([other])) == []  # told otherwise: no second voice
-    assert [said.place for said in book.take("g2", letter([forged]))] == [FELL]
-    assert book.take("g3", letter([encoded(GatewayRecord("g3", 1, 8, "c1", 7, NEW))])) == []  # older by number
-    assert [said.place for said in book.take("g3", letter([encoded(GatewayRecord("g3", 2, 1, "c1", 7, NEW))]))] == [NEW]
-    assert book.take("g1", letter([encoded(GatewayRecord("g9", 1, 1))])) == []  # nobody on the list
-    book.say(GatewayRecord("g0", 5, 1))
-    assert book.take("g1", letter([encoded(GatewayRecord("g0", 5, 50, stop="x"))])) == [] and book.contested == 1
-    assert book.said("g0").number == 1
+    assert record_log.take("g2", letter([other])) == []  # told otherwise: no second voice
+    assert [said.place for said in record_log.take("g2", letter([forged]))] == [FELL]
+    assert record_log.take("g3", letter([encoded(GatewayRecord("g3", 1, 8, "c1", 7, NEW))])) == []  # older by number
+    assert [
+        said.place for said in record_log.take("g3", letter([encoded(GatewayRecord("g3", 2, 1, "c1", 7, NEW))]))
+    ] == [NEW]
+    assert record_log.take("g1", letter([encoded(GatewayRecord("g9", 1, 1))])) == []  # nobody on the list
+    record_log.say(GatewayRecord("g0", 5, 1))
+    assert (
+        record_log.take("g1", letter([encoded(GatewayRecord("g0", 5, 50, stop="x"))])) == []
+        and record_log.contested == 1
+    )
+    assert record_log.said("g0").number == 1
 
 
 def test_records_of_a_later_program_pass_unchanged_and_odd_ones_are_dropped():
@@ -111,15 +119,15 @@
     rates = [(world.gossip.nodes[name].post.octets - before[name]) / 30 for name in alive]
     assert max(rates) < 1200 and not any(world.gossip.nodes[name].post.withheld for name in alive)
     ripe = [name for name in alive if world.gossip.now - world.processes[name].began_at > 30 * SECOND]
-    newest = max(world.processes[name].part._teller.beat for name in ripe)
-    trial = world.processes[ripe[0]].part._progress.trial
-    compared = [name for pair in trial.pairs for name in (pair.new, pair.old) if name in ripe]
+    newest = max(world.processes[name].part._announcer.beat for name in ripe)
+    analysis = world.processes[ripe[0]].part._progress.canary_analysis
+    compared = [name for pair in analysis.pairs for name in (pair.new, pair.old) if name in ripe]
     assert len(ripe) > 35 and len(compared) > 8
     told = []
     for name in ripe:
-        book = world.processes[name].part._book
-        assert len(book.all()) >= 44
-        known = [book.said(one) for one in compared]
+        record_log = world.processes[name].part._record_log
+        assert len(record_log.all()) >= 44
+        known = [record_log.said(one) for one in compared]
         told += [99 if said is None else newest - said.beat for said in known]
     assert sorted(told)[int(0.85 * len(told))] <= 2  # beats behind
     assert LOOKUP in world.figures("g000").classes
--- a/tests/cluster/rollout/test_faults.py
+++ b/tests/cluster/rollout/test_faults.py
@@ -44,7 +44,7 @@
 
 def test_one_that_was_cut_off_comes_back_two_stages_later_and_follows():
     world = begun(8, asked=change(stages=(0.25, 0.5, 0.75, 1.0)))
-    away = world.processes["g000"].part._order.of(2)[-1]
+    away = world.processes["g000"].part._stage_plan.of(2)[-1]
     cut(world, "away", [away], [name for name in world.zones if name != away])
     others = [name for name in world.zones if name != away]
     assert world.until(lambda: all(world.place(name) == "new" for name in others), 600)
@@ -61,7 +61,7 @@
     worse(world, Kind(failed=0.4))
     world.run(20)
     for name in [name for name in world.zones if name != away][:2]:
-        world.processes[name].part._mover.stop(world.gossip.own(name), "c1", "served lookup")
+        world.processes[name].part._state_machine.stop(world.gossip.own(name), "c1", "served lookup")
     rest = set(world.zones) - {away}
     assert world.until(lambda: {name for _, name, _ in world.said("stopped")} >= rest, 60)
     assert world.until(lambda: world.on_new() == {away}, 200)
@@ -96,7 +96,7 @@
 def test_a_judge_that_is_slow_itself_does_not_go_on():
     world = begun(8)
     assert moved(world)
-    following = world.processes["g000"].part._order.of(2)[0]
+    following = world.processes["g000"].part._stage_plan.of(2)[0]
     for tick in range(500):
         at = world.gossip.now + tick * SECOND // 5
         world.gossip.at(at, lambda: setattr(world.gossip.nodes[following].detector, "slowness", 8))
@@ -151,7 +151,7 @@
 
 def test_a_disk_that_is_full_before_it_goes_over_keeps_it_on_the_old_one():
     world = begun(8)
-    first = world.processes["g000"].part._order.of(1)[0]
+    first = world.processes["g000"].part._stage_plan.of(1)[0]
     world.processes[first].disk.full = True
     world.run(60)
     assert first not in world.on_new() and world.said("not_kept", first)
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -35,7 +35,7 @@
     assert world.on_new() == set(world.zones) and world.most_away <= 2
     assert not any(process.force.young for process in world.processes.values())
     new, well = world.said("new"), world.said("well")
-    order = world.processes["g000"].part._order
+    order = world.processes["g000"].part._stage_plan
     for stage in (2, 3):  # nobody of a stage goes before the one before it was judged well, after its hold
         first = min(at for at, name, _ in world.said("going_over") if name in order.of(stage))
         judged = min(at for at, _, turn in well if turn.stage == stage - 1)
--- a/tests/cluster/rollout/test_sequential_test.py
+++ b/tests/cluster/rollout/test_sequential_test.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from yardbank.cluster.rollout import sequential_test as judge
-from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.stage_plan import StagePlan
 
 FLEETS, PAIRS, WINDOWS, REQUESTS, BY = 2000, 4, 50, 100, 0.03
 STOP, PASS = 0.05, 0.05
@@ -112,8 +112,8 @@
     stages = (*sorted(shares), 1.0)
     shuffled = list(zones.items())
     random.shuffle(shuffled)
-    order = Order("r", zones, stages)
-    assert order.names == Order("r", dict(shuffled), stages).names  # alike for all
+    order = StagePlan("r", zones, stages)
+    assert order.names == StagePlan("r", dict(shuffled), stages).names  # alike for all
     assert sorted(order.names) == sorted(zones) and order.upto(len(stages)) == order.names
     sizes = {zone: list(zones.values()).count(zone) for zone in zones.values()}
     before = ()
@@ -138,4 +138,4 @@
 
 def test_not_always_the_same_go_first():
     zones = {f"g{number}": "" for number in range(20)}
-    assert len({Order(f"r{number}", zones, (0.1, 1.0)).upto(1) for number in range(10)}) > 5
+    assert len({StagePlan(f"r{number}", zones, (0.1, 1.0)).upto(1) for number in range(10)}) > 5
--- a/tests/testing/rig/test_seeded_faults.py
+++ b/tests/testing/rig/test_seeded_faults.py
@@ -38,10 +38,10 @@
 
 def named_for_g1():
     """A rollout that begins with g1."""
-    from yardbank.cluster.rollout.stage_plan import Order
+    from yardbank.cluster.rollout.stage_plan import StagePlan
 
     zones = {f"g{n}": "norte" if n % 2 else "sur" for n in range(1, 5)}
-    return next(name for n in range(100) if Order(name := f"r-{n}", zones, [0.5, 1]).stage_of("g1") == 1)
+    return next(name for n in range(100) if StagePlan(name := f"r-{n}", zones, [0.5, 1]).stage_of("g1") == 1)
 
 
 CASES = [
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -68,7 +68,7 @@
 def check(file: Path, asked: Path | None) -> None:
     """Check what is asked for (the file that the settings name, or ASKED), and show who would go when."""
     from yardbank.cluster.rollout.actuator import sound
-    from yardbank.cluster.rollout.stage_plan import Order
+    from yardbank.cluster.rollout.stage_plan import StagePlan
 
     config = load_or_exit(file)
     path = asked or _asked_file(file, config)
@@ -80,7 +80,7 @@
         new = file.parent / change.settings
         loaded = load_or_exit(new)
         checked_or_exit(lambda path: sound(loaded, path), new)
-    order = Order(change.id, _zones(file, config), change.stages)
+    order = StagePlan(change.id, _zones(file, config), change.stages)
     if not order.can_be_judged:
         _fault(f'{path}:1: rollout "{change.id}": no zone has two gateways: there would be nothing to compare with')
     table = Table()
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -9,7 +9,7 @@
 from yardbank.cluster.rollout.metrics import Figures, cells
 from yardbank.cluster.rollout.record import MAX_RECORD, MAX_WHY, Cell, GatewayRecord, encoded
 from yardbank.cluster.rollout.record_log import RecordLog, passed_on_often
-from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.stage_plan import StagePlan
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 SECOND = 1_000_000_000
@@ -26,8 +26,8 @@
     hearing that two others have entered a later one.
     """
 
-    def __init__(self, membership_view: MembershipView, book: RecordLog, options: Options) -> None:
-        self._membership_view, self._book, self._options = membership_view, book, options
+    def __init__(self, membership_view: MembershipView, record_log: RecordLog, options: Options) -> None:
+        self._membership_view, self._record_log, self._options = membership_view, record_log, options
         self.told = GatewayRecord(membership_view.name, 1, 1)  # last
         self.beat = 0
         self.left_out: tuple[str, ...] = ()  # classes that a record has no room for
@@ -37,9 +37,9 @@
         self._figures = Figures()
         self._cells: tuple[Cell, ...] = ()
 
-    def enter(self, now: int, order: Order, stage: int) -> bool:
+    def enter(self, now: int, order: StagePlan, stage: int) -> bool:
         """Enter the next beat if it is time; whether there are figures to be told of it."""
-        heard = self._book.second_beat()
+        heard = self._record_log.second_beat()
         if now < self._at and heard <= self.beat:
             return False
         self.beat = max(heard, self.beat + (now >= self._at))
@@ -56,22 +56,22 @@
         """The figures are not of where this gateway is now."""
         self._cells, self.left_out = (), ()
 
-    def tell(self, mover: RolloutStateMachine, beat: bool) -> list[Message]:
+    def tell(self, state_machine: RolloutStateMachine, beat: bool) -> list[Message]:
         """Write the record anew, if it says something else; letters with it, if others should know at once."""
-        change, name = mover.change, self._membership_view.name
-        stop = mover.stopped(change.id) if change is not None else ""
+        change, name = state_machine.change, self._membership_view.name
+        stop = state_machine.stopped(change.id) if change is not None else ""
         said = GatewayRecord(
             name,
             self._membership_view.boot_epoch,
             0,
             change.id if change else "",
             change.mark() if change else 0,
-            mover.place,
-            mover.running,
+            state_machine.place,
+            state_machine.running,
             stop[:MAX_WHY],
             self.beat if self._cells else self.told.beat,  # who is not compared says nothing new at each beat
             int(self._membership_view.slowness() >= SLOW),
-            mover.restarts,
+            state_machine.restarts,
             self._figures.memory >> 20 if self._cells else self.told.memory,
             self._cells,
         )
@@ -83,9 +83,9 @@
         if news:
             self._number += 1
             self.told = replace(said, number=self._number)
-            self._book.say(self.told)
+            self._record_log.say(self.told)
         alive = self._membership_view.alive()
         urgent = self._rounds > 0 and bool(alive)
         self._rounds -= urgent
-        moved, mover.moved = mover.moved, False
-        return self._book.direct(alive, urgent) if urgent or (news and (beat or moved)) else []
+        moved, state_machine.moved = state_machine.moved, False
+        return self._record_log.direct(alive, urgent) if urgent or (news and (beat or moved)) else []
--- a/yardbank/cluster/rollout/canary_analysis.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -16,7 +16,7 @@
 from yardbank.cluster.rollout.record import MAX_CELLS, Cell, GatewayRecord
 from yardbank.cluster.rollout.record_log import same_course
 from yardbank.cluster.rollout.sequential_test import Floats
-from yardbank.cluster.rollout.stage_plan import Order, Pair
+from yardbank.cluster.rollout.stage_plan import Pair, StagePlan
 
 LEAST_P99 = 100  # requests of a window, of each side, for its p99 to say anything
 SWOLLEN = 3  # windows one after another with too much memory
@@ -35,10 +35,10 @@
     swollen: int = 0
 
 
-class Trial:
+class CanaryAnalysis:
     """One stage's; begun anew with each, with its part of the chance of a false stop."""
 
-    def __init__(self, change: Change, order: Order, stage: int) -> None:
+    def __init__(self, change: Change, order: StagePlan, stage: int) -> None:
         self.change, self.stage = change, stage
         self.pairs = order.pairs(stage)
         self._members = order.upto(stage)
@@ -58,7 +58,7 @@
         """How many have been compared."""
         return sum(course.windows for course in self._courses.values())
 
-    def relisted(self, order: Order) -> None:
+    def relisted(self, order: StagePlan) -> None:
         """The list has changed: what was seen stays, and the chance of a false stop is not used twice."""
         seen = [pair for pair in self.pairs if self._courses[pair].windows]
         self.pairs = tuple(dict.fromkeys([*seen, *order.pairs(self.stage)]))
--- a/yardbank/cluster/rollout/metrics.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -71,7 +71,7 @@
     return tuple(found), left_out
 
 
-class Tallied(Protocol):
+class RequestTally(Protocol):
     """One class as the gateway counts it (``gateway.tallies.Tally``)."""
 
     @property
@@ -100,7 +100,10 @@
 
 
 def of_gateway(
-    tallies: Mapping[str, Tallied], promises: Mapping[str, Iterable[object]], beyond: Callable[[int], int], memory: int
+    tallies: Mapping[str, RequestTally],
+    promises: Mapping[str, Iterable[object]],
+    beyond: Callable[[int], int],
+    memory: int,
 ) -> Figures:
     """A gateway's figures; ``beyond``: the latency that ends a bucket; ``promises``: what is promised for a class."""
     classes = {
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -15,7 +15,7 @@
 from yardbank.cluster.rollout.progress import Progress
 from yardbank.cluster.rollout.record import MAX_WHY, GatewayRecord
 from yardbank.cluster.rollout.record_log import RecordLog, passed_on_often
-from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.stage_plan import StagePlan
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 from yardbank.cluster.rollout.view import rollout_view
 
@@ -32,16 +32,16 @@
         self, membership_view: MembershipView, leases: Leases, random: Random, keep: KeyValueStore, options: Options
     ) -> None:
         self._membership_view, self._options = membership_view, options
-        self._book = RecordLog(membership_view.name, random)
-        self._mover = RolloutStateMachine(leases, keep, options)
-        self._order: Order | None = None
+        self._record_log = RecordLog(membership_view.name, random)
+        self._state_machine = RolloutStateMachine(leases, keep, options)
+        self._stage_plan: StagePlan | None = None
         self._progress: Progress | None = None
         self._next: tuple[Change | None, str] | None = None  # asked for, once this gateway is back
         self._asked: tuple[Change | None, str] | None = None
         self._word = Word((), ())
         self._recall = ""
         self._held = ""
-        self._teller = Announcer(membership_view, self._book, options)
+        self._announcer = Announcer(membership_view, self._record_log, options)
         self._out: list[Message] = []
         self._tick_at = 0
         self._begun = False
@@ -59,67 +59,67 @@
         self._resolve(now)
 
     def _resolve(self, now: int) -> None:
-        mover = self._mover
-        current = mover.change
-        change, name = self._asked or (current, mover.name)  # until the file is read, what is remembered
+        state_machine = self._state_machine
+        current = state_machine.change
+        change, name = self._asked or (current, state_machine.name)  # until the file is read, what is remembered
         if change is not None and change.id in self._word.withdraw:
             change = None
         if change is not None and current is not None and change.mark() == current.mark():
-            self._next, mover.name = None, name or mover.name
-            if not mover.stopped(current.id):
+            self._next, state_machine.name = None, name or state_machine.name
+            if not state_machine.stopped(current.id):
                 self._recall = ""
-        elif current is None or mover.place in (OLD, DUE, FELL) or mover.finished:
+        elif current is None or state_machine.place in (OLD, DUE, FELL) or state_machine.finished:
             if change is not None or current is not None:
                 self._adopt(now, change, name)
         else:
             self._next = change, name
             self._recall = "withdrawn" if change is None else "replaced"
         for rollout in self._word.stop:
-            mover.stop(now, rollout, "operator")
+            state_machine.stop(now, rollout, "operator")
         self._tick_at = min(self._tick_at, now)
 
     def _adopt(self, now: int, change: Change | None, name: str) -> None:
-        mover = self._mover
-        if change is None and not mover.finished:
-            mover.say("withdrawn")
-        mover.adopt(now, change, name)
+        state_machine = self._state_machine
+        if change is None and not state_machine.finished:
+            state_machine.say("withdrawn")
+        state_machine.adopt(now, change, name)
         self._recall, self._next, self._held = "", None, ""
         if change is not None:
-            before = mover.stopped(change.id)
-            mover.say("asked", f"it was stopped: {before}" if before else "")
-        self._lay_out(now, fresh=not any(said.mark and said.place in MOVED for said in self._book.all().values()))
+            before = state_machine.stopped(change.id)
+            state_machine.say("asked", f"it was stopped: {before}" if before else "")
+        self._lay_out(now, fresh=not any(said.mark and said.place in MOVED for said in self._record_log.all().values()))
 
     def _lay_out(self, now: int, fresh: bool = False) -> None:
-        change = self._mover.change
+        change = self._state_machine.change
         if change is None:
-            self._order = self._progress = None
+            self._stage_plan = self._progress = None
             return
-        self._order = Order(change.id, self._membership_view.zones(), change.stages)
+        self._stage_plan = StagePlan(change.id, self._membership_view.zones(), change.stages)
         if self._progress is None or self._progress.change.mark() != change.mark():
-            self._progress = Progress(now, change, self._order, fresh)
-            self._progress.finished = self._mover.finished
+            self._progress = Progress(now, change, self._stage_plan, fresh)
+            self._progress.finished = self._state_machine.finished
         else:
-            self._progress.relisted(now, self._order)
+            self._progress.relisted(now, self._stage_plan)
 
     # The link
 
     def listed(self, now: int) -> None:
         """The list has changed."""
-        self._book.listed(self._membership_view.zones())
+        self._record_log.listed(self._membership_view.zones())
         self._lay_out(now)
         if not self._begun:
             self._begun, self._tick_at = True, now
-            self._mover.begun(now)
+            self._state_machine.begun(now)
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
         """A letter of a peer. Raises ``DroppedError``."""
-        for said in self._book.take(sender, body):
+        for said in self._record_log.take(sender, body):
             if said.stop:
                 self._tick_at = min(self._tick_at, now)
 
     def next_at(self) -> int | None:
         """Each second while there is something to do."""
-        busy = self._mover.change is not None or self._teller.told.mark
+        busy = self._state_machine.change is not None or self._announcer.told.mark
         return self._tick_at if self._begun and busy else None
 
     def outgoing_messages(self) -> list[Message]:
@@ -129,26 +129,26 @@
 
     def orders(self) -> list[Activate | RollBack | Commit]:
         """What the shell has to do; taken off."""
-        found, self._mover.orders = self._mover.orders, []
+        found, self._state_machine.orders = self._state_machine.orders, []
         return found
 
     def turns(self) -> list[Transition]:
         """What happened, for the log; taken off."""
-        found, self._mover.turns = self._mover.turns, []
+        found, self._state_machine.turns = self._state_machine.turns, []
         return found
 
     def up(self, now: int) -> None:
         """The change was made without a start anew."""
-        self._mover.up(now)
+        self._state_machine.up(now)
         self._tick_at = min(self._tick_at, now)
 
     def not_in_service(self, now: int) -> None:
         """The change cannot be made in service, and the order did not allow a start anew."""
-        self._mover.not_in_service(now)
+        self._state_machine.not_in_service(now)
 
     def failed(self, now: int, why: str) -> None:
         """The change could not be made."""
-        self._mover.failed(now, why[:MAX_WHY])
+        self._state_machine.failed(now, why[:MAX_WHY])
         self._tick_at = min(self._tick_at, now)
 
     # Time
@@ -158,62 +158,62 @@
         if not self._begun or now < self._tick_at:
             return
         self._tick_at = now + SECOND
-        change, mover = self._mover.change, self._mover
-        if change is not None and self._order is not None and self._progress is not None:
+        change, state_machine = self._state_machine.change, self._state_machine
+        if change is not None and self._stage_plan is not None and self._progress is not None:
             # One that has just gone over may not know yet how far the others are: its own stage is under way at least
-            own = self._order.stage_of(self._membership_view.name) if mover.place in MOVED else 0
-            beat = self._teller.enter(now, self._order, max(own, self._progress.open))
-            told = {n: said for n, said in self._book.all().items() if said.mark == change.mark()}
+            own = self._stage_plan.stage_of(self._membership_view.name) if state_machine.place in MOVED else 0
+            beat = self._announcer.enter(now, self._stage_plan, max(own, self._progress.open))
+            told = {n: said for n, said in self._record_log.all().items() if said.mark == change.mark()}
             alive = self._membership_view.alive() | {self._membership_view.name}
             self._judge(now, change, self._progress, told, alive)
-            mover.stage = self._progress.open
-            place = mover.place
-            stage = self._order.stage_of(self._membership_view.name)
-            turn = not self._recall and not self._held and 0 < stage <= mover.stage
-            mover.step(now, turn, self._recall, self._ahead(self._order, told, alive))
-            if mover.place not in (place, DUE) and place != DUE:
-                self._teller.forget()  # figures from before are not of where it is now
-            if self._next is not None and mover.place in (OLD, FELL):
+            state_machine.stage = self._progress.open
+            place = state_machine.place
+            stage = self._stage_plan.stage_of(self._membership_view.name)
+            turn = not self._recall and not self._held and 0 < stage <= state_machine.stage
+            state_machine.step(now, turn, self._recall, self._ahead(self._stage_plan, told, alive))
+            if state_machine.place not in (place, DUE) and place != DUE:
+                self._announcer.forget()  # figures from before are not of where it is now
+            if self._next is not None and state_machine.place in (OLD, FELL):
                 self._adopt(now, *self._next)
-            self._out += self._teller.tell(mover, beat)
-        elif self._teller.told.mark:
-            self._out += self._teller.tell(mover, False)
-        if self._teller.told.mark:
+            self._out += self._announcer.tell(state_machine, beat)
+        elif self._announcer.told.mark:
+            self._out += self._announcer.tell(state_machine, False)
+        if self._announcer.told.mark:
             often = passed_on_often(len(self._membership_view.zones()))
-            self._out += self._book.passed_on(now, self._membership_view.alive(), often)
+            self._out += self._record_log.passed_on(now, self._membership_view.alive(), often)
 
     def _judge(
         self, now: int, change: Change, progress: Progress, told: Mapping[str, GatewayRecord], alive: frozenset[str]
     ) -> None:
-        mover = self._mover
-        progress.step(now, told, alive, self._book.past)
-        if not mover.stopped(change.id) and not mover.finished:
+        state_machine = self._state_machine
+        progress.step(now, told, alive, self._record_log.past)
+        if not state_machine.stopped(change.id) and not state_machine.finished:
             says = sorted(name for name, said in told.items() if said.stop and name != self._membership_view.name)
             why = progress.worse(told)
             if not why and len(says) >= 2:
                 why = f"{', '.join(says[:2])}: {told[says[0]].stop.rpartition(': ')[2]}"
             if why:
-                mover.stop(now, change.id, why[:MAX_WHY])
+                state_machine.stop(now, change.id, why[:MAX_WHY])
         for what, stage, why in progress.events:
-            mover.stage = stage
+            state_machine.stage = stage
             if what == "finished":
-                if mover.place == NEW and not mover.stopped(change.id):
-                    mover.finish(now)
+                if state_machine.place == NEW and not state_machine.stopped(change.id):
+                    state_machine.finish(now)
                 else:
                     progress.finished = False
-            elif not mover.stopped(change.id):
-                mover.say(what, why)
+            elif not state_machine.stopped(change.id):
+                state_machine.say(what, why)
         progress.events.clear()
-        if (stopped := mover.stopped(change.id)) and not mover.finished:
+        if (stopped := state_machine.stopped(change.id)) and not state_machine.finished:
             self._recall = self._recall or f"stopped: {stopped}"[:MAX_WHY]
         held = self._reason(progress, told, alive)
-        if held != self._held and held and not self._recall and not mover.finished:
-            mover.say("held", held)
+        if held != self._held and held and not self._recall and not state_machine.finished:
+            state_machine.say("held", held)
         self._held = held
 
     def _reason(self, progress: Progress, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
         """Why nobody should go over now, as far as this gateway can see; empty: nothing is in the way."""
-        for name, said in sorted(self._book.all().items()):
+        for name, said in sorted(self._record_log.all().items()):
             if said.stop and said.mark == progress.change.mark() and name != self._membership_view.name:
                 return f"{name} says stop: {said.stop}"
             if (
@@ -229,28 +229,28 @@
             return "undecided"
         return progress.lacking(told, alive)
 
-    def _ahead(self, order: Order, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> int:
+    def _ahead(self, order: StagePlan, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> int:
         """Its place in the order, where few ask for a permit before it; below 0: so many that it need not yet."""
         own, limit = (
-            order.place(self._membership_view.name),
-            2 * (self._mover.change.most_at_once if self._mover.change else 1),
+            order.position(self._membership_view.name),
+            2 * (self._state_machine.change.most_at_once if self._state_machine.change else 1),
         )
         asking = [n for n, said in told.items() if n in alive and (said.place in ASKING or said.place in AWAY)]
-        ahead = sum(order.place(name) < own for name in asking if name != self._membership_view.name)
+        ahead = sum(order.position(name) < own for name in asking if name != self._membership_view.name)
         return own if ahead < limit else -1
 
     def changed(self) -> frozenset[str]:
         """Gateways that have gone over in the rollout under way, as they say themselves; empty: none is."""
-        change = self._mover.change
-        if change is None or self._mover.finished:
+        change = self._state_machine.change
+        if change is None or self._state_machine.finished:
             return frozenset()
-        told = self._book.all().items()
+        told = self._record_log.all().items()
         return frozenset(name for name, said in told if said.mark == change.mark() and said.place in MOVED)
 
     def view(self, now: int) -> dict[str, Any]:
         """What an operator should see."""
         if self._progress is None:
             return {"rollout": None}
-        found = rollout_view(self._mover, self._progress, self._book)
-        own = {"beat": self._teller.beat, "not_told": list(self._teller.left_out)}
+        found = rollout_view(self._state_machine, self._progress, self._record_log)
+        own = {"beat": self._announcer.beat, "not_told": list(self._announcer.left_out)}
         return {**found, **own, "held": self._held, "recalled": self._recall}
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Mapping
 
-from yardbank.cluster.rollout.canary_analysis import Past, Trial
+from yardbank.cluster.rollout.canary_analysis import CanaryAnalysis, Past
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.phase import FELL, NEW
 from yardbank.cluster.rollout.record import GatewayRecord
-from yardbank.cluster.rollout.stage_plan import Order
+from yardbank.cluster.rollout.stage_plan import StagePlan
 
 STAGE, WELL, UNDECIDED, FINISHED = "stage", "well", "undecided", "finished"
 
@@ -16,7 +16,7 @@
 class Progress:
     """One rollout's, over one list. ``told``: newest records of those asked for the same; ``alive``: this one too."""
 
-    def __init__(self, now: int, change: Change, order: Order, fresh: bool) -> None:
+    def __init__(self, now: int, change: Change, order: StagePlan, fresh: bool) -> None:
         """``fresh``: nobody has gone yet."""
         self.change, self.order = change, order
         self.open = 1
@@ -35,13 +35,13 @@
         self.open, self.undecided, self._seen = stage, False, seen
         self._through_at: int | None = None
         self._news, self._moved_at = -1, now
-        self.trial = Trial(self.change, self.order, stage)
+        self.canary_analysis = CanaryAnalysis(self.change, self.order, stage)
         self.events.append((STAGE, stage, f"{len(self.order.of(stage))} gateways"))
 
-    def relisted(self, now: int, order: Order) -> None:
+    def relisted(self, now: int, order: StagePlan) -> None:
         """Another list: who has gone stays gone, and the stage that is under way stays under way."""
         self.order = order
-        self.trial.relisted(order)
+        self.canary_analysis.relisted(order)
         self._moved_at = now
 
     def step(self, now: int, told: Mapping[str, GatewayRecord], alive: frozenset[str], past: Past) -> None:
@@ -49,7 +49,7 @@
         if self.finished:
             return
         self._follow(now, told)
-        self.trial.look(past)
+        self.canary_analysis.look(past)
         through = self._through(told, alive)
         news = self._on_new(self.order.upto(self.open), told)
         if news != self._news or through != (self._through_at is not None):
@@ -59,12 +59,12 @@
         if held and self.open == self.order.stages:
             self.finished = True
             self.events.append((FINISHED, self.open, ""))
-        elif held and self.trial.well() and not self.undecided:
-            self.events.append((WELL, self.open, self.trial.lacking()))
+        elif held and self.canary_analysis.well() and not self.undecided:
+            self.events.append((WELL, self.open, self.canary_analysis.lacking()))
             self._begin(now, self.open + 1, True)
         elif now - self._moved_at >= self.change.longest and not self.undecided:
             self.undecided = True
-            self.events.append((UNDECIDED, self.open, self.trial.lacking()))
+            self.events.append((UNDECIDED, self.open, self.canary_analysis.lacking()))
 
     def _follow(self, now: int, told: Mapping[str, GatewayRecord]) -> None:
         """Most of a later stage have gone, each by its own judgement: this gateway was away."""
@@ -88,7 +88,7 @@
 
     def worse(self, told: Mapping[str, GatewayRecord]) -> str:
         """Why it has to stop, by this gateway's own judgement; empty: it has not."""
-        return (self.trial.worse() if self._seen else "") or self.trial.broken(told)
+        return (self.canary_analysis.worse() if self._seen else "") or self.canary_analysis.broken(told)
 
     def lacking(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
         """Why what is known is too little to go on by; empty: it is enough."""
--- a/yardbank/cluster/rollout/stage_plan.py
+++ b/yardbank/cluster/rollout/stage_plan.py
@@ -32,7 +32,7 @@
     return xxhash.xxh3_64_intdigest(f"{rollout}/{what}".encode())
 
 
-class Order:
+class StagePlan:
     """The order of one rollout over one list."""
 
     def __init__(self, rollout: str, zones: Mapping[str, str], stages: Sequence[float]) -> None:
@@ -52,17 +52,17 @@
         size = len(self.names)
         self._ends = [min(before_last, max(LEAST, math.ceil(share * size))) for share in stages[:-1]] + [size]
         self.stages = len(stages)
-        self._place = {name: place for place, name in enumerate(self.names)}
+        self._positions = {name: position for position, name in enumerate(self.names)}
         self.can_be_judged = before_last > 0
 
-    def place(self, name: str) -> int:
+    def position(self, name: str) -> int:
         """Its place in the order; after all others: it is not on the list."""
-        return self._place.get(name, len(self.names))
+        return self._positions.get(name, len(self.names))
 
     def stage_of(self, name: str) -> int:
         """The stage that it goes in, from 1; 0: it is not on the list."""
-        place = self._place.get(name)
-        return 0 if place is None else next(stage for stage, end in enumerate(self._ends, 1) if place < end)
+        position = self._positions.get(name)
+        return 0 if position is None else next(stage for stage, end in enumerate(self._ends, 1) if position < end)
 
     def upto(self, stage: int) -> tuple[str, ...]:
         """All that have gone when a stage is through; of stage 0 nobody."""
--- a/yardbank/cluster/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -11,31 +11,31 @@
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 
-def rollout_view(mover: RolloutStateMachine, progress: Progress, book: RecordLog) -> dict[str, Any]:
+def rollout_view(state_machine: RolloutStateMachine, progress: Progress, record_log: RecordLog) -> dict[str, Any]:
     """The stage, this gateway's place and those that others tell, the evidence so far and what it has to reach."""
-    change, trial = progress.change, progress.trial
+    change, analysis = progress.change, progress.canary_analysis
     places: dict[str, list[str]] = {}
-    for name, said in sorted(book.all().items()):
+    for name, said in sorted(record_log.all().items()):
         if said.mark == change.mark():
             places.setdefault(NAMES[said.place] if said.place < len(NAMES) else "unknown", []).append(name)
     return {
         "rollout": change.id,
         "stage": progress.open,
         "stages": len(change.stages),
-        "place": NAMES[mover.place],
-        "version": mover.name,
-        "stopped": mover.stopped(change.id),
-        "finished": mover.finished,
+        "place": NAMES[state_machine.place],
+        "version": state_machine.name,
+        "stopped": state_machine.stopped(change.id),
+        "finished": state_machine.finished,
         "undecided": progress.undecided,
         "places": places,
-        "contested": book.contested,
+        "contested": record_log.contested,
         "evidence": {
-            "worse": round(trial.evidence, 2),
+            "worse": round(analysis.evidence, 2),
             "stops_at": round(math.log(len(change.stages) / change.false_stop), 2),
-            "well": round(trial.soundness, 2),
+            "well": round(analysis.soundness, 2),
             "passes_at": round(math.log(1 / change.false_pass), 2),
-            "windows": trial.windows,
-            "classes": sorted(trial.classes),
-            "not_compared": sorted(trial.apart),
+            "windows": analysis.windows,
+            "classes": sorted(analysis.classes),
+            "not_compared": sorted(analysis.apart),
         },
     }
