--- a/yardbank/daemon/worker.py
+++ b/yardbank/daemon/worker.py
@@ -36,7 +36,7 @@
         self._file.flush()
 
 
-def _in_force(file: Path, started: Started | None) -> Path:
+def _settings_file(file: Path, started: Started | None) -> Path:
     """The settings file that counts now: a rollout may have changed it in service. Raises ``ValueError``."""
     if started is None:
         return file
@@ -45,7 +45,7 @@
     return force.read(started.given.parent).now.file(started.given)
 
 
-class KeeperGone:
+class SupervisorWatch:
     """Tells that the supervisor has ended, however it did: it holds the other end of this process's input."""
 
     def __init__(self, descriptor: int, tell: Callable[[], None]) -> None:
@@ -68,6 +68,91 @@
         self._tell()
 
 
+class Worker:
+    """One gateway in this process, from its start to its end. Owns the proxy and the exit code.
+
+    ``log`` is bound to the worker's number where there are several. ``started`` says what is in force, and by whom this
+    process was started.
+    """
+
+    def __init__(self, reactor: Any, file: Path, started: Started | None, log: Any) -> None:
+        self._reactor = reactor
+        self._file = file
+        self._started = started
+        self._log = log
+        self._proxy: Proxy | None = None
+        self.exit_code = 0
+
+    @property
+    def is_supervised(self) -> bool:
+        """Whether a supervisor would start this process again."""
+        return self._started is not None and self._started.supervised
+
+    def start(self, config: Config, clocks: Clocks, workers: int, worker: int, record: Path | None) -> None:
+        """Begin to serve."""
+        started = self._started
+        if started is not None and started.supervised:
+            started = replace(started, leave=self.leave)
+        self._proxy = Proxy(
+            config,
+            self._reactor,
+            workers=workers,
+            log=self._log,
+            seconds=clocks.seconds,
+            wall=clocks.wall,
+            record=Recorder(record, "gateway") if record else None,
+            folder=self._file.parent,
+            worker=worker,
+            started=started,
+        )
+        self._proxy.start()
+
+    def handle_signals(self) -> None:
+        """SIGTERM and SIGINT drain, SIGHUP reads the settings again, the end of the supervisor drains as well."""
+        if self.is_supervised:
+            self._reactor.addReader(SupervisorWatch(0, self.supervisor_gone))
+        signal.signal(signal.SIGTERM, self._on_stop_signal)
+        signal.signal(signal.SIGINT, self._on_stop_signal)
+        signal.signal(signal.SIGHUP, self._on_reload_signal)
+
+    def _on_stop_signal(self, number: int, frame: Any) -> None:
+        self._reactor.callFromThread(self.stop)
+
+    def _on_reload_signal(self, number: int, frame: Any) -> None:
+        self._reactor.callFromThread(self.reload)
+
+    def stop(self) -> None:
+        """Drain, then end the reactor."""
+        assert self._proxy is not None
+        self._proxy.stop().addCallback(lambda _: self._reactor.callLater(0, self._reactor.stop))
+
+    def leave(self) -> None:
+        """A rollout asks for it: the supervisor starts this gateway again, by what is in force then."""
+        from yardbank.cluster.rollout.active_version import EXIT_ANEW
+
+        self.exit_code = EXIT_ANEW
+        self.stop()
+
+    def supervisor_gone(self) -> None:
+        """The supervisor has ended."""
+        note = "nobody would start this one anew: it answers what it has taken, and ends"
+        self._log.error("supervisor_gone", note=note)
+        self.stop()
+
+    def reload(self) -> None:
+        """Read the settings again; what cannot be used changes nothing."""
+        assert self._proxy is not None
+        try:
+            self._proxy.reload(load(_settings_file(self._file, self._started)))
+        except ConfigError as error:
+            for fault in error.faults:
+                self._log.error("reload_rejected", fault=fault)
+        except ValueError as error:
+            self._log.error("reload_rejected", fault=f"{self._file}: {error}")
+        else:
+            self._log.info("reloaded", file=str(self._file))
+
+
 def run_worker(
     file: Path,
     config: Config,
@@ -87,57 +172,8 @@
     clocks.set(reactor)
     if worker is not None:
         log = log.bind(worker=worker)
-    code = 0
-
-    def leave() -> None:  # a rollout: the supervisor starts this gateway anew, by what is in force then
-        from yardbank.cluster.rollout.active_version import EXIT_ANEW
-
-        nonlocal code
-        code = EXIT_ANEW
-        stop()
-
-    proxy = Proxy(
-        config,
-        reactor,
-        workers=workers,
-        log=log,
-        seconds=clocks.seconds,
-        wall=clocks.wall,
-        record=Recorder(record, "gateway") if record else None,
-        folder=file.parent,
-        worker=worker or 0,
-        started=replace(started, leave=leave) if started is not None and started.supervised else started,
-    )
-    proxy.start()
-
-    def drain(number: int, frame: Any) -> None:
-        reactor.callFromThread(stop)
-
-    def stop() -> None:
-        proxy.stop().addCallback(lambda _: reactor.callLater(0, reactor.stop))
-
-    def hang_up(number: int, frame: Any) -> None:
-        reactor.callFromThread(reload)
-
-    def reload() -> None:
-        try:
-            proxy.reload(load(_in_force(file, started)))
-        except ConfigError as problem:
-            for fault in problem.faults:
-                log.error("reload_rejected", fault=fault)
-        except ValueError as problem:
-            log.error("reload_rejected", fault=f"{file}: {problem}")
-        else:
-            log.info("reloaded", file=str(file))
-
-    def alone() -> None:
-        log.error("supervisor_gone", note="nobody would start this one anew: it answers what it has taken, and ends")
-        stop()
-
-    if started is not None and started.supervised:
-        reactor.addReader(KeeperGone(0, alone))
-    signal.signal(signal.SIGTERM, drain)
-    signal.signal(signal.SIGINT, drain)
-    signal.signal(signal.SIGHUP, hang_up)
+    served = Worker(reactor, file, started, log)
+    served.start(config, clocks, workers, worker or 0, record)
+    served.handle_signals()
     reactor.run(installSignalHandlers=False)
-    return code
+    return served.exit_code
