--- a/tests/cluster/rollout/test_processes.py
+++ b/tests/cluster/rollout/test_processes.py
@@ -78,7 +78,7 @@
                 put(name, "rollout.hcl", ROLLOUT)
             wait_for(lambda: any("new" in whats(name) for name in NAMES), 90)
             (first, *_) = [name for name in NAMES if "new" in whats(name)]
-            assert first in on_new() and len(events(first, "worker_anew")) == 1
+            assert first in on_new() and len(events(first, "worker_restarted")) == 1
             assert events(first, "worker_started")[-1]["rollout"] == "r1"
             for name in NAMES[:2]:
                 done = subprocess.run(
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -24,7 +24,7 @@
     try:
         started = of_worker(os.environ, file)
     except ValueError as problem:  # it runs by what it was started with, and says so
-        log.error("in_force_unreadable", fault=str(problem))
+        log.error("active_version_unreadable", fault=str(problem))
         started = Started(ActiveVersion(), file, False)
     if not started.supervised and started.force.now.program:
         log.error(
@@ -78,11 +78,11 @@
     log = set_up_logs(config.logging.level, config.logging.format)
     started = None
     if config.rollout is not None and supervised:
-        from yardbank.daemon.versioned_supervisor import run_keeper
+        from yardbank.daemon.versioned_supervisor import run_versioned_supervisor
 
         options = ["--record", str(record)] if record is not None else []
         options += ["--clock-rate", str(clock_rate), "--clock-offset", str(clock_offset)] if clocks.odd else []
-        sys.exit(run_keeper(file, config.rollout.young, options, log))
+        sys.exit(run_versioned_supervisor(file, config.rollout.young, options, log))
     if config.rollout is not None:
         started, file, config = _in_force(file, config, log)
     try:
--- a/yardbank/daemon/versioned_supervisor.py
+++ b/yardbank/daemon/versioned_supervisor.py
@@ -1,7 +1,7 @@
 """One worker and its versions: starts it by what is in force, anew when it asks for it, back when it dies young.
 
-The worker's environment says what is in force (``rollout.force.VARIABLE``). Any program that has ``serve FILE`` can be
-the worker; one that knows nothing of rollouts runs, and is kept running.
+The worker's environment says what is in force (``rollout.active_version.VARIABLE``). Any program that has
+``serve FILE`` can be the worker; one that knows nothing of rollouts runs, and is kept running.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 
 
 class _Worker(ProcessProtocol):
-    def __init__(self, keeper: Keeper) -> None:
-        self._keeper = keeper
+    def __init__(self, supervisor: VersionedSupervisor) -> None:
+        self._supervisor = supervisor
 
     def processEnded(self, reason: Any) -> None:  # noqa: N802
-        self._keeper.ended(reason.value.exitCode, reason.value.signal)
+        self._supervisor.ended(reason.value.exitCode, reason.value.signal)
 
 
-def in_force(folder: Path, log: Any) -> ActiveVersion:
+def read_active_version(folder: Path, log: Any) -> ActiveVersion:
     """What the file says; where it cannot be used, what the gateway is started with."""
     try:
         return forces.read(folder)
     except ValueError as problem:
-        log.error("in_force_unreadable", fault=str(problem))
+        log.error("active_version_unreadable", fault=str(problem))
         return ActiveVersion()
 
 
-class Keeper:
+class VersionedSupervisor:
     """Keeps one worker running until told to stop."""
 
     def __init__(self, reactor: Any, file: Path, options: list[str], young: int, log: Any) -> None:
         self._reactor, self._file, self._options, self._log = reactor, file, options, log
-        self._versions = Versions(in_force(file.parent, log), young / 1e9)
+        self._versions = Versions(read_active_version(file.parent, log), young / 1e9)
         self._process: Any = None
         self._stopping = False
         self.exit_code = 0
@@ -73,7 +73,7 @@
             self._reactor.stop()
             return
         how = f"ended by signal {ended_by}" if ended_by is not None else f"ended with code {code}"
-        file = in_force(self._file.parent, self._log)
+        file = read_active_version(self._file.parent, self._log)
         before = self._versions.force.now
         found = self._versions.ended(time.monotonic(), time.time(), how, code, file)
         if found.write:
@@ -86,7 +86,7 @@
                 "rollout", rollout=found.force.fell_from, what="left", stage=0, version=before.name, why=found.why
             )
         elif code == forces.EXIT_ANEW:
-            self._log.info("worker_anew", worker=0, version=found.force.now.name)
+            self._log.info("worker_restarted", worker=0, version=found.force.now.name)
         else:
             self._log.error("worker_died", worker=0, code=code, signal=ended_by, again_in_s=found.wait)
         self._reactor.callLater(found.wait, self.start)
@@ -101,18 +101,18 @@
             self._process.signalProcess(signal.Signals(number).name.removeprefix("SIG"))
 
 
-def run_keeper(file: Path, young: int, options: list[str], log: Any) -> int:
+def run_versioned_supervisor(file: Path, young: int, options: list[str], log: Any) -> int:
     """Keep one worker running until told to stop; its exit code. ``young`` (ns): dying so soon it goes back."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
-    keeper = Keeper(reactor, file, options, young, log)
+    supervisor = VersionedSupervisor(reactor, file, options, young, log)
 
     def begin() -> None:  # after the reactor's own handlers: it needs the one for SIGCHLD, these are ours
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, lambda got, frame: reactor.callFromThread(keeper.signal, got))
-        keeper.start()
+            signal.signal(number, lambda got, frame: reactor.callFromThread(supervisor.signal, got))
+        supervisor.start()
 
     reactor.callLater(0, begin)
     reactor.run()
-    return keeper.exit_code
+    return supervisor.exit_code
