--- a/yardbank/cluster/channels/ownership.py
+++ b/yardbank/cluster/channels/ownership.py
@@ -141,7 +141,7 @@
             own.at = now
 
     def _take_lease_events(self, now: int) -> None:
-        for event in self._leases.turns(PREFIX):
+        for event in self._leases.take_events(PREFIX):
             channel = event.resource.removeprefix(PREFIX)
             own = self.channels.get(channel)
             if event.what == OWNED:
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -7,15 +7,15 @@
 from typing import Any
 from unittest.mock import patch
 
-from yardbank.cluster.lease import votes
+from yardbank.cluster.lease import holder
 from yardbank.cluster.lease.api import LeaseTerms
-from yardbank.cluster.lease.claim import HANDING, HOLDING, Claim
-from yardbank.cluster.lease.electorate import Lists
+from yardbank.cluster.lease.claim import Claim
+from yardbank.cluster.lease.electorate import Electorate
 from yardbank.cluster.lease.voter import Voter
 
 
 def _drift() -> Any:
-    return patch.object(LeaseTerms, "held", lambda terms: terms.term)
+    return patch.object(LeaseTerms, "holding_time", lambda terms: terms.term)
 
 
 def _forgets() -> Any:
@@ -26,7 +26,7 @@
 
 
 def _wakes() -> Any:
-    return patch.object(Claim, "holds", lambda claim, now: claim.state in (HOLDING, HANDING))
+    return patch.object(Claim, "holds", lambda claim, now: claim.state in holder.HELD_STATES)
 
 
 def _reuses() -> Any:
@@ -42,11 +42,11 @@
 
 
 def _one_set() -> Any:
-    return patch.object(Lists, "_binding", lambda lists, now, one, resource: None)
+    return patch.object(Electorate, "_binding", lambda lists, now, one, resource: None)
 
 
 def _uncapped() -> Any:
-    return patch.object(votes, "short_overlap", lambda terms: terms.term)
+    return patch.object(holder, "short_overlap", lambda terms: terms.term)
 
 
 BUGS: dict[str, tuple[str, Callable[[], Any]]] = {
