--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.memory import processor_ms
 from yardbank.cluster.peers.datagram import HealthReport
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.outlier_consensus import believe
+from yardbank.cluster.peers.outlier_consensus import reach_consensus
 from yardbank.cluster.peers.report_store import SILENT
 from yardbank.cluster.peers.sharing import Sharing
 from yardbank.cluster.peers.transport import JUDGE_EVERY
@@ -41,7 +41,7 @@
     def judge() -> None:
         own = sharing.first_hand(START)
         node.evidence.saw(START, own)
-        sharing.believe(believe(START, node.evidence, sharing.listed(), own, lambda name: 0.5))
+        sharing.apply_consensus(reach_consensus(START, node.evidence, sharing.listed(), own, lambda name: 0.5))
 
     def tell() -> None:
         node.register.set(sharing.figures())
--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -8,7 +8,7 @@
 
 from tests.support.router_world import World, group
 from yardbank.cluster.peers.datagram import HealthReport
-from yardbank.cluster.peers.outlier_consensus import PART, SPREAD, Listed, believe
+from yardbank.cluster.peers.outlier_consensus import PART, SPREAD, ListedServer, reach_consensus
 from yardbank.cluster.peers.report_store import (
     AGAIN,
     BAD,
@@ -30,7 +30,7 @@
 from yardbank.testing.rig.network import Effect, pairs_of
 
 PEERS = [f"g{number}" for number in range(1, 8)]
-GROUP = [Listed(f"a-{number}", "a", 0) for number in range(1, 6)]
+GROUP = [ListedServer(f"a-{number}", "a", 0) for number in range(1, 6)]
 
 
 def evidence(name="g0", peers=PEERS):
@@ -126,7 +126,7 @@
     assert other.words("a-1")["g0"].word.kind == NOTHING
 
 
-# Belief
+# Consensus
 
 
 def told(*words, now=0):
@@ -135,38 +135,38 @@
     return made
 
 
-def doubted(made, own=None, servers=GROUP, now=0, draw=half):
-    return set(believe(now, made, servers, own or {}, draw).doubted)
+def outliers(made, own=None, servers=GROUP, now=0, draw=half):
+    return set(reach_consensus(now, made, servers, own or {}, draw).outliers)
 
 
 def test_one_witness_is_not_enough_and_two_are_unless_outnumbered():
-    assert doubted(told(word("g1"))) == set()
-    assert doubted(told(word("g1"), word("g2", kind=FAILING))) == {"a-1"}
-    assert doubted(told(word("g1"), word("g2"), word("g3", kind=WELL))) == {"a-1"}
-    assert doubted(told(word("g1"), word("g2"), word("g3", kind=WELL), word("g4", kind=WELL))) == set()
-    assert doubted(told(word("g1"), word("g2", kind=NOTHING))) == set()
+    assert outliers(told(word("g1"))) == set()
+    assert outliers(told(word("g1"), word("g2", kind=FAILING))) == {"a-1"}
+    assert outliers(told(word("g1"), word("g2"), word("g3", kind=WELL))) == {"a-1"}
+    assert outliers(told(word("g1"), word("g2"), word("g3", kind=WELL), word("g4", kind=WELL))) == set()
+    assert outliers(told(word("g1"), word("g2", kind=NOTHING))) == set()
 
 
 def test_ones_own_fresh_evidence_comes_first():
     made = told(word("g1"), word("g2"), word("g3"))
-    assert doubted(made, {"a-1": (WELL, 0)}) == set()
-    assert doubted(made, {"a-1": (SILENT, 0)}) == set()  # its own doubt needs no other
+    assert outliers(made, {"a-1": (WELL, 0)}) == set()
+    assert outliers(made, {"a-1": (SILENT, 0)}) == set()  # its own doubt needs no other
 
 
 def test_words_on_another_start_of_a_server_are_not_of_this_one():
     made = told(word("g1", started=5000), word("g2", started=5000))
-    assert doubted(made) == set()
-    assert doubted(made, servers=[Listed("a-1", "a", 5000), *GROUP[1:]]) == {"a-1"}
-    assert doubted(made, servers=[Listed("b-1", "b", 0)]) == set()  # not listed here
+    assert outliers(made) == set()
+    assert outliers(made, servers=[ListedServer("a-1", "a", 5000), *GROUP[1:]]) == {"a-1"}
+    assert outliers(made, servers=[ListedServer("b-1", "b", 0)]) == set()  # not listed here
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5, 9])
 def test_hearsay_takes_half_of_a_group_at_most_and_never_the_last(size):
-    servers = [Listed(f"a-{number}", "a", 0) for number in range(size)]
+    servers = [ListedServer(f"a-{number}", "a", 0) for number in range(size)]
     made = told(*(word(witness, server=one.name) for witness, one in product(PEERS, servers)))
-    assert len(doubted(made, servers=servers)) == int(size * PART) < size
+    assert len(outliers(made, servers=servers)) == int(size * PART) < size
     own = {servers[0].name: (SILENT, 0)}
-    spared = doubted(made, own, servers)
+    spared = outliers(made, own, servers)
     assert len(spared) == int((size - 1) * PART) and servers[0].name not in spared
 
 
@@ -182,21 +182,21 @@
         word("g3", "a-5"),
         word("g4", "a-5"),
     )
-    assert doubted(made) == {"a-4", "a-5"}
+    assert outliers(made) == {"a-4", "a-5"}
 
 
 def test_doubts_end_by_age_and_not_at_one_time():
     made = told(word("g1"), word("g2", age=2000))
-    ends = [believe(0, made, GROUP, {}, lambda server, d=draw: d).doubted["a-1"] for draw in (0.0, 0.5, 1.0)]
+    ends = [reach_consensus(0, made, GROUP, {}, lambda server, d=draw: d).outliers["a-1"] for draw in (0.0, 0.5, 1.0)]
     assert ends[0] == LIFE - 2 * SECOND and ends[2] - ends[0] == SPREAD
-    assert doubted(made, now=LIFE - 2 * SECOND - 1) and not doubted(made, now=LIFE - 2 * SECOND)
+    assert outliers(made, now=LIFE - 2 * SECOND - 1) and not outliers(made, now=LIFE - 2 * SECOND)
 
 
 def test_good_words_bring_a_trial_forward_and_end_nothing():
     made = told(word("g1", kind=WELL), word("g2", kind=WELL), word("g3"))
-    found = believe(0, made, GROUP, {"a-1": (FAILING, 0)}, half)
-    assert found.well == {"a-1"} and not found.doubted
-    assert not believe(0, told(word("g1", kind=WELL)), GROUP, {"a-1": (FAILING, 0)}, half).well
+    found = reach_consensus(0, made, GROUP, {"a-1": (FAILING, 0)}, half)
+    assert found.healthy == {"a-1"} and not found.outliers
+    assert not reach_consensus(0, told(word("g1", kind=WELL)), GROUP, {"a-1": (FAILING, 0)}, half).healthy
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -217,13 +217,13 @@
     made, now = evidence(), second * SECOND
     for number, (witness, server, kind, age) in enumerate(words, 1):
         made.heard(0, [word(witness, server, kind, number, age)])
-    found = believe(now, made, GROUP, own, half)
+    found = reach_consensus(now, made, GROUP, own, half)
     usable = [one.name for one in GROUP if own.get(one.name, (0, 0))[0] not in BAD]
-    assert len(found.doubted) <= len(usable) * PART and not set(found.doubted) & set(own)
-    for server in found.doubted:
+    assert len(found.outliers) <= len(usable) * PART and not set(found.outliers) & set(own)
+    for server in found.outliers:
         against = {w for w, one in made.words(server).items() if one.word.kind in BAD and one.age(now) < LIFE}
-        assert len(against) >= 2 and found.doubted[server] <= now + LIFE + SPREAD
-    assert found.well <= {name for name, (kind, _) in own.items() if kind in BAD}
+        assert len(against) >= 2 and found.outliers[server] <= now + LIFE + SPREAD
+    assert found.healthy <= {name for name, (kind, _) in own.items() if kind in BAD}
 
 
 def test_a_bad_server_is_known_to_all_after_two_have_met_it():
@@ -240,7 +240,7 @@
 
     def believers():
         return [
-            name for name, node in gossip.nodes.items() if doubted(node.evidence, seen.get(name), now=gossip.own(name))
+            name for name, node in gossip.nodes.items() if outliers(node.evidence, seen.get(name), now=gossip.own(name))
         ]
 
     look()
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -190,11 +190,13 @@
     else:
         proxy.Proxy.__init__.__kwdefaults__["router"] = FAULTS[fault]
     if fault == "Credulous":
-        from yardbank.cluster.peers import outlier_consensus as belief
+        from yardbank.cluster.peers import outlier_consensus as consensus
         from yardbank.cluster.peers import transport as shell
 
-        belief.PART, belief.WITNESSES = 1.0, 1
-        shell.believe = lambda now, evidence, servers, own, draw: belief.believe(now, evidence, servers, {}, draw)
+        consensus.PART, consensus.WITNESSES = 1.0, 1
+        shell.reach_consensus = lambda now, reports, servers, own, draw: consensus.reach_consensus(
+            now, reports, servers, {}, draw
+        )
     if fault == "DeafToPeers":
         from yardbank.cluster.peers.transport import Peers
 
--- a/tests/support/rollout_member.py
+++ b/tests/support/rollout_member.py
@@ -31,7 +31,7 @@
     def listed(self):
         return []
 
-    def believe(self, belief):
+    def apply_consensus(self, consensus):
         pass
 
 
--- a/yardbank/cluster/peers/outlier_consensus.py
+++ b/yardbank/cluster/peers/outlier_consensus.py
@@ -1,13 +1,20 @@
-"""What of hearsay on servers is believed: the one place. No I/O: time (ns) and the gateway's own draw come in.
+"""Which servers count as outliers because other gateways report them: the only place that decides it.
 
-A word is evidence with an age, never an order. A server is doubted by hearsay if at least ``WITNESSES`` say that it
-does badly and more than say that it does well. One's own fresh evidence comes first. Of a group at most half of the
-servers that would otherwise be used are doubted, so never the last; the module sends writes to a primary whatever is
-said, and reads where all are doubted. Doubts end by age, at times that differ between gateways, so that they do not all
-come back at once. Good words never end a first-hand doubt; they bring its trial forward.
+No I/O: the time (ns) and this gateway's own random draw are arguments. It owns no state; every call judges the reports
+anew.
 
-The harm that one gateway with the key can do by lies is bounded by that: reads keep off half of a group at most, for as
-long as its lies go on and ``LIFE`` after.
+A health report is evidence with an age, never an order. A server is an outlier by gossip if at least ``WITNESSES``
+gateways report that it does badly, and more do so than report that it does well. First-hand findings take precedence:
+a server that this gateway finds well is never an outlier by gossip, and one that it ejected itself needs no report.
+Reports that such a server does well never readmit it; they bring its trial forward.
+
+Bounds:
+
+- Of a group at most half of the servers that would otherwise be used are outliers by gossip, so never the last. The
+  decision module sends writes to a primary whatever is reported, and reads where all are outliers.
+- The state ends with the age of the reports, at times spread over ``SPREAD`` between gateways, so that not all of them
+  return to the server at once.
+- A gateway that has the key and lies keeps reads off half of a group at most, while it lies and ``LIFE`` after.
 """
 
 from __future__ import annotations
@@ -17,80 +24,108 @@
 
 from yardbank.cluster.peers.report_store import BAD, LIFE, WELL, Evidence, FirstHand, Kept
 
-WITNESSES = 2
-PART = 0.5  # of a group's usable servers that hearsay may take, at most
-SPREAD = LIFE // 4  # over which gateways end the same doubt
+WITNESSES = 2  # gateways that must report a server, so that no single one can eject it
+PART = 0.5  # of a group's usable servers that gossip may eject, at most
+SPREAD = LIFE // 4  # ns over which gateways readmit the same server
+_NO_FINDING = (0, 0)
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
-    """One server as this gateway's list has it."""
+class ListedServer:
+    """One server as this gateway's list has it. ``started``: ms since 1970, as the list says."""
 
     name: str
     group: str
-    started: int  # ms, as the list says
+    started: int
 
 
 @dataclass(slots=True, frozen=True)
-class Belief:
-    """What the module is told."""
+class OutlierConsensus:
+    """What the decision module is told of others' reports.
 
-    doubted: Mapping[str, int]  # by server: until when, ns
-    well: frozenset[str]  # that this gateway doubts by itself, and others find well
+    ``outliers``: until when each server is one, ns. ``healthy``: servers that this gateway ejected itself, and that
+    others report as well.
+    """
+
+    outliers: Mapping[str, int]
+    healthy: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
-class _Case:
+class _Candidate:
+    """A server with enough reports against it; whether it is ejected depends on the rest of its group."""
+
     server: str
     against: int
     in_favour: int
     until: int
 
+    def rank(self) -> tuple[int, str]:
+        """Sort key: the clearest majority first, then by name."""
+        return self.in_favour - self.against, self.server
 
-def believe(
-    now: int, evidence: Evidence, servers: Iterable[Listed], own: FirstHand, draw: Callable[[str], float]
-) -> Belief:
-    """What to believe now.
 
-    ``own``: first-hand findings by server; ``draw``: of each server, between 0 and 1, always the same here.
+def reach_consensus(
+    now: int,
+    reports: Evidence,
+    servers: Iterable[ListedServer],
+    first_hand: FirstHand,
+    draw: Callable[[str], float],
+) -> OutlierConsensus:
+    """Judge the stored reports on the listed servers as of now.
+
+    ``first_hand``: this gateway's own findings by server. ``draw``: a number from 0 to 1 for each server, always the
+    same at this gateway.
     """
-    groups: dict[str, list[Listed]] = {}
+    groups: dict[str, list[ListedServer]] = {}
     for server in servers:
         groups.setdefault(server.group, []).append(server)
-    doubted: dict[str, int] = {}
-    well: set[str] = set()
+    outliers: dict[str, int] = {}
+    healthy: set[str] = set()
     for members in groups.values():
-        usable = [one for one in members if own.get(one.name, (0, 0))[0] not in BAD]
-        cases = []
-        for one in members:
-            words = evidence.about(now, one.name, one.started)
-            if not words:
+        candidates = []
+        usable = 0
+        for server in members:
+            kind, _ = first_hand.get(server.name, _NO_FINDING)
+            ejected_here = kind in BAD
+            if not ejected_here:
+                usable += 1
+            about = reports.about(now, server.name, server.started)
+            if ejected_here:
+                if _is_reported_healthy(about):
+                    healthy.add(server.name)
+                continue
+            if kind == WELL:
                 continue
-            kind = own.get(one.name, (0, 0))[0]
-            if kind in BAD:
-                if _outnumber(words):
-                    well.add(one.name)
-            elif kind != WELL and (case := _case(one.name, words, draw(one.name))) is not None:
-                cases.append(case)
-        cases.sort(key=lambda case: (case.in_favour - case.against, case.server))
-        doubted.update({case.server: case.until for case in cases[: int(len(usable) * PART)]})
-    return Belief(doubted, frozenset(well))
+            candidate = _candidate(server.name, about, draw)
+            if candidate is not None:
+                candidates.append(candidate)
+        candidates.sort(key=_Candidate.rank)
+        for candidate in candidates[: int(usable * PART)]:
+            outliers[candidate.server] = candidate.until
+    return OutlierConsensus(outliers, frozenset(healthy))
+
+
+def _adverse_reports(reports: Mapping[str, Kept]) -> list[Kept]:
+    return [stored for stored in reports.values() if stored.word.kind in BAD]
 
 
-def _against(words: Mapping[str, Kept]) -> list[Kept]:
-    return [one for one in words.values() if one.word.kind in BAD]
+def _count_favourable(reports: Mapping[str, Kept]) -> int:
+    return sum(stored.word.kind == WELL for stored in reports.values())
 
 
-def _outnumber(words: Mapping[str, Kept]) -> bool:
-    """Whether enough find it well, and more than do not."""
-    good = sum(one.word.kind == WELL for one in words.values())
-    return good >= WITNESSES and good > len(_against(words))
+def _is_reported_healthy(reports: Mapping[str, Kept]) -> bool:
+    """Whether enough witnesses find the server well, and more than find it bad."""
+    favourable = _count_favourable(reports)
+    return favourable >= WITNESSES and favourable > len(_adverse_reports(reports))
 
 
-def _case(server: str, words: Mapping[str, Kept], draw: float) -> _Case | None:
-    against = _against(words)
-    good = sum(one.word.kind == WELL for one in words.values())
-    if len(against) < WITNESSES or len(against) <= good:
+def _candidate(server: str, reports: Mapping[str, Kept], draw: Callable[[str], float]) -> _Candidate | None:
+    """The server as a candidate for ejection; None: too few report it, or as many find it well."""
+    against = _adverse_reports(reports)
+    favourable = _count_favourable(reports)
+    if len(against) < WITNESSES or len(against) <= favourable:
         return None
-    lasting: Sequence[int] = sorted((one.since + LIFE for one in against), reverse=True)
-    return _Case(server, len(against), good, lasting[WITNESSES - 1] + int(SPREAD * draw))
+    ends: Sequence[int] = sorted((stored.since + LIFE for stored in against), reverse=True)
+    last_with_enough_witnesses = ends[WITNESSES - 1]
+    return _Candidate(server, len(against), favourable, last_with_enough_witnesses + int(SPREAD * draw(server)))
--- a/yardbank/cluster/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -1,7 +1,7 @@
-"""What one gateway can tell others of itself, and how it takes in what is believed of their word. No I/O.
+"""What one gateway reports to others about itself, and how the consensus on others' reports reaches it. No I/O.
 
-Findings are first-hand: what the module concluded from this gateway's own attempts and probes. What it was told by
-others is kept apart there (``Router.hearsay``) and never comes back out as its own.
+Findings are first-hand: what the decision module concluded from this gateway's own attempts and probes. What others
+reported is stored apart there (``Router.hearsay``) and never goes out again as a first-hand finding.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from yardbank import interface as api
-from yardbank.cluster.peers.outlier_consensus import Belief, Listed
+from yardbank.cluster.peers.outlier_consensus import ListedServer, OutlierConsensus
 from yardbank.cluster.peers.report_store import FAILING, FULL, SECOND, SILENT, WELL
 from yardbank.gateway.api import ServerSpec
 from yardbank.policy import Router
@@ -45,10 +45,10 @@
             found[f"refused:{why}"] = count
         return found
 
-    def listed(self) -> list[Listed]:
+    def listed(self) -> list[ListedServer]:
         """The servers that may be sent to."""
         return [
-            Listed(name, spec.group, round(spec.started * 1000))
+            ListedServer(name, spec.group, round(spec.started * 1000))
             for name, spec in self._specs.items()
             if spec.state == "ready"
         ]
@@ -73,8 +73,9 @@
             found[name] = kind, round(spec.started * 1000)
         return found
 
-    def believe(self, belief: Belief) -> None:
-        """Tell the module what is believed of others' word."""
-        doubted = tuple((self._numbers[name], until) for name, until in belief.doubted.items() if name in self._numbers)
-        well = tuple(self._numbers[name] for name in sorted(belief.well) if name in self._numbers)
-        self._handle(api.GossipedOutliers(doubted, well))
+    def apply_consensus(self, consensus: OutlierConsensus) -> None:
+        """Hand the decision module the servers that other gateways agree on; replaces what it was handed before."""
+        numbers = self._numbers
+        outliers = tuple((numbers[name], until) for name, until in consensus.outliers.items() if name in numbers)
+        healthy = tuple(numbers[name] for name in sorted(consensus.healthy) if name in numbers)
+        self._handle(api.GossipedOutliers(outliers, healthy))
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -17,7 +17,7 @@
 from yardbank.cluster.peers.datagram import read_keys
 from yardbank.cluster.peers.failure_detector import NAMES, SECOND, Pace
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.outlier_consensus import Belief, believe
+from yardbank.cluster.peers.outlier_consensus import OutlierConsensus, reach_consensus
 from yardbank.cluster.peers.peer_list import PeerList, Reject, Take, next_life, stored_life
 from yardbank.cluster.peers.sharing import Sharing
 from yardbank.cluster.peers.view import node_view
@@ -79,7 +79,7 @@
         self._teller: Any = None
         self.port = 0
         self.after: list[Callable[[int], None]] = []  # told after each turn of the clock: now, ns
-        self.belief = Belief({}, frozenset())
+        self.consensus = OutlierConsensus({}, frozenset())
         self._judged_at = 0
         self._overtaken = 0
 
@@ -160,17 +160,19 @@
             told(now)
 
     def _judge(self, now: int) -> None:
-        """Take in what this gateway found itself, and tell it what is believed of the others' word."""
+        """Store what this gateway found itself, and hand it the consensus on the others' reports."""
         self._judged_at = now
-        own = self._sharing.first_hand(now)
-        self.node.evidence.saw(now, own)
-        found = believe(now, self.node.evidence, self._sharing.listed(), own, self._draw)
-        if found != self.belief:
-            gone, come = self.belief.doubted.keys() - found.doubted, found.doubted.keys() - self.belief.doubted
-            if gone or come:
-                self._log.info("hearsay", doubted=sorted(found.doubted), no_more=sorted(gone))
-            self.belief = found
-            self._sharing.believe(found)
+        first_hand = self._sharing.first_hand(now)
+        self.node.evidence.saw(now, first_hand)
+        consensus = reach_consensus(now, self.node.evidence, self._sharing.listed(), first_hand, self._draw)
+        if consensus == self.consensus:
+            return
+        before = self.consensus.outliers.keys()
+        after = consensus.outliers.keys()
+        if before != after:
+            self._log.info("hearsay", doubted=sorted(after), no_more=sorted(before - after))
+        self.consensus = consensus
+        self._sharing.apply_consensus(consensus)
 
     def _draw(self, server: str) -> float:
         """This gateway's own chance for a server: always the same, and another at other gateways."""
@@ -200,7 +202,7 @@
 
     def view(self) -> dict[str, Any]:
         """What is known here, as plain values; ages in milliseconds."""
-        return {"written": self._wall(), **node_view(self.node, self.belief, self._now())}
+        return {"written": self._wall(), **node_view(self.node, self.consensus, self._now())}
 
     def _write(self) -> None:
         """Put the view where ``yardbank peers show`` finds it."""
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.outlier_consensus import Belief
+from yardbank.cluster.peers.outlier_consensus import OutlierConsensus
 from yardbank.cluster.peers.report_store import KINDS
 
 MS = 1_000_000
 
 
-def node_view(node: GossipNode, belief: Belief, now: int) -> dict[str, Any]:
+def node_view(node: GossipNode, consensus: OutlierConsensus, now: int) -> dict[str, Any]:
     """Peers, words on servers, counts, and what each part has to show."""
     detector, evidence = node.detector, node.evidence
     return {
@@ -32,7 +32,7 @@
         },
         "servers": {
             server: {
-                "doubted_ms": max(0, belief.doubted.get(server, now) - now) // MS,
+                "doubted_ms": max(0, consensus.outliers.get(server, now) - now) // MS,
                 "words": {
                     witness: {"kind": KINDS[kept.word.kind], "age_ms": kept.age(now) // MS}
                     for witness, kept in evidence.words(server).items()
