--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -36,12 +36,12 @@
     words = [
         HealthReport(f"g{n:04}", 1, n + 1, f"db-{d:05}", 0, SILENT, 10) for n in range(1, 4) for d in range(DOUBTED)
     ]
-    node.evidence.heard(START, words)
+    node.report_store.receive(START, words)
 
     def judge() -> None:
         own = sharing.first_hand(START)
-        node.evidence.saw(START, own)
-        sharing.apply_consensus(reach_consensus(START, node.evidence, sharing.listed(), own, lambda name: 0.5))
+        node.report_store.record_first_hand(START, own)
+        sharing.apply_consensus(reach_consensus(START, node.report_store, sharing.listed(), own, lambda name: 0.5))
 
     def tell() -> None:
         node.register.set(sharing.figures())
--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -10,7 +10,6 @@
 from yardbank.cluster.peers.datagram import HealthReport
 from yardbank.cluster.peers.outlier_consensus import PART, SPREAD, ListedServer, reach_consensus
 from yardbank.cluster.peers.report_store import (
-    AGAIN,
     BAD,
     FAILING,
     FULL,
@@ -19,11 +18,12 @@
     MAX_WITNESSES,
     MS,
     NOTHING,
+    REPEAT_AFTER,
     SECOND,
     SETTLED,
     SILENT,
     WELL,
-    Evidence,
+    ReportStore,
 )
 from yardbank.interface import GossipedOutliers, Send
 from yardbank.testing.rig.gossip import GossipFleet
@@ -33,9 +33,9 @@
 GROUP = [ListedServer(f"a-{number}", "a", 0) for number in range(1, 6)]
 
 
-def evidence(name="g0", peers=PEERS):
-    made = Evidence(name, 1)
-    made.listed(peers)
+def report_store(name="g0", peers=PEERS):
+    made = ReportStore(name, 1)
+    made.set_peers(peers)
     return made
 
 
@@ -51,87 +51,87 @@
 
 
 def test_a_fleet_in_which_all_is_well_is_silent():
-    made = evidence()
+    made = report_store()
     for now in range(0, 60 * SECOND, SECOND):
-        made.saw(now, {"a-1": (WELL, 0), "a-2": (WELL, 0)})
-    assert made.some(60 * SECOND, 10) == [] and made.servers() == []
+        made.record_first_hand(now, {"a-1": (WELL, 0), "a-2": (WELL, 0)})
+    assert made.next_to_send(60 * SECOND, 10) == [] and made.servers() == []
 
 
 def test_trouble_is_told_again_while_it_lasts_and_its_end_once():
-    made, told = evidence(), []
+    made, told = report_store(), []
     for second in range(40):
         kind = SILENT if 5 <= second < 15 else WELL
-        made.saw(second * SECOND, {"a-1": (kind, 0)})
-        told += [(second, one.kind) for one in made.some(second * SECOND, 1) if one.age == 0]
-    assert told == [(5, SILENT), (9, SILENT), (13, SILENT), (15, WELL)] and AGAIN == 4 * SECOND
+        made.record_first_hand(second * SECOND, {"a-1": (kind, 0)})
+        told += [(second, one.kind) for one in made.next_to_send(second * SECOND, 1) if one.age == 0]
+    assert told == [(5, SILENT), (9, SILENT), (13, SILENT), (15, WELL)] and REPEAT_AFTER == 4 * SECOND
 
 
 def test_what_comes_and_goes_is_not_told_each_time():
-    made = evidence()
+    made = report_store()
     for tick in range(100):
-        made.saw(tick * SETTLED // 10, {"a-1": (FULL if tick % 2 else WELL, 0)})
+        made.record_first_hand(tick * SETTLED // 10, {"a-1": (FULL if tick % 2 else WELL, 0)})
     assert made._number <= 2 * 10 + 1
 
 
 def test_that_a_server_does_well_is_told_where_somebody_denies_it():
-    made = evidence()
-    made.heard(0, [word("g1")])
-    made.saw(0, {"a-1": (WELL, 0), "a-2": (WELL, 0)})
-    assert [(one.witness, one.kind) for one in made.some(0, 9)] == [("g1", SILENT), ("g0", WELL)]
+    made = report_store()
+    made.receive(0, [word("g1")])
+    made.record_first_hand(0, {"a-1": (WELL, 0), "a-2": (WELL, 0)})
+    assert [(one.witness, one.kind) for one in made.next_to_send(0, 9)] == [("g1", SILENT), ("g0", WELL)]
 
 
 def test_age_grows_on_the_way_and_no_word_outlives_it():
-    made = evidence()
-    made.heard(10 * SECOND, [word("g1", age=3000)])
-    (passed,) = made.some(12 * SECOND, 9)
+    made = report_store()
+    made.receive(10 * SECOND, [word("g1", age=3000)])
+    (passed,) = made.next_to_send(12 * SECOND, 9)
     assert passed.witness == "g1" and passed.age == 5000
-    assert made.about(21 * SECOND, "a-1", 0) and not made.about(22 * SECOND + 1, "a-1", 0)
-    made.heard(0, [word("g2", age=LIFE // MS)])
-    assert "g2" not in made.words("a-1")
+    assert made.reports_on_start(21 * SECOND, "a-1", 0) and not made.reports_on_start(22 * SECOND + 1, "a-1", 0)
+    made.receive(0, [word("g2", age=LIFE // MS)])
+    assert "g2" not in made.reports_on("a-1")
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 2), st.integers(1, 9), st.sampled_from([WELL, SILENT, FAILING])), max_size=30))
 def test_the_newest_word_counts_in_whatever_order_they_come(moves):
-    made, by_number = evidence(), {}
+    made, by_number = report_store(), {}
     for boot_epoch, number, drawn in moves:
         kind = by_number.setdefault((boot_epoch, number), drawn)
-        made.heard(0, [word("g1", kind=kind, number=number, boot_epoch=boot_epoch)])
+        made.receive(0, [word("g1", kind=kind, number=number, boot_epoch=boot_epoch)])
     if by_number:
-        assert made.words("a-1")["g1"].word.kind == by_number[max(by_number)]
+        assert made.reports_on("a-1")["g1"].report.kind == by_number[max(by_number)]
 
 
 def test_words_are_of_peers_alone_and_bounded():
-    made = Evidence("g0", 1)
-    made.listed([f"p{number}" for number in range(MAX_WITNESSES + 5)])
-    made.heard(0, [word("stranger")])
+    made = ReportStore("g0", 1)
+    made.set_peers([f"p{number}" for number in range(MAX_WITNESSES + 5)])
+    made.receive(0, [word("stranger")])
     assert made.servers() == []
     for number in range(MAX_WITNESSES + 5):
-        made.heard(number, [word(f"p{number}")])
-    assert len(made.words("a-1")) == MAX_WITNESSES and "p0" not in made.words("a-1") and made.not_kept == 5
-    made.heard(0, [word("p1", server=f"s{number}") for number in range(MAX_SERVERS + 3)])
+        made.receive(number, [word(f"p{number}")])
+    assert len(made.reports_on("a-1")) == MAX_WITNESSES and "p0" not in made.reports_on("a-1") and made.dropped == 5
+    made.receive(0, [word("p1", server=f"s{number}") for number in range(MAX_SERVERS + 3)])
     assert len(made.servers()) == MAX_SERVERS
-    made.listed(["p1"])
-    assert all(set(made.words(server)) <= {"p1"} for server in made.servers())
+    made.set_peers(["p1"])
+    assert all(set(made.reports_on(server)) <= {"p1"} for server in made.servers())
 
 
 def test_words_put_into_ones_mouth_are_taken_back():
-    made = evidence()
-    made.heard(0, [word("g0", number=40)])
-    (said,) = made.some(0, 9)
+    made = report_store()
+    made.receive(0, [word("g0", number=40)])
+    (said,) = made.next_to_send(0, 9)
     assert (said.witness, said.kind, said.number) == ("g0", NOTHING, 41) and made.corrected == 1
-    other = evidence("g1", ["g0", "g2"])
-    other.heard(0, [word("g0", number=40)])
-    other.heard(1, [said])
-    assert other.words("a-1")["g0"].word.kind == NOTHING
+    other = report_store("g1", ["g0", "g2"])
+    other.receive(0, [word("g0", number=40)])
+    other.receive(1, [said])
+    assert other.reports_on("a-1")["g0"].report.kind == NOTHING
 
 
 # Consensus
 
 
 def told(*words, now=0):
-    made = evidence()
-    made.heard(now, words)
+    made = report_store()
+    made.receive(now, words)
     return made
 
 
@@ -214,14 +214,14 @@
     st.integers(0, 20),
 )
 def test_bounds_of_belief_hold_whatever_is_said(words, own, second):
-    made, now = evidence(), second * SECOND
+    made, now = report_store(), second * SECOND
     for number, (witness, server, kind, age) in enumerate(words, 1):
-        made.heard(0, [word(witness, server, kind, number, age)])
+        made.receive(0, [word(witness, server, kind, number, age)])
     found = reach_consensus(now, made, GROUP, own, half)
     usable = [one.name for one in GROUP if own.get(one.name, (0, 0))[0] not in BAD]
     assert len(found.outliers) <= len(usable) * PART and not set(found.outliers) & set(own)
     for server in found.outliers:
-        against = {w for w, one in made.words(server).items() if one.word.kind in BAD and one.age(now) < LIFE}
+        against = {w for w, one in made.reports_on(server).items() if one.report.kind in BAD and one.age(now) < LIFE}
         assert len(against) >= 2 and found.outliers[server] <= now + LIFE + SPREAD
     assert found.healthy <= {name for name, (kind, _) in own.items() if kind in BAD}
 
@@ -235,12 +235,14 @@
 
     def look():
         for name, node in gossip.nodes.items():
-            node.evidence.saw(gossip.own(name), seen.get(name, {}))
+            node.report_store.record_first_hand(gossip.own(name), seen.get(name, {}))
         gossip.at(gossip.now + SECOND // 2, look)
 
     def believers():
         return [
-            name for name, node in gossip.nodes.items() if outliers(node.evidence, seen.get(name), now=gossip.own(name))
+            name
+            for name, node in gossip.nodes.items()
+            if outliers(node.report_store, seen.get(name), now=gossip.own(name))
         ]
 
     look()
--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -147,7 +147,7 @@
 
     def look():
         for name, node in gossip.nodes.items():
-            node.evidence.saw(gossip.own(name), seen)
+            node.report_store.record_first_hand(gossip.own(name), seen)
         gossip.at(gossip.now + SECOND, look)
 
     look()
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -22,7 +22,7 @@
 from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, Out, Pace
 from yardbank.cluster.peers.outbox import Post, Rate
 from yardbank.cluster.peers.parts import Part
-from yardbank.cluster.peers.report_store import Evidence
+from yardbank.cluster.peers.report_store import ReportStore
 
 FILL = 480  # octets of news, counts and words in one datagram
 RATE, BURST = 1800, 8 * 1024  # octets a second on average, and at once
@@ -78,7 +78,7 @@
         self.name, self.fleet, self.keys = name, fleet, list(keys)
         self.detector = Detector(name, boot_epoch, random, pace)
         self.register = Register()
-        self.evidence = Evidence(name, boot_epoch)
+        self.report_store = ReportStore(name, boot_epoch)
         self.dropped: Counter[str] = Counter()
         self.withheld = 0  # datagrams not sent, to keep the rate
         self.sent = self.sent_octets = 0
@@ -107,7 +107,7 @@
         self._largest = wire.size_of(MembershipUpdate(longest, ALIVE, wire.MAX_INCARNATION, longest))
         self.detector.listed(now, known)
         self.register.listed(known)
-        self.evidence.listed(known)
+        self.report_store.set_peers(known)
         self._replays.keep(known)
         for part in self.post.parts.values():
             part.listed(now)
@@ -132,8 +132,8 @@
         self.detector.received(now, found.sender, found.incarnation, found.kind, found.number, found.target)
         self.detector.told(now, found.sender, found.news)
         self.register.heard(now, found.sender, found.boot_epoch, found.counts)
-        self.evidence.boot_epoch = self.detector.boot_epoch
-        self.evidence.heard(now, found.words)
+        self.report_store.boot_epoch = self.detector.boot_epoch
+        self.report_store.receive(now, found.words)
         return self._flush(now)
 
     def _take_parcel(self, now: int, data: bytes) -> None:
@@ -186,7 +186,7 @@
             self.withheld += 1
             return b""
         full = order.kind in (PING, ACK) and left > FILL
-        words = self.evidence.some(now, MOST_WORDS) if full else []
+        words = self.report_store.next_to_send(now, MOST_WORDS) if full else []
         counts = self.register.some(FEW // 2 if words else FEW) if full else []
         room = FILL - sum(wire.size_of(one) for one in (*counts, *words))
         news = self.detector.news_for(order.to, max(1, room // self._largest)) if full else []
--- a/yardbank/cluster/peers/outlier_consensus.py
+++ b/yardbank/cluster/peers/outlier_consensus.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from yardbank.cluster.peers.report_store import BAD, LIFE, WELL, Evidence, FirstHand, Kept
+from yardbank.cluster.peers.report_store import BAD, LIFE, WELL, FirstHand, ReportStore, StoredReport
 
 WITNESSES = 2  # gateways that must report a server, so that no single one can eject it
 PART = 0.5  # of a group's usable servers that gossip may eject, at most
@@ -67,7 +67,7 @@
 
 def reach_consensus(
     now: int,
-    reports: Evidence,
+    reports: ReportStore,
     servers: Iterable[ListedServer],
     first_hand: FirstHand,
     draw: Callable[[str], float],
@@ -90,7 +90,7 @@
             ejected_here = kind in BAD
             if not ejected_here:
                 usable += 1
-            about = reports.about(now, server.name, server.started)
+            about = reports.reports_on_start(now, server.name, server.started)
             if ejected_here:
                 if _is_reported_healthy(about):
                     healthy.add(server.name)
@@ -106,26 +106,26 @@
     return OutlierConsensus(outliers, frozenset(healthy))
 
 
-def _adverse_reports(reports: Mapping[str, Kept]) -> list[Kept]:
-    return [stored for stored in reports.values() if stored.word.kind in BAD]
+def _adverse_reports(reports: Mapping[str, StoredReport]) -> list[StoredReport]:
+    return [stored for stored in reports.values() if stored.report.kind in BAD]
 
 
-def _count_favourable(reports: Mapping[str, Kept]) -> int:
-    return sum(stored.word.kind == WELL for stored in reports.values())
+def _count_favourable(reports: Mapping[str, StoredReport]) -> int:
+    return sum(stored.report.kind == WELL for stored in reports.values())
 
 
-def _is_reported_healthy(reports: Mapping[str, Kept]) -> bool:
+def _is_reported_healthy(reports: Mapping[str, StoredReport]) -> bool:
     """Whether enough witnesses find the server well, and more than find it bad."""
     favourable = _count_favourable(reports)
     return favourable >= WITNESSES and favourable > len(_adverse_reports(reports))
 
 
-def _candidate(server: str, reports: Mapping[str, Kept], draw: Callable[[str], float]) -> _Candidate | None:
+def _candidate(server: str, reports: Mapping[str, StoredReport], draw: Callable[[str], float]) -> _Candidate | None:
     """The server as a candidate for ejection; None: too few report it, or as many find it well."""
     against = _adverse_reports(reports)
     favourable = _count_favourable(reports)
     if len(against) < WITNESSES or len(against) <= favourable:
         return None
-    ends: Sequence[int] = sorted((stored.since + LIFE for stored in against), reverse=True)
+    ends: Sequence[int] = sorted((stored.observed_at + LIFE for stored in against), reverse=True)
     last_with_enough_witnesses = ends[WITNESSES - 1]
     return _Candidate(server, len(against), favourable, last_with_enough_witnesses + int(SPREAD * draw(server)))
--- a/yardbank/cluster/peers/report_store.py
+++ b/yardbank/cluster/peers/report_store.py
@@ -1,8 +1,15 @@
-"""What gateways have seen of database servers themselves, told on as each witness said it. No I/O: time (ns) comes in.
+"""Health reports on database servers: this gateway's own, and those of other gateways that have reached it.
 
-A word is one witness's about one start of one server. Its age is counted where it lies and handed on with it, so no two
-clocks are compared. Of one witness and server only the newest word is kept, and none outlives ``LIFE``. Whoever hears a
-word of its own that it never said says at once what is so, with a higher number.
+No I/O: time (ns) is an argument.
+
+Owns the reports. A report is made by one witness on one start of one server; others pass it on as the witness wrote it.
+Its age is counted where it is stored and sent along with it, so no two clocks are compared.
+
+Invariants: of one witness and server only the newest report is stored; no report outlives ``LIFE``; only this gateway
+makes reports in its own name. If one comes back that it never made, it answers at once with what is so, under a higher
+number.
+
+Bound: ``MAX_SERVERS`` servers with ``MAX_WITNESSES`` reports each.
 """
 
 from __future__ import annotations
@@ -14,151 +21,183 @@
 from yardbank.cluster.peers.datagram import MAX_NAME, HealthReport
 
 MS, SECOND = 1_000_000, 1_000_000_000
-LIFE = 15 * SECOND
-AGAIN = 4 * SECOND  # a witness says again what still is so, as long as it matters
-SETTLED = SECOND  # so long trouble must have been told before its end is
+LIFE = 15 * SECOND  # ns
+REPEAT_AFTER = 4 * SECOND  # ns; a witness repeats a report that still holds and still matters
+SETTLED = SECOND  # ns that a fault must have been reported before its end is: what comes and goes is reported once
 WELL, SILENT, FAILING, FULL, NOTHING = 1, 2, 3, 4, 5
 KINDS = {WELL: "well", SILENT: "silent", FAILING: "failing", FULL: "full", NOTHING: "nothing"}
 BAD = frozenset((SILENT, FAILING, FULL))
-MAX_WITNESSES = 16  # of one server; beyond, the oldest word gives way
-MAX_SERVERS = 512  # that words are kept of; beyond, no new ones are
+MAX_WITNESSES = 16  # of one server; beyond, the oldest report is dropped
+MAX_SERVERS = 512  # beyond, reports on further servers are dropped
 
-FirstHand = Mapping[str, tuple[int, int]]  # by server: kind, and the start that it is said of (ms, as the list says)
+FirstHand = Mapping[str, tuple[int, int]]  # by server: kind, and the start it is true of (ms since 1970, from the list)
+_NO_FINDING = (NOTHING, 0)
 
 
 @dataclass(slots=True)
-class Kept:
-    """A word as it lies here."""
+class StoredReport:
+    """A report with what this gateway knows of its age."""
 
-    word: HealthReport
-    since: int  # when what it says was so, on this gateway's clock
-    told: int = 0  # how often it was passed on
+    report: HealthReport
+    observed_at: int  # ns on this gateway's clock
+    times_sent: int = 0
 
     def age(self, now: int) -> int:
-        """How old what it says is, ns."""
-        return now - self.since
+        """Time since the witness observed it, ns."""
+        return now - self.observed_at
+
+    def order(self) -> tuple[int, int]:
+        """Orders the reports of one witness by when it made them."""
+        return self.report.boot_epoch, self.report.number
 
 
-class Evidence:
-    """One gateway's words, and the others' that have reached it."""
+class ReportStore:
+    """One gateway's reports and the others'.
+
+    ``dropped`` counts reports beyond a bound; ``corrected`` those in this gateway's name that it never made.
+    """
 
     def __init__(self, name: str, boot_epoch: int) -> None:
-        self._name, self.boot_epoch = name, boot_epoch
-        self._words: dict[str, dict[str, Kept]] = {}  # by server and witness
+        self._name = name
+        self.boot_epoch = boot_epoch
+        self.dropped = 0
+        self.corrected = 0
+        self._reports: dict[str, dict[str, StoredReport]] = {}  # by server and witness
         self._peers: set[str] = set()
         self._number = 0
-        self.not_kept = 0
-        self.corrected = 0  # words of one's own that were never said
 
-    def listed(self, names: Iterable[str]) -> None:
-        """The peers; words of others are forgotten."""
+    def set_peers(self, names: Iterable[str]) -> None:
+        """The gateways of the list but this one; reports of all others are forgotten."""
         self._peers = set(names)
-        for server, by in list(self._words.items()):
-            kept = {witness: one for witness, one in by.items() if witness in self._peers or witness == self._name}
-            self._set(server, kept)
-
-    def _set(self, server: str, by: dict[str, Kept]) -> None:
-        if by:
-            self._words[server] = by
-        else:
-            self._words.pop(server, None)
+        witnesses = self._peers | {self._name}
+        for server, reports in list(self._reports.items()):
+            kept = {witness: stored for witness, stored in reports.items() if witness in witnesses}
+            self._replace(server, kept)
 
-    def saw(self, now: int, seen: FirstHand) -> None:
-        """What this gateway has seen itself, as it is now.
+    def record_first_hand(self, now: int, findings: FirstHand) -> None:
+        """Report what this gateway finds itself, as it is now.
 
-        Trouble is told as it comes, and its end; that a server does well only where somebody says otherwise. So a fleet
-        in which all is well is silent.
+        A fault is reported as it comes, and its end; that a server does well only where somebody says otherwise. So a
+        fleet in which all is well is silent.
         """
         self._expire(now)
-        for server in seen.keys() | {name for name, by in self._words.items() if self._name in by}:
-            kind, started = seen.get(server, (NOTHING, 0))
-            own = self._words.get(server, {}).get(self._name)
-            disputed = any(
-                witness != self._name and one.word.kind in BAD for witness, one in self._words.get(server, {}).items()
-            )
-            matters = kind in BAD or (kind == WELL and disputed)
-            if own is None:
-                if matters:
-                    self._say(now, server, kind, started)
-            elif own.word.kind != kind or (started and own.word.started != started):
-                ended = own.word.kind in BAD and own.age(now) >= SETTLED  # what comes and goes is told once
-                if matters or ended:
-                    self._say(now, server, kind, started or own.word.started)
-            elif matters and own.age(now) >= AGAIN:
-                self._say(now, server, kind, started)
-
-    def _say(self, now: int, server: str, kind: int, started: int) -> None:
+        reported = {server for server, reports in self._reports.items() if self._name in reports}
+        for server in findings.keys() | reported:
+            kind, started = findings.get(server, _NO_FINDING)
+            self._record_finding(now, server, kind, started)
+
+    def _record_finding(self, now: int, server: str, kind: int, started: int) -> None:
+        reports = self._reports.get(server, {})
+        own = reports.get(self._name)
+        matters = kind in BAD or (kind == WELL and self._is_disputed(reports))
+        if own is None:
+            if matters:
+                self._make_report(now, server, kind, started)
+            return
+        if own.report.kind == kind and started in (0, own.report.started):
+            if matters and own.age(now) >= REPEAT_AFTER:
+                self._make_report(now, server, kind, started)
+            return
+        has_ended = own.report.kind in BAD and own.age(now) >= SETTLED
+        if matters or has_ended:
+            self._make_report(now, server, kind, started or own.report.started)
+
+    def _is_disputed(self, reports: Mapping[str, StoredReport]) -> bool:
+        """Whether another witness finds the server bad."""
+        others = (stored for witness, stored in reports.items() if witness != self._name)
+        return any(stored.report.kind in BAD for stored in others)
+
+    def _make_report(self, now: int, server: str, kind: int, started: int) -> None:
         if len(server.encode()) > MAX_NAME:
-            self.not_kept += 1
+            self.dropped += 1
             return
         self._number += 1
-        self._keep(now, HealthReport(self._name, self.boot_epoch, self._number, server, started, kind, 0))
-
-    def heard(self, now: int, words: Iterable[HealthReport]) -> None:
-        """Words that came with a datagram, whoever sent it."""
-        for word in words:
-            if word.witness == self._name:
-                self._of_oneself(now, word)
-            elif word.witness in self._peers and word.age < LIFE // MS:
-                known = self._words.get(word.server, {}).get(word.witness)
-                if known is None or (word.boot_epoch, word.number) > (known.word.boot_epoch, known.word.number):
-                    self._keep(now, word)
-
-    def _of_oneself(self, now: int, word: HealthReport) -> None:
-        if (word.boot_epoch, word.number) <= (self.boot_epoch, self._number):
+        self._store(now, HealthReport(self._name, self.boot_epoch, self._number, server, started, kind, 0))
+
+    def receive(self, now: int, reports: Iterable[HealthReport]) -> None:
+        """Reports that came with a datagram, whoever sent it."""
+        for report in reports:
+            if report.witness == self._name:
+                self._receive_own(now, report)
+            elif report.witness in self._peers and report.age < LIFE // MS:
+                self._receive_of_peer(now, report)
+
+    def _receive_of_peer(self, now: int, report: HealthReport) -> None:
+        known = self._reports.get(report.server, {}).get(report.witness)
+        if known is None or (report.boot_epoch, report.number) > known.order():
+            self._store(now, report)
+
+    def _receive_own(self, now: int, report: HealthReport) -> None:
+        """A report in this gateway's name: one it made before, or one it has to correct."""
+        if (report.boot_epoch, report.number) <= (self.boot_epoch, self._number):
             return
-        if word.boot_epoch > self.boot_epoch:  # of an earlier start, or made up: the detector decides
+        if report.boot_epoch > self.boot_epoch:  # of an earlier start, or made up: the failure detector decides
             return
-        self._number = word.number
+        self._number = report.number
         self.corrected += 1
-        own = self._words.get(word.server, {}).get(self._name)
-        self._say(now, word.server, own.word.kind if own else NOTHING, own.word.started if own else word.started)
-
-    def _keep(self, now: int, word: HealthReport) -> None:
-        by = self._words.get(word.server)
-        if by is None:
-            if len(self._words) >= MAX_SERVERS:
-                self.not_kept += 1
+        own = self._reports.get(report.server, {}).get(self._name)
+        if own is None:
+            self._make_report(now, report.server, NOTHING, report.started)
+        else:
+            self._make_report(now, report.server, own.report.kind, own.report.started)
+
+    def _store(self, now: int, report: HealthReport) -> None:
+        reports = self._reports.get(report.server)
+        if reports is None:
+            if len(self._reports) >= MAX_SERVERS:
+                self.dropped += 1
                 return
-            by = self._words[word.server] = {}
-        if word.witness not in by and len(by) >= MAX_WITNESSES:
-            oldest = min((name for name in by if name != self._name), key=lambda name: by[name].since)
-            del by[oldest]
-            self.not_kept += 1
-        by[word.witness] = Kept(word, now - word.age * MS)
+            reports = self._reports[report.server] = {}
+        if report.witness not in reports and len(reports) >= MAX_WITNESSES:
+            others = (witness for witness in reports if witness != self._name)
+            del reports[min(others, key=lambda witness: reports[witness].observed_at)]
+            self.dropped += 1
+        reports[report.witness] = StoredReport(report, now - report.age * MS)
+
+    def _replace(self, server: str, reports: dict[str, StoredReport]) -> None:
+        if reports:
+            self._reports[server] = reports
+        else:
+            self._reports.pop(server, None)
 
     def _expire(self, now: int) -> None:
-        for server, by in list(self._words.items()):
-            self._set(server, {witness: one for witness, one in by.items() if one.age(now) < LIFE})
-
-    def some(self, now: int, most: int) -> list[HealthReport]:
-        """What to tell next: words that were told least often, with their ages as they are now."""
-        enough = math.ceil(3 * math.log2(len(self._peers) + 2))
-        fresh = [one for by in self._words.values() for one in by.values() if one.told < enough and one.age(now) < LIFE]
-        fresh.sort(key=lambda one: one.told)
+        for server, reports in list(self._reports.items()):
+            self._replace(server, {witness: stored for witness, stored in reports.items() if stored.age(now) < LIFE})
+
+    def next_to_send(self, now: int, limit: int) -> list[HealthReport]:
+        """The reports sent least often, with their ages as of now. Counts them as sent."""
+        enough = math.ceil(3 * math.log2(len(self._peers) + 2))  # sendings until all have most likely heard
+        unsettled = []
+        for reports in self._reports.values():
+            for stored in reports.values():
+                if stored.times_sent < enough and stored.age(now) < LIFE:
+                    unsettled.append(stored)
+        unsettled.sort(key=lambda stored: stored.times_sent)
         found = []
-        for one in fresh[:most]:
-            one.told += 1
-            word = one.word
-            found.append(
-                HealthReport(
-                    word.witness, word.boot_epoch, word.number, word.server, word.started, word.kind, one.age(now) // MS
-                )
-            )
+        for stored in unsettled[:limit]:
+            stored.times_sent += 1
+            found.append(_with_age(stored.report, stored.age(now) // MS))
         return found
 
-    def about(self, now: int, server: str, started: int) -> dict[str, Kept]:
-        """Words on this start of a server that still count, by witness, one's own left out."""
+    def reports_on_start(self, now: int, server: str, started: int) -> dict[str, StoredReport]:
+        """Other witnesses' reports on this start of a server that have not expired, by witness."""
         return {
-            witness: one
-            for witness, one in self._words.get(server, {}).items()
-            if witness != self._name and one.word.started == started and one.age(now) < LIFE
+            witness: stored
+            for witness, stored in self._reports.get(server, {}).items()
+            if witness != self._name and stored.report.started == started and stored.age(now) < LIFE
         }
 
-    def words(self, server: str) -> Mapping[str, Kept]:
-        """All that is said of a server, by witness, one's own word too."""
-        return self._words.get(server, {})
+    def reports_on(self, server: str) -> Mapping[str, StoredReport]:
+        """All reports on a server by witness, this gateway's own too."""
+        return self._reports.get(server, {})
 
     def servers(self) -> list[str]:
-        """Servers that there are words of."""
-        return sorted(self._words)
+        """Servers with at least one report."""
+        return sorted(self._reports)
+
+
+def _with_age(report: HealthReport, age: int) -> HealthReport:
+    """The same report, ``age`` (ms) old."""
+    return HealthReport(
+        report.witness, report.boot_epoch, report.number, report.server, report.started, report.kind, age
+    )
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -163,8 +163,8 @@
         """Store what this gateway found itself, and hand it the consensus on the others' reports."""
         self._judged_at = now
         first_hand = self._sharing.first_hand(now)
-        self.node.evidence.saw(now, first_hand)
-        consensus = reach_consensus(now, self.node.evidence, self._sharing.listed(), first_hand, self._draw)
+        self.node.report_store.record_first_hand(now, first_hand)
+        consensus = reach_consensus(now, self.node.report_store, self._sharing.listed(), first_hand, self._draw)
         if consensus == self.consensus:
             return
         before = self.consensus.outliers.keys()
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -12,8 +12,9 @@
 
 
 def node_view(node: GossipNode, consensus: OutlierConsensus, now: int) -> dict[str, Any]:
-    """Peers, words on servers, counts, and what each part has to show."""
-    detector, evidence = node.detector, node.evidence
+    """Members, health reports on servers, counts, and what each part has to show."""
+    detector = node.detector
+    reports = node.report_store
     return {
         "name": node.name,
         "fleet": node.fleet,
@@ -34,11 +35,11 @@
             server: {
                 "doubted_ms": max(0, consensus.outliers.get(server, now) - now) // MS,
                 "words": {
-                    witness: {"kind": KINDS[kept.word.kind], "age_ms": kept.age(now) // MS}
-                    for witness, kept in evidence.words(server).items()
+                    witness: {"kind": KINDS[stored.report.kind], "age_ms": stored.age(now) // MS}
+                    for witness, stored in reports.reports_on(server).items()
                 },
             }
-            for server in evidence.servers()
+            for server in reports.servers()
         },
         "totals": {
             key: {"value": total.value, "parts": total.parts, "missing": total.missing, "oldest_ms": total.oldest // MS}
