--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -118,7 +118,7 @@
 def hear_counts(node: GossipNode, name: str) -> None:
     """As many counts of a peer as one gateway tells: two of each database, up to its bound."""
     keys = [f"{what}:db-{number:05}" for number in range(MAX_KEYS // 2) for what in ("out", "connections")]
-    node.register.heard(SECOND, name, 1, [CounterValue(key, at + 1, at % 7) for at, key in enumerate(keys)])
+    node.counters.receive(SECOND, name, 1, [CounterValue(key, at + 1, at % 7) for at, key in enumerate(keys)])
 
 
 LINES = (
--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -44,7 +44,7 @@
         sharing.apply_consensus(reach_consensus(START, node.report_store, sharing.listed(), own, lambda name: 0.5))
 
     def tell() -> None:
-        node.register.set(sharing.figures())
+        node.counters.update(sharing.figures())
 
     judged, told = processor_ms(judge, 30), processor_ms(tell, 10)
     return {"one judgement": judged, "figures": told, "processor": (judged * JUDGED + told) / 10}
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -79,7 +79,7 @@
 
     def _made(self, node: GossipNode, random: Random) -> list[Part]:
         if self._counts:
-            node.register.set({f"{what}:{name}": 1 for name in self.servers for what in ("out", "connections")})
+            node.counters.update({f"{what}:{name}": 1 for name in self.servers for what in ("out", "connections")})
         held = Table()
         held.apply(self.stored.get(node.name, self._first))
         grant: Any = Grant(self, node.name)
--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yardbank.cluster.peers import datagram as wire
-from yardbank.cluster.peers.counters import FRESH, MAX_KEYS, Register
+from yardbank.cluster.peers.counters import FRESH, MAX_KEYS, CounterRegistry
 from yardbank.cluster.peers.datagram import (
     ALIVE,
     GONE,
@@ -142,7 +142,7 @@
     gossip = GossipFleet(names, seed=15)
     for name in names:
         made = gossip.start(name, boot_epoch=1 << 40)
-        made.register.set({f"{number:02d}" + "k" * 62: (1 << 61) + number for number in range(20)})
+        made.counters.update({f"{number:02d}" + "k" * 62: (1 << 61) + number for number in range(20)})
     seen = {f"{number:02d}" + "s" * 62: (5 - number % 3, 1 << 60) for number in range(20)}
 
     def look():
@@ -406,53 +406,53 @@
     st.randoms(use_true_random=False),
 )
 def test_nothing_is_counted_twice_whatever_comes_late_or_again(moves, random):
-    here, there, boot_epoch, under_way = Register(), Register(), 1, []
-    here.listed({"g1"})
+    here, there, boot_epoch, under_way = CounterRegistry(), CounterRegistry(), 1, []
+    here.set_peers({"g1"})
     for move, key, value in moves:
         if move == "set":
-            there.set({f"k{key}": value})
+            there.update({f"k{key}": value})
         elif move == "restart":
-            there, boot_epoch = Register(), boot_epoch + 1
+            there, boot_epoch = CounterRegistry(), boot_epoch + 1
         else:
-            under_way.append((boot_epoch, there.some(4)))
+            under_way.append((boot_epoch, there.next_to_send(4)))
             told = random.choice(under_way)  # any of those sent so far, also again
-            here.heard(0, "g1", told[0], told[1])
-    under_way.append((boot_epoch, there.some(MAX_KEYS)))
+            here.receive(0, "g1", told[0], told[1])
+    under_way.append((boot_epoch, there.next_to_send(MAX_KEYS)))
     random.shuffle(under_way)
     for told in under_way * 2:
-        here.heard(0, "g1", told[0], told[1])
+        here.receive(0, "g1", told[0], told[1])
     for number in range(6):
         assert here.total(0, f"k{number}").value == there.total(0, f"k{number}").value
 
 
 def test_a_sum_says_who_is_missing_and_how_old_it_is():
-    register = Register()
-    register.listed({"g1", "g2", "g3"})
-    register.set({"out": 5})
-    register.heard(10, "g1", 1, [CounterValue("out", 1, 7)])
-    register.heard(20, "g2", 1, [CounterValue("out", 1, 1)])
-    register.heard(20, "g9", 1, [CounterValue("out", 1, 100)])
-    total = register.total(30, "out")
-    assert (total.value, total.parts, total.missing, total.oldest) == (13, 3, 1, 20)
-    later = register.total(15 + FRESH, "out")
+    registry = CounterRegistry()
+    registry.set_peers({"g1", "g2", "g3"})
+    registry.update({"out": 5})
+    registry.receive(10, "g1", 1, [CounterValue("out", 1, 7)])
+    registry.receive(20, "g2", 1, [CounterValue("out", 1, 1)])
+    registry.receive(20, "g9", 1, [CounterValue("out", 1, 100)])
+    total = registry.total(30, "out")
+    assert (total.value, total.contributors, total.missing, total.oldest) == (13, 3, 1, 20)
+    later = registry.total(15 + FRESH, "out")
     assert (later.value, later.missing) == (6, 2)  # g1 was not heard for too long
-    register.listed({"g2"})
-    assert register.total(30, "out").value == 6
+    registry.set_peers({"g2"})
+    assert registry.total(30, "out").value == 6
 
 
 def test_figures_are_bounded():
-    register = Register()
-    register.set({f"k{number}": number for number in range(MAX_KEYS + 10)})
-    assert register.not_kept == 10 and len(register.keys()) == MAX_KEYS
-    register.listed({"g1"})
-    register.heard(0, "g1", 1, [CounterValue(f"x{number}", 1, 1) for number in range(MAX_KEYS + 7)])
-    assert register.not_kept == 17
+    registry = CounterRegistry()
+    registry.update({f"k{number}": number for number in range(MAX_KEYS + 10)})
+    assert registry.dropped == 10 and len(registry.keys()) == MAX_KEYS
+    registry.set_peers({"g1"})
+    registry.receive(0, "g1", 1, [CounterValue(f"x{number}", 1, 1) for number in range(MAX_KEYS + 7)])
+    assert registry.dropped == 17
 
 
 def test_counts_reach_the_whole_fleet_and_a_refutation_loses_none():
     gossip = fleet(seed=12)
     for number, name in enumerate(NAMES):
-        gossip.nodes[name].register.set({"out:a-1": number + 1, "asked:lookup": 10})
+        gossip.nodes[name].counters.update({"out:a-1": number + 1, "asked:lookup": 10})
     gossip.run(gossip.now + 30 * SECOND)
     gossip.nodes["g0"].detector.told(
         gossip.now, "g1", [MembershipUpdate("g0", SUSPECT, gossip.nodes["g0"].detector.incarnation, "g1")]
--- a/yardbank/cluster/peers/counters.py
+++ b/yardbank/cluster/peers/counters.py
@@ -1,8 +1,12 @@
-"""Counts that gateways tell each other, summed over those heard lately. No I/O: time (ns) is passed in.
+"""Counters that gateways gossip, totalled over those heard lately. No I/O: time (ns) is an argument.
 
-Every figure belongs to the one gateway that tells it, and only the newest telling of it counts: a newer life
-replaces an older one whole, and within one the version decides. So a restart, a duplicate or a datagram that comes late
-cannot count anything twice, and nobody tells another's figures.
+Owns this gateway's counters and the last known ones of its peers.
+
+Invariants: a counter belongs to the one gateway that sends it, and only its newest value counts: a higher boot epoch
+replaces all values of the one before, and within one the version decides. So a restart, a duplicate or a late datagram
+cannot count anything twice, and nobody can send another's counters.
+
+Bound: ``MAX_KEYS`` counters of each gateway.
 """
 
 from __future__ import annotations
@@ -12,90 +16,115 @@
 
 from yardbank.cluster.peers.datagram import MAX_NAME, CounterValue
 
-MAX_KEYS = 512  # of one gateway; more are not told, and not taken
-FRESH = 15_000_000_000  # so old (ns), a gateway's figures no longer count
+MAX_KEYS = 512  # of one gateway; more are neither sent nor stored
+FRESH = 15_000_000_000  # ns since its last datagram that a gateway's counters are part of a total
+
+
+@dataclass(slots=True, frozen=True)
+class _VersionedValue:
+    version: int
+    value: int
+
+
+_ABSENT = _VersionedValue(0, 0)
 
 
 @dataclass(slots=True)
-class _Told:
+class _PeerCounters:
     boot_epoch: int
     heard_at: int
-    values: dict[str, tuple[int, int]] = field(default_factory=dict)  # by key: version, value
+    values: dict[str, _VersionedValue] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Sum:
-    """One figure over the fleet."""
+class CounterTotal:
+    """One counter over the fleet.
+
+    ``contributors``: gateways that are part of it, this one too; ``missing``: gateways of the list that are not;
+    ``oldest``: age of the oldest contribution, ns.
+    """
 
     value: int
-    parts: int  # gateways in it, this one too
-    missing: int  # gateways of the list that are not
-    oldest: int  # age of the oldest part, ns
+    contributors: int
+    missing: int
+    oldest: int
 
 
-class Register:
-    """One gateway's own figures, and what it has heard of the others'."""
+class CounterRegistry:
+    """This gateway's counters, and what it has received of the others'.
+
+    ``dropped`` counts values beyond a bound.
+    """
 
     def __init__(self) -> None:
-        self._own: dict[str, tuple[int, int]] = {}
-        self._told: dict[str, _Told] = {}
-        self._turn: list[str] = []
+        self.dropped = 0
+        self._own: dict[str, _VersionedValue] = {}
+        self._of_peers: dict[str, _PeerCounters] = {}
+        self._not_sent_yet: list[str] = []  # keys left of the present round over all counters
         self._version = 0
         self._peers: set[str] = set()
-        self.not_kept = 0
 
-    def listed(self, names: set[str]) -> None:
-        """The peers; what others told is forgotten."""
+    def set_peers(self, names: set[str]) -> None:
+        """The gateways of the list but this one; counters of all others are forgotten."""
         self._peers = set(names)
-        self._told = {name: told for name, told in self._told.items() if name in names}
-
-    def set(self, figures: Mapping[str, int]) -> None:
-        """This gateway's figures as they are now. One that is no longer there is told as 0 from now on."""
-        for key in [*self._own, *figures]:
-            value = figures.get(key, 0)
-            known = self._own.get(key)
-            if known is None and (len(self._own) >= MAX_KEYS or len(key.encode()) > MAX_NAME):
-                self.not_kept += 1
-            elif known is None or known[1] != value:
-                self._version += 1
-                self._own[key] = self._version, value
-
-    def some(self, most: int) -> list[CounterValue]:
-        """What to tell next: what changed last first, then all by turns."""
-        newest = sorted(self._own, key=lambda key: -self._own[key][0])[: most // 2]
-        names = list(newest)
-        while len(names) < min(most, len(self._own)):
-            if not self._turn:
-                self._turn = sorted(self._own)
-            key = self._turn.pop()
-            if key in self._own and key not in names:
-                names.append(key)
-            elif not self._turn and len(names) >= len(self._own):
-                break
-        return [CounterValue(key, *self._own[key]) for key in names]
-
-    def heard(self, now: int, sender: str, boot_epoch: int, counts: Iterable[CounterValue]) -> None:
-        """A peer's own figures."""
-        told = self._told.get(sender)
-        if sender not in self._peers or (told is not None and boot_epoch < told.boot_epoch):
+        self._of_peers = {name: counters for name, counters in self._of_peers.items() if name in names}
+
+    def update(self, values: Mapping[str, int]) -> None:
+        """This gateway's counters as they are now. One that is not among them any more is sent as 0 from now on."""
+        for key in [*self._own, *values]:
+            self._update_one(key, values.get(key, 0))
+
+    def _update_one(self, key: str, value: int) -> None:
+        known = self._own.get(key)
+        if known is None and (len(self._own) >= MAX_KEYS or len(key.encode()) > MAX_NAME):
+            self.dropped += 1
+            return
+        if known is not None and known.value == value:
             return
-        if told is None or boot_epoch > told.boot_epoch:
-            told = self._told[sender] = _Told(boot_epoch, now)
-        told.heard_at = now
-        for one in counts:
-            known = told.values.get(one.key)
-            if known is None and len(told.values) >= MAX_KEYS:
-                self.not_kept += 1
-            elif known is None or one.version > known[0]:
-                told.values[one.key] = one.version, one.value
-
-    def total(self, now: int, key: str) -> Sum:
-        """One figure summed over this gateway and those heard lately."""
-        parts = [told for told in self._told.values() if now - told.heard_at <= FRESH]
-        value = self._own.get(key, (0, 0))[1] + sum(told.values.get(key, (0, 0))[1] for told in parts)
-        oldest = max((now - told.heard_at for told in parts), default=0)
-        return Sum(value, 1 + len(parts), len(self._peers) - len(parts), oldest)
+        self._version += 1
+        self._own[key] = _VersionedValue(self._version, value)
+
+    def next_to_send(self, limit: int) -> list[CounterValue]:
+        """Counters to send next: half of them those changed last, then all in turn."""
+        by_change = sorted(self._own, key=lambda key: -self._own[key].version)
+        keys = by_change[: limit // 2]
+        while len(keys) < min(limit, len(self._own)):
+            if not self._not_sent_yet:
+                self._not_sent_yet = sorted(self._own)
+            key = self._not_sent_yet.pop()
+            if key in self._own and key not in keys:
+                keys.append(key)
+        return [CounterValue(key, self._own[key].version, self._own[key].value) for key in keys]
+
+    def receive(self, now: int, sender: str, boot_epoch: int, values: Iterable[CounterValue]) -> None:
+        """A peer's own counters; those of an earlier start than the last known one are ignored."""
+        if sender not in self._peers:
+            return
+        known = self._of_peers.get(sender)
+        if known is not None and boot_epoch < known.boot_epoch:
+            return
+        if known is None or boot_epoch > known.boot_epoch:
+            known = self._of_peers[sender] = _PeerCounters(boot_epoch, now)
+        known.heard_at = now
+        for counter in values:
+            self._receive_one(known.values, counter)
+
+    def _receive_one(self, values: dict[str, _VersionedValue], counter: CounterValue) -> None:
+        known = values.get(counter.key)
+        if known is None and len(values) >= MAX_KEYS:
+            self.dropped += 1
+            return
+        if known is None or counter.version > known.version:
+            values[counter.key] = _VersionedValue(counter.version, counter.value)
+
+    def total(self, now: int, key: str) -> CounterTotal:
+        """One counter summed over this gateway and the peers heard lately."""
+        fresh = [counters for counters in self._of_peers.values() if now - counters.heard_at <= FRESH]
+        value = self._own.get(key, _ABSENT).value
+        value += sum(counters.values.get(key, _ABSENT).value for counters in fresh)
+        oldest = max((now - counters.heard_at for counters in fresh), default=0)
+        return CounterTotal(value, 1 + len(fresh), len(self._peers) - len(fresh), oldest)
 
     def keys(self) -> list[str]:
-        """Every figure's name that is known here."""
-        return sorted(set(self._own).union(*(told.values for told in self._told.values())))
+        """The names of all counters known here, in order."""
+        return sorted(set(self._own).union(*(counters.values for counters in self._of_peers.values())))
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -1,6 +1,6 @@
 """One gateway's whole part among its peers: octets and time in, octets for peers out. No I/O.
 
-Puts together who is there (``detector``), what is counted (``register``) and what crosses (``datagram``). Whatever
+Puts together who is there (``detector``), what is counted (``counters``) and what crosses (``datagram``). Whatever
 comes in is taken whole or dropped by a reason that is counted. What goes out keeps to a rate: beyond it first the news
 that ride along are left out, then probes made for others; one's own probes are few by themselves.
 """
@@ -17,7 +17,7 @@
 from yardbank.cluster.peers import batch as parcel
 from yardbank.cluster.peers import datagram as wire
 from yardbank.cluster.peers.batch import Item, Parcel
-from yardbank.cluster.peers.counters import Register, Sum
+from yardbank.cluster.peers.counters import CounterRegistry, CounterTotal
 from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, MembershipUpdate, Replays
 from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, Out, Pace
 from yardbank.cluster.peers.outbox import Post, Rate
@@ -77,7 +77,7 @@
     ) -> None:
         self.name, self.fleet, self.keys = name, fleet, list(keys)
         self.detector = Detector(name, boot_epoch, random, pace)
-        self.register = Register()
+        self.counters = CounterRegistry()
         self.report_store = ReportStore(name, boot_epoch)
         self.dropped: Counter[str] = Counter()
         self.withheld = 0  # datagrams not sent, to keep the rate
@@ -106,7 +106,7 @@
         longest = max(known | {self.name}, key=len)
         self._largest = wire.size_of(MembershipUpdate(longest, ALIVE, wire.MAX_INCARNATION, longest))
         self.detector.listed(now, known)
-        self.register.listed(known)
+        self.counters.set_peers(known)
         self.report_store.set_peers(known)
         self._replays.keep(known)
         for part in self.post.parts.values():
@@ -131,7 +131,7 @@
                 told(now, found.sender, now - ping[1])
         self.detector.received(now, found.sender, found.incarnation, found.kind, found.number, found.target)
         self.detector.told(now, found.sender, found.news)
-        self.register.heard(now, found.sender, found.boot_epoch, found.counts)
+        self.counters.receive(now, found.sender, found.boot_epoch, found.counts)
         self.report_store.boot_epoch = self.detector.boot_epoch
         self.report_store.receive(now, found.words)
         return self._flush(now)
@@ -187,7 +187,7 @@
             return b""
         full = order.kind in (PING, ACK) and left > FILL
         words = self.report_store.next_to_send(now, MOST_WORDS) if full else []
-        counts = self.register.some(FEW // 2 if words else FEW) if full else []
+        counts = self.counters.next_to_send(FEW // 2 if words else FEW) if full else []
         room = FILL - sum(wire.size_of(one) for one in (*counts, *words))
         news = self.detector.news_for(order.to, max(1, room // self._largest)) if full else []
         self._sequences[order.to] += 1
@@ -229,6 +229,6 @@
             for peer in self.detector.peers.values()
         ]
 
-    def totals(self, now: int) -> dict[str, Sum]:
+    def totals(self, now: int) -> dict[str, CounterTotal]:
         """Every count summed over those heard lately."""
-        return {key: self.register.total(now, key) for key in self.register.keys()}  # noqa: SIM118 - no mapping
+        return {key: self.counters.total(now, key) for key in self.counters.keys()}  # noqa: SIM118 - no mapping
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -153,7 +153,7 @@
 
     def _tick(self) -> None:
         now = self._now()
-        self.node.register.set(self._sharing.figures())
+        self.node.counters.update(self._sharing.figures())
         self._judge(now)
         self._send(self.node.tick(now))
         for told in self.after:
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -42,7 +42,12 @@
             for server in reports.servers()
         },
         "totals": {
-            key: {"value": total.value, "parts": total.parts, "missing": total.missing, "oldest_ms": total.oldest // MS}
+            key: {
+                "value": total.value,
+                "parts": total.contributors,
+                "missing": total.missing,
+                "oldest_ms": total.oldest // MS,
+            }
             for key, total in node.totals(now).items()
         },
         "parts": {topic: part.view(now) for topic, part in node.post.parts.items()},
