--- a/benchmarks/atlas.py
+++ b/benchmarks/atlas.py
@@ -95,7 +95,7 @@
 
 def sent(fleet: Fleet) -> dict[str, int]:
     """Octets of letters that each gateway has sent."""
-    return {name: node.post.octets for name, node in fleet.gossip.nodes.items()}
+    return {name: node.outbox.octets for name, node in fleet.gossip.nodes.items()}
 
 
 def both(values: list[float], by: float = 1, unit: str = "") -> str:
--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -136,12 +136,12 @@
     up = found.run_until(found.all_owned, 60 * SECOND)
     found.run(20 * SECOND)
     gossip = found.gossip.nodes.values()
-    before, feeds = sum(found.gossip.octets.values()), [node.post.octets for node in gossip]
+    before, feeds = sum(found.gossip.octets.values()), [node.outbox.octets for node in gossip]
     held = [0] * 3
     span = 10 * SECOND
     found.run(span)
-    rates = sorted((node.post.octets - was) / 10 for node, was in zip(gossip, feeds, strict=True))
-    held[0] = sum(node.post.withheld for node in gossip)
+    rates = sorted((node.outbox.octets - was) / 10 for node, was in zip(gossip, feeds, strict=True))
+    held[0] = sum(node.outbox.withheld for node in gossip)
     loads = sorted(found.loads().values())
     return [
         str(size),
--- a/tests/cluster/latency_map/test_fleet.py
+++ b/tests/cluster/latency_map/test_fleet.py
@@ -40,7 +40,7 @@
     fleet = Fleet(spread_over(gateways, trips), trips)
     fleet.run(seconds)
     assert not wrong(fleet)
-    assert max(node.post.octets for node in fleet.gossip.nodes.values()) / seconds < 200
+    assert max(node.outbox.octets for node in fleet.gossip.nodes.values()) / seconds < 200
     assert not any(node.dropped for node in fleet.gossip.nodes.values())
 
 
@@ -52,7 +52,7 @@
     assert lacking == 0 and middle(own)[1] <= OFF
     others, lacking = fleet.errors(own=False)
     assert lacking <= 0.02 * len(others) and middle(others)[0] <= OFF and middle(others)[1] <= 0.5
-    assert max(node.post.octets for node in fleet.gossip.nodes.values()) / 90 < 400
+    assert max(node.outbox.octets for node in fleet.gossip.nodes.values()) / 90 < 400
 
 
 def test_a_way_that_changed_for_good_is_taken_up_in_time_up_and_down():
--- a/tests/cluster/lease/test_fleet.py
+++ b/tests/cluster/lease/test_fleet.py
@@ -46,7 +46,7 @@
         return [LeasePart(node.membership_view, self.terms, random, keep)]
 
     def part(self, name):
-        return self.nodes[name].post.parts["lease"]
+        return self.nodes[name].outbox.parts["lease"]
 
     def do(self, name, what, *args):
         if name in self.paused or name not in self.nodes:
@@ -204,11 +204,11 @@
     resources = [f"channel/{number}" for number in range(200)]
     wanted(fleet, resources, lambda number: [fleet.names[number], fleet.names[(number + 1) % 200]])
     assert fleet.run_until(lambda: not fleet.unheld(resources), 2 * long_lease(TERMS)) is not None
-    start = [node.post.octets for node in fleet.nodes.values()]
+    start = [node.outbox.octets for node in fleet.nodes.values()]
     assert max(start) < 24 * 1024
     fleet.run(fleet.now + 6 * SECOND)
-    steady = (sum(node.post.octets for node in fleet.nodes.values()) - sum(start)) / 200 / 6
-    assert steady < 1024 and all(node.post.withheld == 0 for node in fleet.nodes.values())
+    steady = (sum(node.outbox.octets for node in fleet.nodes.values()) - sum(start)) / 200 / 6
+    assert steady < 1024 and all(node.outbox.withheld == 0 for node in fleet.nodes.values())
     lost = [name for name in fleet.names if fleet.zones[name] == "z1"]
     for name in lost:
         fleet.kill(name)
--- a/tests/cluster/peers/test_batches.py
+++ b/tests/cluster/peers/test_batches.py
@@ -8,9 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yardbank.cluster.peers import batch as parcel
-from yardbank.cluster.peers import datagram
-from yardbank.cluster.peers.batch import Item, Parcel
+from yardbank.cluster.peers import batch, datagram
+from yardbank.cluster.peers.batch import Batch, BatchEntry
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.file_store import FileStore
 from yardbank.cluster.peers.node import GossipNode
@@ -55,28 +54,28 @@
 
 @given(st.lists(st.binary(max_size=1300), max_size=60))
 def test_letters_keep_their_order_and_fit_their_datagrams(bodies):
-    room = parcel.room("porting", "g1")
-    packed = parcel.packed([Item("echo", body) for body in bodies], room)
-    fitting = [body for body in bodies if parcel.size_of(Item("echo", body)) <= room]
+    capacity = batch.entry_capacity("porting", "g1")
+    packed = batch.pack([BatchEntry("echo", body) for body in bodies], capacity)
+    fitting = [body for body in bodies if batch.size_of(BatchEntry("echo", body)) <= capacity]
     assert [item.body for items in packed for item in items] == fitting
     for items in packed:
-        data = parcel.encode(Parcel("porting", "g1", 7, 8, tuple(items)), [KEY])
-        assert len(data) <= datagram.MAX_OCTETS and parcel.decode(data, [KEY], "porting").items == tuple(items)
+        data = batch.encode(Batch("porting", "g1", 7, 8, tuple(items)), [KEY])
+        assert len(data) <= datagram.MAX_OCTETS and batch.decode(data, [KEY], "porting").entries == tuple(items)
 
 
 def test_a_parcel_spoilt_in_any_octet_is_dropped_whole():
-    data = parcel.encode(Parcel("porting", "g1", 7, 8, (Item("echo", b"x"),)), [KEY])
+    data = batch.encode(Batch("porting", "g1", 7, 8, (BatchEntry("echo", b"x"),)), [KEY])
     for at in range(len(data)):
         with pytest.raises(DroppedError):
-            parcel.decode(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :], [KEY], "porting")
+            batch.decode(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :], [KEY], "porting")
     with pytest.raises(DroppedError, match="version"):  # as a program from before parcels takes it
         datagram.decode(data, [KEY], "porting")
 
 
 def test_a_later_program_s_fields_are_ignored():
-    more = parcel.msgspec.msgpack.encode(["porting", "g1", 7, 8, [["echo", b"x", "new"]], "new too"])
-    found = parcel.decode(datagram.seal(parcel.VERSION, more, [KEY]), [KEY], "porting")
-    assert found.items == (Item("echo", b"x"),)
+    more = batch.msgspec.msgpack.encode(["porting", "g1", 7, 8, [["echo", b"x", "new"]], "new too"])
+    found = batch.decode(datagram.seal(batch.VERSION, more, [KEY]), [KEY], "porting")
+    assert found.entries == (BatchEntry("echo", b"x"),)
 
 
 def test_letters_cross_and_odd_ones_or_topics_nobody_has_are_counted():
@@ -89,7 +88,7 @@
     fleet.run(SECOND)
     assert made["b"].heard == [("a", b"ask")] and made["a"].heard == [("b", b"answer")]
     assert fleet.nodes["b"].dropped == Counter({"echo shape": 1})
-    del fleet.nodes["b"].post.parts["echo"]
+    del fleet.nodes["b"].outbox.parts["echo"]
     made["a"].out = [Message("b", b"ask")]
     fleet.prompt("a")
     fleet.run(2 * SECOND)
@@ -103,9 +102,9 @@
     assert echo.lists == 1
     echo.out = [Message("b", bytes(1000)) for _ in range(40)] + [Message("b", b"now", urgent=True)]
     sent = [data for _, data in node.flush(SECOND)]
-    first = parcel.decode(sent[0], [KEY], "porting")
-    assert first.items == (Item("echo", b"now"),)
-    assert sum(map(len, sent)) <= 20 * 1024 + 2400 and node.post.withheld > 15  # the share of those not urgent too
+    first = batch.decode(sent[0], [KEY], "porting")
+    assert first.entries == (BatchEntry("echo", b"now"),)
+    assert sum(map(len, sent)) <= 20 * 1024 + 2400 and node.outbox.withheld > 15  # the share of those not urgent too
     echo.out = [Message("b", bytes(1000)), Message("b", b"now", urgent=True)]
     assert len(node.flush(SECOND)) == 1
 
--- a/tests/cluster/rollout/test_false_records.py
+++ b/tests/cluster/rollout/test_false_records.py
@@ -105,11 +105,11 @@
     """48 gateways: figures of the compared, everybody's place, at a bounded rate for each."""
     world = begun(48, 3, asked=change(most_at_once=4, hold=300 * SECOND))
     world.run(60)
-    before = {name: node.post.octets for name, node in world.gossip.nodes.items()}
+    before = {name: node.outbox.octets for name, node in world.gossip.nodes.items()}
     world.run(30)
     alive = [name for name in before if name in world.gossip.nodes]
-    rates = [(world.gossip.nodes[name].post.octets - before[name]) / 30 for name in alive]
-    assert max(rates) < 1200 and not any(world.gossip.nodes[name].post.withheld for name in alive)
+    rates = [(world.gossip.nodes[name].outbox.octets - before[name]) / 30 for name in alive]
+    assert max(rates) < 1200 and not any(world.gossip.nodes[name].outbox.withheld for name in alive)
     ripe = [name for name in alive if world.gossip.now - world.processes[name].began_at > 30 * SECOND]
     newest = max(world.processes[name].part._teller.beat for name in ripe)
     trial = world.processes[ripe[0]].part._progress.trial
--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -40,7 +40,7 @@
 
 
 def parts(proxy):
-    return proxy._peers.node.post.parts
+    return proxy._peers.node.outbox.parts
 
 
 def test_the_example_s_blocks_are_whole_settings_with_and_without_their_bars(tmp_path):
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -3,9 +3,9 @@
 from unittest.mock import Mock
 
 from tests.golden.cases import each, load
-from yardbank.cluster.peers.batch import Item, Parcel
-from yardbank.cluster.peers.batch import decode as decode_parcel
-from yardbank.cluster.peers.batch import encode as encode_parcel
+from yardbank.cluster.peers.batch import Batch, BatchEntry
+from yardbank.cluster.peers.batch import decode as decode_batch
+from yardbank.cluster.peers.batch import encode as encode_batch
 from yardbank.cluster.peers.datagram import (
     ACK,
     ALIVE,
@@ -55,9 +55,9 @@
     )
 
 
-def parcel(fleet, sender, boot_epoch, sequence, letters):
-    items = tuple(Item(topic=topic, body=bytes.fromhex(body)) for topic, body in letters)
-    return Parcel(fleet=fleet, sender=sender, boot_epoch=boot_epoch, sequence=sequence, items=items)
+def batch(fleet, sender, boot_epoch, sequence, letters):
+    entries = tuple(BatchEntry(topic=topic, body=bytes.fromhex(body)) for topic, body in letters)
+    return Batch(fleet=fleet, sender=sender, boot_epoch=boot_epoch, sequence=sequence, entries=entries)
 
 
 @each("peers", "datagrams")
@@ -68,8 +68,8 @@
 
 @each("peers", "parcels")
 def test_a_datagram_of_version_2_keeps_its_octets(octets, meaning):
-    assert decode_parcel(octets, KEYS, DATA["fleet"]) == parcel(*meaning)
-    assert encode_parcel(parcel(*meaning), KEYS) == octets
+    assert decode_batch(octets, KEYS, DATA["fleet"]) == batch(*meaning)
+    assert encode_batch(batch(*meaning), KEYS) == octets
 
 
 def test_numbers_and_kinds_stay_the_same():
--- a/tests/testing/rig/test_cluster_claims.py
+++ b/tests/testing/rig/test_cluster_claims.py
@@ -4,7 +4,7 @@
 import pytest
 
 from tests.testing.rig.test_scenarios import scenario, step
-from yardbank.cluster.peers.batch import Item, Parcel, encode
+from yardbank.cluster.peers.batch import Batch, BatchEntry, encode
 from yardbank.config.checked import ConfigError
 from yardbank.config.load import load_text
 from yardbank.testing.audit import changes, feeds
@@ -169,8 +169,8 @@
 
 
 def datagram(sender, *bodies):
-    letters = tuple(Item("feed", msgspec.msgpack.encode(body)) for body in bodies)
-    return encode(Parcel("rig", sender, 7, 1, letters), [b"k" * 32])
+    letters = tuple(BatchEntry("feed", msgspec.msgpack.encode(body)) for body in bodies)
+    return encode(Batch("rig", sender, 7, 1, letters), [b"k" * 32])
 
 
 def test_letters_are_read_off_the_way_and_say_who_owns():
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -14,13 +14,13 @@
 
 import xxhash
 
-from yardbank.cluster.peers import batch as parcel
+from yardbank.cluster.peers import batch as batches
 from yardbank.cluster.peers import datagram as wire
-from yardbank.cluster.peers.batch import Item, Parcel
+from yardbank.cluster.peers.batch import Batch, BatchEntry
 from yardbank.cluster.peers.counters import CounterRegistry, CounterTotal
 from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, MembershipUpdate, Replays
 from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, Out, Pace
-from yardbank.cluster.peers.outbox import Post, Rate
+from yardbank.cluster.peers.outbox import Outbox, Rate
 from yardbank.cluster.peers.parts import Part
 from yardbank.cluster.peers.report_store import ReportStore
 
@@ -89,13 +89,13 @@
         self.zones: Mapping[str, str] = {name: ""}
         self.list_hash = 0
         self.membership_view = _Sight(self)
-        self.post = Post(fleet, name)
+        self.outbox = Outbox(fleet, name)
         self.on_round_trip: list[Callable[[int, str, int], None]] = []  # told of each: now, to whom, how long (ns)
         self._pings: OrderedDict[int, tuple[str, int]] = OrderedDict()  # by number: to whom, when
 
     def add(self, part: Part) -> None:
         """A part of this gateway; before the first list."""
-        self.post.add(part)
+        self.outbox.add(part)
 
     def listed(self, now: int, names: Iterable[str], zones: Mapping[str, str] | None = None) -> None:
         """The gateways of the fleet, as the settings or the list say, and their zones where it names them."""
@@ -109,13 +109,13 @@
         self.counters.set_peers(known)
         self.report_store.set_peers(known)
         self._replays.keep(known)
-        for part in self.post.parts.values():
+        for part in self.outbox.parts.values():
             part.listed(now)
 
     def receive(self, now: int, data: bytes) -> list[tuple[str, bytes]]:
         """A datagram came, from wherever: what to send to whom."""
-        if wire.version_of(data) == parcel.VERSION:
-            self._take_parcel(now, data)
+        if wire.version_of(data) == batches.VERSION:
+            self._receive_batch(now, data)
             return self._flush(now)
         try:
             found = wire.decode(data, self.keys, self.fleet)
@@ -136,22 +136,22 @@
         self.report_store.receive(now, found.words)
         return self._flush(now)
 
-    def _take_parcel(self, now: int, data: bytes) -> None:
-        """Letters for the parts; each is taken or dropped by itself."""
+    def _receive_batch(self, now: int, data: bytes) -> None:
+        """Messages for the parts; each is received or dropped by itself."""
         try:
-            found = parcel.decode(data, self.keys, self.fleet)
+            found = batches.decode(data, self.keys, self.fleet)
             if found.sender == self.name or found.sender not in self.detector.peers:
                 raise DroppedError("stranger")
             self._replays.take(found.sender, found.boot_epoch, found.sequence)
         except DroppedError as problem:
             self.dropped[problem.reason] += 1
             return
-        self.post.take(now, found, self.dropped)
+        self.outbox.receive(now, found, self.dropped)
 
     def tick(self, now: int) -> list[tuple[str, bytes]]:
         """What to send to whom by now."""
         self.detector.tick(now)
-        for part in self.post.parts.values():
+        for part in self.outbox.parts.values():
             part.tick(now)
         return self._flush(now)
 
@@ -161,7 +161,7 @@
 
     def next_at(self) -> int | None:
         """When ``tick`` is due; None: when peers are listed."""
-        return min((at for at in (self.detector.next_at(), self.post.next_at()) if at is not None), default=None)
+        return min((at for at in (self.detector.next_at(), self.outbox.next_at()) if at is not None), default=None)
 
     def changes(self) -> list[Change]:
         """What has changed since this was asked last."""
@@ -171,13 +171,14 @@
     def _flush(self, now: int) -> list[tuple[str, bytes]]:
         orders, self.detector.out = self.detector.out, []
         found = [(order.to, data) for order in orders if (data := self._datagram(now, order))]
-        return found + self.post.out(now, self.detector.peers, self._sealed)
+        return found + self.outbox.flush(now, self.detector.peers, self._sealed)
 
-    def _sealed(self, to: str, items: tuple[Item, ...]) -> bytes:
+    def _sealed(self, to: str, entries: tuple[BatchEntry, ...]) -> bytes:
         self._sequences[to] += 1
-        found = Parcel(self.fleet, self.name, self.detector.boot_epoch, self._sequences[to], items)
-        data = parcel.encode(found, self.keys)
-        self.sent, self.sent_octets = self.sent + 1, self.sent_octets + len(data)
+        batch = Batch(self.fleet, self.name, self.detector.boot_epoch, self._sequences[to], entries)
+        data = batches.encode(batch, self.keys)
+        self.sent += 1
+        self.sent_octets += len(data)
         return data
 
     def _datagram(self, now: int, order: Out) -> bytes:
--- a/yardbank/cluster/peers/outbox.py
+++ b/yardbank/cluster/peers/outbox.py
@@ -1,94 +1,130 @@
-"""Letters of a gateway's parts: who takes what comes in, and what goes out in which datagrams, at what rate. No I/O."""
+"""The parts of one gateway and their messages: who receives what comes in, and what goes out at what rate. No I/O.
+
+Owns the registered parts and the rates. Bound: per second ``RATE`` octets of all parts without a rate of their own, and
+``BURST`` at once; urgent messages may exceed it by ``URGENT_DEBT``, others by a quarter while urgent ones use it up.
+What exceeds the bound is withheld, that is, lost: parts repeat what matters.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Collection
+from dataclasses import dataclass
 
-from yardbank.cluster.peers import batch as parcel
-from yardbank.cluster.peers.batch import Item, Parcel
+from yardbank.cluster.peers.batch import Batch, BatchEntry, entry_capacity, pack
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import Part
 
 SECOND = 1_000_000_000
 RATE, BURST = 1200, 16 * 1024  # octets a second on average, and at once
-URGENT_DEBT = 64 * 1024  # octets beyond it that urgent letters may go
+URGENT_DEBT = 64 * 1024  # octets that urgent messages may go beyond the rate
 
 
 class Rate:
-    """Octets that may still be sent now."""
+    """A token bucket over octets: how many may still be sent now."""
 
     def __init__(self, rate: int, burst: int) -> None:
-        self._rate, self._burst = rate, burst
-        self._left, self._at = float(burst), 0
+        """``rate``: octets a second; ``burst``: octets at once."""
+        self._rate = rate
+        self._burst = burst
+        self._left = float(burst)
+        self._updated_at = 0
 
     def left(self, now: int) -> float:
-        """How many."""
-        self._left = min(self._burst, self._left + max(0, now - self._at) * self._rate / SECOND)
-        self._at = max(self._at, now)
+        """Octets that may be sent now (ns); below zero while a debt is paid off."""
+        elapsed = max(0, now - self._updated_at)
+        self._left = min(self._burst, self._left + elapsed * self._rate / SECOND)
+        self._updated_at = max(self._updated_at, now)
         return self._left
 
     def spend(self, octets: int) -> None:
-        """So many were sent; this may go below nothing, and what follows waits for it."""
+        """So many were sent. This may go below zero; what follows waits for it."""
         self._left -= octets
 
 
-class Post:
-    """All parts of one gateway, and their letters."""
+@dataclass(slots=True, frozen=True)
+class _Destination:
+    """What goes into the same batches: one recipient, one urgency, one rate. ``topic``: "" for the common rate."""
+
+    to: str
+    urgent: bool
+    topic: str
+
+
+class Outbox:
+    """All parts of one gateway, and their messages.
+
+    ``withheld`` counts messages not sent to keep the rate, ``octets`` those sent.
+    """
 
     def __init__(self, fleet: str, name: str, rate: int = RATE, burst: int = BURST) -> None:
         self.parts: dict[str, Part] = {}
-        self.withheld = 0  # letters not sent, to keep the rate
-        self.octets = 0  # sent
+        self.withheld = 0
+        self.octets = 0
         self._common = Rate(rate, burst)
-        self._spared = Rate(rate // 4, burst // 4)  # for letters that are not urgent, where urgent ones use up the rest
-        self._own: dict[str, Rate] = {}  # by topic, of those that have one of their own
-        self._room = parcel.room(fleet, name)
+        self._reserved = Rate(rate // 4, burst // 4)  # for messages not urgent, while urgent ones use up the rest
+        self._by_topic: dict[str, Rate] = {}  # of parts with a rate of their own
+        self._capacity = entry_capacity(fleet, name)
 
     def add(self, part: Part) -> None:
-        """One more part."""
+        """Register a part under its topic."""
         self.parts[part.topic] = part
         if part.rate is not None:
-            self._own[part.topic] = Rate(*part.rate)
+            self._by_topic[part.topic] = Rate(*part.rate)
 
-    def take(self, now: int, found: Parcel, dropped: Counter[str]) -> None:
-        """Letters that came; each is taken or dropped by itself, by a reason that is counted."""
-        for item in found.items:
-            if (part := self.parts.get(item.topic)) is None:
+    def receive(self, now: int, batch: Batch, dropped: Counter[str]) -> None:
+        """Hand each message to its part; one that cannot be used is counted in ``dropped`` by its reason."""
+        for entry in batch.entries:
+            part = self.parts.get(entry.topic)
+            if part is None:
                 dropped["topic"] += 1  # a part that this gateway does not have
                 continue
             try:
-                part.receive(now, found.sender, found.boot_epoch, item.body)
-            except DroppedError as problem:
-                dropped[f"{item.topic} {problem.reason}"] += 1
+                part.receive(now, batch.sender, batch.boot_epoch, entry.body)
+            except DroppedError as error:
+                dropped[f"{entry.topic} {error.reason}"] += 1
 
-    def out(
-        self, now: int, peers: Collection[str], sealer: Callable[[str, tuple[Item, ...]], bytes]
+    def flush(
+        self, now: int, peers: Collection[str], seal: Callable[[str, tuple[BatchEntry, ...]], bytes]
     ) -> list[tuple[str, bytes]]:
-        """Datagrams to send, to whom. Urgent letters go first; beyond the rate the others are left out.
+        """The datagrams to send, each with its recipient; urgent messages first.
 
-        ``sealer`` makes the datagram of some letters for a peer, with the sender's next sequence number there.
+        ``seal`` makes the datagram of some entries for a peer, with the sender's next sequence number there.
         """
-        by: dict[tuple[str, int, str], list[Item]] = {}  # to whom, urgent ones first, at whose rate
-        for topic, part in self.parts.items():
-            for letter in part.outgoing_messages():
-                if letter.to in peers:
-                    key = letter.to, int(not letter.urgent), topic if topic in self._own else ""
-                    by.setdefault(key, []).append(Item(topic, letter.body))
-        found = []
-        for (to, later, topic), items in sorted(by.items(), key=lambda one: one[0][1]):
-            rate = self._own.get(topic, self._common)
-            for packed in parcel.packed(items, self._room):
-                if rate.left(now) <= (0 if later else -URGENT_DEBT):
-                    if topic or not later or self._spared.left(now) <= 0:
-                        self.withheld += len(packed)
-                        continue
-                    rate = self._spared
-                data = sealer(to, tuple(packed))
+        waiting = self._collect(peers)
+        datagrams = []
+        for destination in sorted(waiting, key=lambda one: not one.urgent):
+            for entries in pack(waiting[destination], self._capacity):
+                rate = self._rate_for(now, destination)
+                if rate is None:
+                    self.withheld += len(entries)
+                    continue
+                data = seal(destination.to, tuple(entries))
                 rate.spend(len(data))
                 self.octets += len(data)
-                found.append((to, data))
-        return found
+                datagrams.append((destination.to, data))
+        return datagrams
+
+    def _collect(self, peers: Collection[str]) -> dict[_Destination, list[BatchEntry]]:
+        """Take the messages of all parts, those to gateways that are not listed left out."""
+        waiting: dict[_Destination, list[BatchEntry]] = {}
+        for topic, part in self.parts.items():
+            own_rate = topic if topic in self._by_topic else ""
+            for message in part.outgoing_messages():
+                if message.to in peers:
+                    destination = _Destination(message.to, message.urgent, own_rate)
+                    waiting.setdefault(destination, []).append(BatchEntry(topic, message.body))
+        return waiting
+
+    def _rate_for(self, now: int, destination: _Destination) -> Rate | None:
+        """The rate that the next batch is charged to; None: it has to be withheld."""
+        rate = self._by_topic.get(destination.topic, self._common)
+        lowest = -URGENT_DEBT if destination.urgent else 0
+        if rate.left(now) > lowest:
+            return rate
+        if destination.topic or destination.urgent:
+            return None
+        return self._reserved if self._reserved.left(now) > 0 else None
 
     def next_at(self) -> int | None:
         """When a part is due; None: not before something comes in."""
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -215,7 +215,7 @@
 
     def _tell_dropped(self) -> None:
         self._teller = self._reactor.callLater(TELL_DROPPED, self._tell_dropped)
-        withheld = {"withheld": self.node.withheld, "letters_withheld": self.node.post.withheld}
+        withheld = {"withheld": self.node.withheld, "letters_withheld": self.node.outbox.withheld}
         counts = self.node.dropped + Counter({**withheld, "not_sent": self._not_sent})
         if self.node.detector.overtaken != self._overtaken:
             self._overtaken = self.node.detector.overtaken
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -50,5 +50,5 @@
             }
             for key, total in node.totals(now).items()
         },
-        "parts": {topic: part.view(now) for topic, part in node.post.parts.items()},
+        "parts": {topic: part.view(now) for topic, part in node.outbox.parts.items()},
     }
--- a/yardbank/testing/rig/gossip.py
+++ b/yardbank/testing/rig/gossip.py
@@ -32,7 +32,7 @@
         zones: Mapping[str, str] | None = None,
         parts: Callable[[GossipNode, Random], Iterable[Part]] = lambda node, random: (),
     ) -> None:
-        """``parts`` makes the parts of a gateway that starts; what it made last is under ``nodes[name].post``."""
+        """``parts`` makes the parts of a gateway that starts; what it made last is under ``nodes[name].outbox``."""
         self.names, self.seed, self.pace, self.way = list(names), seed, pace, way
         self.zones, self._parts = dict(zones or {}), parts
         self.now = 0
