--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -16,7 +16,7 @@
     Datagram,
     DroppedError,
     MembershipUpdate,
-    Replays,
+    ReplayFilter,
     decode,
     encode,
     read_keys,
@@ -97,9 +97,9 @@
         ({"boot_epoch": 8}, "shape"),
         ({"incarnation": 2**60}, "shape"),
         ({"sequence": 0}, "shape"),
-        ({"news": (MembershipUpdate("g2", 4, 1, "g1"),)}, "shape"),
-        ({"news": (MembershipUpdate("g2", 1, 0, "g1"),)}, "shape"),
-        ({"counts": (CounterValue("x", 1, -1),)}, "shape"),
+        ({"updates": (MembershipUpdate("g2", 4, 1, "g1"),)}, "shape"),
+        ({"updates": (MembershipUpdate("g2", 1, 0, "g1"),)}, "shape"),
+        ({"counters": (CounterValue("x", 1, -1),)}, "shape"),
     ],
 )
 def test_what_is_signed_and_wrong_is_dropped_by_its_reason(change, reason):
@@ -130,7 +130,7 @@
                 1,
                 1,
                 wire.PING,
-                news=tuple(MembershipUpdate("x" * 20, 1, 1, "y" * 20) for _ in range(40)),
+                updates=tuple(MembershipUpdate("x" * 20, 1, 1, "y" * 20) for _ in range(40)),
             ),
             [KEY],
         )
@@ -171,10 +171,10 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 100)), max_size=80))
 def test_no_datagram_is_taken_twice(arrivals):
-    replays, taken, highest = Replays(), set(), 0
+    replays, taken, highest = ReplayFilter(), set(), 0
     for boot_epoch, sequence in arrivals:
         try:
-            replays.take("g1", boot_epoch, sequence)
+            replays.accept("g1", boot_epoch, sequence)
         except DroppedError:
             newest = max((s for w, s in taken if w == boot_epoch), default=0)
             assert (boot_epoch, sequence) in taken or boot_epoch < highest or newest - sequence >= wire.WINDOW
@@ -337,8 +337,8 @@
     """One that has the key accuses g2 in every datagram: g2 refutes each time, and is never gone for long."""
     gossip = fleet(seed=9)
     liar = gossip.nodes["g7"].detector
-    honest = liar.news_for
-    liar.news_for = lambda to, count: [
+    honest = liar.updates_for
+    liar.updates_for = lambda to, count: [
         MembershipUpdate("g2", GONE, liar.peers["g2"].incarnation, "g7"),
         *honest(to, count),
     ][:count]
@@ -355,19 +355,19 @@
 def test_an_accusation_far_above_ones_incarnation_is_not_believed():
     detector = Detector("g0", 10, Random(1))
     detector.listed(0, NAMES)
-    detector.told(1, "g1", [MembershipUpdate("g0", SUSPECT, 10 + LEAP + 1, "g1")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10 + LEAP + 1, "g1")])
     assert detector.incarnation == 10 and detector.boot_epoch == 10
-    detector.told(1, "g1", [MembershipUpdate("g0", SUSPECT, 10, "g1")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10, "g1")])
     assert detector.incarnation == 11 and detector.boot_epoch == 10  # refuted in the same life
-    detector.told(1, "g1", [MembershipUpdate("g0", ALIVE, 50, "g0")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", ALIVE, 50, "g0")])
     assert detector.incarnation == 51 and detector.boot_epoch == 51  # an earlier life was there
-    assert detector.overtaken == 1
+    assert detector.times_overtaken == 1
 
 
 def test_peers_come_from_the_list_alone():
     gossip = fleet(seed=10)
     node = gossip.nodes["g0"]
-    node.detector.told(gossip.now, "g1", [MembershipUpdate("g99", ALIVE, 1, "g1")])
+    node.detector.receive_updates(gossip.now, "g1", [MembershipUpdate("g99", ALIVE, 1, "g1")])
     assert "g99" not in node.detector.peers
     node.listed(gossip.now, NAMES[:4])
     assert {seen.name for seen in node.view(gossip.now)} == {"g1", "g2", "g3"}
@@ -454,7 +454,7 @@
     for number, name in enumerate(NAMES):
         gossip.nodes[name].counters.update({"out:a-1": number + 1, "asked:lookup": 10})
     gossip.run(gossip.now + 30 * SECOND)
-    gossip.nodes["g0"].detector.told(
+    gossip.nodes["g0"].detector.receive_updates(
         gossip.now, "g1", [MembershipUpdate("g0", SUSPECT, gossip.nodes["g0"].detector.incarnation, "g1")]
     )
     gossip.run(gossip.now + 10 * SECOND)
--- a/tests/cluster/peers/test_processes.py
+++ b/tests/cluster/peers/test_processes.py
@@ -11,7 +11,7 @@
 
 from tests.support.router_world import wait_for
 from yardbank.cli import main
-from yardbank.cluster.peers.peer_list import PeerList, Reject, Take, next_life, stored_life
+from yardbank.cluster.peers.peer_list import Accept, PeerList, Reject, next_boot_epoch, parse_stored_epoch
 from yardbank.testing.rig.gateway_folder import peers_text, settings_text
 from yardbank.testing.rig.scenario import SHAPE, check_text
 
@@ -219,7 +219,9 @@
 
 def test_a_list_is_taken_whole_or_not_at_all():
     watch, good = PeerList(patience=100), peers_text({"g1": 1, "g2": 2}).encode()
-    assert watch.seen(0, {"p": good}) == [Take({"g1": ("127.0.0.1", 1), "g2": ("127.0.0.1", 2)}, {"g1": "", "g2": ""})]
+    assert watch.seen(0, {"p": good}) == [
+        Accept({"g1": ("127.0.0.1", 1), "g2": ("127.0.0.1", 2)}, {"g1": "", "g2": ""})
+    ]
     assert watch.seen(10, {"p": good}) == [] and watch.due() is None
     cut = good[: good.rindex(b"peer")]
     assert watch.seen(20, {"p": cut}) == [] and watch.due() == 120  # it may still be being written
@@ -241,7 +243,11 @@
 
 
 def test_a_life_is_newer_than_the_last_whatever_the_clock_says():
-    assert next_life(None, 1000.7) == 1000 and next_life(5000, 1000.0) == 5001 and next_life(5, 1000.0) == 1000
-    assert next_life(None, -5.0) == 1
-    assert stored_life("1234\n") == 1234
-    assert [stored_life(text) for text in ("", "x", "-5", "0", "\u0663", "9" * 20)] == [None] * 6
+    assert (
+        next_boot_epoch(None, 1000.7) == 1000
+        and next_boot_epoch(5000, 1000.0) == 5001
+        and next_boot_epoch(5, 1000.0) == 1000
+    )
+    assert next_boot_epoch(None, -5.0) == 1
+    assert parse_stored_epoch("1234\n") == 1234
+    assert [parse_stored_epoch(text) for text in ("", "x", "-5", "0", "\u0663", "9" * 20)] == [None] * 6
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -31,13 +31,13 @@
 KEYS = read_keys(DATA["key_file"])
 
 
-def word(witness, boot_epoch, number, server, started, kind, age):
+def health_report(witness, boot_epoch, number, server, started, kind, age):
     return HealthReport(
         witness=witness, boot_epoch=boot_epoch, number=number, server=server, started=started, kind=kind, age=age
     )
 
 
-def datagram(fleet, sender, boot_epoch, incarnation, sequence, kind, number, target, news, counts, words):
+def datagram(fleet, sender, boot_epoch, incarnation, sequence, kind, number, target, updates, counters, reports):
     return Datagram(
         fleet=fleet,
         sender=sender,
@@ -47,11 +47,11 @@
         kind=kind,
         number=number,
         target=target,
-        news=tuple(
-            MembershipUpdate(name=one, state=two, incarnation=three, witness=four) for one, two, three, four in news
+        updates=tuple(
+            MembershipUpdate(name=one, state=two, incarnation=three, witness=four) for one, two, three, four in updates
         ),
-        counts=tuple(CounterValue(key=key, version=version, value=value) for key, version, value in counts),
-        words=tuple(word(*values) for values in words),
+        counters=tuple(CounterValue(key=key, version=version, value=value) for key, version, value in counters),
+        health_reports=tuple(health_report(*values) for values in reports),
     )
 
 
--- a/yardbank/cluster/peers/datagram.py
+++ b/yardbank/cluster/peers/datagram.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 from hashlib import blake2b
 from hmac import compare_digest
 
@@ -18,16 +19,18 @@
 MAX_INCARNATION = 1 << 53
 WINDOW = 64  # so far back datagrams may come in another order than they were sent
 LEAST_KEY = 16  # octets
-ALIVE, SUSPECT, GONE = 1, 2, 3  # as told of a peer
+ALIVE, SUSPECT, GONE = 1, 2, 3  # as an update says of a peer
 STATES = {ALIVE: "alive", SUSPECT: "suspect", GONE: "gone"}
 MAX_NAME = 64  # octets of any name or key
-MAX_KIND = 5  # of a word
+MAX_KIND = 5  # of a health report
+MAX_NUMBER = 1 << 62
+MAX_AGE = 1 << 31  # ms, of a health report
 PING, ACK, ASK, NACK = "ping", "ack", "ask", "nack"
 REASONS = ("size", "magic", "version", "digest", "shape", "fleet", "stranger", "old")
 
 
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What is said of one peer, and who first said so."""
+    """The state of one peer in one incarnation, and the gateway that first found it so (``witness``)."""
 
     name: str
     state: int
@@ -36,7 +39,7 @@
 
 
 class CounterValue(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One of the sender's own figures; ``version`` rises with each change in one incarnation."""
+    """One of the sender's own counters; ``version`` rises with each change within one boot epoch."""
 
     key: str
     version: int
@@ -44,7 +47,10 @@
 
 
 class HealthReport(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What a witness said of one start of a server, and how long ago (ms). ``number`` rises in the witness's life."""
+    """What a witness found of one start of a server, and how long ago (``age``, ms).
+
+    ``number`` rises with each report within the witness's boot epoch.
+    """
 
     witness: str
     boot_epoch: int
@@ -58,7 +64,7 @@
 class Datagram(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """One datagram. ``number`` names the probe it belongs to, ``target`` whom an ASK or its answer is about.
 
-    ``boot_epoch`` is the sender's since its start, ``incarnation`` rises within it with each accusation refuted.
+    ``boot_epoch`` names the sender's start; ``incarnation`` rises within it with each suspicion that it refutes.
     """
 
     fleet: str
@@ -69,9 +75,9 @@
     kind: str
     number: int = 0
     target: str = ""
-    news: tuple[MembershipUpdate, ...] = ()
-    counts: tuple[CounterValue, ...] = ()
-    words: tuple[HealthReport, ...] = ()
+    updates: tuple[MembershipUpdate, ...] = ()
+    counters: tuple[CounterValue, ...] = ()
+    health_reports: tuple[HealthReport, ...] = ()
 
 
 class DroppedError(Exception):
@@ -147,56 +153,95 @@
 
 
 def decode(data: bytes, keys: Sequence[bytes], fleet: str) -> Datagram:
-    """A datagram that was sent by one who has a key. Raises ``DroppedError``."""
+    """A datagram sealed by a gateway of this fleet that has a key. Raises ``DroppedError``."""
     body = open_sealed(data, VERSION, keys)
     try:
-        found = _decoder.decode(body)
-    except msgspec.DecodeError:
-        raise DroppedError("shape") from None
-    if found.fleet != fleet:
+        datagram = _decoder.decode(body)
+    except msgspec.DecodeError as error:
+        raise DroppedError("shape") from error
+    if datagram.fleet != fleet:
         raise DroppedError("fleet")
-    numbers = [found.boot_epoch, found.incarnation, *(news.incarnation for news in found.news)]
-    sound = all(0 < number <= MAX_INCARNATION for number in numbers) and 0 < found.sequence < 1 << 62
-    sound = sound and found.boot_epoch <= found.incarnation
-    sound = sound and found.kind in (PING, ACK, ASK, NACK) and 0 <= found.number < 1 << 62
-    sound = sound and all(news.state in STATES for news in found.news)
-    sound = sound and all(_sound_word(word) for word in found.words)
-    names = [found.target, *(name for news in found.news for name in (news.name, news.witness))]
-    names += [one.key for one in found.counts] + [name for word in found.words for name in (word.witness, word.server)]
-    sound = sound and all(len(name) <= MAX_NAME for name in names)
-    if not sound or not all(0 < c.version < 1 << 62 and 0 <= c.value < 1 << 62 for c in found.counts):
+    if not _is_within_bounds(datagram):
         raise DroppedError("shape")
-    return found
+    return datagram
 
 
-def _sound_word(word: HealthReport) -> bool:
-    numbers = 0 < word.boot_epoch <= MAX_INCARNATION and 0 < word.number < 1 << 62
-    return numbers and 0 <= word.started < 1 << 62 and 1 <= word.kind <= MAX_KIND and 0 <= word.age < 1 << 31
+def _is_within_bounds(datagram: Datagram) -> bool:
+    if not 0 < datagram.boot_epoch <= datagram.incarnation <= MAX_INCARNATION:
+        return False
+    if not 0 < datagram.sequence < MAX_NUMBER or not 0 <= datagram.number < MAX_NUMBER:
+        return False
+    if datagram.kind not in (PING, ACK, ASK, NACK) or not _is_name(datagram.target):
+        return False
+    return (
+        all(map(_is_valid_update, datagram.updates))
+        and all(map(_is_valid_counter, datagram.counters))
+        and all(map(_is_valid_health_report, datagram.health_reports))
+    )
 
 
-class Replays:
-    """Which datagrams of each sender were taken already: a sliding window, as in RFC 4303 section 3.4.3."""
+def _is_name(name: str) -> bool:
+    return len(name) <= MAX_NAME
+
+
+def _is_valid_update(update: MembershipUpdate) -> bool:
+    if not 0 < update.incarnation <= MAX_INCARNATION or update.state not in STATES:
+        return False
+    return _is_name(update.name) and _is_name(update.witness)
+
+
+def _is_valid_counter(counter: CounterValue) -> bool:
+    return 0 < counter.version < MAX_NUMBER and 0 <= counter.value < MAX_NUMBER and _is_name(counter.key)
 
-    def __init__(self) -> None:
-        self._seen: dict[str, tuple[int, int, int]] = {}  # by sender: life, highest sequence, bits below it
 
-    def take(self, sender: str, boot_epoch: int, sequence: int) -> None:
-        """Raises ``DroppedError`` for one that was taken before, or is too old to tell."""
-        known, highest, bits = self._seen.get(sender, (0, 0, 0))
-        if boot_epoch < known:
+def _is_valid_health_report(report: HealthReport) -> bool:
+    if not 0 < report.boot_epoch <= MAX_INCARNATION or not 0 < report.number < MAX_NUMBER:
+        return False
+    if not 0 <= report.started < MAX_NUMBER or not 0 <= report.age < MAX_AGE:
+        return False
+    return 1 <= report.kind <= MAX_KIND and _is_name(report.witness) and _is_name(report.server)
+
+
+@dataclass(slots=True)
+class _ReplayWindow:
+    """The sequence numbers of one sender's start that were accepted: the highest, and a bit for each just below it."""
+
+    boot_epoch: int
+    highest: int = 0
+    accepted: int = 0  # bit n: ``highest`` - n was accepted
+
+    def accept(self, sequence: int) -> bool:
+        """Mark a number as accepted; False: it was before, or is too old to tell."""
+        if sequence > self.highest:
+            ahead = sequence - self.highest
+            self.accepted = self.accepted << ahead | 1 if ahead < WINDOW else 1
+            self.accepted &= (1 << WINDOW) - 1
+            self.highest = sequence
+            return True
+        behind = self.highest - sequence
+        if behind >= WINDOW:
+            return False
+        bit = 1 << behind
+        if self.accepted & bit:
+            return False
+        self.accepted |= bit
+        return True
+
+
+class ReplayFilter:
+    """Which datagrams of each sender were accepted already: a sliding window, as in RFC 4303 section 3.4.3."""
+
+    def __init__(self) -> None:
+        self._windows: dict[str, _ReplayWindow] = {}
+
+    def accept(self, sender: str, boot_epoch: int, sequence: int) -> None:
+        """Raises ``DroppedError`` for one that was accepted before, is too old to tell, or of an earlier start."""
+        window = self._windows.get(sender)
+        if window is None or boot_epoch > window.boot_epoch:
+            window = self._windows[sender] = _ReplayWindow(boot_epoch)
+        if boot_epoch < window.boot_epoch or not window.accept(sequence):
             raise DroppedError("old")
-        if boot_epoch > known:
-            highest, bits = 0, 0
-        if sequence > highest:
-            bits = (bits << (sequence - highest) | 1) & ((1 << WINDOW) - 1) if sequence - highest < WINDOW else 1
-            highest = sequence
-        else:
-            bit = 1 << (highest - sequence) if highest - sequence < WINDOW else 0
-            if not bit or bits & bit:
-                raise DroppedError("old")
-            bits |= bit
-        self._seen[sender] = boot_epoch, highest, bits
-
-    def keep(self, names: set[str]) -> None:
+
+    def retain(self, names: set[str]) -> None:
         """Forget all but these senders."""
-        self._seen = {name: seen for name, seen in self._seen.items() if name in names}
+        self._windows = {name: window for name, window in self._windows.items() if name in names}
--- a/yardbank/cluster/peers/detector_types.py
+++ b/yardbank/cluster/peers/detector_types.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Out:
+class OutgoingProbe:
     """Send this to a peer."""
 
     to: str
--- a/yardbank/cluster/peers/failure_detector.py
+++ b/yardbank/cluster/peers/failure_detector.py
@@ -26,21 +26,33 @@
     TABLE,
     UNHEARD,
     Change,
-    Out,
+    OutgoingProbe,
     Pace,
     Peer,
     Probe,
     Relayed,
 )
-from yardbank.cluster.peers.membership_state import Standing
-
-__all__ = ["LEAP", "MAX_SLOWNESS", "NAMES", "SECOND", "TABLE", "UNHEARD", "Change", "Detector", "Out", "Pace", "Peer"]
-
-
-class Detector(Standing):
+from yardbank.cluster.peers.membership_state import MembershipState
+
+__all__ = [
+    "LEAP",
+    "MAX_SLOWNESS",
+    "NAMES",
+    "SECOND",
+    "TABLE",
+    "UNHEARD",
+    "Change",
+    "Detector",
+    "OutgoingProbe",
+    "Pace",
+    "Peer",
+]
+
+
+class Detector(MembershipState):
     """One gateway's view of the others.
 
-    Methods that take a time append to ``out`` and ``changes``, which the caller empties.
+    Methods that take a time append to ``outgoing`` and ``changes``, which the caller empties.
     """
 
     # Time
@@ -106,14 +118,14 @@
         probe.ask_at = 0
         others = [name for name, peer in self.peers.items() if peer.state == ALIVE and name != probe.target]
         for name in self.random.sample(others, min(self.pace.helpers, len(others))):
-            self.out.append(Out(name, ASK, probe.number, probe.target))
+            self.outgoing.append(OutgoingProbe(name, ASK, probe.number, probe.target))
             probe.helpers += 1
             probe.asked += 1
 
     def _end_relayed(self, now: int) -> None:
         for number in [number for number, one in self._relayed.items() if now >= one.until]:
             one = self._relayed.pop(number)
-            self.out.append(Out(one.asker, NACK, one.number, one.target))
+            self.outgoing.append(OutgoingProbe(one.asker, NACK, one.number, one.target))
 
     def next_at(self) -> int | None:
         """When ``tick`` is due next; None: when there are peers."""
@@ -130,12 +142,12 @@
 
     def _send(self, to: str, kind: str) -> int:
         self._number += 1
-        self.out.append(Out(to, kind, self._number))
+        self.outgoing.append(OutgoingProbe(to, kind, self._number))
         return self._number
 
     # What comes in
 
-    def received(self, now: int, sender: str, incarnation: int, kind: str, number: int, target: str) -> None:
+    def receive_probe(self, now: int, sender: str, incarnation: int, kind: str, number: int, target: str) -> None:
         """A datagram of a peer, its news aside."""
         peer = self.peers.get(sender)
         if peer is None:
@@ -144,7 +156,7 @@
         if incarnation > peer.incarnation or peer.state == UNHEARD:
             self._alive(now, peer, incarnation, sender)
         if kind == PING:
-            self.out.append(Out(sender, ACK, number))
+            self.outgoing.append(OutgoingProbe(sender, ACK, number))
         elif kind == ASK:
             self._relay(now, sender, number, target)
         elif kind == ACK:
@@ -163,7 +175,7 @@
         relayed = self._relayed.get(number)
         if relayed is not None and relayed.target == sender:
             del self._relayed[number]
-            self.out.append(Out(relayed.asker, ACK, relayed.number, sender))
+            self.outgoing.append(OutgoingProbe(relayed.asker, ACK, relayed.number, sender))
         probe = self._probe
         if probe is not None and probe.number == number and probe.target in (sender, target):
             self._probe = None
--- a/yardbank/cluster/peers/membership_state.py
+++ b/yardbank/cluster/peers/membership_state.py
@@ -12,7 +12,7 @@
     MAX_SLOWNESS,
     UNHEARD,
     Change,
-    Out,
+    OutgoingProbe,
     Pace,
     Peer,
     Probe,
@@ -21,18 +21,18 @@
 )
 
 
-class Standing:
+class MembershipState:
     """The state of the detector, and of each peer; ``detector`` puts probes and time to it."""
 
     def __init__(self, name: str, incarnation: int, random: Random, pace: Pace | None = None) -> None:
         self.name, self.boot_epoch, self.incarnation = name, incarnation, incarnation
         self.pace, self.random = pace or Pace(), random
         self.peers: dict[str, Peer] = {}
-        self.out: list[Out] = []
+        self.outgoing: list[OutgoingProbe] = []
         self.changes: list[Change] = []
         self.slowness = 0
         self.refuted = 0
-        self.overtaken = 0  # times that a higher life of one's own name was heard of: once or twice after a start
+        self.times_overtaken = 0  # times that a higher life of one's own name was heard of: once or twice after a start
         self.not_relayed = 0
         self._round: list[str] = []
         self._probe: Probe | None = None
@@ -62,7 +62,7 @@
 
     # What others say
 
-    def told(self, now: int, sender: str, news: Iterable[MembershipUpdate]) -> None:
+    def receive_updates(self, now: int, sender: str, news: Iterable[MembershipUpdate]) -> None:
         """What a peer says of others, and of oneself."""
         if sender not in self.peers:
             return
@@ -86,7 +86,7 @@
         if newer and one.incarnation <= self.incarnation + LEAP and one.incarnation < MAX_INCARNATION:
             if one.incarnation > self.incarnation:  # an earlier life's, whose clock was ahead, or whose store is gone
                 self.boot_epoch = one.incarnation + 1
-                self.overtaken += 1
+                self.times_overtaken += 1
             self.incarnation = one.incarnation + 1
             self._own_news = 0
             self.refuted += 1
@@ -139,7 +139,7 @@
 
     # What goes out
 
-    def news_for(self, to: str, count: int) -> list[MembershipUpdate]:
+    def updates_for(self, to: str, count: int) -> list[MembershipUpdate]:
         """What to say in a datagram, at most so much: changes told least often first, then others by turns."""
         most = max(1, math.ceil(3 * math.log2(len(self.peers) + 2)))  # tellings until all have most likely heard
         names: list[str] = []
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -18,8 +18,8 @@
 from yardbank.cluster.peers import datagram as wire
 from yardbank.cluster.peers.batch import Batch, BatchEntry
 from yardbank.cluster.peers.counters import CounterRegistry, CounterTotal
-from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, MembershipUpdate, Replays
-from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, Out, Pace
+from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, MembershipUpdate, ReplayFilter
+from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, OutgoingProbe, Pace
 from yardbank.cluster.peers.outbox import Outbox, Rate
 from yardbank.cluster.peers.parts import Part
 from yardbank.cluster.peers.report_store import ReportStore
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class Observation:
     """One peer as it is seen here; ages in nanoseconds."""
 
     name: str
@@ -42,7 +42,7 @@
     heard: int | None  # since its own last datagram; None: never
 
 
-class _Sight:
+class _NodeMembershipView:
     """What parts may know; see ``parts.MembershipView``."""
 
     def __init__(self, node: GossipNode) -> None:
@@ -82,13 +82,13 @@
         self.dropped: Counter[str] = Counter()
         self.withheld = 0  # datagrams not sent, to keep the rate
         self.sent = self.sent_octets = 0
-        self._replays = Replays()
+        self._replays = ReplayFilter()
         self._rate = Rate(RATE, BURST)
         self._sequences: Counter[str] = Counter()  # by whom they are for: a burst to all must not look old to one
         self._largest = wire.MAX_OCTETS
         self.zones: Mapping[str, str] = {name: ""}
         self.list_hash = 0
-        self.membership_view = _Sight(self)
+        self.membership_view = _NodeMembershipView(self)
         self.outbox = Outbox(fleet, name)
         self.on_round_trip: list[Callable[[int, str, int], None]] = []  # told of each: now, to whom, how long (ns)
         self._pings: OrderedDict[int, tuple[str, int]] = OrderedDict()  # by number: to whom, when
@@ -108,7 +108,7 @@
         self.detector.listed(now, known)
         self.counters.set_peers(known)
         self.report_store.set_peers(known)
-        self._replays.keep(known)
+        self._replays.retain(known)
         for part in self.outbox.parts.values():
             part.listed(now)
 
@@ -121,7 +121,7 @@
             found = wire.decode(data, self.keys, self.fleet)
             if found.sender == self.name or found.sender not in self.detector.peers:
                 raise DroppedError("stranger")  # the list says who is a peer; two of one name are seen here too
-            self._replays.take(found.sender, found.boot_epoch, found.sequence)
+            self._replays.accept(found.sender, found.boot_epoch, found.sequence)
         except DroppedError as problem:
             self.dropped[problem.reason] += 1
             return []
@@ -129,11 +129,11 @@
             del self._pings[found.number]
             for told in self.on_round_trip:
                 told(now, found.sender, now - ping[1])
-        self.detector.received(now, found.sender, found.incarnation, found.kind, found.number, found.target)
-        self.detector.told(now, found.sender, found.news)
-        self.counters.receive(now, found.sender, found.boot_epoch, found.counts)
+        self.detector.receive_probe(now, found.sender, found.incarnation, found.kind, found.number, found.target)
+        self.detector.receive_updates(now, found.sender, found.updates)
+        self.counters.receive(now, found.sender, found.boot_epoch, found.counters)
         self.report_store.boot_epoch = self.detector.boot_epoch
-        self.report_store.receive(now, found.words)
+        self.report_store.receive(now, found.health_reports)
         return self._flush(now)
 
     def _receive_batch(self, now: int, data: bytes) -> None:
@@ -142,7 +142,7 @@
             found = batches.decode(data, self.keys, self.fleet)
             if found.sender == self.name or found.sender not in self.detector.peers:
                 raise DroppedError("stranger")
-            self._replays.take(found.sender, found.boot_epoch, found.sequence)
+            self._replays.accept(found.sender, found.boot_epoch, found.sequence)
         except DroppedError as problem:
             self.dropped[problem.reason] += 1
             return
@@ -169,7 +169,7 @@
         return found
 
     def _flush(self, now: int) -> list[tuple[str, bytes]]:
-        orders, self.detector.out = self.detector.out, []
+        orders, self.detector.outgoing = self.detector.outgoing, []
         found = [(order.to, data) for order in orders if (data := self._datagram(now, order))]
         return found + self.outbox.flush(now, self.detector.peers, self._sealed)
 
@@ -181,7 +181,7 @@
         self.sent_octets += len(data)
         return data
 
-    def _datagram(self, now: int, order: Out) -> bytes:
+    def _datagram(self, now: int, order: OutgoingProbe) -> bytes:
         left = self._rate.left(now)
         if left <= 0 and order.kind != PING:
             self.withheld += 1
@@ -190,7 +190,7 @@
         words = self.report_store.next_to_send(now, MOST_WORDS) if full else []
         counts = self.counters.next_to_send(FEW // 2 if words else FEW) if full else []
         room = FILL - sum(wire.size_of(one) for one in (*counts, *words))
-        news = self.detector.news_for(order.to, max(1, room // self._largest)) if full else []
+        news = self.detector.updates_for(order.to, max(1, room // self._largest)) if full else []
         self._sequences[order.to] += 1
         if order.kind == PING:
             self._pings[order.number] = order.to, now
@@ -217,10 +217,10 @@
         self.sent, self.sent_octets = self.sent + 1, self.sent_octets + len(data)
         return data
 
-    def view(self, now: int) -> list[Seen]:
+    def view(self, now: int) -> list[Observation]:
         """Every peer as it is seen here."""
         return [
-            Seen(
+            Observation(
                 peer.name,
                 NAMES[peer.state],
                 peer.incarnation,
--- a/yardbank/cluster/peers/peer_list.py
+++ b/yardbank/cluster/peers/peer_list.py
@@ -21,7 +21,7 @@
 from yardbank.config.checked import ConfigError, Faults, Shape, check_text
 
 MAX_PEERS = 1000
-MAX_LIFE = 1 << 50
+MAX_STORED_EPOCH = 1 << 50
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,31}$"
 
 
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Take:
+class Accept:
     """Use this list from now on."""
 
     places: Places
@@ -89,7 +89,7 @@
         self.places: Places = {}
         self.zones: Mapping[str, str] = {}
 
-    def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Take | Reject]:
+    def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Accept | Reject]:
         """The file holds this now."""
         name, data = next(iter(texts.items()), ("peers", b""))
         if data != self._text:
@@ -107,7 +107,7 @@
                 zones = {one.name: one.zone for one in file.peer}
                 if (places, zones) != (self.places, self.zones):
                     self.places, self.zones = places, zones
-                    return [Take(places, zones)]
+                    return [Accept(places, zones)]
         if self._waiting is not None and now - self._since >= self._patience:
             rejected, self._waiting = self._waiting, None
             return [rejected]
@@ -117,17 +117,17 @@
         """When it is to be looked at again; None: when the file changes."""
         return self._since + self._patience if self._waiting is not None else None
 
-    def force(self) -> list[Take | Reject]:
+    def force(self) -> list[Accept | Reject]:
         """Nothing is held back here."""
         return []
 
 
-def stored_life(text: str) -> int | None:
+def parse_stored_epoch(text: str) -> int | None:
     """The number of the last start as a file has it; None where it says nothing that can be: others may know it."""
     word = text.strip()
-    return int(word) if word.isascii() and word.isdigit() and 0 < int(word) < MAX_LIFE else None
+    return int(word) if word.isascii() and word.isdigit() and 0 < int(word) < MAX_STORED_EPOCH else None
 
 
-def next_life(stored: int | None, wall: float) -> int:
+def next_boot_epoch(stored: int | None, wall: float) -> int:
     """A number for this start: higher than the last where that is known, whatever the clock (s) says."""
     return max(1, (stored or 0) + 1, int(wall))
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -18,7 +18,7 @@
 from yardbank.cluster.peers.failure_detector import NAMES, SECOND, Pace
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.outlier_consensus import OutlierConsensus, reach_consensus
-from yardbank.cluster.peers.peer_list import PeerList, Reject, Take, next_life, stored_life
+from yardbank.cluster.peers.peer_list import Accept, PeerList, Reject, next_boot_epoch, parse_stored_epoch
 from yardbank.cluster.peers.sharing import Sharing
 from yardbank.cluster.peers.view import node_view
 from yardbank.config.blocks import PeersBlock
@@ -90,7 +90,7 @@
         if path is not None:
             with contextlib.suppress(OSError):  # none yet
                 stored = path.read_text(encoding="utf-8", errors="replace")
-        boot_epoch = next_life(stored_life(stored), self._wall())
+        boot_epoch = next_boot_epoch(parse_stored_epoch(stored), self._wall())
         if path is not None:
             try:
                 path.parent.mkdir(parents=True, exist_ok=True)
@@ -118,7 +118,7 @@
         self._teller = self._reactor.callLater(TELL_DROPPED, self._tell_dropped)
         self._write()
 
-    def _take(self, action: Take | Reject) -> None:
+    def _take(self, action: Accept | Reject) -> None:
         if isinstance(action, Reject):
             for fault in action.faults:
                 self._log.error("peers_rejected", fault=fault)
@@ -217,8 +217,8 @@
         self._teller = self._reactor.callLater(TELL_DROPPED, self._tell_dropped)
         withheld = {"withheld": self.node.withheld, "letters_withheld": self.node.outbox.withheld}
         counts = self.node.dropped + Counter({**withheld, "not_sent": self._not_sent})
-        if self.node.detector.overtaken != self._overtaken:
-            self._overtaken = self.node.detector.overtaken
+        if self.node.detector.times_overtaken != self._overtaken:
+            self._overtaken = self.node.detector.times_overtaken
             self._log.warning("peers_life_raised", peer=self._block.name, times=self._overtaken)
         if counts != self._told:
             self._told = counts
