--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -1,8 +1,13 @@
-"""One gateway's whole part among its peers: octets and time in, octets for peers out. No I/O.
+"""One gateway's gossip as a whole: octets and time in, octets for peers out. No I/O.
 
-Puts together who is there (``detector``), what is counted (``counters``) and what crosses (``datagram``). Whatever
-comes in is taken whole or dropped by a reason that is counted. What goes out keeps to a rate: beyond it first the news
-that ride along are left out, then probes made for others; one's own probes are few by themselves.
+Owns and joins the failure detector, the counters, the health reports, the outbox of the parts, and what it takes to
+send and receive datagrams: keys, sequence numbers, the replay filter, the rate.
+
+Invariant: a datagram is received whole, or dropped by a reason that is counted.
+
+Bound: ``RATE`` octets a second and ``BURST`` at once, the parts' messages aside. Beyond it first the updates, counters
+and reports that ride along are left out, then answers and probes made for others; this gateway's own probes are few by
+themselves and are always sent.
 """
 
 from __future__ import annotations
@@ -18,17 +23,42 @@
 from yardbank.cluster.peers import datagram as wire
 from yardbank.cluster.peers.batch import Batch, BatchEntry
 from yardbank.cluster.peers.counters import CounterRegistry, CounterTotal
-from yardbank.cluster.peers.datagram import ACK, ALIVE, PING, Datagram, DroppedError, MembershipUpdate, ReplayFilter
+from yardbank.cluster.peers.datagram import (
+    ACK,
+    ALIVE,
+    PING,
+    CounterValue,
+    Datagram,
+    DroppedError,
+    HealthReport,
+    MembershipUpdate,
+    ReplayFilter,
+)
 from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, OutgoingProbe, Pace
 from yardbank.cluster.peers.outbox import Outbox, Rate
 from yardbank.cluster.peers.parts import Part
 from yardbank.cluster.peers.report_store import ReportStore
 
-FILL = 480  # octets of news, counts and words in one datagram
+FILL = 480  # octets of updates, counters and health reports in one datagram
 RATE, BURST = 1800, 8 * 1024  # octets a second on average, and at once
-MAX_PINGS = 64  # of one's own that an answer is still timed of
-FEW = 4  # counts in a datagram
-MOST_WORDS = 5  # and words of servers
+MAX_PINGS = 64  # latest own pings whose round trip is still timed
+MAX_COUNTERS = 4  # in one datagram
+MAX_REPORTS = 5  # in one datagram
+
+
+@dataclass(slots=True, frozen=True)
+class _Ping:
+    to: str
+    sent_at: int
+
+
+@dataclass(slots=True, frozen=True)
+class _Piggyback:
+    """What rides along in one datagram."""
+
+    updates: Sequence[MembershipUpdate] = ()
+    counters: Sequence[CounterValue] = ()
+    health_reports: Sequence[HealthReport] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,28 +100,36 @@
 
 
 class GossipNode:
-    """One gateway among its peers."""
+    """One gateway among its peers.
+
+    ``dropped``: datagrams and messages by reason; ``withheld``: datagrams not sent to keep the rate; ``sent`` and
+    ``sent_octets``: of all datagrams. ``on_round_trip`` is called with the time (ns), the peer and the duration (ns)
+    of each answered ping.
+    """
 
     def __init__(
         self, name: str, fleet: str, keys: Sequence[bytes], boot_epoch: int, random: Random, pace: Pace | None = None
     ) -> None:
-        self.name, self.fleet, self.keys = name, fleet, list(keys)
+        self.name = name
+        self.fleet = fleet
+        self.keys = list(keys)
         self.detector = Detector(name, boot_epoch, random, pace)
         self.counters = CounterRegistry()
         self.report_store = ReportStore(name, boot_epoch)
-        self.dropped: Counter[str] = Counter()
-        self.withheld = 0  # datagrams not sent, to keep the rate
-        self.sent = self.sent_octets = 0
-        self._replays = ReplayFilter()
-        self._rate = Rate(RATE, BURST)
-        self._sequences: Counter[str] = Counter()  # by whom they are for: a burst to all must not look old to one
-        self._largest = wire.MAX_OCTETS
+        self.outbox = Outbox(fleet, name)
         self.zones: Mapping[str, str] = {name: ""}
         self.list_hash = 0
         self.membership_view = _NodeMembershipView(self)
-        self.outbox = Outbox(fleet, name)
-        self.on_round_trip: list[Callable[[int, str, int], None]] = []  # told of each: now, to whom, how long (ns)
-        self._pings: OrderedDict[int, tuple[str, int]] = OrderedDict()  # by number: to whom, when
+        self.on_round_trip: list[Callable[[int, str, int], None]] = []
+        self.dropped: Counter[str] = Counter()
+        self.withheld = 0
+        self.sent = 0
+        self.sent_octets = 0
+        self._replays = ReplayFilter()
+        self._rate = Rate(RATE, BURST)
+        self._sequences: Counter[str] = Counter()  # by recipient: a burst to all must not look old to one
+        self._largest_update = wire.MAX_OCTETS  # octets
+        self._pings: OrderedDict[int, _Ping] = OrderedDict()  # by number of the probe
 
     def add(self, part: Part) -> None:
         """A part of this gateway; before the first list."""
@@ -100,11 +138,11 @@
     def listed(self, now: int, names: Iterable[str], zones: Mapping[str, str] | None = None) -> None:
         """The gateways of the fleet, as the settings or the list say, and their zones where it names them."""
         known = set(names) - {self.name}
-        told = zones or {}
-        self.zones = {name: told.get(name, "") for name in sorted({*known, self.name})}
+        zone_of = zones or {}
+        self.zones = {name: zone_of.get(name, "") for name in sorted({*known, self.name})}
         self.list_hash = xxhash.xxh3_64_intdigest(repr(sorted(self.zones.items())).encode())
         longest = max(known | {self.name}, key=len)
-        self._largest = wire.size_of(MembershipUpdate(longest, ALIVE, wire.MAX_INCARNATION, longest))
+        self._largest_update = wire.size_of(MembershipUpdate(longest, ALIVE, wire.MAX_INCARNATION, longest))
         self.detector.listed(now, known)
         self.counters.set_peers(known)
         self.report_store.set_peers(known)
@@ -113,50 +151,60 @@
             part.listed(now)
 
     def receive(self, now: int, data: bytes) -> list[tuple[str, bytes]]:
-        """A datagram came, from wherever: what to send to whom."""
-        if wire.version_of(data) == batches.VERSION:
-            self._receive_batch(now, data)
-            return self._flush(now)
+        """A datagram came, from any address. Returns the datagrams to send now, each with its recipient."""
+        is_batch = wire.version_of(data) == batches.VERSION
         try:
-            found = wire.decode(data, self.keys, self.fleet)
-            if found.sender == self.name or found.sender not in self.detector.peers:
-                raise DroppedError("stranger")  # the list says who is a peer; two of one name are seen here too
-            self._replays.accept(found.sender, found.boot_epoch, found.sequence)
-        except DroppedError as problem:
-            self.dropped[problem.reason] += 1
-            return []
-        if found.kind == ACK and (ping := self._pings.get(found.number)) and ping[0] == found.sender:
-            del self._pings[found.number]
-            for told in self.on_round_trip:
-                told(now, found.sender, now - ping[1])
-        self.detector.receive_probe(now, found.sender, found.incarnation, found.kind, found.number, found.target)
-        self.detector.receive_updates(now, found.sender, found.updates)
-        self.counters.receive(now, found.sender, found.boot_epoch, found.counters)
-        self.report_store.boot_epoch = self.detector.boot_epoch
-        self.report_store.receive(now, found.health_reports)
+            if is_batch:
+                self._receive_batch(now, data)
+            else:
+                self._receive_datagram(now, data)
+        except DroppedError as error:
+            self.dropped[error.reason] += 1
+            return self._flush(now) if is_batch else []
         return self._flush(now)
 
     def _receive_batch(self, now: int, data: bytes) -> None:
-        """Messages for the parts; each is received or dropped by itself."""
-        try:
-            found = batches.decode(data, self.keys, self.fleet)
-            if found.sender == self.name or found.sender not in self.detector.peers:
-                raise DroppedError("stranger")
-            self._replays.accept(found.sender, found.boot_epoch, found.sequence)
-        except DroppedError as problem:
-            self.dropped[problem.reason] += 1
+        """Messages for the parts; each is received or dropped by itself. Raises ``DroppedError``."""
+        batch = batches.decode(data, self.keys, self.fleet)
+        self._check_sender(batch.sender, batch.boot_epoch, batch.sequence)
+        self.outbox.receive(now, batch, self.dropped)
+
+    def _receive_datagram(self, now: int, data: bytes) -> None:
+        """A probe or its answer, with what rides along. Raises ``DroppedError``."""
+        datagram = wire.decode(data, self.keys, self.fleet)
+        sender = datagram.sender
+        self._check_sender(sender, datagram.boot_epoch, datagram.sequence)
+        if datagram.kind == ACK:
+            self._time_round_trip(now, sender, datagram.number)
+        self.detector.receive_probe(now, sender, datagram.incarnation, datagram.kind, datagram.number, datagram.target)
+        self.detector.receive_updates(now, sender, datagram.updates)
+        self.counters.receive(now, sender, datagram.boot_epoch, datagram.counters)
+        self.report_store.boot_epoch = self.detector.boot_epoch  # an update may have raised it
+        self.report_store.receive(now, datagram.health_reports)
+
+    def _check_sender(self, sender: str, boot_epoch: int, sequence: int) -> None:
+        """Raises ``DroppedError`` for a gateway that is not listed, and for a datagram received before."""
+        if sender == self.name or sender not in self.detector.peers:
+            raise DroppedError("stranger")  # the list says who is a peer; two of one name are seen here too
+        self._replays.accept(sender, boot_epoch, sequence)
+
+    def _time_round_trip(self, now: int, sender: str, number: int) -> None:
+        ping = self._pings.get(number)
+        if ping is None or ping.to != sender:
             return
-        self.outbox.receive(now, found, self.dropped)
+        del self._pings[number]
+        for notify in self.on_round_trip:
+            notify(now, sender, now - ping.sent_at)
 
     def tick(self, now: int) -> list[tuple[str, bytes]]:
-        """What to send to whom by now."""
+        """Time has passed. Returns the datagrams to send now, each with its recipient."""
         self.detector.tick(now)
         for part in self.outbox.parts.values():
             part.tick(now)
         return self._flush(now)
 
     def flush(self, now: int) -> list[tuple[str, bytes]]:
-        """What to send to whom, after a part was told something from elsewhere than the link."""
+        """The datagrams to send after a part learned something outside of gossip, each with its recipient."""
         return self._flush(now)
 
     def next_at(self) -> int | None:
@@ -165,15 +213,22 @@
 
     def changes(self) -> list[Change]:
         """What has changed since this was asked last."""
-        found, self.detector.changes = self.detector.changes, []
-        return found
+        changes = self.detector.changes
+        self.detector.changes = []
+        return changes
 
     def _flush(self, now: int) -> list[tuple[str, bytes]]:
-        orders, self.detector.outgoing = self.detector.outgoing, []
-        found = [(order.to, data) for order in orders if (data := self._datagram(now, order))]
-        return found + self.outbox.flush(now, self.detector.peers, self._sealed)
-
-    def _sealed(self, to: str, entries: tuple[BatchEntry, ...]) -> bytes:
+        probes = self.detector.outgoing
+        self.detector.outgoing = []
+        datagrams = []
+        for probe in probes:
+            if probe.kind != PING and self._rate.left(now) <= 0:
+                self.withheld += 1
+                continue
+            datagrams.append((probe.to, self._encode_probe(now, probe)))
+        return datagrams + self.outbox.flush(now, self.detector.peers, self._encode_batch)
+
+    def _encode_batch(self, to: str, entries: tuple[BatchEntry, ...]) -> bytes:
         self._sequences[to] += 1
         batch = Batch(self.fleet, self.name, self.detector.boot_epoch, self._sequences[to], entries)
         data = batches.encode(batch, self.keys)
@@ -181,42 +236,45 @@
         self.sent_octets += len(data)
         return data
 
-    def _datagram(self, now: int, order: OutgoingProbe) -> bytes:
-        left = self._rate.left(now)
-        if left <= 0 and order.kind != PING:
-            self.withheld += 1
-            return b""
-        full = order.kind in (PING, ACK) and left > FILL
-        words = self.report_store.next_to_send(now, MOST_WORDS) if full else []
-        counts = self.counters.next_to_send(FEW // 2 if words else FEW) if full else []
-        room = FILL - sum(wire.size_of(one) for one in (*counts, *words))
-        news = self.detector.updates_for(order.to, max(1, room // self._largest)) if full else []
-        self._sequences[order.to] += 1
-        if order.kind == PING:
-            self._pings[order.number] = order.to, now
-            if len(self._pings) > MAX_PINGS:
-                self._pings.popitem(last=False)
-        detector = self.detector
-        data = wire.encode(
-            Datagram(
-                self.fleet,
-                self.name,
-                detector.boot_epoch,
-                detector.incarnation,
-                self._sequences[order.to],
-                order.kind,
-                order.number,
-                order.target,
-                tuple(news),
-                tuple(counts),
-                tuple(words),
-            ),
-            self.keys,
+    def _encode_probe(self, now: int, probe: OutgoingProbe) -> bytes:
+        load = self._piggyback(now, probe)
+        self._sequences[probe.to] += 1
+        if probe.kind == PING:
+            self._remember_ping(now, probe)
+        datagram = Datagram(
+            fleet=self.fleet,
+            sender=self.name,
+            boot_epoch=self.detector.boot_epoch,
+            incarnation=self.detector.incarnation,
+            sequence=self._sequences[probe.to],
+            kind=probe.kind,
+            number=probe.number,
+            target=probe.target,
+            updates=tuple(load.updates),
+            counters=tuple(load.counters),
+            health_reports=tuple(load.health_reports),
         )
+        data = wire.encode(datagram, self.keys)
         self._rate.spend(len(data))
-        self.sent, self.sent_octets = self.sent + 1, self.sent_octets + len(data)
+        self.sent += 1
+        self.sent_octets += len(data)
         return data
 
+    def _piggyback(self, now: int, probe: OutgoingProbe) -> _Piggyback:
+        """What rides along with a probe: nothing if the rate leaves no room, or on requests and answers of helpers."""
+        if probe.kind not in (PING, ACK) or self._rate.left(now) <= FILL:
+            return _Piggyback()
+        reports = self.report_store.next_to_send(now, MAX_REPORTS)
+        counters = self.counters.next_to_send(MAX_COUNTERS // 2 if reports else MAX_COUNTERS)
+        left = FILL - sum(wire.size_of(one) for one in (*counters, *reports))
+        updates = self.detector.updates_for(probe.to, max(1, left // self._largest_update))
+        return _Piggyback(updates, counters, reports)
+
+    def _remember_ping(self, now: int, probe: OutgoingProbe) -> None:
+        self._pings[probe.number] = _Ping(probe.to, now)
+        if len(self._pings) > MAX_PINGS:
+            self._pings.popitem(last=False)
+
     def view(self, now: int) -> list[Observation]:
         """Every peer as it is seen here."""
         return [
@@ -231,5 +289,5 @@
         ]
 
     def totals(self, now: int) -> dict[str, CounterTotal]:
-        """Every count summed over those heard lately."""
+        """Every counter totalled over the peers heard lately."""
         return {key: self.counters.total(now, key) for key in self.counters.keys()}  # noqa: SIM118 - no mapping
