--- a/tests/cluster/peers/test_processes.py
+++ b/tests/cluster/peers/test_processes.py
@@ -131,14 +131,14 @@
     for text, count in ((f"{KEY}\n{other}", 2), (f"{other}\n{KEY}", 2), (other, 1)):
         for one in two:
             (one.folder / "peers.key").write_text(text)
-            before = len(one.events("peers_keys"))
+            before = len(one.events("peer_keys_loaded"))
             one.process.send_signal(signal.SIGHUP)
-            wait_for(lambda one=one, before=before: len(one.events("peers_keys")) > before)
-            assert one.events("peers_keys")[-1]["count"] == count
+            wait_for(lambda one=one, before=before: len(one.events("peer_keys_loaded")) > before)
+            assert one.events("peer_keys_loaded")[-1]["count"] == count
     (two[0].folder / "peers.key").write_text("nonsense")
     two[0].process.send_signal(signal.SIGHUP)
-    wait_for(lambda: two[0].events("peers_key_rejected"))
-    assert two[0].events("peers_key_rejected")[0]["fault"].endswith("peers.key:1: not hexadecimal")
+    wait_for(lambda: two[0].events("peer_keys_rejected"))
+    assert two[0].events("peer_keys_rejected")[0]["fault"].endswith("peers.key:1: not hexadecimal")
     heard = json.loads((two[0].folder / "peers-view.json").read_text())["written"]
     wait_for(lambda: json.loads((two[0].folder / "peers-view.json").read_text())["written"] > heard)
     assert json.loads((two[0].folder / "peers-view.json").read_text())["peers"]["g2"]["state"] != "gone"
@@ -151,8 +151,8 @@
     wait_for(lambda: states(two[0]).get("g2") == "alive")
     listed = len(two[0].events("peers_listed"))
     (two[0].folder / "peers.hcl").write_text('peer "g2" {\n  address = "127.0.0.1"\n  port = 0\n}\n')
-    wait_for(lambda: two[0].events("peers_rejected"))
-    assert 'peers.hcl:3: peer "g2": port' in two[0].events("peers_rejected")[0]["fault"]
+    wait_for(lambda: two[0].events("peer_list_rejected"))
+    assert 'peers.hcl:3: peer "g2": port' in two[0].events("peer_list_rejected")[0]["fault"]
     assert len(two[0].events("peers_listed")) == listed
     two[1].kill()
     wait_for(lambda: states(two[0])["g2"] == "gone")  # still watched by the list of before
--- a/yardbank/cluster/peers/file_store.py
+++ b/yardbank/cluster/peers/file_store.py
@@ -1,4 +1,4 @@
-"""A part's few octets on disk: whole or not at all, checked when read. See ``parts.KeyValueStore``."""
+"""The state of one part on disk: written whole or not at all, checked when read. See ``parts.KeyValueStore``."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 import xxhash
 
 MAX_OCTETS = 1 << 20
-_SUM = 8
+_DIGEST = 8  # octets, before the data
 
 
 class FileStore:
-    """One file. What is damaged, cut short or not there is taken for nothing, and said."""
+    """One file.
+
+    One that is corrupt or unreadable is logged and read as none; one that does not exist is read as none.
+    """
 
     def __init__(self, path: Path, log: Any) -> None:
         self._path, self._log = path, log
 
     def load(self) -> bytes | None:
-        """What was kept last; None: nothing, or it cannot be read."""
+        """What was saved last; None: nothing, or it cannot be read."""
         try:
             with self._path.open("rb") as file:
-                data = file.read(MAX_OCTETS + _SUM + 1)
+                data = file.read(MAX_OCTETS + _DIGEST + 1)
         except FileNotFoundError:
             return None
         except OSError as problem:
-            self._log.warning("kept_unreadable", path=str(self._path), error=str(problem))
+            self._log.warning("state_unreadable", path=str(self._path), error=str(problem))
             return None
-        if len(data) < _SUM or xxhash.xxh3_64_digest(data[_SUM:]) != data[:_SUM]:
-            self._log.warning("kept_damaged", path=str(self._path), octets=len(data))
+        if len(data) < _DIGEST or xxhash.xxh3_64_digest(data[_DIGEST:]) != data[:_DIGEST]:
+            self._log.warning("state_corrupt", path=str(self._path), octets=len(data))
             return None
-        return data[_SUM:]
+        return data[_DIGEST:]
 
     def save(self, data: bytes) -> bool:
-        """Keep it durably; whether that worked."""
+        """Save durably; False, and a log line, if that failed."""
         part = self._path.with_name(self._path.name + ".part")
         try:
             if len(data) > MAX_OCTETS:
@@ -46,6 +49,6 @@
                 os.fsync(file.fileno())
             os.replace(part, self._path)
         except OSError as problem:
-            self._log.error("not_kept", path=str(self._path), error=str(problem))
+            self._log.error("state_write_failed", path=str(self._path), error=str(problem))
             return False
         return True
