--- a/yardbank/cluster/peers/membership_state.py
+++ b/yardbank/cluster/peers/membership_state.py
@@ -1,4 +1,8 @@
-"""How the others stand: what is told of them and of oneself, suspicions, and what to tell. No I/O."""
+"""The state of each member: what is known of it, suspicions, and the updates to send. No I/O: time (ns) is an argument.
+
+Owns the members, the suspicions and this gateway's incarnation. Only members of the list have a state; updates on
+anybody else are ignored. A state changes by the rows of ``detector_types.TABLE`` and no other.
+"""
 
 from __future__ import annotations
 
@@ -20,32 +24,41 @@
     Suspicion,
 )
 
+MAX_IN_TURN = 4  # unchanged members in one datagram
+
 
 class MembershipState:
-    """The state of the detector, and of each peer; ``detector`` puts probes and time to it."""
+    """Members, suspicions and updates; ``failure_detector`` adds probes and time.
+
+    ``refuted``: suspicions of this gateway that it refuted; ``times_overtaken``: updates that named a higher
+    incarnation of it than its own, once or twice after a start; ``not_relayed``: probes for others not made.
+    """
 
     def __init__(self, name: str, incarnation: int, random: Random, pace: Pace | None = None) -> None:
-        self.name, self.boot_epoch, self.incarnation = name, incarnation, incarnation
-        self.pace, self.random = pace or Pace(), random
+        self.name = name
+        self.boot_epoch = incarnation
+        self.incarnation = incarnation
+        self.pace = pace or Pace()
+        self.random = random
         self.peers: dict[str, Peer] = {}
         self.outgoing: list[OutgoingProbe] = []
         self.changes: list[Change] = []
         self.slowness = 0
         self.refuted = 0
-        self.times_overtaken = 0  # times that a higher life of one's own name was heard of: once or twice after a start
+        self.times_overtaken = 0
         self.not_relayed = 0
         self._round: list[str] = []
         self._probe: Probe | None = None
         self._relayed: dict[int, Relayed] = {}
         self._suspicions: dict[str, Suspicion] = {}
-        self._news: dict[str, int] = {}  # how often each peer's present state has been told
-        self._rest: list[str] = []  # whose state fills what room is left, by turns
+        self._times_sent: dict[str, int] = {}  # by member: how often its present state was sent
+        self._next_in_turn: list[str] = []  # members whose state fills the space that changes leave
         self._number = random.getrandbits(32)
         self._next_probe = 0
         self._next_news = 0
         self._periods = 0
         self._last_tick = 0
-        self._own_news = 0
+        self._own_times_sent = 0
 
     def listed(self, now: int, names: Iterable[str]) -> None:
         """The peers, oneself perhaps among them. Who is not named any more is forgotten."""
@@ -53,58 +66,72 @@
         for name in self.peers.keys() - wanted:
             del self.peers[name]
             self._suspicions.pop(name, None)
-            self._news.pop(name, None)
+            self._times_sent.pop(name, None)
         for name in sorted(wanted - self.peers.keys()):
             self.peers[name] = Peer(name, changed_at=now)
         self._round = [name for name in self._round if name in self.peers]
         if not self._next_probe:
             self._next_probe = now + self.random.randrange(self.pace.period)  # a fleet that starts at once spreads
 
-    # What others say
+    # Updates received
 
-    def receive_updates(self, now: int, sender: str, news: Iterable[MembershipUpdate]) -> None:
-        """What a peer says of others, and of oneself."""
+    def receive_updates(self, now: int, sender: str, updates: Iterable[MembershipUpdate]) -> None:
+        """What a member says of others, and of this gateway."""
         if sender not in self.peers:
             return
-        for one in news:
-            if one.name == self.name:
-                self._about_oneself(one)
-            elif (peer := self.peers.get(one.name)) is not None:
-                if one.state == ALIVE:
-                    if one.incarnation > peer.incarnation or (
-                        one.incarnation == peer.incarnation and peer.state == UNHEARD
-                    ):
-                        self._alive(now, peer, one.incarnation, one.witness)
-                elif peer.state == UNHEARD and one.state == GONE:
-                    self._become(now, peer, GONE, one.incarnation, one.witness)
-                else:  # told that it is gone: a voice more, and no more, or a liar could have the living forgotten
-                    self._told_suspect(now, peer, one)
-
-    def _about_oneself(self, one: MembershipUpdate) -> None:
-        """An accusation, or an earlier life's higher incarnation: be newer than it."""
-        newer = one.incarnation > self.incarnation or (one.state != ALIVE and one.incarnation == self.incarnation)
-        if newer and one.incarnation <= self.incarnation + LEAP and one.incarnation < MAX_INCARNATION:
-            if one.incarnation > self.incarnation:  # an earlier life's, whose clock was ahead, or whose store is gone
-                self.boot_epoch = one.incarnation + 1
-                self.times_overtaken += 1
-            self.incarnation = one.incarnation + 1
-            self._own_news = 0
-            self.refuted += 1
-            if one.state != ALIVE:  # somebody waited for an answer in vain: the fault may be here
-                self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
-
-    def _told_suspect(self, now: int, peer: Peer, one: MembershipUpdate) -> None:
+        for update in updates:
+            if update.name == self.name:
+                self._receive_own_update(update)
+                continue
+            peer = self.peers.get(update.name)
+            if peer is not None:
+                self._receive_update(now, peer, update)
+
+    def _receive_update(self, now: int, peer: Peer, update: MembershipUpdate) -> None:
+        if update.state == ALIVE:
+            is_first = peer.state == UNHEARD and update.incarnation == peer.incarnation
+            if update.incarnation > peer.incarnation or is_first:
+                self._alive(now, peer, update.incarnation, update.witness)
+        elif peer.state == UNHEARD and update.state == GONE:
+            self._become(now, peer, GONE, update.incarnation, update.witness)
+        else:  # "gone" of a known member counts as a suspicion only, or a liar could remove one that is alive
+            self._receive_suspicion(now, peer, update)
+
+    def _receive_own_update(self, update: MembershipUpdate) -> None:
+        """A suspicion of this gateway, or a higher incarnation of an earlier start: refute it by a higher one."""
+        is_higher = update.incarnation > self.incarnation
+        is_accusation = update.state != ALIVE
+        if not is_higher and not (is_accusation and update.incarnation == self.incarnation):
+            return
+        if update.incarnation > self.incarnation + LEAP or update.incarnation >= MAX_INCARNATION:
+            return
+        if is_higher:  # of an earlier start, whose clock was ahead, or whose store is lost
+            self.boot_epoch = update.incarnation + 1
+            self.times_overtaken += 1
+        self.incarnation = update.incarnation + 1
+        self._own_times_sent = 0
+        self.refuted += 1
+        if is_accusation:  # somebody waited for an answer in vain: the fault may be here
+            self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
+
+    def _receive_suspicion(self, now: int, peer: Peer, update: MembershipUpdate) -> None:
         if peer.state == GONE:
-            peer.incarnation = max(peer.incarnation, one.incarnation)
+            peer.incarnation = max(peer.incarnation, update.incarnation)
             return
         suspicion = self._suspicions.get(peer.name)
-        if peer.state == SUSPECT and one.incarnation == peer.incarnation and suspicion is not None:
-            if one.witness not in suspicion.witnesses and len(suspicion.witnesses) <= self.pace.confirmations:
-                suspicion.witnesses.add(one.witness)
-                suspicion.until = suspicion.since + self._lasting(len(suspicion.witnesses) - 1)
-                self._news[peer.name] = 0  # a new voice is news
-        elif one.incarnation > peer.incarnation or (one.incarnation == peer.incarnation and peer.state < SUSPECT):
-            self._accuse(now, peer.name, one.witness, one.incarnation)
+        is_same_incarnation = update.incarnation == peer.incarnation
+        if peer.state == SUSPECT and is_same_incarnation and suspicion is not None:
+            self._confirm(suspicion, peer, update.witness)
+        elif update.incarnation > peer.incarnation or (is_same_incarnation and peer.state < SUSPECT):
+            self._accuse(now, peer.name, update.witness, update.incarnation)
+
+    def _confirm(self, suspicion: Suspicion, peer: Peer, witness: str) -> None:
+        """One more witness of a suspicion: it ends sooner."""
+        if witness in suspicion.witnesses or len(suspicion.witnesses) > self.pace.confirmations:
+            return
+        suspicion.witnesses.add(witness)
+        suspicion.until = suspicion.since + self._suspicion_time(len(suspicion.witnesses) - 1)
+        self._times_sent[peer.name] = 0  # a new witness is sent on
 
     # Changes
 
@@ -112,7 +139,7 @@
         self._suspicions.pop(peer.name, None)
         if peer.state == ALIVE:
             peer.incarnation = incarnation
-            self._news[peer.name] = 0
+            self._times_sent[peer.name] = 0
         else:
             self._become(now, peer, ALIVE, incarnation, witness)
 
@@ -120,11 +147,11 @@
         peer = self.peers.get(name)
         if peer is None or (incarnation is None and peer.state not in (UNHEARD, ALIVE)):
             return
-        self._suspicions[name] = Suspicion(now, now + self._lasting(0), {witness})
+        self._suspicions[name] = Suspicion(now, now + self._suspicion_time(0), {witness})
         self._become(now, peer, SUSPECT, peer.incarnation if incarnation is None else incarnation, witness)
 
-    def _lasting(self, confirmations: int) -> int:
-        """How long a suspicion lasts that so many others share."""
+    def _suspicion_time(self, confirmations: int) -> int:
+        """How long a suspicion with so many confirmations lasts, ns."""
         shortest = self.pace.suspicion * self.pace.period * max(1.0, math.log10(len(self.peers) + 1))
         part = math.log(confirmations + 1) / math.log(self.pace.confirmations + 1)
         longest = shortest * self.pace.patience
@@ -133,44 +160,61 @@
     def _become(self, now: int, peer: Peer, state: int, incarnation: int, witness: str) -> None:
         if state != SUSPECT:
             self._suspicions.pop(peer.name, None)
-        peer.state, peer.incarnation, peer.changed_at, peer.witness = state, incarnation, now, witness
-        self._news[peer.name] = 0
+        peer.state = state
+        peer.incarnation = incarnation
+        peer.changed_at = now
+        peer.witness = witness
+        self._times_sent[peer.name] = 0
         self.changes.append(Change(peer.name, state, incarnation))
 
-    # What goes out
+    # Updates to send
 
     def updates_for(self, to: str, count: int) -> list[MembershipUpdate]:
-        """What to say in a datagram, at most so much: changes told least often first, then others by turns."""
-        most = max(1, math.ceil(3 * math.log2(len(self.peers) + 2)))  # tellings until all have most likely heard
+        """At most ``count`` updates for a datagram: changes sent least often first, then all members in turn."""
+        enough = max(1, math.ceil(3 * math.log2(len(self.peers) + 2)))  # sendings until all have most likely heard
+        names = self._changed_members(to, count)
+        self._count_as_sent(names, enough)
+        self._fill_in_turn(names, to, count)
+        updates = []
+        if self._own_times_sent < enough:
+            updates.append(MembershipUpdate(self.name, ALIVE, self.incarnation, self.name))
+        self._own_times_sent += 1
+        for name in names:
+            peer = self.peers[name]
+            if peer.incarnation:  # 0: never heard of, though missed: there is nothing to say
+                updates.append(MembershipUpdate(name, peer.state, peer.incarnation, self._witness_of(peer)))
+        return updates[: max(0, count)]
+
+    def _changed_members(self, to: str, count: int) -> list[str]:
         names: list[str] = []
         if self.peers[to].state in (SUSPECT, GONE):  # it should know what is said of it, to refute it
             names.append(to)
-        fresh = sorted((name for name in self._news if name != to), key=lambda name: self._news[name])
-        names += fresh[: max(0, count - 1 - len(names))]
-        for name in names:
-            if name in self._news:
-                self._news[name] += 1
-                if self._news[name] >= most:
-                    del self._news[name]
-        spare = min(4, count - 1 - len(names))
-        for _ in range(max(0, spare)):
-            if not self._rest:
-                self._rest = [name for name, peer in self.peers.items() if peer.state != UNHEARD]
-                self.random.shuffle(self._rest)
-            if self._rest and (name := self._rest.pop()) in self.peers and name not in names and name != to:
-                names.append(name)
-        found = [MembershipUpdate(self.name, ALIVE, self.incarnation, self.name)] if self._own_news < most else []
-        self._own_news += 1
+        changed = sorted((name for name in self._times_sent if name != to), key=lambda name: self._times_sent[name])
+        return names + changed[: max(0, count - 1 - len(names))]
+
+    def _count_as_sent(self, names: Iterable[str], enough: int) -> None:
         for name in names:
-            peer = self.peers[name]
-            if not peer.incarnation:  # never heard of, though missed: there is nothing to say
+            if name not in self._times_sent:
                 continue
-            found += [MembershipUpdate(name, peer.state, peer.incarnation, voice) for voice in self._voices(peer)]
-        return found[: max(0, count)]
+            self._times_sent[name] += 1
+            if self._times_sent[name] >= enough:
+                del self._times_sent[name]
+
+    def _fill_in_turn(self, names: list[str], to: str, count: int) -> None:
+        """Add members in turn, a few at most."""
+        for _ in range(max(0, min(MAX_IN_TURN, count - 1 - len(names)))):
+            if not self._next_in_turn:
+                self._next_in_turn = [name for name, peer in self.peers.items() if peer.state != UNHEARD]
+                self.random.shuffle(self._next_in_turn)
+            if not self._next_in_turn:
+                return
+            name = self._next_in_turn.pop()
+            if name in self.peers and name not in names and name != to:
+                names.append(name)
 
-    def _voices(self, peer: Peer) -> list[str]:
-        """Whose word a peer's state is: of a suspicion, one's own if it is that too."""
+    def _witness_of(self, peer: Peer) -> str:
+        """The gateway in whose name a member's state is sent: of a suspicion that this gateway shares, itself."""
         suspicion = self._suspicions.get(peer.name)
-        if suspicion is None:
-            return [peer.witness]
-        return [self.name] if self.name in suspicion.witnesses else [peer.witness]
+        if suspicion is not None and self.name in suspicion.witnesses:
+            return self.name
+        return peer.witness
