--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.memory import processor_ms
 from yardbank.cluster.peers.datagram import HealthReport
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.outlier_consensus import believe
+from yardbank.cluster.peers.outlier_consensus import reach_consensus
 from yardbank.cluster.peers.report_store import SILENT
 from yardbank.cluster.peers.sharing import Sharing
 from yardbank.cluster.peers.transport import JUDGE_EVERY
@@ -36,15 +36,15 @@
     words = [
         HealthReport(f"g{n:04}", 1, n + 1, f"db-{d:05}", 0, SILENT, 10) for n in range(1, 4) for d in range(DOUBTED)
     ]
-    node.evidence.heard(START, words)
+    node.report_store.receive(START, words)
 
     def judge() -> None:
         own = sharing.first_hand(START)
-        node.evidence.saw(START, own)
-        sharing.believe(believe(START, node.evidence, sharing.listed(), own, lambda name: 0.5))
+        node.report_store.record_first_hand(START, own)
+        sharing.apply_consensus(reach_consensus(START, node.report_store, sharing.listed(), own, lambda name: 0.5))
 
     def tell() -> None:
-        node.register.set(sharing.figures())
+        node.counters.update(sharing.figures())
 
     judged, told = processor_ms(judge, 30), processor_ms(tell, 10)
     return {"one judgement": judged, "figures": told, "processor": (judged * JUDGED + told) / 10}
--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yardbank.cluster.peers import datagram as wire
-from yardbank.cluster.peers.counters import FRESH, MAX_KEYS, Register
+from yardbank.cluster.peers.counters import FRESH, MAX_KEYS, CounterRegistry
 from yardbank.cluster.peers.datagram import (
     ALIVE,
     GONE,
@@ -16,7 +16,7 @@
     Datagram,
     DroppedError,
     MembershipUpdate,
-    Replays,
+    ReplayFilter,
     decode,
     encode,
     read_keys,
@@ -97,9 +97,9 @@
         ({"boot_epoch": 8}, "shape"),
         ({"incarnation": 2**60}, "shape"),
         ({"sequence": 0}, "shape"),
-        ({"news": (MembershipUpdate("g2", 4, 1, "g1"),)}, "shape"),
-        ({"news": (MembershipUpdate("g2", 1, 0, "g1"),)}, "shape"),
-        ({"counts": (CounterValue("x", 1, -1),)}, "shape"),
+        ({"updates": (MembershipUpdate("g2", 4, 1, "g1"),)}, "shape"),
+        ({"updates": (MembershipUpdate("g2", 1, 0, "g1"),)}, "shape"),
+        ({"counters": (CounterValue("x", 1, -1),)}, "shape"),
     ],
 )
 def test_what_is_signed_and_wrong_is_dropped_by_its_reason(change, reason):
@@ -130,7 +130,7 @@
                 1,
                 1,
                 wire.PING,
-                news=tuple(MembershipUpdate("x" * 20, 1, 1, "y" * 20) for _ in range(40)),
+                updates=tuple(MembershipUpdate("x" * 20, 1, 1, "y" * 20) for _ in range(40)),
             ),
             [KEY],
         )
@@ -142,12 +142,12 @@
     gossip = GossipFleet(names, seed=15)
     for name in names:
         made = gossip.start(name, boot_epoch=1 << 40)
-        made.register.set({f"{number:02d}" + "k" * 62: (1 << 61) + number for number in range(20)})
+        made.counters.update({f"{number:02d}" + "k" * 62: (1 << 61) + number for number in range(20)})
     seen = {f"{number:02d}" + "s" * 62: (5 - number % 3, 1 << 60) for number in range(20)}
 
     def look():
         for name, node in gossip.nodes.items():
-            node.evidence.saw(gossip.own(name), seen)
+            node.report_store.record_first_hand(gossip.own(name), seen)
         gossip.at(gossip.now + SECOND, look)
 
     look()
@@ -171,10 +171,10 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 100)), max_size=80))
 def test_no_datagram_is_taken_twice(arrivals):
-    replays, taken, highest = Replays(), set(), 0
+    replays, taken, highest = ReplayFilter(), set(), 0
     for boot_epoch, sequence in arrivals:
         try:
-            replays.take("g1", boot_epoch, sequence)
+            replays.accept("g1", boot_epoch, sequence)
         except DroppedError:
             newest = max((s for w, s in taken if w == boot_epoch), default=0)
             assert (boot_epoch, sequence) in taken or boot_epoch < highest or newest - sequence >= wire.WINDOW
@@ -337,8 +337,8 @@
     """One that has the key accuses g2 in every datagram: g2 refutes each time, and is never gone for long."""
     gossip = fleet(seed=9)
     liar = gossip.nodes["g7"].detector
-    honest = liar.news_for
-    liar.news_for = lambda to, count: [
+    honest = liar.updates_for
+    liar.updates_for = lambda to, count: [
         MembershipUpdate("g2", GONE, liar.peers["g2"].incarnation, "g7"),
         *honest(to, count),
     ][:count]
@@ -355,19 +355,19 @@
 def test_an_accusation_far_above_ones_incarnation_is_not_believed():
     detector = Detector("g0", 10, Random(1))
     detector.listed(0, NAMES)
-    detector.told(1, "g1", [MembershipUpdate("g0", SUSPECT, 10 + LEAP + 1, "g1")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10 + LEAP + 1, "g1")])
     assert detector.incarnation == 10 and detector.boot_epoch == 10
-    detector.told(1, "g1", [MembershipUpdate("g0", SUSPECT, 10, "g1")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10, "g1")])
     assert detector.incarnation == 11 and detector.boot_epoch == 10  # refuted in the same life
-    detector.told(1, "g1", [MembershipUpdate("g0", ALIVE, 50, "g0")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", ALIVE, 50, "g0")])
     assert detector.incarnation == 51 and detector.boot_epoch == 51  # an earlier life was there
-    assert detector.overtaken == 1
+    assert detector.times_overtaken == 1
 
 
 def test_peers_come_from_the_list_alone():
     gossip = fleet(seed=10)
     node = gossip.nodes["g0"]
-    node.detector.told(gossip.now, "g1", [MembershipUpdate("g99", ALIVE, 1, "g1")])
+    node.detector.receive_updates(gossip.now, "g1", [MembershipUpdate("g99", ALIVE, 1, "g1")])
     assert "g99" not in node.detector.peers
     node.listed(gossip.now, NAMES[:4])
     assert {seen.name for seen in node.view(gossip.now)} == {"g1", "g2", "g3"}
@@ -406,55 +406,55 @@
     st.randoms(use_true_random=False),
 )
 def test_nothing_is_counted_twice_whatever_comes_late_or_again(moves, random):
-    here, there, boot_epoch, under_way = Register(), Register(), 1, []
-    here.listed({"g1"})
+    here, there, boot_epoch, under_way = CounterRegistry(), CounterRegistry(), 1, []
+    here.set_peers({"g1"})
     for move, key, value in moves:
         if move == "set":
-            there.set({f"k{key}": value})
+            there.update({f"k{key}": value})
         elif move == "restart":
-            there, boot_epoch = Register(), boot_epoch + 1
+            there, boot_epoch = CounterRegistry(), boot_epoch + 1
         else:
-            under_way.append((boot_epoch, there.some(4)))
+            under_way.append((boot_epoch, there.next_to_send(4)))
             told = random.choice(under_way)  # any of those sent so far, also again
-            here.heard(0, "g1", told[0], told[1])
-    under_way.append((boot_epoch, there.some(MAX_KEYS)))
+            here.receive(0, "g1", told[0], told[1])
+    under_way.append((boot_epoch, there.next_to_send(MAX_KEYS)))
     random.shuffle(under_way)
     for told in under_way * 2:
-        here.heard(0, "g1", told[0], told[1])
+        here.receive(0, "g1", told[0], told[1])
     for number in range(6):
         assert here.total(0, f"k{number}").value == there.total(0, f"k{number}").value
 
 
 def test_a_sum_says_who_is_missing_and_how_old_it_is():
-    register = Register()
-    register.listed({"g1", "g2", "g3"})
-    register.set({"out": 5})
-    register.heard(10, "g1", 1, [CounterValue("out", 1, 7)])
-    register.heard(20, "g2", 1, [CounterValue("out", 1, 1)])
-    register.heard(20, "g9", 1, [CounterValue("out", 1, 100)])
-    total = register.total(30, "out")
-    assert (total.value, total.parts, total.missing, total.oldest) == (13, 3, 1, 20)
-    later = register.total(15 + FRESH, "out")
+    registry = CounterRegistry()
+    registry.set_peers({"g1", "g2", "g3"})
+    registry.update({"out": 5})
+    registry.receive(10, "g1", 1, [CounterValue("out", 1, 7)])
+    registry.receive(20, "g2", 1, [CounterValue("out", 1, 1)])
+    registry.receive(20, "g9", 1, [CounterValue("out", 1, 100)])
+    total = registry.total(30, "out")
+    assert (total.value, total.contributors, total.missing, total.oldest) == (13, 3, 1, 20)
+    later = registry.total(15 + FRESH, "out")
     assert (later.value, later.missing) == (6, 2)  # g1 was not heard for too long
-    register.listed({"g2"})
-    assert register.total(30, "out").value == 6
+    registry.set_peers({"g2"})
+    assert registry.total(30, "out").value == 6
 
 
 def test_figures_are_bounded():
-    register = Register()
-    register.set({f"k{number}": number for number in range(MAX_KEYS + 10)})
-    assert register.not_kept == 10 and len(register.keys()) == MAX_KEYS
-    register.listed({"g1"})
-    register.heard(0, "g1", 1, [CounterValue(f"x{number}", 1, 1) for number in range(MAX_KEYS + 7)])
-    assert register.not_kept == 17
+    registry = CounterRegistry()
+    registry.update({f"k{number}": number for number in range(MAX_KEYS + 10)})
+    assert registry.dropped == 10 and len(registry.keys()) == MAX_KEYS
+    registry.set_peers({"g1"})
+    registry.receive(0, "g1", 1, [CounterValue(f"x{number}", 1, 1) for number in range(MAX_KEYS + 7)])
+    assert registry.dropped == 17
 
 
 def test_counts_reach_the_whole_fleet_and_a_refutation_loses_none():
     gossip = fleet(seed=12)
     for number, name in enumerate(NAMES):
-        gossip.nodes[name].register.set({"out:a-1": number + 1, "asked:lookup": 10})
+        gossip.nodes[name].counters.update({"out:a-1": number + 1, "asked:lookup": 10})
     gossip.run(gossip.now + 30 * SECOND)
-    gossip.nodes["g0"].detector.told(
+    gossip.nodes["g0"].detector.receive_updates(
         gossip.now, "g1", [MembershipUpdate("g0", SUSPECT, gossip.nodes["g0"].detector.incarnation, "g1")]
     )
     gossip.run(gossip.now + 10 * SECOND)
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -5,15 +5,16 @@
 from typing import Any
 
 from yardbank.cluster.peers.node import GossipNode
-from yardbank.cluster.peers.outlier_consensus import Belief
+from yardbank.cluster.peers.outlier_consensus import OutlierConsensus
 from yardbank.cluster.peers.report_store import KINDS
 
 MS = 1_000_000
 
 
-def node_view(node: GossipNode, belief: Belief, now: int) -> dict[str, Any]:
-    """Peers, words on servers, counts, and what each part has to show."""
-    detector, evidence = node.detector, node.evidence
+def node_view(node: GossipNode, consensus: OutlierConsensus, now: int) -> dict[str, Any]:
+    """Members, health reports on servers, counts, and what each part has to show."""
+    detector = node.detector
+    reports = node.report_store
     return {
         "name": node.name,
         "fleet": node.fleet,
@@ -32,17 +33,22 @@
         },
         "servers": {
             server: {
-                "doubted_ms": max(0, belief.doubted.get(server, now) - now) // MS,
+                "doubted_ms": max(0, consensus.outliers.get(server, now) - now) // MS,
                 "words": {
-                    witness: {"kind": KINDS[kept.word.kind], "age_ms": kept.age(now) // MS}
-                    for witness, kept in evidence.words(server).items()
+                    witness: {"kind": KINDS[stored.report.kind], "age_ms": stored.age(now) // MS}
+                    for witness, stored in reports.reports_on(server).items()
                 },
             }
-            for server in evidence.servers()
+            for server in reports.servers()
         },
         "totals": {
-            key: {"value": total.value, "parts": total.parts, "missing": total.missing, "oldest_ms": total.oldest // MS}
+            key: {
+                "value": total.value,
+                "parts": total.contributors,
+                "missing": total.missing,
+                "oldest_ms": total.oldest // MS,
+            }
             for key, total in node.totals(now).items()
         },
-        "parts": {topic: part.view(now) for topic, part in node.post.parts.items()},
+        "parts": {topic: part.view(now) for topic, part in node.outbox.parts.items()},
     }
