--- a/tests/policy/test_gossiped_positions.py
+++ b/tests/policy/test_gossiped_positions.py
@@ -63,6 +63,6 @@
 def test_a_copy_that_has_just_started_counts_as_heard_once_a_mark_came(seed):
     world = World(group(1), seed=seed)
     world.feed(ServerList("delta", (Member(2, "a", 0, False, "ready", world.now),)))
-    assert world.router.servers[2].unheard
+    assert world.router.servers[2].position_unknown
     marked(world, 2, after=MS)
-    assert not world.router.servers[2].unheard and world.router.servers[2].lag == 0
+    assert not world.router.servers[2].position_unknown and world.router.servers[2].lag == 0
--- a/tests/policy/test_health.py
+++ b/tests/policy/test_health.py
@@ -128,7 +128,7 @@
 
 def test_a_replica_that_misses_is_not_asked_again_at_each_sweep():
     world = World(group(1), tokens="carried", checks="refuse")
-    world.router.servers[1].drained = True
+    world.router.servers[1].draining = True
     world.ask("r", "status", since_write=700 * MS, left=2 * SECOND)
     tries = 0
     for _ in range(60):
@@ -236,6 +236,6 @@
     few = started()
     assert [probe.server for probe in few.of(Probe)] == [2] and not few.of(Send)
     few.known(2, after=5 * MS)
-    assert few.router.servers[2].unheard is False
+    assert few.router.servers[2].position_unknown is False
     hundreds = started(gateways=200, tells_load=True)
     assert 2 not in [probe.server for probe in hundreds.of(Probe)]  # what each of hundreds asks adds up: as before
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -72,7 +72,7 @@
     world.known(2, lag=300 * MS)
     world.router.servers[1].role_at[True] = -1  # no primary is known
     world.router.servers[2].limit = 1.0
-    world.router.servers[1].drained = True
+    world.router.servers[1].draining = True
     world.ask("first", "any")
     world.ask("recent", "status", since_write=10 * MS)
     world.ask("old", "status", since_write=900 * MS)
@@ -132,7 +132,7 @@
     members += [Member(3 + index, "b", 0, False, "ready") for index in range(8)]
     world = World(members)
     for index in range(8):
-        world.router.servers[2].drained = index < 7  # the own zone's replica is away at first
+        world.router.servers[2].draining = index < 7  # the own zone's replica is away at first
         world.ask(f"r{index}", "any", after=500 * MS)
         for server in sent(world):
             world.end(f"r{index}", server, after=350 * MS, role=Role.REPLICA)
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -96,7 +96,7 @@
     world.ask("alone", "any", left=450 * MS)
     assert sent(world) == [2]
     world.end("alone", 2)
-    world.router.servers[1].drained = world.router.servers[2].drained = True
+    world.router.servers[1].draining = world.router.servers[2].draining = True
     world.ask("last", "any", left=450 * MS)
     assert sent(world) == [3]
 
@@ -105,7 +105,7 @@
 def test_a_copy_that_the_way_rules_out_is_not_asked_where_it_stands(seed):
     world = far_and_near(seed)
     world.known(3, lag=SECOND, after=2 * SECOND)  # too far behind when heard of, perhaps no longer
-    world.router.servers[2].drained = True
+    world.router.servers[2].draining = True
     world.feed(ZoneLatencies((("b", 0, 900 * MS),)))
     world.ask("wide", "lookup", after=2 * SECOND, left=1000 * MS)
     assert [probe.server for probe in world.of(Probe)] == [3] and not sent(world)
@@ -130,7 +130,7 @@
     """The usual latency has the ways in it that requests go; before a server is chosen, no way is known to be needed."""
     world = far_and_near(seed)
     world.feed(ZoneLatencies((("b", 390 * MS, 0),)))
-    world.router.servers[1].drained = world.router.servers[2].drained = True
+    world.router.servers[1].draining = world.router.servers[2].draining = True
     world.ask("r", "any", left=500 * MS)
     assert sent(world) == [3]  # nobody else: perhaps it is faster than the map says
     world.ask("late", "any", left=50 * MS)
--- a/tests/server_list/test_server_list.py
+++ b/tests/server_list/test_server_list.py
@@ -510,7 +510,7 @@
         assert (
             back.started > 0
             and place.proxy.gateway._router.table.warmup_fraction(place.proxy.gateway.now(), back) < 1.0
-            and not back.drained
+            and not back.draining
         )
         put(*everyone, n3={"started": 0.0})  # another group and zone is another place for the same name
         moved = [s for s in listed(place, *everyone) if s.name != "n3"]
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -305,7 +305,7 @@
     draining = [SERVERS[0], SERVERS[1], ServerSpec("d", "g", "a", "h", 3, state="draining")]
     (tmp_path / "list.hcl").write_text(render(draining))
     life.pass_time(1.5)
-    assert life.gateway._router.servers[3].drained
+    assert life.gateway._router.servers[3].draining
     life.kill()
     (tmp_path / "list.hcl").write_text("broken {")
     life = Life(tmp_path, clock, truth)
--- a/yardbank/gateway/view.py
+++ b/yardbank/gateway/view.py
@@ -36,7 +36,7 @@
 def _outstanding(server: Server, router: Router) -> float:
     """How much a server stands out: doubt first, then what fills or strains it; 0: it does not."""
     doubt = (
-        100.0 * server.silent + 50.0 * (server.failures > 0) + 20.0 * (server.drained or server.overload_backoff > 0)
+        100.0 * server.silent + 50.0 * (server.failures > 0) + 20.0 * (server.draining or server.overload_backoff > 0)
     )
     told = server.load if router.table.load_of(router.now, server) is not None else 0.0
     strained = server.latency_ratio if server.latency_ratio > FULL_LATENCY_RATIO else 0.0
--- a/yardbank/policy/selection.py
+++ b/yardbank/policy/selection.py
@@ -144,7 +144,7 @@
         """The servers that the request has not tried, and of these the ones that have what it must see."""
         table = self._table
         required = pending.required_position(now)
-        free = [server for server in members if not server.drained and server.id not in pending.tried]
+        free = [server for server in members if not server.draining and server.id not in pending.tried]
         able = [server for server in free if server is primary or table.has_reached(now, server, required)]
         if table.zone_latencies:  # one whose round trip alone takes too long, only if no other may be sent it
             expires = pending.request.expires
@@ -168,9 +168,9 @@
         required = pending.required_position(now)
         likely = []
         for server in free:
-            if server in able or server.ejected_until or server.heard >= now - PROBE_INTERVAL:
+            if server in able or server.ejected_until or server.heard_at >= now - PROBE_INTERVAL:
                 continue
-            may_be_fresh = server.unheard and not table.probes_before_sending
+            may_be_fresh = server.position_unknown and not table.probes_before_sending
             if may_be_fresh or table.likely_position(now, server) >= required:
                 likely.append(server)
         if not likely:
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -48,13 +48,13 @@
         self.share = 1.0  # of the requests that equally good servers get
         self.started = 0  # 0: long ago
         self.listed_primary = False
-        self.drained = False  # it must not be sent anything new
+        self.draining = False  # it must not be sent anything new
         self.role_at = {True: -1, False: -1}  # when it was last known to be primary, and not to be
         # positions
         self.position = 0  # proven; never falls
         self.lag = 0  # how far behind it was when last heard
-        self.heard = 0  # when its position was last heard of
-        self.unheard = False  # it has started and its position is not known since
+        self.heard_at = 0  # when its position was last heard of
+        self.position_unknown = False  # it has started and its position is not known since
         # latency and concurrency
         self.latency_ratio = USUAL_LATENCY_RATIO
         self.latency_ratio_at = now
@@ -143,7 +143,7 @@
         for member in members:
             self._apply_member(now, member, is_delta=event.kind == ListKind.DELTA)
         for group in {member.group for member in members}:  # one that drains leaves its place to another
-            serving = sum(not server.drained for server in self.groups[group])
+            serving = sum(not server.draining for server in self.groups[group])
             self.max_members[group] = max(self.max_members.get(group, 1), serving)
 
     def _remove_unlisted(self, event: api.ServerList, listed: set[int]) -> None:
@@ -154,7 +154,7 @@
             server = self.servers.get(number)
             if server is None:
                 continue
-            if self.settings.only_draining_binds and not server.drained:
+            if self.settings.only_draining_binds and not server.draining:
                 continue  # the list may be wrong
             del self.servers[number]
             self.groups[server.group].remove(server)
@@ -170,14 +170,14 @@
             server.started = member.started
             server.role_at[True] = -1
             server.lag = self.settings.cold
-            server.heard = now
-            server.unheard = True
+            server.heard_at = now
+            server.position_unknown = True
         if member.primary and not server.listed_primary:
             primary_at = now - DELTA_DELAY if is_delta else 0
             server.role_at[True] = max(server.role_at[True], primary_at)
         server.listed_primary = member.primary
         server.share = member.share
-        server.drained = member.state == MemberState.DRAINING
+        server.draining = member.state == MemberState.DRAINING
 
     # what others say
 
@@ -212,8 +212,8 @@
             return
         server.position = max(server.position, position)
         server.lag = now - server.position
-        server.heard = now
-        server.unheard = False
+        server.heard_at = now
+        server.position_unknown = False
 
     def learn_report(self, now: int, server: Server, report: api.Report | None) -> None:
         """A report is exact but old: the role in it was true at its position."""
@@ -249,17 +249,17 @@
             server.lag = min(server.lag, now - required)
         elif event.status == Status.MISS:  # taken to be further behind each time: misses load it too
             server.lag = 2 * (now - min(self.likely_position(now, server), required))
-            server.heard = now
-        server.unheard = False
+            server.heard_at = now
+        server.position_unknown = False
 
     def likely_position(self, now: int, server: Server) -> int:
         """The position that a replica probably has: how far it was behind is forgotten as it catches up."""
-        return now - int(server.lag * exp((server.heard - now) / LAG_DECAY))
+        return now - int(server.lag * exp((server.heard_at - now) / LAG_DECAY))
 
     def has_reached(self, now: int, server: Server, required: int) -> bool:
         """Whether a read may be sent there: a proven position is enough; so is a likely one where servers check."""
         checked = self.settings.checks != ReplicaCheck.NONE
-        if checked and self.probes_before_sending and server.unheard and not server.in_flight:
+        if checked and self.probes_before_sending and server.position_unknown and not server.in_flight:
             return True  # it says itself if it is behind, which costs less than hundreds of probes
         if not required or server.position >= required:
             return True
@@ -269,7 +269,7 @@
         """The server last known to be primary, unless it drains or is ejected."""
         latest: Server | None = None
         for server in self.groups.get(group, ()):
-            if not server.is_primary() or server.drained:
+            if not server.is_primary() or server.draining:
                 continue
             if latest is None or server.role_at[True] > latest.role_at[True]:
                 latest = server
