--- a/benchmarks/atlas.py
+++ b/benchmarks/atlas.py
@@ -119,7 +119,7 @@
     for look in range(looks):
         fleet.run(1 / grain)
         for name, part in fleet.parts.items():
-            way = min(part.ways(fleet.gossip.own(name)), key=lambda way: way[1], default=("",))
+            way = min(part.zone_latencies(fleet.gossip.own(name)), key=lambda way: way[1], default=("",))
             shares.setdefault(way[0], [0.0] * looks)[look] += 1 / gateways
     most = 0.0
     for of_zone in shares.values():
--- a/benchmarks/scale/together.py
+++ b/benchmarks/scale/together.py
@@ -47,7 +47,7 @@
         "octets": (sum(fleet.gossip.octets.values()) - sent) / SPAN / MAP_GATEWAYS,
         "processor": processor,
         "unknown ways": unknown / len(fleet.parts),
-        "ways": len(part.ways(fleet.gossip.own(next(iter(fleet.parts))))),
+        "ways": len(part.zone_latencies(fleet.gossip.own(next(iter(fleet.parts))))),
     }
 
 
--- a/tests/cluster/latency_map/test_fleet_faults.py
+++ b/tests/cluster/latency_map/test_fleet_faults.py
@@ -25,7 +25,7 @@
     fleet.run(60)
     assert all(fleet.figure(name, "a", "c") is None for name in rest) and right(fleet, "g0", "a", "b")
     fleet.run(20)
-    assert [way[0] for way in fleet.parts["g0"].ways(fleet.gossip.own("g0"))] == ["b"]
+    assert [way[0] for way in fleet.parts["g0"].zone_latencies(fleet.gossip.own("g0"))] == ["b"]
     fleet.gossip.network.end("cut")
     fleet.change("a", "c", 15)
     fleet.change("b", "c", 90)
@@ -81,7 +81,7 @@
             for sums in shares.values():
                 sums.append(sums[-1])
             for name, part in fleet.parts.items():
-                ways = part.ways(fleet.gossip.own(name))
+                ways = part.zone_latencies(fleet.gossip.own(name))
                 shares[min(ways, key=lambda way: way[1])[0] if ways else ""][-1] += 1 / gateways
         assert number == 0 or not wrong(fleet, own=True)
     for sums in shares.values():
@@ -155,7 +155,7 @@
     fleet.change("a", "b", 25)
     for name in fleet.zones:
         fleet.gossip.start(name)
-    assert fleet.figure("g0", "a", "b") is None and fleet.parts["g0"].ways(fleet.gossip.own("g0")) == ()
+    assert fleet.figure("g0", "a", "b") is None and fleet.parts["g0"].zone_latencies(fleet.gossip.own("g0")) == ()
     fleet.run(60)
     node = fleet.gossip.nodes["g0"]
     with pytest.raises(Exception, match="old"):
--- a/tests/cluster/latency_map/test_measurements.py
+++ b/tests/cluster/latency_map/test_measurements.py
@@ -21,7 +21,7 @@
 
 
 def seeing(hand, seconds, now, ways, each=SECOND // 4, late=0, slowness=0):
-    """Round trips of so many ms by zone; ``ways`` may be a function of the time."""
+    """Round trips of so many ms by zone; ``zone_latencies`` may be a function of the time."""
     for _ in range(round(seconds)):
         for _ in range(SECOND // each):
             now += each
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -291,7 +291,7 @@
         for change in self._map.changes():
             ms = None if change.ns is None else round(change.ns / 1e6, 3)
             self._log.info("map", **{"from": change.pair[0]}, to=change.pair[1], ms=ms, how=change.how)
-        self._gateway.told_ways(self._map.ways(now))
+        self._gateway.told_ways(self._map.zone_latencies(now))
 
     def _update_feeds(self, now: int) -> None:
         """Give the positions' feeds the gateway's servers, when these have changed."""
--- a/yardbank/cluster/latency_map/messages.py
+++ b/yardbank/cluster/latency_map/messages.py
@@ -1,8 +1,8 @@
-"""What gateways tell each other of ways: rows of the map, octets in and out. No I/O.
+"""Messages of the latency map: rows as octets, and back. No I/O.
 
-A letter holds a table of zones (a digest of each name) and some rows. The first row is the sender's own zone's as it
-has seen it itself, the others are what it believes. An entry is four octets: the round trip on a scale of logarithms,
-the spread and the number of witnesses, the age. So no figure can be negative, no number, or beyond 10 s.
+A message holds a table of zones (a digest of each name) and some rows. The first row is the sender's own zone's as it
+has measured it itself, the others are its estimates. An entry is four octets: the round trip on a scale of logarithms,
+the spread and the number of witnesses, the age. So no value can be negative, not a number, or beyond 10 s.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One way; times in nanoseconds."""
+    """One pair of zones; times in nanoseconds."""
 
     value: int
     spread: int
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReceivedRows:
-    """A letter that was read; zones that this gateway does not know are left out."""
+    """A message that was decoded; zones that this gateway does not know are left out."""
 
     number: int
     state: int  # the sender's, see ``measurements``
@@ -65,12 +65,12 @@
 
 
 def digest(zone: str) -> bytes:
-    """A zone's name as it crosses."""
+    """A zone's name as it stands in messages."""
     return xxhash.xxh3_64_digest(zone.encode())[:DIGEST]
 
 
 def packed(entry: Entry) -> bytes:
-    """Four octets."""
+    """An entry as four octets."""
     value = min(MOST, max(LEAST, entry.value))
     code = 1 + round(math.log(value / LEAST) / SCALE * CODES)
     spread = 0 if entry.spread < FINEST else min(SPREADS, 1 + int(math.log(entry.spread / FINEST) / math.log(4 / 3)))
@@ -79,7 +79,7 @@
 
 
 def unpacked(data: bytes, at: int) -> Entry | None:
-    """The entry there; None: nothing is said of it."""
+    """The entry at an offset; None: nothing is known of that pair."""
     code, rest, age = ENTRY.unpack_from(data, at)
     if code == NOTHING or age == OLDEST:
         return None
@@ -89,7 +89,7 @@
 
 
 def encode(number: int, state: int, rows: Sequence[tuple[str, Row]]) -> bytes:
-    """A letter; at most ``MAX_ZONES`` zones."""
+    """A message; at most ``MAX_ZONES`` zones, those later by name are left out."""
     zones = sorted({zone for zone, _ in rows} | {zone for _, row in rows for zone in row})[:MAX_ZONES]
     nothing = bytes(ENTRY.size)
     body = b"".join(
@@ -101,7 +101,7 @@
 
 
 def decode(body: bytes, known: Mapping[bytes, str]) -> ReceivedRows:
-    """Read it, with zones by digest. Raises ``DroppedError`` with a reason."""
+    """Decode a message, with zones by digest. Raises ``DroppedError`` with a reason."""
     try:
         found = _decoder.decode(body)
     except (msgspec.DecodeError, RecursionError):
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -1,7 +1,8 @@
-"""One gateway's map of what ways between zones cost: seen, told, believed, used. No I/O: time (ns) comes in.
+"""One gateway's map of latencies between zones: measured, gossiped, agreed on, used. No I/O: time (ns) comes in.
 
-Each second the figures are worked out anew. A letter goes out each second and a half, to one of the own zone and one
-elsewhere by turns, whatever the fleet's size: the own row as it was seen, and a few others as they are believed.
+Owns measurements, reports and estimates. Each second the estimates are updated. A message goes out each second and a
+half, to one gateway of the own zone and one elsewhere by turns, whatever the fleet's size: the own row as measured, and
+a few others as estimated. Bound: ``MAX_ZONES`` zones.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from yardbank.cluster.peers.parts import MembershipView, Message
 
 MS = 1_000_000
-EVERY = 3 * SECOND // 2  # a letter
-OTHERS = 2  # rows of others in it
-FAR = 4  # seconds between two looks at a way between other zones
+MESSAGE_INTERVAL = 3 * SECOND // 2
+OTHER_ROWS = 2  # rows of other zones in a message
+FAR_INTERVAL = 4  # seconds between two updates of a pair that the own zone is not in
 
 
 class AtlasPart:
-    """The map, as a part on the link."""
+    """The latency map as a part of the peers' node."""
 
     topic = "map"
     rate: tuple[int, int] | None = None
@@ -47,17 +48,17 @@
         self._slow: dict[str, int] = {}  # peers that find themselves slow, and when they said so
         self._boot_epochs: dict[str, int] = {}
         self._stood: dict[str, str] = {}  # the list's zones as they were
-        self._turns: dict[Pair, EstimateChange] = {}
+        self._changes: dict[Pair, EstimateChange] = {}
         self._out: list[Message] = []
         self._number = 0
-        self._next = self._next_letter = self._beats = 0
+        self._next = self._next_message = self._beats = 0
         self._stopped = False
         self._now = 0
 
-    # What is seen
+    # Measurements
 
     def saw_peer(self, now: int, peer: str, ns: int) -> None:
-        """A peer answered a probe."""
+        """A peer answered a probe after ``ns``."""
         zone = self._membership_view.zones().get(peer)
         if zone is not None and peer not in self._slow and not self._late(now):
             self.seen.saw(now, zone, ns, peer)
@@ -79,14 +80,14 @@
         """Whether this gateway was stopped or starved just now: what comes in waited in its sockets."""
         return self._stopped or (self._next > 0 and now - self._next > LATE)
 
-    # The link
+    # The node's side
 
     def listed(self, now: int) -> None:
         """The list has changed."""
         zones = self._membership_view.zones()
         if not self._next:
             self._next = now + self._random.randrange(SECOND)
-            self._next_letter = now + self._random.randrange(EVERY)
+            self._next_message = now + self._random.randrange(MESSAGE_INTERVAL)
         moved = {name for name, zone in self._stood.items() if zones.get(name) != zone}
         self._stood = dict(zones)
         self._boot_epochs = {name: boot_epoch for name, boot_epoch in self._boot_epochs.items() if name in zones}
@@ -134,7 +135,7 @@
                     )
 
     def tick(self, now: int) -> None:
-        """A second has passed, or a letter is due."""
+        """A second has passed, or a message is due."""
         self._now = now
         if now >= self._next:
             self._stopped = now - self._next > LATE  # until the next tick: timers may come before sockets
@@ -144,13 +145,13 @@
             self._forget(now)
             self._believe(now)
             self.transition.aim(now, self.estimates.from_zone(self._zone))
-        if now >= self._next_letter:
-            self._next_letter = now + EVERY
-            self._tell(now)
+        if now >= self._next_message:
+            self._next_message = now + MESSAGE_INTERVAL
+            self._gossip(now)
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
-        times = [self._next, self._next_letter, self.transition.next_at(self._now)]
+        times = [self._next, self._next_message, self.transition.next_at(self._now)]
         return min((at for at in times if at), default=None)
 
     def outgoing_messages(self) -> list[Message]:
@@ -158,7 +159,7 @@
         found, self._out = self._out, []
         return found
 
-    def _tell(self, now: int) -> None:
+    def _gossip(self, now: int) -> None:
         zones = self._membership_view.zones()
         alive = sorted(name for name in self._membership_view.alive() if name in zones)
         near = [name for name in alive if zones[name] == self._zone]
@@ -169,12 +170,12 @@
             return
         known = sorted(self._known.values())
         row = {
-            zone: Entry(figure.low, figure.spread, now - figure.seen_at, 1)
-            for zone, figure in self.seen.row(now).items()
+            zone: Entry(measured.low, measured.spread, now - measured.seen_at, 1)
+            for zone, measured in self.seen.row(now).items()
             if zone in known
         }
         others = [zone for zone in known if zone != self._zone]
-        chosen = self._random.sample(others, min(OTHERS, len(others)))
+        chosen = self._random.sample(others, min(OTHER_ROWS, len(others)))
         rows = [(self._zone, row)] + [(zone, self._believed_row(now, zone, others)) for zone in chosen]
         body = letter.encode(self._number, self.seen.state, rows)
         self._out.append(Message(among[self._random.randrange(len(among))], body))
@@ -186,11 +187,11 @@
             if (estimate := self.estimates.by[pair_of(zone, other)]).how == Basis.MEASURED
         }
 
-    # What is believed
+    # Estimates
 
     def _forget(self, now: int) -> None:
         max_age = self.options.max_age
-        if self._beats % FAR == 0:
+        if self._beats % FAR_INTERVAL == 0:
             self.estimates.settle()
             self.reports.keep(lambda pair, name, report: now - report.seen_at < max_age)
         self._slow = {name: at for name, at in self._slow.items() if now - at < max_age}
@@ -203,32 +204,32 @@
         own = self.seen.row(now)
         for place, (pair, estimate) in enumerate(self.estimates.by.items()):
             near = self._zone in pair
-            if not near and (place + self._beats) % FAR:
+            if not near and (place + self._beats) % FAR_INTERVAL:
                 continue
-            figure = own.get(pair[0] if pair[1] == self._zone else pair[1]) if near else None
-            own_decides = figure is not None and figure.fresh and self.seen.state == GatewayHealth.WELL
+            measured = own.get(pair[0] if pair[1] == self._zone else pair[1]) if near else None
+            own_decides = measured is not None and measured.fresh and self.seen.state == GatewayHealth.WELL
             reports = self.reports.about(pair, now - self.options.max_age)
             detour_bounds = partial(self.estimates.detour_bounds, pair)
-            found = consensus(now, figure, own_decides, reports, self.options.window, detour_bounds)
+            found = consensus(now, measured, own_decides, reports, self.options.window, detour_bounds)
             if found is not None:
                 news = estimate.take(now, found, self.options.hold)
             else:
                 news = estimate.without(between[1] if (between := detour_bounds()) else None)
             if news:
-                self._turns[pair] = estimate.change(pair)
+                self._changes[pair] = estimate.change(pair)
 
     def changes(self) -> list[EstimateChange]:
-        """Ways whose figures have changed since this was asked last; the newest of each pair."""
-        found, self._turns = list(self._turns.values()), {}
+        """Estimates that have changed since this was asked last; the newest of each pair."""
+        found, self._changes = list(self._changes.values()), {}
         return found
 
-    # What it is used for
+    # Uses
 
     def distance(self, zone_a: str, zone_b: str) -> int | None:
         """The round trip between two zones in ns, seen or estimated; None: unknown. Within one not known: 0."""
         return self.estimates.distance(zone_a, zone_b)
 
-    def ways(self, now: int) -> ZoneLatencies:
+    def zone_latencies(self, now: int) -> ZoneLatencies:
         """Of each other zone that is known: the round trip beyond one within the own zone, and the longest usual one.
 
         The last is the whole round trip with its spread: an attempt with less time left is of no use there.
@@ -236,14 +237,14 @@
         return self.transition.at(now)
 
     def prices(self) -> dict[tuple[str, str], int]:
-        """What each way costs beyond one within the nearer end's zone, ns, both directions; see ``plan.ways``."""
+        """Round trips of pairs beyond one within the nearer zone, ns, both directions; see ``plan.zone_latencies``."""
         return self.estimates.prices()
 
     def view(self, now: int) -> dict[str, Any]:
         """The map, as plain values; times in ms, ages in seconds."""
         ways = [
             {"to": zone, "ms": round(beyond / MS, 3), "longest": round(longest / MS, 3)}
-            for zone, beyond, longest in self.ways(now)
+            for zone, beyond, longest in self.zone_latencies(now)
         ]
         return {
             "zone": self._zone,
--- a/yardbank/cluster/latency_map/reports.py
+++ b/yardbank/cluster/latency_map/reports.py
@@ -1,9 +1,10 @@
-"""What gateways say of ways, and what of it is believed. No I/O.
+"""Reports of gateways on latencies, and the consensus of them. No I/O.
 
-Each sender speaks for itself alone: of each pair and sender the newest claim is kept, so claims may come twice, late,
-in any order. A claim is first-hand where the list puts its sender into one of the two zones; else it is hearsay, which
-only fills up where fewer than three are first-hand. What is believed is the median over senders (approximate agreement:
-Dolev and others, JACM 1986): with three voices or more one liar moves it no further than the honest ones reach.
+Each sender reports for itself alone: of each pair and sender the newest report is kept, so reports may come twice,
+late, in any order. A report is first-hand where the list puts its sender into one of the two zones; else it is
+second-hand, and only counts where fewer than three are first-hand. The consensus is the median over senders
+(approximate agreement: Dolev and others, JACM 1986): with three reports or more one false one moves it no further than
+the true ones reach. Bound: ``MAX_VOICES`` reports of each pair.
 """
 
 from __future__ import annotations
@@ -14,28 +15,28 @@
 from yardbank.cluster.latency_map.measurements import Measurement
 from yardbank.cluster.latency_map.options import Pair
 
-VOICES = 3  # so many are wanted before one of them may lie
-MAX_VOICES = 24  # kept of one pair; beyond, the one seen longest ago gives way
-AGREE, NEAR = 1.5, 2_000_000  # two that differ by less than this factor, or so little, say the same
+VOICES = 3  # reports wanted, so that one of them may be false
+MAX_VOICES = 24  # kept of one pair; beyond, the one measured longest ago is dropped
+AGREE, NEAR = 1.5, 2_000_000  # two that differ by less than this factor, or so many ns, agree
 DetourBounds = Callable[[], tuple[int, int] | None]
-SLACK = 2.0  # ways through a third zone are this far off at most, as far as a lone voice is believed
+SLACK = 2.0  # by this factor a lone report may leave the bounds that detours through a third zone give
 
 
 @dataclass(slots=True, frozen=True)
 class LatencyReport:
-    """One gateway's word on one way; times in nanoseconds, ``seen_at`` on this gateway's clock."""
+    """One gateway's report on one pair; times in nanoseconds, ``seen_at`` on this gateway's clock."""
 
     value: int
     spread: int
     seen_at: int
     witnesses: int
     first: bool
-    order: tuple[int, int]  # the sender's life, and the letter's number
+    order: tuple[int, int]  # the sender's boot epoch, and the message's number
 
 
 @dataclass(slots=True, frozen=True)
 class Consensus:
-    """What is believed of a way."""
+    """The consensus on one pair; times in ns."""
 
     value: int
     spread: int
@@ -44,14 +45,14 @@
 
 
 class ReportStore:
-    """Of each pair what each sender said last."""
+    """Of each pair the last report of each sender."""
 
     def __init__(self) -> None:
-        self.crowded = 0  # gave way for newer ones
+        self.crowded = 0  # dropped for newer ones
         self._by: dict[Pair, dict[str, LatencyReport]] = {}
 
     def take(self, pair: Pair, sender: str, report: LatencyReport) -> None:
-        """One more. Of the same letter the first that came counts: a copy that was under way longer looks younger."""
+        """One more. Of copies of a message the first counts: one that was delayed looks younger than it is."""
         by = self._by.setdefault(pair, {})
         known = by.get(sender)
         if known is not None and (known.order, -known.seen_at) >= (report.order, -report.seen_at):
@@ -62,7 +63,7 @@
             self.crowded += 1
 
     def keep(self, wanted: Callable[[Pair, str, LatencyReport], bool]) -> None:
-        """Forget all but those."""
+        """Drop all reports but the wanted ones."""
         for pair, by in list(self._by.items()):
             kept = {sender: report for sender, report in by.items() if wanted(pair, sender, report)}
             if kept:
@@ -71,7 +72,7 @@
                 del self._by[pair]
 
     def about(self, pair: Pair, since: int) -> list[LatencyReport]:
-        """What is said of one, by what was seen since then."""
+        """The reports on a pair that rest on measurements since then."""
         return [report for report in self._by.get(pair, {}).values() if report.seen_at > since]
 
 
@@ -87,10 +88,10 @@
     window: int,
     detour_bounds: DetourBounds,
 ) -> Consensus | None:
-    """What to believe of a pair; None: nothing.
+    """The consensus on a pair; None: there is none.
 
-    ``own``: as this gateway sees it; ``own_decides``: that is fresh, and it finds itself well, so others are not asked.
-    ``detour_bounds``: between what the ways through a third zone put it; a lone voice is believed no further than that.
+    ``own``: as this gateway measures it; ``own_decides``: that is fresh and the gateway well, so reports do not count.
+    ``detour_bounds``: between what detours through a third zone put it; a lone report counts no further than that.
     """
     first = [report for report in reports if report.first]
     if own is not None:
@@ -99,7 +100,7 @@
         first.append(LatencyReport(own.low, own.spread, own.seen_at, 1, True, (0, 0)))
     first.sort(key=_age)
     voices = [report for place, report in enumerate(first) if place < VOICES or now - report.seen_at <= window]
-    if len(voices) < VOICES and own is None:  # hearsay never outvotes what one sees
+    if len(voices) < VOICES and own is None:  # second-hand reports never outvote an own measurement
         voices += sorted((report for report in reports if not report.first), key=_age)[: VOICES - len(voices)]
     if not voices:
         return None
