--- a/tests/cluster/channels/test_items.py
+++ b/tests/cluster/channels/test_items.py
@@ -9,7 +9,7 @@
 
 from yardbank.cluster.channels import placement, tree
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Gap
-from yardbank.cluster.channels.items import HOLD, MOST_EARLY, Queue, Recent, Stream
+from yardbank.cluster.channels.items import MAX_EARLY, REORDER_WAIT, Queue, Recent, Stream
 from yardbank.cluster.channels.members import Members
 from yardbank.cluster.channels.messages import InterestDigest, InterestQuery, InterestSet, Item
 from yardbank.cluster.channels.placement import Placement, bound, place, successors
@@ -50,7 +50,7 @@
         stream.tick(now)
         stream.take(now, one)
     for _ in range(20):
-        now += HOLD
+        now += REORDER_WAIT
         stream.tick(now)
     assert not stream.waits() and not stream._early
     places = [(one.epoch, one.sequence) for one in stream.out if isinstance(one, Item)]
@@ -91,9 +91,9 @@
 def test_what_waits_is_bounded_by_count() -> None:
     stream = Stream("c")
     stream.take(0, item(1, 1))
-    for sequence in range(3, MOST_EARLY + 10):
+    for sequence in range(3, MAX_EARLY + 10):
         stream.take(1, item(1, sequence))
-    assert Gap("c", 1, 1) in stream.out and len(stream.out) > MOST_EARLY
+    assert Gap("c", 1, 1) in stream.out and len(stream.out) > MAX_EARLY
 
 
 def test_the_newest_only_waits_for_nothing() -> None:
@@ -158,10 +158,12 @@
 
 
 def test_the_owner_goes_where_the_worst_way_is_shortest_unless_a_way_is_unknown() -> None:
-    ways = {frozenset("ab"): 20, frozenset("bc"): 20, frozenset("ac"): 90}
+    ancestors = {frozenset("ab"): 20, frozenset("bc"): 20, frozenset("ac"): 90}
     zones = {f"g{number}": "abc"[number % 3] for number in range(9)}
     for known in ("abc", "ab"):
-        found = Placement(lambda a, b, known=known: ways[frozenset((a, b))] * MS if a in known and b in known else None)
+        found = Placement(
+            lambda a, b, known=known: ancestors[frozenset((a, b))] * MS if a in known and b in known else None
+        )
         found.listed(zones)
         order = found.order("x", frozenset(zones), frozenset(zones))
         assert ({zones[name] for name in order[:3]} == {"b"}) is (known == "abc")
@@ -185,13 +187,13 @@
     root = names[owner % gateways]
     fed = Counter()
     for at, name in enumerate(names):
-        ways = tree.ways(names, at, fan_out, root)
-        assert name not in ways
+        ancestors = tree.ancestors(names, at, fan_out, root)
+        assert name not in ancestors
         if name != root:
-            parent = ways[0]
+            parent = ancestors[0]
             fed[parent] += 1
             assert parent == root or names.index(parent) < at
-            assert len(ways) <= tree.depth(gateways, fan_out)
+            assert len(ancestors) <= tree.depth(gateways, fan_out)
     assert all(count <= fan_out for name, count in fed.items() if name != root)
     assert fed[root] <= 2 * fan_out
 
--- a/yardbank/cluster/channels/api.py
+++ b/yardbank/cluster/channels/api.py
@@ -14,12 +14,12 @@
 class Options:
     """How channels run; the same over the whole fleet."""
 
-    fan_out: int = 4  # gateways that each hands a feed on to
-    most_queued: int = 1000  # items kept for a slow listener
-    every: int = 100 * MS  # between two askings of the positions' owner
-    alone_after: int = SECOND  # who hears nothing of positions for so long asks for itself again
+    fan_out: int = 4  # gateways that each forwards a feed to
+    most_queued: int = 1000  # items queued for a slow listener
+    every: int = 100 * MS  # between two polls by the positions' owner
+    alone_after: int = SECOND  # without positions for so long a gateway polls for itself again
     term: int = 3 * SECOND  # of a lease
-    overlap: int = 500 * MS  # of two owners, at a planned handing on
+    overlap: int = 500 * MS  # of two owners, at a planned transfer
     rate: int = 64 * 1024  # octets of feeds that one gateway sends in a second
     burst: int = 256 * 1024  # and at once
 
@@ -30,7 +30,7 @@
 
     @property
     def heartbeat(self) -> int:
-        """Between two words of an owner to those that would follow it."""
+        """Between two heartbeats of an owner to its heirs and children, ns."""
         return max(20 * MS, min(500 * MS, self.term // 6))
 
 
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Owned:
-    """This gateway carries the channel from now on."""
+    """This gateway owns the channel from now on."""
 
     channel: str
     epoch: int
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """It carries it no longer, and why."""
+    """It owns it no longer, and why."""
 
     channel: str
     epoch: int
--- a/yardbank/cluster/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -1,6 +1,7 @@
-"""Items on their way: what an owner gives out, what comes in and is handed on, what those who missed some get. No I/O.
+"""Items: published by an owner, received and forwarded along the tree, retransmitted to who missed some. No I/O.
 
-An owner and all that hand on keep the last items, so that who missed some asks his parent or the owner.
+An owner and all that forward keep the last items (see ``Recent`` for the bound), so that a follower that misses some
+asks its parent or the owner. Invariant: nobody speaks for another; only an owner itself says that its epoch ended.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from yardbank.cluster.peers.datagram import DroppedError
 from yardbank.cluster.peers.parts import Message
 
-LEAP = 1 << 20  # so far beyond what is known, a sequence is not believed
-FAR = 1 << 44  # nor an epoch: they begin with the seconds of the wall clock and ten bits
+MAX_SEQUENCE_LEAP = 1 << 20  # beyond what is known; a sequence further off is rejected
+MAX_EPOCH_LEAP = 1 << 44  # likewise: epochs begin with the seconds of the wall clock and ten bits
 
 
 class Feed(Outgoing):
-    """All channels that this gateway carries, would carry or follows."""
+    """All channels that this gateway owns, would own or follows."""
 
     def joined(self, followers: Mapping[str, frozenset[str]], latest: Collection[str]) -> None:
         """The channels that this gateway takes part in, and who follows each; ``latest``: only the newest counts."""
@@ -36,10 +37,10 @@
         for channel, stream in self.streams.items():
             stream.latest = channel in latest
 
-    # What is carried here
+    # As owner
 
     def carry(self, now: int, channel: str, epoch: int) -> None:
-        """This gateway is the owner from now on: the first ones of the tree and the heirs hear it at once."""
+        """This gateway is the owner from now on: the first of the tree and the heirs hear it at once."""
         known, end = self.known.get(channel), self.ends.get(channel)
         after = end if end is not None and known is not None and end[0] == known.epoch < epoch else None
         self.owned_channels[channel] = OwnedChannel(epoch, 0, after)
@@ -51,7 +52,7 @@
         self.tell(now, {to: [channel] for to in self.targets(now, channel, heirs=True)}, urgent=True)
 
     def publish(self, now: int, channel: str, data: bytes) -> int:
-        """Give out the next item of a channel carried here; how many gateways it was sent to."""
+        """Publish the next item of a channel owned here; how many gateways it was sent to."""
         mine = self.owned_channels[channel]
         mine.sequence += 1
         item = Item(channel, mine.epoch, mine.sequence, data, self.name, self.boot_epoch, mine.after)
@@ -64,7 +65,7 @@
         return len(targets)
 
     def stop(self, now: int, channel: str, to: Iterable[str]) -> None:
-        """It is carried here no longer: said to the next owner and those that would be it, with where it ended."""
+        """It is owned here no longer: tell successor, heirs and children where the epoch ended."""
         mine = self.owned_channels.pop(channel)
         place = mine.epoch, mine.sequence
         self.ends[channel] = max(place, self.ends.get(channel, place))
@@ -75,15 +76,15 @@
         self.outgoing_messages += [Message(name, body, urgent=True) for name in sorted(targets)]
 
     def end(self, channel: str, before: int) -> EndedAt | None:
-        """Where this gateway's own last epoch before another ended; None: it did not, or that is not known."""
+        """Where this gateway's own last epoch before another one ended; None: it did not, or that is not known."""
         if channel in self.owned_channels or (place := self.ends.get(channel)) is None or place[0] >= before:
             return None
         return EndedAt(channel, *place)
 
-    # What others say
+    # What other gateways send
 
     def item(self, now: int, sender: str, item: Item) -> None:
-        """One came: kept, delivered in its turn, handed on if it is new. Raises ``DroppedError``."""
+        """An item came: keep it, deliver it in order, forward it if it is new. Raises ``DroppedError``."""
         if (stream := self.streams.get(item.channel)) is None:
             raise DroppedError("unasked")
         known = self.known.get(item.channel)
@@ -109,11 +110,13 @@
 
     def _leaps(self, known: Known | None, epoch: int, sequence: int) -> bool:
         if known is None:
-            return sequence > LEAP
-        return epoch > known.epoch + FAR or (epoch == known.epoch and sequence > known.sequence + LEAP)
+            return sequence > MAX_SEQUENCE_LEAP
+        if epoch == known.epoch:
+            return sequence > known.sequence + MAX_SEQUENCE_LEAP
+        return epoch > known.epoch + MAX_EPOCH_LEAP
 
     def heartbeat(self, now: int, sender: str, states: Iterable[ChannelState]) -> None:
-        """One said how far channels have come; what is news goes on at once."""
+        """A heartbeat came; a new owner or epoch is forwarded at once."""
         news: dict[str, list[str]] = {}
         for state in states:
             stream, known = self.streams.get(state.channel), self.known.get(state.channel)
@@ -141,7 +144,7 @@
         self.tell(now, news, urgent=True)
 
     def subscribe(self, now: int, child: str, channels: Iterable[FollowerProgress]) -> None:
-        """One asks to be fed, and says what it has: what it lacks of that goes out at once."""
+        """A child subscribes, and says what it has: newer items go out at once."""
         told = []
         for have in channels:
             if have.channel not in self.streams:
@@ -157,13 +160,13 @@
         self.tell(now, {child: told})
 
     def retransmit(self, asker: str, wanted: Retransmit) -> None:
-        """One missed some."""
+        """Retransmit what is still kept of the items asked for."""
         if (recent := self.recent.get(wanted.channel)) is not None:
             for item in recent.some(wanted.epoch, wanted.first, wanted.last):
                 self.send_item(item, [asker])
 
     def ended(self, now: int, sender: str, told: EndedAt, expected: bool) -> None:
-        """An owner says that it is none any more. ``expected``: it hands the channel on to this gateway."""
+        """An owner says where its epoch ended. ``expected``: it transfers the channel to this gateway."""
         if (stream := self.streams.get(told.channel)) is None:
             return
         place, known = (told.epoch, told.sequence), self.known.get(told.channel)
--- a/yardbank/cluster/channels/items.py
+++ b/yardbank/cluster/channels/items.py
@@ -15,15 +15,15 @@
 from yardbank.cluster.channels.api import MS, Delivered, Gap
 from yardbank.cluster.channels.messages import Item, ItemPosition
 
-HOLD = 600 * MS  # so long the next one in order is waited for
-ASK_EVERY = 60 * MS
-MOST_EARLY = 128  # items that wait for one before them
+REORDER_WAIT = 600 * MS  # so long the next item in order is waited for before it counts as a gap
+RETRANSMIT_INTERVAL = 60 * MS  # between two requests for the same items
+MAX_EARLY = 128  # items of a channel that wait for one before them
 RECENT, RECENT_OCTETS = 256, 64 * 1024  # kept of a channel, for those who missed some
 
 
 @dataclass(slots=True, frozen=True)
 class Missing:
-    """These have not come; the last one included."""
+    """Items that have not come; the last one included."""
 
     epoch: int
     first: int
@@ -31,7 +31,7 @@
 
 
 class Stream:
-    """What was taken of a channel so far, and what waits. ``latest``: only newer counts, nothing is waited for."""
+    """What one follower received of a channel. ``latest``: only newer items count, none is waited for."""
 
     def __init__(self, channel: str, latest: bool = False) -> None:
         self.channel, self.latest = channel, latest
@@ -44,10 +44,10 @@
         self._after: dict[int, ItemPosition] = {}  # by epoch: where the one before it ended
         self._ends: ItemPosition | None = None  # where an epoch ends, as its owner said
         self._waits_since = 0
-        self._asked_at = -ASK_EVERY
+        self._asked_at = -RETRANSMIT_INTERVAL
 
     def take(self, now: int, item: Item) -> bool:
-        """An item came, by whatever way; whether it is new here."""
+        """An item came, from whomever; whether it is new here."""
         place = item.epoch, item.sequence
         if place <= self.place or place in self._early:
             self.doubled += 1
@@ -63,7 +63,7 @@
         return True
 
     def heard(self, now: int, epoch: int, newest: int, after: ItemPosition | None) -> None:
-        """Somebody who hands it on said how far it has come."""
+        """A heartbeat said which item is the newest."""
         if self.place == (0, 0) and not self._early:
             self.place = epoch, newest
         self._heard(epoch, 0 if self.latest else newest, after)  # the newest itself is still to come
@@ -86,8 +86,12 @@
 
     def missing(self, now: int) -> Missing | None:
         """What to ask for now; the same is asked for again only after a while."""
-        if not self._waits_since or now < max(self._asked_at + ASK_EVERY, self._waits_since + ASK_EVERY // 4):
+        if not self._waits_since:
+            return None
+        if now < self._waits_since + RETRANSMIT_INTERVAL // 4:
             return None  # most of what is missing has only been overtaken
+        if now < self._asked_at + RETRANSMIT_INTERVAL:
+            return None
         epoch, sequence = self.place
         known = [early[1] - 1 for early in self._early if early[0] == epoch]
         last = min(known) if known else self._end_of(epoch)
@@ -154,8 +158,8 @@
         here = [early[1] for early in self._early if early[0] == epoch]
         if following and not joined and not here:
             return self._leap(following)
-        patient = not self.latest and len(self._early) <= MOST_EARLY
-        if patient and (not self._waits_since or now < self._waits_since + HOLD):
+        patient = not self.latest and len(self._early) <= MAX_EARLY
+        if patient and (not self._waits_since or now < self._waits_since + REORDER_WAIT):
             return False
         self._waits_since = 0
         to = min(here) - 1 if here else self._end_of(epoch)
--- a/yardbank/cluster/channels/neighbours.py
+++ b/yardbank/cluster/channels/neighbours.py
@@ -1,4 +1,4 @@
-"""Who is there, for the trees' purposes, and whom to tell one's own interests now. No I/O; times (ns) come in."""
+"""Which peers count as present in the trees, and which to send the own interests now. No I/O; times (ns) come in."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from yardbank.cluster.channels.members import Members
 from yardbank.cluster.peers.parts import MembershipView
 
-GRACE = 3 * SECOND  # who is doubted for less stays in the trees
-TELL_ALL = 60 * SECOND  # in so long all others are told one's interests again
-TRIES, AT_ONCE = 4, 32  # to tell one who does not answer; peers at one beat
-TOLD_LATER = 2 * SECOND  # of two that meet, one speaks first, the other only if nothing came
+GRACE = 3 * SECOND  # a peer suspected for less stays in the trees
+REFRESH_PERIOD = 60 * SECOND  # in which all peers are sent the interests once more
+MAX_ATTEMPTS = 4  # to send interests to a peer that does not answer
+MAX_AT_ONCE = 32  # peers at one heartbeat
+SECOND_SENDER_DELAY = 2 * SECOND  # of two that meet one sends first, the other only if nothing came
 
 
 class Neighbours:
-    """Peers that are there, as the link finds them."""
+    """Peers that are present, as the failure detector finds them."""
 
     def __init__(self, membership_view: MembershipView) -> None:
         self._membership_view = membership_view
@@ -32,11 +33,11 @@
         self._met = {name: told for name, told in self._met.items() if name in names}
 
     def look(self, now: int, members: Members) -> frozenset[str]:
-        """Who is there: one that is doubted for a moment stays."""
+        """Who is present: one that is suspected for a moment stays."""
         alive = self._membership_view.alive()
         for name in alive - self._here:
             if name not in self._met and not members.knows_interests(name):
-                self._met[name] = now if self._first(name) else now + TOLD_LATER, TRIES
+                self._met[name] = now if self._first(name) else now + SECOND_SENDER_DELAY, MAX_ATTEMPTS
         for name in self._here - alive:
             self._absent.setdefault(name, now)
         self._absent = {name: since for name, since in self._absent.items() if name not in alive}
@@ -44,26 +45,26 @@
         return self._here
 
     def known(self, name: str) -> None:
-        """One has told its interests."""
+        """A peer has sent its interests."""
         self._met.pop(name, None)
 
     def due(self, now: int, beat: int) -> list[str]:
-        """Whom to tell at this beat: those met anew, then some of all others by turns."""
+        """Whom to send interests at this heartbeat: new peers, then some of all others in rotation."""
         found: list[str] = []
         for name, (at, tries) in list(self._met.items()):
-            if now >= at and len(found) < AT_ONCE:
+            if now >= at and len(found) < MAX_AT_ONCE:
                 found.append(name)
                 if tries > 1:
-                    self._met[name] = now + TOLD_LATER, tries - 1
+                    self._met[name] = now + SECOND_SENDER_DELAY, tries - 1
                 else:  # it may know nothing of channels
                     del self._met[name]
         names = sorted(self._here)
-        some = max(1, len(names) * beat // TELL_ALL)
+        some = max(1, len(names) * beat // REFRESH_PERIOD)
         found += names[self._turn : self._turn + some]
         self._turn = self._turn + some if self._turn + some < len(names) else 0
         return found
 
     def _first(self, other: str) -> bool:
-        """Whether this gateway speaks first when the two meet: with about half of the others."""
+        """Whether this gateway sends first when the two meet: with about half of the others."""
         one, two = f"{self._membership_view.name}/{other}", f"{other}/{self._membership_view.name}"
         return xxhash.xxh3_64_intdigest(one.encode()) < xxhash.xxh3_64_intdigest(two.encode())
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -1,7 +1,7 @@
-"""What one gateway says of its channels: states to those it feeds, subscriptions, questions for the missing. No I/O.
+"""What one gateway sends of its channels by itself: heartbeats, subscriptions, requests to retransmit. No I/O.
 
-Who feeds says how far a channel has come, so that a last item that was lost is missed too, and how old its owner's word
-is: nobody takes a broken way for a living owner.
+A heartbeat says which item is the newest, so that the loss of the last item is noticed too, and how long ago the owner
+was heard: a broken path is not taken for a living owner.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Known:
-    """The newest that is known of a channel; ``heard_at``: when its owner spoke, as far as is known."""
+    """The newest that is known of a channel; ``heard_at``: when its owner was heard, on this gateway's clock (ns)."""
 
     epoch: int
     sequence: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class OwnedChannel:
-    """What this gateway carries now."""
+    """A channel that this gateway owns now, and its newest item."""
 
     epoch: int
     sequence: int
@@ -41,7 +41,7 @@
 
 
 class Outgoing:
-    """What is known of channels here, and what goes out of it by itself."""
+    """What is known of channels here, and the messages that follow from it."""
 
     def __init__(self, name: str, options: Options, random: Random) -> None:
         self.name, self.boot_epoch = name, 0
@@ -55,7 +55,7 @@
         self.followed: Collection[str] = ()  # here, by listeners: the others only pass through
         self.owned_channels: dict[str, OwnedChannel] = {}
         self.ends: dict[str, ItemPosition] = {}  # where an owner said that it ended, the latest
-        self.rejected_leaps = 0  # leaps that were not believed
+        self.rejected_leaps = 0  # items and states too far beyond what is known
         self._random, self._beat = random, options.heartbeat
         self.streams: dict[str, Stream] = {}
         self.recent: dict[str, Recent] = {}
@@ -78,7 +78,7 @@
         self.outgoing_messages.append(Message(to, wire.encode(message), urgent=True))
 
     def tick(self, now: int) -> None:
-        """One beat."""
+        """A heartbeat is due: choose parents, renew subscriptions, send states to children and heirs."""
         self._beats += 1
         owners = {channel: "" if known.over else known.owner for channel, known in self.known.items()}
         changed = self.subscriptions.choose(now, owners)
@@ -94,7 +94,7 @@
         self.tell(now, to)
 
     def mend(self, now: int) -> None:
-        """What is missing is asked for again, or given up."""
+        """Request missing items again, or give them up."""
         for channel in sorted(self.waiting):
             stream = self.streams[channel]
             stream.tick(now)
@@ -123,7 +123,7 @@
             self.outgoing_messages += [Message(parent, body) for body in wire.encode_subscriptions(haves)]
 
     def answer(self, now: int, asker: str, channels: Iterable[str]) -> None:
-        """One asks who carries some."""
+        """A gateway asks who owns some channels."""
         self.tell(now, {asker: [channel for channel in channels if channel in self.streams]})
 
     def tell(self, now: int, channels: Mapping[str, Iterable[str]], urgent: bool = False) -> None:
--- a/yardbank/cluster/channels/part.py
+++ b/yardbank/cluster/channels/part.py
@@ -15,7 +15,7 @@
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MAX_CHANNELS, MAX_DATA, MS, PREFIX, Event, Options
 from yardbank.cluster.channels.feed import Feed
-from yardbank.cluster.channels.items import ASK_EVERY
+from yardbank.cluster.channels.items import RETRANSMIT_INTERVAL
 from yardbank.cluster.channels.members import Members
 from yardbank.cluster.channels.messages import (
     EndedAt,
@@ -210,7 +210,7 @@
             self._next_poll = now + POLL
             self.ownership.poll(now)
         if now >= self._next_mend and self.feed.waits():
-            self._next_mend = now + ASK_EVERY // 4
+            self._next_mend = now + RETRANSMIT_INTERVAL // 4
             self.feed.mend(now)
         self._tell_events()
 
--- a/yardbank/cluster/channels/subscriptions.py
+++ b/yardbank/cluster/channels/subscriptions.py
@@ -45,7 +45,7 @@
         self._orders: dict[tuple[int, frozenset[str]], tuple[list[str], dict[str, int]]] = {}
         self._ranks: dict[tuple[int, str], int] = {}
         self._trees: dict[str, int] = {}  # by channel
-        self._ways: dict[str, tuple[str, list[str]]] = {}  # by channel: for which owner, the ways
+        self._ancestors: dict[str, tuple[str, list[str]]] = {}  # by channel: for which owner, the ways
 
     def joined(self, followers: Mapping[str, frozenset[str]]) -> None:
         """The channels that this gateway takes part in, and who that is there follows each."""
@@ -53,7 +53,7 @@
         self._orders.clear()
         if len(self._ranks) > MOST_RANKS:
             self._ranks.clear()
-        self._ways.clear()
+        self._ancestors.clear()
         self._trees = {channel: tree.tree_of(channel) for channel in followers}
         for known in (self._parents, self._children):
             for channel in known.keys() - followers.keys():
@@ -67,16 +67,16 @@
             found = self._orders[key] = names, {name: place for place, name in enumerate(names)}
         return found
 
-    def _ways_of(self, channel: str, owner: str) -> list[str]:
-        known = self._ways.get(channel)
+    def _ancestors_of(self, channel: str, owner: str) -> list[str]:
+        known = self._ancestors.get(channel)
         if known is not None and known[0] == owner:
             return known[1]
         names, places = self._order(channel)
         place = places.get(self.name)
-        found = [] if place is None else tree.ways(names, place, self._fan_out, owner)
+        found = [] if place is None else tree.ancestors(names, place, self._fan_out, owner)
         if place:  # where all of these are out of reach, anybody that stands before
             found.append(names[self._random.randrange(place)])
-        self._ways[channel] = owner, found
+        self._ancestors[channel] = owner, found
         return found
 
     def roots(self, channel: str, owner: str) -> list[str]:
@@ -89,10 +89,10 @@
         for channel in self._followers:
             owner = owners.get(channel, "")
             parent = self._parents.get(channel)
-            if not (ways := [] if owner == self.name else self._ways_of(channel, owner)):
+            if not (ancestors := [] if owner == self.name else self._ancestors_of(channel, owner)):
                 self._parents.pop(channel, None)
                 continue
-            if parent is None or parent.name not in ways:
+            if parent is None or parent.name not in ancestors:
                 attempt = 0
             elif now - max(parent.heard_at, parent.since) > QUIET:
                 attempt = parent.attempt + 1
@@ -101,7 +101,7 @@
                 attempt = 0
             else:
                 continue
-            self._parents[channel] = _Parent(ways[attempt % len(ways)], now, 0, attempt)
+            self._parents[channel] = _Parent(ancestors[attempt % len(ancestors)], now, 0, attempt)
             changed.append(channel)
         return changed
 
--- a/yardbank/cluster/channels/tree.py
+++ b/yardbank/cluster/channels/tree.py
@@ -34,7 +34,7 @@
     return sorted(names, key=lambda name: (known[tree, name], name))
 
 
-def ways(names: Sequence[str], place: int, fan_out: int, owner: str) -> list[str]:
+def ancestors(names: Sequence[str], place: int, fan_out: int, owner: str) -> list[str]:
     """By whom the one at a place is fed: first its own parent, then those above it up to the owner.
 
     "" as owner: nobody knows. The list may be empty.
