--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -1,7 +1,7 @@
-"""Which gateways would carry which channels, and which follow them. No I/O.
+"""Which gateways would own which channels, and which follow them. No I/O.
 
-Each tells the others itself: a hash of what it is interested in, and on asking what stands behind it. Most have the
-same, so that one small letter a pair is enough. Nobody speaks for another.
+Each sends the others a hash of its interests itself, and on request what the hash stands for. Most have the same, so
+that one small message a pair is enough. Nobody speaks for another. Bound: ``MOST_PARTIAL`` incomplete sets.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Members:
-    """Interests of all gateways of the list, as each told them."""
+    """Interests of all gateways of the list, as each sent them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -58,7 +58,7 @@
         self.changes += 1
 
     def change(self, owns: Iterable[str], follows: Iterable[str]) -> bool:
-        """What this gateway is interested in; whether that is news for the others."""
+        """The interests of this gateway; whether they changed."""
         found = _Channels(frozenset(owns), frozenset(follows))
         if found == self._own:
             return False
@@ -70,14 +70,14 @@
         return True
 
     def digest_for(self, to: str) -> InterestDigest:
-        """What to tell one of the others."""
+        """The digest to send to another gateway."""
         other = self._others.get(to)
         return InterestDigest(self.version, self.hash, other.sets if other is not None else 0)
 
     def on_interest_digest(
         self, sender: str, boot_epoch: int, told: InterestDigest
     ) -> list[InterestDigest | InterestQuery]:
-        """One told its hash: what to answer."""
+        """A gateway sent its hash: the answers to it."""
         other = self._others.get(sender)
         if other is None or (boot_epoch, told.version) > (other.boot_epoch, other.version):
             if other is None or other.sets != told.sets:
@@ -93,7 +93,7 @@
         return found
 
     def on_interest_query(self, wanted: InterestQuery) -> list[InterestSet]:
-        """Somebody asks what stands behind a hash."""
+        """A gateway asks what a hash stands for: the answers."""
         found = self._sets.get(wanted.sets)
         if found is None:
             return []
@@ -106,7 +106,7 @@
         ]
 
     def on_interest_set(self, part: InterestSet) -> None:
-        """A part of the answer; it counts once it is whole and fits the hash."""
+        """A part of an answer; it counts once all parts are there and fit the hash."""
         if part.sets in self._sets or part.part >= part.parts:
             return
         parts = self._partial.setdefault(part.sets, {})
@@ -128,7 +128,7 @@
         self._sets = {key: value for key, value in self._sets.items() if key in used}
 
     def unknown(self, name: str) -> int:
-        """The hash that one told and that nobody has explained yet; 0: none."""
+        """The hash that a gateway sent and that is not resolved yet; 0: none."""
         other = self._others.get(name)
         return other.sets if other is not None and other.sets not in self._sets else 0
 
--- a/yardbank/cluster/channels/positions.py
+++ b/yardbank/cluster/channels/positions.py
@@ -1,14 +1,14 @@
-"""Where a group's servers stand, asked by one gateway for all. No I/O: time (ns) and randomness come in.
+"""Positions of a group's servers, polled by one gateway for all. No I/O: time (ns) and randomness come in.
 
-Each group has a channel ``positions/GROUP``. Its owner asks the group's servers every so often and gives out their
-marks as they worded them, bound to the start that its list says. The others check an owner before they believe it
-(``verifier``) and hand marks on to their own gateway, which places them by its own timeline; nobody's word on roles is
-passed at all. Who hears nothing of a server for long enough asks it once itself, at a moment drawn by seed, and from
-then on as without the feed.
+Each group has a channel ``positions/GROUP``. Its owner polls the group's servers and publishes their positions as the
+servers gave them, with the start that its list has. The others verify an owner (``verification``) and pass positions on
+to their own gateway, which orders them by its own timeline; roles are never taken from others. A gateway that hears
+nothing of a server for long enough polls it once itself, at a moment drawn by seed, and from then on as without the
+feed.
 
 | state of a server here | by | to |
 | --- | --- | --- |
-| ALONE | a believed word on it | FED |
+| ALONE | a verified report on it | FED |
 | FED | none for ``alone_after`` to twice that, as drawn | ALONE |
 """
 
@@ -25,15 +25,15 @@
 from yardbank.timeline import Vector
 
 PREFIX = "positions/"
-WHOLE = 5  # each so many askings what has not changed is said too
-MOST_SILENT = 5  # doublings of the pause after questions that brought nothing
+FULL_REPORT_POLLS = 5  # each so many polls, positions that did not change are published too
+MAX_BACKOFF_DOUBLINGS = 5  # of the interval, after polls without an answer
 
 Entry = tuple[str, int, dict[str, tuple[int | str, ...]]]  # server, start, marks
 _decoder = msgspec.msgpack.Decoder(list[Entry])
 
 
 def channel_of(group: str) -> str:
-    """The channel that tells where a group's servers stand."""
+    """The channel on which a group's positions are published."""
     return PREFIX + group
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VerifiedPosition:
-    """Marks for this gateway's own timeline."""
+    """Verified positions of a server, for this gateway's own timeline."""
 
     server: str
     started: int
@@ -101,7 +101,7 @@
         return sorted(self._groups.keys() - before), sorted(before - self._groups.keys())
 
     def owned(self, now: int, group: str) -> None:
-        """This gateway asks the group's servers for all from now on."""
+        """This gateway polls the group's servers for all from now on."""
         if group in self._groups:
             self._owned[group], self._next_round[group] = 0, now
 
@@ -113,7 +113,7 @@
             self._servers[name].asked_at, self._servers[name].fresh = 0, None
 
     def tick(self, now: int) -> None:
-        """What is due: questions, what has come in, who is alone."""
+        """Do what is due: polls, publications, servers that are polled directly."""
         for group, due in list(self._next_round.items()):
             if now >= due:
                 self._next_round[group] = max(due + self._options.every, now + self._options.every // 2)
@@ -137,14 +137,14 @@
             server = self._servers[name]
             if server.asked_at:
                 server.unanswered += 1  # the last question brought nothing
-                server.next_at = now + (self._options.every << min(server.unanswered, MOST_SILENT))
+                server.next_at = now + (self._options.every << min(server.unanswered, MAX_BACKOFF_DOUBLINGS))
                 server.asked_at = 0
             elif now >= server.next_at:
                 server.asked_at = now
                 self.asks.append(name)
 
     def answered(self, now: int, server: str, marks: Vector | None, sent_at: int) -> None:
-        """A server said where it stands, to this gateway; None: it did not."""
+        """A server answered a poll of this gateway; ``marks`` is None if it did not."""
         known = self._servers.get(server)
         if known is None or marks is None:
             return
@@ -158,13 +158,13 @@
             self._give_out(known.place.group)
 
     def _give_out(self, group: str) -> None:
-        """What has come in since the last time, in as few items as hold it."""
+        """Publish what has come in since the last time, in as few items as hold it."""
         entries: list[Entry] = []
         size = 8
         for name in self._groups[group]:
             server = self._servers[name]
             marks, server.fresh = server.fresh, None
-            if marks is None or (marks == server.last_published and self._owned[group] % WHOLE):
+            if marks is None or (marks == server.last_published and self._owned[group] % FULL_REPORT_POLLS):
                 continue
             server.last_published = marks
             entry = name, server.place.started, dict(marks)
@@ -199,12 +199,12 @@
                 self.verified_positions.append(VerifiedPosition(name, started, marks))
 
     def false_reports(self) -> list[FalseReport]:
-        """Lies found since this was asked last."""
+        """False reports found since this was asked last."""
         found, self.verifier.false_reports = self.verifier.false_reports, []
         return found
 
     def alone(self) -> list[str]:
-        """Servers of which nothing believed was heard lately: this gateway asks them itself."""
+        """Servers without a recent verified report: this gateway polls them itself."""
         return sorted(
             name for name, server in self._servers.items() if server.alone and server.place.group not in self._owned
         )
--- a/yardbank/cluster/channels/subscriptions.py
+++ b/yardbank/cluster/channels/subscriptions.py
@@ -1,11 +1,13 @@
-"""From whom each channel is taken, and to whom it is handed on. No I/O; times (ns) come in.
+"""The parent and the children of this gateway in each channel's tree. No I/O; times (ns) come in.
+
+Bounds: ``MAX_CHILDREN`` times the fan-out children of a channel, ``MAX_RANKS`` ranks kept.
 
 | state of a parent | by | to |
 | --- | --- | --- |
-| NONE | the channel is followed, and there is a way | ASKED |
+| NONE | the channel is followed, and there is an ancestor | ASKED |
 | ASKED | it spoke of the channel | FED |
-| ASKED, FED | silent for ``QUIET``, or not in the way any more | ASKED, of the next way up |
-| any | the channel is carried here, or no more followed | NONE |
+| ASKED, FED | silent for ``PARENT_TIMEOUT``, or no ancestor any more | ASKED, of the next ancestor |
+| any | the channel is owned here, or no more followed | NONE |
 """
 
 from __future__ import annotations
@@ -17,11 +19,11 @@
 from yardbank.cluster.channels import tree
 from yardbank.cluster.channels.api import MS, SECOND
 
-QUIET = 2500 * MS  # without a word of the channel, its parent counts as broken
-BACK = 30 * SECOND  # so long one stays with another than the first way, where that works
-HOLDS = 6 * SECOND  # a subscription that is not renewed
-MOST_RANKS = 10_000  # kept
-MOST = 4  # times the fan-out: those that one feeds of a channel, for others that broke too
+PARENT_TIMEOUT = 2500 * MS  # without a message of the channel its parent counts as broken
+FIRST_CHOICE_RETRY = 30 * SECOND  # so long a gateway stays with another parent than its first choice
+SUBSCRIPTION_LIFETIME = 6 * SECOND  # unless it is renewed
+MAX_RANKS = 10_000  # kept
+MAX_CHILDREN = 4  # times the fan-out, of one channel: room for children of parents that broke
 
 
 @dataclass(slots=True)
@@ -51,7 +53,7 @@
         """The channels that this gateway takes part in, and who that is there follows each."""
         self._followers = followers
         self._orders.clear()
-        if len(self._ranks) > MOST_RANKS:
+        if len(self._ranks) > MAX_RANKS:
             self._ranks.clear()
         self._ancestors.clear()
         self._trees = {channel: tree.tree_of(channel) for channel in followers}
@@ -80,7 +82,7 @@
         return found
 
     def roots(self, channel: str, owner: str) -> list[str]:
-        """Whom the owner feeds whether they asked or not."""
+        """Whom the owner feeds whether they subscribed or not."""
         return tree.roots(self._order(channel)[0], self._fan_out, owner)
 
     def choose(self, now: int, owners: Mapping[str, str]) -> list[str]:
@@ -94,10 +96,10 @@
                 continue
             if parent is None or parent.name not in ancestors:
                 attempt = 0
-            elif now - max(parent.heard_at, parent.since) > QUIET:
+            elif now - max(parent.heard_at, parent.since) > PARENT_TIMEOUT:
                 attempt = parent.attempt + 1
                 self.broken += 1
-            elif parent.attempt and now - parent.since > BACK:
+            elif parent.attempt and now - parent.since > FIRST_CHOICE_RETRY:
                 attempt = 0
             else:
                 continue
@@ -106,30 +108,30 @@
         return changed
 
     def parent(self, channel: str) -> str:
-        """From whom it is taken; "": nobody."""
+        """The parent of a channel; "": none."""
         found = self._parents.get(channel)
         return found.name if found is not None else ""
 
     def heard(self, now: int, channel: str, sender: str) -> None:
-        """Somebody said something of a channel."""
+        """A gateway sent a message of a channel."""
         found = self._parents.get(channel)
         if found is not None and found.name == sender:
             found.heard_at = now
 
     def adopt(self, now: int, channel: str, child: str) -> bool:
-        """One asks to be fed; whether it is."""
+        """A gateway subscribes; whether it is accepted."""
         known = self._children.setdefault(channel, {})
-        if child not in known and len(known) >= MOST * self._fan_out:
+        if child not in known and len(known) >= MAX_CHILDREN * self._fan_out:
             for name in [name for name, until in known.items() if until < now]:
                 del known[name]
-            if len(known) >= MOST * self._fan_out:
+            if len(known) >= MAX_CHILDREN * self._fan_out:
                 self.refused += 1
                 return False
-        known[child] = now + HOLDS
+        known[child] = now + SUBSCRIPTION_LIFETIME
         return True
 
     def children(self, now: int, channel: str) -> list[str]:
-        """Whom this gateway feeds."""
+        """The children of a channel here."""
         known = self._children.get(channel)
         if not known:
             return []
--- a/yardbank/cluster/channels/tree.py
+++ b/yardbank/cluster/channels/tree.py
@@ -1,4 +1,4 @@
-"""Along which ways a channel's items go: a tree over its followers that all compute alike. No I/O.
+"""The tree over a channel's followers along which its items go; all gateways compute the same one. No I/O.
 
 Followers stand in an order by hash; the owner feeds the first ``fan_out`` of them, each feeds as many of those behind.
 The order does not depend on who owns the channel, so a new owner finds the tree standing; and who is fed always stands
@@ -35,7 +35,7 @@
 
 
 def ancestors(names: Sequence[str], place: int, fan_out: int, owner: str) -> list[str]:
-    """By whom the one at a place is fed: first its own parent, then those above it up to the owner.
+    """The ancestors of the follower at a place: its own parent first, then those above it up to the owner.
 
     "" as owner: nobody knows. The list may be empty.
     """
@@ -50,7 +50,7 @@
 
 
 def roots(names: Sequence[str], fan_out: int, owner: str) -> list[str]:
-    """Whom the owner feeds itself, whether they asked or not."""
+    """Whom the owner feeds itself, whether they subscribed or not."""
     return [name for name in names[:fan_out] if name != owner]
 
 
