--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,7 +13,7 @@
 from benchmarks.common import keep, table
 from yardbank.gateway import Gateway, ServerSpec
 from yardbank.interface import RequestClass, Settings
-from yardbank.server_list import Apply, Membership, read_set
+from yardbank.server_list import Apply, ServerListLifecycle, read_set
 from yardbank.server_list.document import render
 from yardbank.server_list.watcher import Watcher
 from yardbank.state import Snapshot, Store, encode
@@ -56,7 +56,7 @@
     groups = {f"g{n}" for n in range(count // 5 + 1)}
     first, life, made = [], [], []
     for turn in range(5):
-        membership, target = Membership(groups, settle=0), gateway()
+        membership, target = ServerListLifecycle(groups, settle=0), gateway()
         text = render(servers(count)).encode()
         began = time.perf_counter()
         (action,) = membership.seen(1, {"l": text})
@@ -96,7 +96,7 @@
         if waiting:
             waiting.pop().callback(None)
 
-    membership = Membership(groups)
+    membership = ServerListLifecycle(groups)
     now = lambda: time.monotonic_ns()  # noqa: E731
     watcher = Watcher(path, membership, act, reactor=reactor, now=now, log=Silent(), every=60.0)
     found: list[float] = []
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -11,13 +11,13 @@
 from benchmarks.scale.memory import grown_kib
 from yardbank.gateway import ServerSpec
 from yardbank.platform.listing import parse_listing
-from yardbank.server_list import Apply, Membership
+from yardbank.server_list import Apply, ServerListLifecycle
 from yardbank.server_list.document import render
 
 
 def files_by_databases(databases: int, seed: int) -> Values:
     """List files of the operator's: octets, first read, read with one entry changed."""
-    membership = Membership({f"group-{n:05}" for n in range(databases // MEMBERS + 1)}, settle=0)
+    membership = ServerListLifecycle({f"group-{n:05}" for n in range(databases // MEMBERS + 1)}, settle=0)
     listed = specs(databases)
     text = render(listed).encode()
     began = time.process_time()
--- a/tests/cluster/list_distribution/test_files.py
+++ b/tests/cluster/list_distribution/test_files.py
@@ -12,8 +12,8 @@
 from yardbank.cluster.list_distribution.version import NOTHING, Version
 from yardbank.config import ConfigError, load_text
 from yardbank.gateway import ServerSpec
-from yardbank.server_list import Apply, Membership
-from yardbank.server_list.document import FleetError, render
+from yardbank.server_list import Apply, ServerListLifecycle
+from yardbank.server_list.document import ServerListError, render
 
 GROUPS = {"g0", "g1"}
 SERVERS = [
@@ -32,7 +32,7 @@
 def test_a_copy_is_written_as_the_list_that_was_published_and_read_again_with_its_version():
     table = copy_of(SERVERS)
     text = text_of(table)
-    (action,) = Membership(GROUPS, settle=0).seen(1, {"list.hcl": text.encode()})
+    (action,) = ServerListLifecycle(GROUPS, settle=0).seen(1, {"list.hcl": text.encode()})
     assert isinstance(action, Apply) and set(action.fleet.servers) == set(SERVERS)
     again = table_of(text)
     assert (again.version, again.digest, dict(again.entries)) == (table.version, table.digest, dict(table.entries))
@@ -70,12 +70,12 @@
     assert sorted(found) == [server.name for server in SERVERS]
     assert source.seen(2, {"s.hcl": good}) == []
     (fault,) = source.seen(3, {"s.hcl": good[:-40]})
-    assert isinstance(fault, FleetError) and fault.faults[0].startswith("s.hcl:")
+    assert isinstance(fault, ServerListError) and fault.faults[0].startswith("s.hcl:")
     (fault,) = source.seen(4, {"s.hcl": render([SERVERS[0], SERVERS[0]]).encode()})
     assert any("listed twice" in line for line in fault.faults)
     plan = good + b'class "c" {\n  effect = "safe"\n  read = "any"\n  aim = "1s"\n  deadline = "2s"\n}\n'
     (fault,) = source.seen(5, {"s.hcl": plan})
-    assert isinstance(fault, FleetError)
+    assert isinstance(fault, ServerListError)
     assert source.due() is None and source.force() == []
 
 
--- a/tests/config/test_broken_input.py
+++ b/tests/config/test_broken_input.py
@@ -10,7 +10,7 @@
 from yardbank.gateway.api import ServerSpec
 from yardbank.plan.document import PlanError, read_problem
 from yardbank.server_list.block_cache import BlockCache
-from yardbank.server_list.document import FleetError, read_set, render
+from yardbank.server_list.document import ServerListError, read_set, render
 from yardbank.state.snapshot import GroupState, ServerState, Snapshot, SnapshotError, decode, encode
 
 LIST = render([ServerSpec(f"s{i}", "numbers", "norte", "127.0.0.1", 1000 + i, i == 0) for i in range(3)], "v7")
@@ -120,7 +120,7 @@
     with pytest.raises(HclError) as caught:
         parse(f"a = 1\n\nset ={value}\n")
     assert caught.value.line == 3
-    with pytest.raises(FleetError, match=r"list\.hcl:1: "):
+    with pytest.raises(ServerListError, match=r"list\.hcl:1: "):
         read_set({"list.hcl": f"set ={value}\n{LIST}".encode()}, {"numbers"})
 
 
@@ -144,7 +144,7 @@
         for blocks in (cache, None):
             try:
                 ends.append(read_set({"list.hcl": text.encode()}, {"numbers"}, blocks).servers)
-            except FleetError as problem:
+            except ServerListError as problem:
                 located(problem.faults, "list.hcl")
                 ends.append(problem.faults)
         assert ends[0] == ends[1]
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -19,7 +19,7 @@
 from yardbank.plan.active_plan import MadePlan, Warming, choose, list_hash, view
 from yardbank.plan.aperture import ApertureError, Ring, aperture
 from yardbank.plan.fleet_position import FleetPosition
-from yardbank.server_list.document import FleetError, read_plans, read_set, render
+from yardbank.server_list.document import ServerListError, read_plans, read_set, render
 from yardbank.server_list.incremental_reader import ListReader
 from yardbank.server_list.watcher import read_files
 from yardbank.testing.audit import judge
@@ -206,7 +206,7 @@
     texts = {"list.hcl": render(LISTED).encode(), "plan.hcl": plan_file(n1=2)}
     assert read_set(texts, ["numbers"]).plans[0].weights == {"n1": 2.0}
     texts["plan.hcl"] = texts["plan.hcl"].replace(old, new)
-    with pytest.raises(FleetError, match=r"plan\.hcl:\d+: ") as caught:
+    with pytest.raises(ServerListError, match=r"plan\.hcl:\d+: ") as caught:
         read_set(texts, ["numbers"])
     assert any(reason in fault for fault in caught.value.faults)
 
--- a/tests/server_list/test_incremental_reader.py
+++ b/tests/server_list/test_incremental_reader.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from yardbank.gateway.api import ServerSpec
-from yardbank.server_list import Apply, Hold, Membership
+from yardbank.server_list import Apply, HoldBack, ServerListLifecycle
 from yardbank.server_list.comparison import compare, describe, suspicion, suspicion_of
-from yardbank.server_list.document import FleetError, read_set, render
+from yardbank.server_list.document import ServerListError, read_set, render
 from yardbank.server_list.incremental_reader import ListReader, _shared_back, _shared_front
 
 GROUPS = {"a", "b"}
@@ -28,8 +28,8 @@
     """What the reader makes of it, and what reading it whole does: the same."""
     try:
         whole = read_set(texts, GROUPS)
-    except FleetError as problem:
-        with pytest.raises(FleetError) as caught:
+    except ServerListError as problem:
+        with pytest.raises(ServerListError) as caught:
             reader.read(texts)
         assert caught.value.faults == problem.faults
         return None
@@ -109,7 +109,7 @@
 def test_any_run_of_edits_ends_where_reading_whole_does(seed):
     chance = random.Random(seed)
     servers = {n: spec(n) for n in range(10)}
-    membership, applied = Membership(GROUPS, settle=0), {}
+    membership, applied = ServerListLifecycle(GROUPS, settle=0), {}
     reader = ListReader(GROUPS)
     for now in range(12):
         for _ in range(chance.randint(1, 2)):
@@ -141,7 +141,7 @@
                         applied |= {name: then} if then else {}
                 assert applied == {s.name: s for s in whole}
             else:
-                assert isinstance(action, Hold) or action.faults
+                assert isinstance(action, HoldBack) or action.faults
 
 
 @given(st.integers(0, 2**32))
--- a/tests/server_list/test_server_list.py
+++ b/tests/server_list/test_server_list.py
@@ -17,7 +17,7 @@
 from yardbank.cli import main
 from yardbank.config.hcl import HclError, parse
 from yardbank.gateway.api import MS, ServerSpec
-from yardbank.server_list import Apply, FleetError, Hold, Membership, Reject, read_set
+from yardbank.server_list import Apply, HoldBack, Reject, ServerListError, ServerListLifecycle, read_set
 from yardbank.server_list.block_cache import BlockCache
 from yardbank.server_list.comparison import compare, suspicion
 from yardbank.server_list.document import render
@@ -38,7 +38,7 @@
 
 
 def faults(*parts):
-    with pytest.raises(FleetError) as problem:
+    with pytest.raises(ServerListError) as problem:
         read_set({f"{n}.hcl": part for n, part in enumerate(parts)}, GROUPS)
     return "\n".join(problem.value.faults)
 
@@ -53,7 +53,7 @@
     full = read_set({"l": whole}, GROUPS)
     blocks = BlockCache()
     for cut in range(len(whole.rstrip())):
-        with pytest.raises(FleetError) as problem:
+        with pytest.raises(ServerListError) as problem:
             read_set({"l": whole[:cut]}, GROUPS, blocks)
         assert all(fault.startswith(("l:", "the list")) for fault in problem.value.faults)
     assert read_set({"l": whole}, GROUPS, blocks) == full
@@ -134,7 +134,7 @@
     """A membership with a clock, and what it did."""
 
     def __init__(self):
-        self.life, self.now, self.did = Membership(GROUPS), 0, []
+        self.life, self.now, self.did = ServerListLifecycle(GROUPS), 0, []
 
     def see(self, data, wait=50 * MS):
         self.did += self.life.seen(self.now, {"l": data} if data is not None else {})
@@ -183,13 +183,13 @@
     told.see(text())
     small = [s for s in servers() if s.name in ("s0", "s1")]
     told.see(text(*small))
-    (held,) = told.of(Hold)
+    (held,) = told.of(HoldBack)
     assert "at once" in held.reason and len(told.life.current.servers) == 6
     told.did += told.life.force()
     assert len(told.life.current.servers) == 2 and told.life.force() == []
     told.see(text())
     told.see(b"force = true\n" + text(*small))  # the operator's word in the file itself
-    assert len(told.life.current.servers) == 2 and len(told.of(Hold)) == 1
+    assert len(told.life.current.servers) == 2 and len(told.of(HoldBack)) == 1
     told.see(text())
     told.see(text(*small))
     told.see(text())  # superseded: what was held is gone
@@ -237,7 +237,7 @@
         def __getattr__(self, name):
             return lambda event, **facts: did.append((event, facts))
 
-    watcher = Watcher(path, Membership(GROUPS), did.append, reactor=reactor, now=now, log=Log(), **more)
+    watcher = Watcher(path, ServerListLifecycle(GROUPS), did.append, reactor=reactor, now=now, log=Log(), **more)
     return watcher, did
 
 
--- a/yardbank/cli/fleet.py
+++ b/yardbank/cli/fleet.py
@@ -15,7 +15,7 @@
 from yardbank.config import Config, build
 from yardbank.gateway.api import ServerSpec
 from yardbank.server_list.comparison import compare, suspicion
-from yardbank.server_list.document import Fleet, FleetError, read_set, render
+from yardbank.server_list.document import ServerListDocument, ServerListError, read_set, render
 from yardbank.server_list.watcher import read_files
 from yardbank.state.snapshot import Snapshot, SnapshotError
 from yardbank.state.store import Store, StoreError
@@ -28,10 +28,10 @@
 )
 
 
-def _read(path: Path, config: Config) -> Fleet:
+def _read(path: Path, config: Config) -> ServerListDocument:
     try:
         return read_set(read_files(path), build.fleet_groups(config))
-    except FleetError as problem:
+    except ServerListError as problem:
         for fault in problem.faults:
             click.echo(f"yardbank: {fault}", err=True)
     except OSError as problem:
@@ -82,7 +82,7 @@
     _tell(_in_force(settings, config), _read(file, config))
 
 
-def _tell(old: tuple[ServerSpec, ...], fleet: Fleet) -> None:
+def _tell(old: tuple[ServerSpec, ...], fleet: ServerListDocument) -> None:
     change = compare(old, fleet.servers)
     click.echo("\n".join(change.lines()) or "no change")
     if reason := suspicion(old, fleet.servers):
--- a/yardbank/cli/plan.py
+++ b/yardbank/cli/plan.py
@@ -19,7 +19,7 @@
 from yardbank.plan.document import PlanError, moved, read_problem, render
 from yardbank.plan.model import RELAXABLE, Problem, relaxed
 from yardbank.plan.solver import Plan, solve
-from yardbank.server_list.document import FleetError, read_plans, read_set
+from yardbank.server_list.document import ServerListError, read_plans, read_set
 from yardbank.server_list.watcher import read_files
 
 EXIT_INFEASIBLE, EXIT_HELD = 4, 3
@@ -140,7 +140,7 @@
     """The plans in a file. Ends the program with a fault if it is none."""
     try:
         return read_plans(read_files(file))
-    except FleetError as problem:
+    except ServerListError as problem:
         for fault in problem.faults:
             click.echo(f"yardbank: {fault}", err=True)
     except OSError as fault:
@@ -177,7 +177,7 @@
         sys.exit(EXIT_FAULT)
     try:
         fleet = read_set(read_files(target), build.fleet_groups(config))
-    except FleetError as problem:
+    except ServerListError as problem:
         click.echo(f"yardbank: {problem.faults[0]}", err=True)
         sys.exit(EXIT_FAULT)
     wanted = list_hash(fleet.servers)
--- a/yardbank/cluster/list_distribution/document.py
+++ b/yardbank/cluster/list_distribution/document.py
@@ -7,20 +7,20 @@
 
 from yardbank.cluster.list_distribution.table import DoesNotFitError, Entry, Increment, Table, shown
 from yardbank.cluster.list_distribution.version import NOTHING, Version
-from yardbank.server_list.document import FleetError, read_set, render
+from yardbank.server_list.document import ServerListError, read_set, render
 
 _HEAD = re.compile(r"# distributed version ([0-9]{1,18})\.([0-9]{1,18}) digest ([0-9a-f]{32})\n")
 _BLOCK = re.compile(r'^server "([^"\n]+)" \{\n.*?^\}$', re.MULTILINE | re.DOTALL)
 
 
 def entries_of(texts: Mapping[str, bytes], groups: Iterable[str]) -> dict[str, str]:
-    """The source's servers, a block each. Raises ``FleetError`` naming file and line.
+    """The source's servers, a block each. Raises ``ServerListError`` naming file and line.
 
     Only servers are distributed: classes and plans stay in files of the gateway's own.
     """
     fleet = read_set(texts, groups)
     if fleet.classes or fleet.plans:
-        raise FleetError([f"{sorted(texts)[0]}:1: classes and plans are not distributed, only servers"])
+        raise ServerListError([f"{sorted(texts)[0]}:1: classes and plans are not distributed, only servers"])
     return {server.name: _block(render([server])) for server in fleet.servers}
 
 
--- a/yardbank/cluster/list_distribution/files.py
+++ b/yardbank/cluster/list_distribution/files.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.list_distribution.table import DoesNotFitError, Table, shown
 from yardbank.config.blocks import DistributionBlock
 from yardbank.files import write_whole
-from yardbank.server_list.document import FleetError, digest_of
+from yardbank.server_list.document import ServerListError, digest_of
 from yardbank.server_list.watcher import Watcher
 
 
@@ -33,14 +33,14 @@
         self._groups = frozenset(groups)
         self._digest = ""
 
-    def seen(self, now: int, texts: dict[str, bytes]) -> list[dict[str, str] | FleetError]:
+    def seen(self, now: int, texts: dict[str, bytes]) -> list[dict[str, str] | ServerListError]:
         """The entries of a new content, or its faults."""
         if (digest := digest_of(texts)) == self._digest:
             return []
         self._digest = digest
         try:
             return [entries_of(texts, self._groups)]
-        except FleetError as problem:
+        except ServerListError as problem:
             return [problem]
 
     def due(self) -> int | None:
@@ -106,8 +106,8 @@
             except OSError as problem:
                 self._log.error("distributed_list_not_written", path=str(self._path), fault=str(problem))
 
-    def _source(self, found: dict[str, str] | FleetError) -> None:
-        if isinstance(found, FleetError):
+    def _source(self, found: dict[str, str] | ServerListError) -> None:
+        if isinstance(found, ServerListError):
             for fault in found.faults[:20]:
                 self._log.error("list_source_rejected", fault=fault)
             return
--- a/yardbank/server_list/document.py
+++ b/yardbank/server_list/document.py
@@ -1,4 +1,4 @@
-"""A set of list files as one checked value. No I/O: texts come in, a ``Fleet`` or faults go out.
+"""A set of list files as one checked value. No I/O: texts come in, a ``ServerListDocument`` or faults go out.
 
 A set is one file or several parts: ``server`` blocks, ``weights`` blocks that name servers, ``class`` blocks,
 and in any part ``set = "..."``, which all parts that carry it must agree on, and ``count = N``, the servers of
@@ -23,7 +23,7 @@
 MAX_SERVERS = 20_000
 
 
-class FleetError(ValueError):
+class ServerListError(ValueError):
     """A set that cannot be used; ``faults`` are lines that name file and line."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Delta:
+class ServerListDelta:
     """What a version changes of another: by server name, how it was and how it is (None: not there)."""
 
     base: str  # the digest of the version that it changes
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fleet:
+class ServerListDocument:
     """One complete, valid version of the list."""
 
     servers: tuple[ServerSpec, ...]
@@ -49,7 +49,7 @@
     force: bool = False  # the operator's word that a large change is meant
     classes: tuple[Class, ...] = ()  # empty: the settings' own stay in force
     plans: tuple[MadePlan, ...] = ()
-    delta: Delta | None = field(default=None, compare=False)  # known where it was read by its change
+    delta: ServerListDelta | None = field(default=None, compare=False)  # known where it was read by its change
 
     def by_name(self) -> dict[str, ServerSpec]:
         """Servers by name."""
@@ -71,8 +71,8 @@
     blocks: BlockCache | None = None,
     weights_told: dict[str, float] | None = None,
     counts_told: dict[str, int] | None = None,
-) -> Fleet:
-    """Read and check a set, file by file. Raises ``FleetError`` with every fault found.
+) -> ServerListDocument:
+    """Read and check a set, file by file. Raises ``ServerListError`` with every fault found.
 
     ``blocks`` keeps what was read of each block, so that a set read again is not parsed again. ``weights_told`` and
     ``counts_told`` are filled with what weights blocks and the files' counts say.
@@ -89,7 +89,7 @@
     force = False
     known = set(groups)
     if not texts:
-        raise FleetError(["the list: no file is there"])
+        raise ServerListError(["the list: no file is there"])
     for name in sorted(texts):
         try:
             body = blocks.parse(texts[name].decode())
@@ -141,8 +141,8 @@
     if len(servers) > MAX_SERVERS:
         faults.append(f"the list names {len(servers)} servers, {MAX_SERVERS} allowed")
     if faults:
-        raise FleetError(faults)
-    return Fleet(
+        raise ServerListError(faults)
+    return ServerListDocument(
         tuple(spec for spec, _ in servers.values()),
         digest_of(texts),
         next(iter(sets.values()), ""),
@@ -221,7 +221,7 @@
 
 
 def read_plans(texts: Mapping[str, bytes]) -> tuple[MadePlan, ...]:
-    """The plans in files by themselves. Raises ``FleetError``, also where there is none."""
+    """The plans in files by themselves. Raises ``ServerListError``, also where there is none."""
     plans: list[MadePlan] = []
     faults: list[str] = []
     for name in sorted(texts):
@@ -238,7 +238,7 @@
     if not faults and not plans:
         faults.append(f"{sorted(texts)[0]}:1: no plan stands there")
     if faults:
-        raise FleetError(faults)
+        raise ServerListError(faults)
     return tuple(plans)
 
 
--- a/yardbank/server_list/incremental_reader.py
+++ b/yardbank/server_list/incremental_reader.py
@@ -14,7 +14,14 @@
 from yardbank.config.hcl import Body
 from yardbank.gateway.api import ServerSpec
 from yardbank.server_list.block_cache import BlockCache, plain_blocks
-from yardbank.server_list.document import MAX_SERVERS, Delta, Fleet, digest_of, read_set, server_of
+from yardbank.server_list.document import (
+    MAX_SERVERS,
+    ServerListDelta,
+    ServerListDocument,
+    digest_of,
+    read_set,
+    server_of,
+)
 
 _NO_START = b" \t\r\n\v\f}"  # a line that begins so begins no block
 
@@ -24,7 +31,7 @@
     """The last version that was read without a fault."""
 
     texts: dict[str, bytes]
-    fleet: Fleet
+    fleet: ServerListDocument
     servers: dict[str, ServerSpec]
     places: dict[tuple[str, int], str]
     weights: dict[str, float]  # given by weights blocks, which outrank a server's own
@@ -40,8 +47,8 @@
         self._known: _Known | None = None
         self.edits = 0  # versions read by their change alone
 
-    def read(self, texts: Mapping[str, bytes]) -> Fleet:
-        """As ``read_set``. Raises ``FleetError``."""
+    def read(self, texts: Mapping[str, bytes]) -> ServerListDocument:
+        """As ``read_set``. Raises ``ServerListError``."""
         fleet = self._edited(texts)
         if fleet is not None:
             self.edits += 1
@@ -54,7 +61,7 @@
         self._known = _Known(dict(texts), fleet, servers, places, weights, counts)
         return fleet
 
-    def _edited(self, texts: Mapping[str, bytes]) -> Fleet | None:
+    def _edited(self, texts: Mapping[str, bytes]) -> ServerListDocument | None:
         """The list by its change alone; None: read it whole. Nothing kept is touched unless all of it holds."""
         known = self._known
         if known is None or texts.keys() != known.texts.keys():
@@ -100,7 +107,7 @@
 
     def _commit(
         self, known: _Known, texts: Mapping[str, bytes], before: dict[str, ServerSpec], after: dict[str, ServerSpec]
-    ) -> Fleet:
+    ) -> ServerListDocument:
         for name, was in before.items():
             del known.places[was.host, was.port]
             if name not in after:
@@ -114,14 +121,14 @@
             if before.get(name) != after.get(name)
         }
         last = known.fleet
-        known.fleet = Fleet(
+        known.fleet = ServerListDocument(
             tuple(known.servers.values()),
             digest_of(texts),
             last.set_name,
             last.force,
             last.classes,
             last.plans,
-            Delta(last.digest, changes),
+            ServerListDelta(last.digest, changes),
         )
         known.texts = dict(texts)
         return known.fleet
--- a/yardbank/server_list/lifecycle.py
+++ b/yardbank/server_list/lifecycle.py
@@ -11,7 +11,7 @@
 
 from yardbank.gateway.api import MS, SECOND
 from yardbank.server_list.comparison import Change, Changes, compare, describe, suspicion, suspicion_of
-from yardbank.server_list.document import Fleet, FleetError, digest_of
+from yardbank.server_list.document import ServerListDocument, ServerListError, digest_of
 from yardbank.server_list.incremental_reader import ListReader
 
 SETTLE = 20 * MS  # unchanged for so long: the writer is likely to be done
@@ -27,7 +27,7 @@
     """
 
     number: int
-    fleet: Fleet
+    fleet: ServerListDocument
     change: Change
     delta: Changes | None = None
 
@@ -41,17 +41,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hold:
+class HoldBack:
     """A valid list that looks like a mistake waits for the operator's word; told once for each content."""
 
     digest: str
     reason: str
 
 
-Action = Apply | Reject | Hold
+Action = Apply | Reject | HoldBack
 
 
-class Membership:
+class ServerListLifecycle:
     """Decides which version of the list is in force."""
 
     def __init__(
@@ -59,15 +59,15 @@
         groups: Iterable[str],
         settle: int = SETTLE,
         patience: int = PATIENCE,
-        check: Callable[[Fleet], list[str]] = lambda fleet: [],
+        check: Callable[[ServerListDocument], list[str]] = lambda fleet: [],
     ) -> None:
         """``check`` names faults that only the settings show; times in ns."""
         self._check = check
         self._groups = frozenset(groups)
         self._settle, self._patience = settle, patience
         self.number = 0
-        self.current: Fleet | None = None
-        self.held: Fleet | None = None
+        self.current: ServerListDocument | None = None
+        self.held: ServerListDocument | None = None
         self._texts: Mapping[str, bytes] = {}
         self._digest = ""
         self._seen_at = 0  # when the content on disk was first seen
@@ -76,7 +76,7 @@
         self._reported: dict[str, None] = {}
         self._reader = ListReader(self._groups)
 
-    def restore(self, fleet: Fleet, number: int) -> Apply | None:
+    def restore(self, fleet: ServerListDocument, number: int) -> Apply | None:
         """Go on with the last good version of an earlier run, unless a newer one is in force already."""
         if self.current is not None:
             return None
@@ -121,7 +121,7 @@
             self.held = None  # superseded, whatever comes of this one
             try:
                 fleet = self._reader.read(self._texts)
-            except FleetError as problem:
+            except ServerListError as problem:
                 return self._once(Reject(self._digest, tuple(problem.faults)))
             if faults := self._check(fleet):
                 return self._once(Reject(self._digest, tuple(faults)))
@@ -137,7 +137,7 @@
             reason = suspicion(old, fleet.servers)
         if reason:
             self.held = fleet
-            return self._once(Hold(fleet.digest, reason))
+            return self._once(HoldBack(fleet.digest, reason))
         self.held, self.current = None, fleet
         self.number += 1
         self._reported.clear()
@@ -145,7 +145,7 @@
             return [Apply(self.number, fleet, describe(known), known)]
         return [Apply(self.number, fleet, compare(old, fleet.servers))]
 
-    def _once(self, action: Reject | Hold) -> list[Action]:
+    def _once(self, action: Reject | HoldBack) -> list[Action]:
         if action.digest in self._reported:
             return []
         self._reported[action.digest] = None
--- a/yardbank/server_list/service.py
+++ b/yardbank/server_list/service.py
@@ -17,8 +17,8 @@
 from yardbank.plan.model import Problem
 from yardbank.plan.replan import replan
 from yardbank.scheduler import Budget, Queue, Runner
-from yardbank.server_list.document import Fleet
-from yardbank.server_list.lifecycle import Action, Apply, Hold, Membership, Reject
+from yardbank.server_list.document import ServerListDocument
+from yardbank.server_list.lifecycle import Action, Apply, HoldBack, Reject, ServerListLifecycle
 from yardbank.server_list.watcher import Watcher
 from yardbank.state.recovery import WriteRate, judge, next_generation
 from yardbank.state.snapshot import GroupState, ServerState, Snapshot
@@ -63,7 +63,7 @@
         self._note = ""
         self._next_view: Any = None
         self._classes: tuple[Class, ...] = ()  # the list's own, as taken last
-        self.membership = Membership(build.fleet_groups(config), block.settle, block.patience, self._faults_of)
+        self.membership = ServerListLifecycle(build.fleet_groups(config), block.settle, block.patience, self._faults_of)
         self.watcher = Watcher(
             folder / block.path,
             self.membership,
@@ -131,7 +131,7 @@
         self._log.info("restarted", fresh=restart.fresh, floor_now=restart.floor_now, list=restart.use_list)
         self._gateway.restarted(restart.floor_now, restart.floors)
         if snapshot is not None and restart.use_list:
-            fleet = Fleet(tuple(_spec(s) for s in snapshot.servers), snapshot.digest)
+            fleet = ServerListDocument(tuple(_spec(s) for s in snapshot.servers), snapshot.digest)
             if action := self.membership.restore(fleet, snapshot.version):
                 self._act(action)  # also marks the state as in use: it is no longer the last word
         elif self._store is not None:
@@ -158,10 +158,10 @@
             case Reject(digest, faults):
                 for fault in faults[:20]:
                     self._log.error("list_rejected", digest=digest, fault=fault)
-            case Hold(digest, reason):
+            case HoldBack(digest, reason):
                 self._log.error("list_held_back", digest=digest, reason=reason, force="yardbank list apply")
 
-    def _view(self, fleet: Fleet, number: int) -> None:
+    def _view(self, fleet: ServerListDocument, number: int) -> None:
         """Route by the list as the plan and this gateway's place among all make it; look again when that changes."""
         self._viewed = True
         if self._next_view is not None and self._next_view.active():
@@ -178,7 +178,7 @@
             wait = max(LEAST_VIEW, found.next_at - self._wall())
             self._next_view = self._reactor.callLater(wait, self._view, fleet, number)
 
-    def _replan(self, model: Problem, fleet: Fleet, number: int) -> Iterator[object]:
+    def _replan(self, model: Problem, fleet: ServerListDocument, number: int) -> Iterator[object]:
         """Work out a plan in the background; a newer list's work takes the place of this."""
         block, wall = self._config.membership, self._wall()
         assert block is not None
@@ -189,10 +189,10 @@
             self._own = made.plan
             self._view(fleet, number)
 
-    def _with_classes(self, fleet: Fleet) -> Config:
+    def _with_classes(self, fleet: ServerListDocument) -> Config:
         return self._config.model_copy(update={"classes": fleet.classes}) if fleet.classes else self._config
 
-    def _faults_of(self, fleet: Fleet) -> list[str]:
+    def _faults_of(self, fleet: ServerListDocument) -> list[str]:
         """Classes of a list may match otherwise than the settings', not be others: times are the module's."""
         config = self._with_classes(fleet)
         if build.request_classes(config) != build.request_classes(self._config):
--- a/yardbank/server_list/watcher.py
+++ b/yardbank/server_list/watcher.py
@@ -1,4 +1,4 @@
-"""Tells ``Membership`` what stands on disk: notified by the system (watchdog), and by looking now and then.
+"""Tells ``ServerListLifecycle`` what stands on disk: notified by the system (watchdog), and by looking now and then.
 
 Thin on purpose: it reads files and passes their contents on; nothing is decided here. Polling covers file
 systems without events, replaced directories and swapped links.
@@ -33,7 +33,7 @@
 
 
 class Watched(Protocol):
-    """What is told of the files: ``Membership``, or the peers' list."""
+    """What is told of the files: ``ServerListLifecycle``, or the peers' list."""
 
     def seen(self, now: int, texts: dict[str, bytes]) -> list[Any]:
         """The files hold these contents; what is to be done."""
