--- a/yardbank/cluster/peers/peer_list.py
+++ b/yardbank/cluster/peers/peer_list.py
@@ -78,8 +78,22 @@
     faults: tuple[str, ...]
 
 
+def _read(name: str, data: bytes) -> PeerFile:
+    """The list in a file. Raises ``ConfigError``."""
+    if not data.strip():  # as one is while it is being written
+        raise ConfigError([f"{name}:1: is empty; count = 0 says that there are no peers"])
+    try:
+        text = data.decode()
+    except UnicodeDecodeError as error:
+        raise ConfigError([f"{name}:1: not UTF-8"]) from error
+    return check_text(text, name, SHAPE)
+
+
 class PeerList:
-    """Which version of the list is in force."""
+    """Which version of the list is in force.
+
+    ``patience``: how long a faulty text may stand before it is rejected, ns.
+    """
 
     def __init__(self, patience: int = 2_000_000_000) -> None:
         self._patience = patience
@@ -90,28 +104,32 @@
         self.zones: Mapping[str, str] = {}
 
     def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Accept | Reject]:
-        """The file holds this now."""
+        """The file holds this text now (``texts``: by file name, at most one). Returns what to do, if anything."""
         name, data = next(iter(texts.items()), ("peers", b""))
         if data != self._text:
-            self._text, self._since, self._waiting = data, now, None
+            self._text = data
+            self._since = now
+            self._waiting = None
             try:
-                if not data.strip():  # as one is while it is being written
-                    raise ConfigError([f"{name}:1: is empty; count = 0 says that there are no peers"])
-                file = check_text(data.decode(), name, SHAPE)
-            except UnicodeDecodeError:
-                self._waiting = Reject((f"{name}:1: not UTF-8",))
-            except ConfigError as problem:
-                self._waiting = Reject(tuple(problem.faults))
+                file = _read(name, data)
+            except ConfigError as error:
+                self._waiting = Reject(tuple(error.faults))
             else:
-                places = {one.name: (one.address, one.port) for one in file.peer}
-                zones = {one.name: one.zone for one in file.peer}
-                if (places, zones) != (self.places, self.zones):
-                    self.places, self.zones = places, zones
-                    return [Accept(places, zones)]
-        if self._waiting is not None and now - self._since >= self._patience:
-            rejected, self._waiting = self._waiting, None
-            return [rejected]
-        return []
+                return self._apply(file)
+        if self._waiting is None or now - self._since < self._patience:
+            return []
+        rejected = self._waiting
+        self._waiting = None
+        return [rejected]
+
+    def _apply(self, file: PeerFile) -> list[Accept | Reject]:
+        places = {peer.name: (peer.address, peer.port) for peer in file.peer}
+        zones = {peer.name: peer.zone for peer in file.peer}
+        if places == self.places and zones == self.zones:
+            return []
+        self.places = places
+        self.zones = zones
+        return [Accept(places, zones)]
 
     def due(self) -> int | None:
         """When it is to be looked at again; None: when the file changes."""
