--- a/yardbank/cluster/peers/parts.py
+++ b/yardbank/cluster/peers/parts.py
@@ -1,7 +1,7 @@
-"""What rides on the link between gateways beside the link's own business: parts, each a decider without I/O.
+"""What a part is: a state machine without I/O that exchanges messages with the parts of its topic at other gateways.
 
-A part is told who is there and what others' parts of its topic say, and hands out letters. It never sees an address or
-a datagram. Time (ns, this gateway's steady clock) is passed in; randomness comes with the part's making.
+A part learns of the members and of the messages for its topic, and hands out messages. It never sees an address or a
+datagram. Time (ns, this gateway's steady clock) is an argument; randomness is given when the part is made.
 """
 
 from __future__ import annotations
@@ -45,26 +45,26 @@
 
 
 class KeyValueStore(Protocol):
-    """A few octets that outlive the process, for one part."""
+    """The state of one part that outlives the process."""
 
     def load(self) -> bytes | None:
-        """What was kept last; None: nothing, or it cannot be read."""
+        """What was saved last; None: nothing, or it cannot be read."""
 
     def save(self, data: bytes) -> bool:
-        """Keep it durably; whether that worked."""
+        """Save durably; returns whether that worked."""
 
 
 class Part(Protocol):
-    """One decider that talks to its like at other gateways."""
+    """One part of a gateway; see the module."""
 
     topic: str  # at most 16 octets; at most one part of a gateway has it
-    rate: tuple[int, int] | None  # octets a second and at once, for a feed's letters; None: those of all other parts
+    rate: tuple[int, int] | None  # octets a second and at once, of its own; None: shares those of all other parts
 
     def listed(self, now: int) -> None:
-        """The list has changed: ``MembershipView`` tells the new one."""
+        """The list has changed: ``MembershipView`` has the new one."""
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A letter of a peer of the list. May come twice, late, in any order. Raises ``DroppedError`` on odd ones."""
+        """A message of a listed peer. May come twice, late, in any order. Raises ``DroppedError`` if it is unusable."""
 
     def tick(self, now: int) -> None:
         """Time has passed; may be called before it is due."""
@@ -73,7 +73,7 @@
         """When ``tick`` is due; None: not before something comes in."""
 
     def outgoing_messages(self) -> list[Message]:
-        """What is to be sent; taken off."""
+        """The messages to send; each is returned once."""
 
     def view(self, now: int) -> dict[str, Any]:
         """What an operator should see, as plain values."""
