--- a/tests/cluster/rollout/test_false_records.py
+++ b/tests/cluster/rollout/test_false_records.py
@@ -9,7 +9,7 @@
 from tests.cluster.rollout.test_fleet import LOOKUP, begun, worse
 from tests.support.rollout_fleet import SECOND, Kind, change
 from yardbank.cluster.peers.datagram import DroppedError
-from yardbank.cluster.rollout.phase import FELL, NEW
+from yardbank.cluster.rollout.phase import Phase
 from yardbank.cluster.rollout.record import Cell, GatewayRecord, encoded, letter, records
 from yardbank.cluster.rollout.record_log import RecordLog
 
@@ -63,18 +63,20 @@
 def test_two_are_needed_to_tell_of_a_third():
     record_log = RecordLog("g0", Random(1))
     record_log.listed(["g0", "g1", "g2", "g3"])
-    forged = encoded(GatewayRecord("g3", 1, 9, "c1", 7, FELL))
+    forged = encoded(GatewayRecord("g3", 1, 9, "c1", 7, Phase.FELL))
     assert (
         record_log.take("g1", letter([forged])) == record_log.take("g1", letter([forged])) == []
         and record_log.said("g3") is None
     )
-    other = encoded(GatewayRecord("g3", 1, 9, "c1", 7, NEW))
+    other = encoded(GatewayRecord("g3", 1, 9, "c1", 7, Phase.NEW))
     assert record_log.take("g2", letter([other])) == []  # told otherwise: no second voice
-    assert [said.place for said in record_log.take("g2", letter([forged]))] == [FELL]
-    assert record_log.take("g3", letter([encoded(GatewayRecord("g3", 1, 8, "c1", 7, NEW))])) == []  # older by number
+    assert [said.phase for said in record_log.take("g2", letter([forged]))] == [Phase.FELL]
+    assert (
+        record_log.take("g3", letter([encoded(GatewayRecord("g3", 1, 8, "c1", 7, Phase.NEW))])) == []
+    )  # older by number
     assert [
-        said.place for said in record_log.take("g3", letter([encoded(GatewayRecord("g3", 2, 1, "c1", 7, NEW))]))
-    ] == [NEW]
+        said.phase for said in record_log.take("g3", letter([encoded(GatewayRecord("g3", 2, 1, "c1", 7, Phase.NEW))]))
+    ] == [Phase.NEW]
     assert record_log.take("g1", letter([encoded(GatewayRecord("g9", 1, 1))])) == []  # nobody on the list
     record_log.say(GatewayRecord("g0", 5, 1))
     assert (
@@ -85,7 +87,7 @@
 
 
 def test_records_of_a_later_program_pass_unchanged_and_odd_ones_are_dropped():
-    plain = GatewayRecord("g1", 3, 4, "c1", 5, NEW, "v", "", 6, 0, 0, 100, (Cell("lookup:0", 1, 2, 3, 4, 5, 6),))
+    plain = GatewayRecord("g1", 3, 4, "c1", 5, Phase.NEW, "v", "", 6, 0, 0, 100, (Cell("lookup:0", 1, 2, 3, 4, 5, 6),))
     later = msgspec.msgpack.encode([*msgspec.msgpack.decode(encoded(plain)), "more", [1, 2]])
     (found,) = records(letter([later]))
     assert found == (plain, later)
--- a/tests/cluster/rollout/test_faults.py
+++ b/tests/cluster/rollout/test_faults.py
@@ -17,7 +17,7 @@
 
 
 def moved(world, count=2, most=200):
-    return world.until(lambda: sum(world.place(name) == "new" for name in world.zones) >= count, most)
+    return world.until(lambda: sum(world.phase(name) == "new" for name in world.zones) >= count, most)
 
 
 @pytest.mark.parametrize("oneway", [False, True])
@@ -47,10 +47,10 @@
     away = world.processes["g000"].part._stage_plan.of(2)[-1]
     cut(world, "away", [away], [name for name in world.zones if name != away])
     others = [name for name in world.zones if name != away]
-    assert world.until(lambda: all(world.place(name) == "new" for name in others), 600)
-    assert world.place(away) != "new"
+    assert world.until(lambda: all(world.phase(name) == "new" for name in others), 600)
+    assert world.phase(away) != "new"
     world.gossip.network.end("away")
-    assert world.until(lambda: world.place(away) == "new", 200)
+    assert world.until(lambda: world.phase(away) == "new", 200)
 
 
 def test_one_that_was_cut_off_on_the_new_version_hears_of_the_stop_when_it_is_back():
@@ -66,7 +66,7 @@
     assert world.until(lambda: {name for _, name, _ in world.said("stopped")} >= rest, 60)
     assert world.until(lambda: world.on_new() == {away}, 200)
     world.run(30)
-    assert world.place(away) in ("new", "due back")
+    assert world.phase(away) in ("new", "due back")
     world.gossip.network.end("away")
     assert world.until(world.all_old, 120)
 
@@ -101,7 +101,7 @@
         at = world.gossip.now + tick * SECOND // 5
         world.gossip.at(at, lambda: setattr(world.gossip.nodes[following].detector, "slowness", 8))
     world.run(95)
-    assert world.place(following) in ("old", "due") and not world.said("stopped")
+    assert world.phase(following) in ("old", "due") and not world.said("stopped")
     assert any("slow" in turn.why for _, _, turn in world.said("held", following))
     assert world.until(lambda: len(world.said("finished")) == 8, 500)
 
@@ -142,7 +142,7 @@
     assert stopped(world) and world.said("not_kept", "g000")
     world.end("g000")  # it has forgotten; the others have not
     world.run(40)
-    assert world.place("g000") == "old" and len(world.said("stopped", "g000")) == 2
+    assert world.phase("g000") == "old" and len(world.said("stopped", "g000")) == 2
     full.full = False
     world.run(15)
     world.end("g000")
--- a/tests/cluster/rollout/test_files.py
+++ b/tests/cluster/rollout/test_files.py
@@ -18,7 +18,7 @@
 from yardbank.cluster.rollout.active_version import EXIT_ANEW, ActiveVersion, Version
 from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, taken
 from yardbank.cluster.rollout.local_state import Memory, reconciled, remembered
-from yardbank.cluster.rollout.phase import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
+from yardbank.cluster.rollout.phase import Phase
 from yardbank.config import ConfigError
 from yardbank.daemon.versions import Versions
 from yardbank.testing.demo.world import free_port
@@ -72,7 +72,19 @@
     assert other.mark() != change.mark()
 
 
-PLACES = st.sampled_from([OLD, DUE, OUT, SETTLING, NEW, BACK_DUE, BACK_OUT, BACK_SETTLING, FELL])
+PLACES = st.sampled_from(
+    [
+        Phase.OLD,
+        Phase.DUE,
+        Phase.OUT,
+        Phase.SETTLING,
+        Phase.NEW,
+        Phase.BACK_DUE,
+        Phase.BACK_OUT,
+        Phase.BACK_SETTLING,
+        Phase.FELL,
+    ]
+)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -83,21 +95,25 @@
     force = ActiveVersion(version, Version()) if on_new else ActiveVersion()
     found, why = reconciled(Memory(change.kept(), place, finished="a" if finished else ""), force)
     if finished:
-        assert found == NEW
+        assert found == Phase.NEW
     else:
-        assert (found in (SETTLING, BACK_DUE)) == on_new  # never taken for old where the new one runs, or the other way
-        assert (found == FELL) == (not on_new and place in (OUT, SETTLING, NEW, BACK_DUE, FELL))
-        assert bool(why) == (found == FELL != place)
+        assert (
+            found in (Phase.SETTLING, Phase.BACK_DUE)
+        ) == on_new  # never taken for old where the new one runs, or the other way
+        assert (found == Phase.FELL) == (
+            not on_new and place in (Phase.OUT, Phase.SETTLING, Phase.NEW, Phase.BACK_DUE, Phase.FELL)
+        )
+        assert bool(why) == (found == Phase.FELL != place)
 
 
 def test_what_is_remembered_in_another_program_s_words_is_read_as_far_as_it_goes():
     import msgspec
 
     disk = Disk()
-    disk.data = msgspec.msgpack.encode(["", OLD, False, 2, [["x", "why"]], "y", "later", 7])
+    disk.data = msgspec.msgpack.encode(["", Phase.OLD, False, 2, [["x", "why"]], "y", "later", 7])
     assert remembered(disk).stopped == [("x", "why")]
-    disk.data = msgspec.msgpack.encode(["", NEW])
-    assert remembered(disk).place == NEW
+    disk.data = msgspec.msgpack.encode(["", Phase.NEW])
+    assert remembered(disk).phase == Phase.NEW
     for data in (b"", b"\xc1", msgspec.msgpack.encode([5]), msgspec.msgpack.encode(["{", 1])):
         disk.data = data
         assert remembered(disk) == Memory()
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -43,7 +43,7 @@
         assert first >= judged >= through + 20 - 1
     world.end("g003")
     world.run(30)
-    assert world.place("g003") == "new"  # it is what it starts with from now on
+    assert world.phase("g003") == "new"  # it is what it starts with from now on
 
 
 WORSE = {
@@ -102,7 +102,7 @@
     world.dies = CRASHES[how]
     assert stopped(world)
     fell = {name for _, name, _ in world.said("fell_back")}
-    assert len(fell) == 2 == len(world.requests) and all(world.place(name) == "fell back" for name in fell)
+    assert len(fell) == 2 == len(world.requests) and all(world.phase(name) == "fell back" for name in fell)
     assert any("restarts of" in turn.why for _, _, turn in world.said("stopped"))
 
 
@@ -183,7 +183,7 @@
 
 def test_withdrawn_they_go_back_and_may_be_asked_again():
     world = begun(8)
-    assert world.until(lambda: world.place("g000") == "new" or len(world.on_new()) >= 2, 200)
+    assert world.until(lambda: world.phase("g000") == "new" or len(world.on_new()) >= 2, 200)
     world.ask(None)
     assert world.until(world.all_old, 200) and world.most_away <= 2
     world.run(20)
--- a/tests/golden/test_golden_rollout.py
+++ b/tests/golden/test_golden_rollout.py
@@ -8,16 +8,16 @@
 from yardbank.cluster.rollout.document import SHAPE, Change, taken
 from yardbank.cluster.rollout.local_state import Memory, Options, remembered
 from yardbank.cluster.rollout.part import RolloutPart
-from yardbank.cluster.rollout.phase import BACK_DUE, BACK_OUT, BACK_SETTLING, DUE, FELL, NEW, OLD, OUT, SETTLING
+from yardbank.cluster.rollout.phase import Phase
 from yardbank.cluster.rollout.record import Cell, GatewayRecord, encoded, letter, records
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 DATA = load("rollout")
 
 
-def memory(change, place, down, restarts, stopped, finished):
+def memory(change, phase, down, restarts, stopped, finished):
     reasons = [tuple(one) for one in stopped]
-    return Memory(change=change, place=place, down=down, restarts=restarts, stopped=reasons, finished=finished)
+    return Memory(change=change, phase=phase, down=down, restarts=restarts, stopped=reasons, finished=finished)
 
 
 def version(rollout, mark, settings, program, name):
@@ -28,14 +28,14 @@
     return Cell(name=name, good=good, late=late, refused=refused, failed=failed, left=left, p99=p99)
 
 
-def record(owner, boot_epoch, number, rollout, mark, place, running, stop, beat, slow, restarts, memory, cells):
+def record(owner, boot_epoch, number, rollout, mark, phase, running, stop, beat, slow, restarts, memory, cells):
     return GatewayRecord(
         owner=owner,
         boot_epoch=boot_epoch,
         number=number,
         rollout=rollout,
         mark=mark,
-        place=place,
+        phase=phase,
         version=running,
         stop=stop,
         beat=beat,
@@ -87,4 +87,14 @@
 
 def test_topic_and_places_stay_the_same():
     assert RolloutPart.topic == DATA["topic"]
-    assert DATA["places"] == [OLD, DUE, OUT, SETTLING, NEW, BACK_DUE, BACK_OUT, BACK_SETTLING, FELL]
+    assert DATA["places"] == [
+        Phase.OLD,
+        Phase.DUE,
+        Phase.OUT,
+        Phase.SETTLING,
+        Phase.NEW,
+        Phase.BACK_DUE,
+        Phase.BACK_OUT,
+        Phase.BACK_SETTLING,
+        Phase.FELL,
+    ]
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -121,7 +121,7 @@
         away = 0
         for name, process in self.processes.items():
             if process.down:
-                away += 1 if process.part and process.part._state_machine.place in AWAY else 0
+                away += 1 if process.part and process.part._state_machine.phase in AWAY else 0
                 continue
             if name in self.gossip.paused:
                 continue
@@ -133,7 +133,7 @@
                 self._carry_out(name, process, order)
             if not process.down and self.dies(name, new, age):
                 self.crash(name)
-            away += process.part._state_machine.place in AWAY
+            away += process.part._state_machine.phase in AWAY
         self.most_away = max(self.most_away, away)
         self.gossip.at(now + SECOND // 5, self._look)
 
@@ -203,11 +203,11 @@
     def until(self, condition, most):
         return self.gossip.run_until(condition, int(most * SECOND), SECOND)
 
-    def place(self, name):
-        return NAMES[self.processes[name].part._state_machine.place]
+    def phase(self, name):
+        return NAMES[self.processes[name].part._state_machine.phase]
 
     def places(self):
-        return {name: self.place(name) for name in self.zones}
+        return {name: self.phase(name) for name in self.zones}
 
     def on_new(self):
         return {name for name, process in self.processes.items() if process.force.now.name == NEW_NAME}
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -66,7 +66,7 @@
             0,
             change.id if change else "",
             change.mark() if change else 0,
-            state_machine.place,
+            state_machine.phase,
             state_machine.running,
             stop[:MAX_WHY],
             self.beat if self._cells else self.told.beat,  # who is not compared says nothing new at each beat
--- a/yardbank/cluster/rollout/canary_analysis.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -12,7 +12,7 @@
 
 from yardbank.cluster.rollout import sequential_test as judge
 from yardbank.cluster.rollout.document import SHARES, Change
-from yardbank.cluster.rollout.phase import DUE, FELL, NEW, OLD
+from yardbank.cluster.rollout.phase import Phase
 from yardbank.cluster.rollout.record import MAX_CELLS, Cell, GatewayRecord
 from yardbank.cluster.rollout.record_log import same_course
 from yardbank.cluster.rollout.sequential_test import Floats
@@ -77,7 +77,10 @@
         beats = [
             beat
             for beat in new.keys() & old.keys()
-            if new[beat].place == NEW and new[beat].cells and old[beat].place in (OLD, DUE) and old[beat].cells
+            if new[beat].phase == Phase.NEW
+            and new[beat].cells
+            and old[beat].phase in (Phase.OLD, Phase.DUE)
+            and old[beat].cells
         ]
         course = self._courses[pair]
         if not beats:
@@ -193,11 +196,15 @@
         """New ones that end though the old one that each is compared with does not; others, if no such old one does."""
         bad = {name for name in self._members if name in said and self._broken(said[name])}
         old = {pair.new: said.get(pair.old) for pair in self.pairs}
-        sound = {name for name, one in old.items() if one is not None and one.place in (OLD, DUE) and not one.restarts}
+        sound = {
+            name
+            for name, one in old.items()
+            if one is not None and one.phase in (Phase.OLD, Phase.DUE) and not one.restarts
+        }
         return sorted(bad & sound) + (sorted(bad - old.keys()) if sound and len(sound) == len(old) else [])
 
     def _broken(self, said: GatewayRecord) -> bool:
-        return said.place == FELL or said.restarts >= self.change.restarts
+        return said.phase == Phase.FELL or said.restarts >= self.change.restarts
 
     def well(self) -> bool:
         """Whether it is shown that it is not worse by the stated amount, by most of the pairs."""
--- a/yardbank/cluster/rollout/local_state.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.metrics import Figures
-from yardbank.cluster.rollout.phase import BACK_OUT, MOVED, NEW, OLD, OUT, TABLE
+from yardbank.cluster.rollout.phase import MOVED, TABLE, Phase
 
 MAX_STOPPED = 64  # rollouts that are remembered as stopped; the oldest are forgotten first
 
@@ -64,7 +64,7 @@
     """What is kept. Fields that a later program adds are left aside, those that an earlier one has not are empty."""
 
     change: str = ""  # ``Change.kept``
-    place: int = OLD
+    phase: int = Phase.OLD
     down: bool = False  # whether it has to start anew to change
     restarts: int = 0  # that there had been when it was asked for
     stopped: list[tuple[str, str]] = []  # rollouts, and why
@@ -90,18 +90,18 @@
     try:
         change = Change.of(memory.change)
     except ValueError:
-        return OLD, ""
+        return Phase.OLD, ""
     if memory.finished == change.id:
-        return NEW, ""
+        return Phase.NEW, ""
     on_new = force.now.rollout == change.id and force.now.mark == change.mark()
-    place = memory.place
-    if place == OUT:
+    phase = memory.phase
+    if phase == Phase.OUT:
         event = "up" if on_new else "crashed"
-    elif place == BACK_OUT:
+    elif phase == Phase.BACK_OUT:
         event = "restarted" if on_new else "up"
-    elif place in MOVED:
+    elif phase in MOVED:
         event = "restarted" if on_new else "crashed"
     else:  # the file of what is in force may have outlived what is remembered
         event = "found" if on_new else "restarted"
-    why = force.fell or ("did not come over" if place == OUT else "another version is in force")
-    return TABLE.get((place, event), OLD), why if event == "crashed" else ""
+    why = force.fell or ("did not come over" if phase == Phase.OUT else "another version is in force")
+    return TABLE.get((phase, event), Phase.OLD), why if event == "crashed" else ""
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.rollout.announcer import SLOW, Announcer
 from yardbank.cluster.rollout.document import Change, Word
 from yardbank.cluster.rollout.local_state import Activate, Commit, Options, RollBack, Transition
-from yardbank.cluster.rollout.phase import ASKING, AWAY, DUE, FELL, MOVED, NEW, OLD
+from yardbank.cluster.rollout.phase import ASKING, AWAY, MOVED, Phase
 from yardbank.cluster.rollout.progress import Progress
 from yardbank.cluster.rollout.record import MAX_WHY, GatewayRecord
 from yardbank.cluster.rollout.record_log import RecordLog, passed_on_often
@@ -68,7 +68,7 @@
             self._next, state_machine.name = None, name or state_machine.name
             if not state_machine.stopped(current.id):
                 self._recall = ""
-        elif current is None or state_machine.place in (OLD, DUE, FELL) or state_machine.finished:
+        elif current is None or state_machine.phase in (Phase.OLD, Phase.DUE, Phase.FELL) or state_machine.finished:
             if change is not None or current is not None:
                 self._adopt(now, change, name)
         else:
@@ -87,7 +87,7 @@
         if change is not None:
             before = state_machine.stopped(change.id)
             state_machine.say("asked", f"it was stopped: {before}" if before else "")
-        self._lay_out(now, fresh=not any(said.mark and said.place in MOVED for said in self._record_log.all().values()))
+        self._lay_out(now, fresh=not any(said.mark and said.phase in MOVED for said in self._record_log.all().values()))
 
     def _lay_out(self, now: int, fresh: bool = False) -> None:
         change = self._state_machine.change
@@ -161,19 +161,19 @@
         change, state_machine = self._state_machine.change, self._state_machine
         if change is not None and self._stage_plan is not None and self._progress is not None:
             # One that has just gone over may not know yet how far the others are: its own stage is under way at least
-            own = self._stage_plan.stage_of(self._membership_view.name) if state_machine.place in MOVED else 0
+            own = self._stage_plan.stage_of(self._membership_view.name) if state_machine.phase in MOVED else 0
             beat = self._announcer.enter(now, self._stage_plan, max(own, self._progress.open))
             told = {n: said for n, said in self._record_log.all().items() if said.mark == change.mark()}
             alive = self._membership_view.alive() | {self._membership_view.name}
             self._judge(now, change, self._progress, told, alive)
             state_machine.stage = self._progress.open
-            place = state_machine.place
+            phase_before = state_machine.phase
             stage = self._stage_plan.stage_of(self._membership_view.name)
             turn = not self._recall and not self._held and 0 < stage <= state_machine.stage
             state_machine.step(now, turn, self._recall, self._ahead(self._stage_plan, told, alive))
-            if state_machine.place not in (place, DUE) and place != DUE:
+            if state_machine.phase not in (phase_before, Phase.DUE) and phase_before != Phase.DUE:
                 self._announcer.forget()  # figures from before are not of where it is now
-            if self._next is not None and state_machine.place in (OLD, FELL):
+            if self._next is not None and state_machine.phase in (Phase.OLD, Phase.FELL):
                 self._adopt(now, *self._next)
             self._out += self._announcer.tell(state_machine, beat)
         elif self._announcer.told.mark:
@@ -197,7 +197,7 @@
         for what, stage, why in progress.events:
             state_machine.stage = stage
             if what == "finished":
-                if state_machine.place == NEW and not state_machine.stopped(change.id):
+                if state_machine.phase == Phase.NEW and not state_machine.stopped(change.id):
                     state_machine.finish(now)
                 else:
                     progress.finished = False
@@ -235,7 +235,7 @@
             order.position(self._membership_view.name),
             2 * (self._state_machine.change.most_at_once if self._state_machine.change else 1),
         )
-        asking = [n for n, said in told.items() if n in alive and (said.place in ASKING or said.place in AWAY)]
+        asking = [n for n, said in told.items() if n in alive and (said.phase in ASKING or said.phase in AWAY)]
         ahead = sum(order.position(name) < own for name in asking if name != self._membership_view.name)
         return own if ahead < limit else -1
 
@@ -245,7 +245,7 @@
         if change is None or self._state_machine.finished:
             return frozenset()
         told = self._record_log.all().items()
-        return frozenset(name for name, said in told if said.mark == change.mark() and said.place in MOVED)
+        return frozenset(name for name, said in told if said.mark == change.mark() and said.phase in MOVED)
 
     def view(self, now: int) -> dict[str, Any]:
         """What an operator should see."""
--- a/yardbank/cluster/rollout/phase.py
+++ b/yardbank/cluster/rollout/phase.py
@@ -5,47 +5,62 @@
 
 from __future__ import annotations
 
+from enum import IntEnum
+
 from yardbank.cluster.lease import Leases
 
-OLD, DUE, OUT, SETTLING, NEW = 0, 1, 2, 3, 4
-BACK_DUE, BACK_OUT, BACK_SETTLING, FELL = 5, 6, 7, 8
+
+class Phase(IntEnum):
+    """Where a gateway stands; stored and sent under these numbers."""
+
+    OLD = 0
+    DUE = 1
+    OUT = 2
+    SETTLING = 3
+    NEW = 4
+    BACK_DUE = 5
+    BACK_OUT = 6
+    BACK_SETTLING = 7
+    FELL = 8
+
+
 NAMES = ("old", "due", "going over", "settling", "new", "due back", "going back", "settling back", "fell back")
 
-TABLE: dict[tuple[int, str], int] = {
-    (OLD, "turn"): DUE,
-    (DUE, "not now"): OLD,  # held, stopped, withdrawn: the permit is given back unused
-    (DUE, "permit"): OUT,
-    (OUT, "up"): SETTLING,
-    (OUT, "not in service"): DUE,  # it has to start anew, and may not yet
-    (OUT, "failed"): FELL,  # it could not: it is on the old one still
-    (SETTLING, "settled"): NEW,
-    (SETTLING, "recalled"): BACK_DUE,  # one that is going over comes up first
-    (NEW, "recalled"): BACK_DUE,
-    (BACK_DUE, "permit"): BACK_OUT,
-    (BACK_OUT, "up"): BACK_SETTLING,
-    (BACK_OUT, "not in service"): BACK_DUE,
-    (BACK_OUT, "failed"): BACK_DUE,
-    (BACK_SETTLING, "settled"): OLD,
+TABLE: dict[tuple[int, str], Phase] = {
+    (Phase.OLD, "turn"): Phase.DUE,
+    (Phase.DUE, "not now"): Phase.OLD,  # held, stopped, withdrawn: the permit is given back unused
+    (Phase.DUE, "permit"): Phase.OUT,
+    (Phase.OUT, "up"): Phase.SETTLING,
+    (Phase.OUT, "not in service"): Phase.DUE,  # it has to start anew, and may not yet
+    (Phase.OUT, "failed"): Phase.FELL,  # it could not: it is on the old one still
+    (Phase.SETTLING, "settled"): Phase.NEW,
+    (Phase.SETTLING, "recalled"): Phase.BACK_DUE,  # one that is going over comes up first
+    (Phase.NEW, "recalled"): Phase.BACK_DUE,
+    (Phase.BACK_DUE, "permit"): Phase.BACK_OUT,
+    (Phase.BACK_OUT, "up"): Phase.BACK_SETTLING,
+    (Phase.BACK_OUT, "not in service"): Phase.BACK_DUE,
+    (Phase.BACK_OUT, "failed"): Phase.BACK_DUE,
+    (Phase.BACK_SETTLING, "settled"): Phase.OLD,
     # At a start, by what is remembered and what is in force
-    (OUT, "crashed"): FELL,  # the supervisor put the old one back in force
-    (SETTLING, "crashed"): FELL,
-    (NEW, "crashed"): FELL,
-    (BACK_DUE, "crashed"): FELL,
-    (OLD, "found"): SETTLING,
-    (DUE, "found"): SETTLING,
-    (DUE, "restarted"): OLD,
-    (BACK_SETTLING, "found"): SETTLING,
-    (FELL, "found"): SETTLING,
-    (SETTLING, "restarted"): SETTLING,
-    (NEW, "restarted"): SETTLING,
-    (BACK_DUE, "restarted"): BACK_DUE,
-    (BACK_OUT, "restarted"): BACK_DUE,
-    (BACK_SETTLING, "restarted"): BACK_SETTLING,
-    (FELL, "restarted"): FELL,
+    (Phase.OUT, "crashed"): Phase.FELL,  # the supervisor put the old one back in force
+    (Phase.SETTLING, "crashed"): Phase.FELL,
+    (Phase.NEW, "crashed"): Phase.FELL,
+    (Phase.BACK_DUE, "crashed"): Phase.FELL,
+    (Phase.OLD, "found"): Phase.SETTLING,
+    (Phase.DUE, "found"): Phase.SETTLING,
+    (Phase.DUE, "restarted"): Phase.OLD,
+    (Phase.BACK_SETTLING, "found"): Phase.SETTLING,
+    (Phase.FELL, "found"): Phase.SETTLING,
+    (Phase.SETTLING, "restarted"): Phase.SETTLING,
+    (Phase.NEW, "restarted"): Phase.SETTLING,
+    (Phase.BACK_DUE, "restarted"): Phase.BACK_DUE,
+    (Phase.BACK_OUT, "restarted"): Phase.BACK_DUE,
+    (Phase.BACK_SETTLING, "restarted"): Phase.BACK_SETTLING,
+    (Phase.FELL, "restarted"): Phase.FELL,
 }
-MOVED = frozenset({OUT, SETTLING, NEW, BACK_DUE, BACK_OUT})
-AWAY = frozenset({OUT, SETTLING, BACK_OUT, BACK_SETTLING})  # counted against ``most_at_once``
-ASKING = frozenset({DUE, BACK_DUE})
+MOVED = frozenset({Phase.OUT, Phase.SETTLING, Phase.NEW, Phase.BACK_DUE, Phase.BACK_OUT})
+AWAY = frozenset({Phase.OUT, Phase.SETTLING, Phase.BACK_OUT, Phase.BACK_SETTLING})  # counted against ``most_at_once``
+ASKING = frozenset({Phase.DUE, Phase.BACK_DUE})
 
 
 class Permit:
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -6,7 +6,7 @@
 
 from yardbank.cluster.rollout.canary_analysis import CanaryAnalysis, Past
 from yardbank.cluster.rollout.document import Change
-from yardbank.cluster.rollout.phase import FELL, NEW
+from yardbank.cluster.rollout.phase import Phase
 from yardbank.cluster.rollout.record import GatewayRecord
 from yardbank.cluster.rollout.stage_plan import StagePlan
 
@@ -77,13 +77,17 @@
 
     @staticmethod
     def _on_new(names: tuple[str, ...], told: Mapping[str, GatewayRecord]) -> int:
-        return sum(name in told and told[name].place == NEW for name in names)
+        return sum(name in told and told[name].phase == Phase.NEW for name in names)
 
     def _through(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> bool:
         """Whether most have gone over, and all of them that are there."""
         members = self.order.upto(self.open)
         news = self._on_new(tuple(name for name in members if name in alive), told)
-        rest = [name for name in members if name in alive and name in told and told[name].place not in (NEW, FELL)]
+        rest = [
+            name
+            for name in members
+            if name in alive and name in told and told[name].phase not in (Phase.NEW, Phase.FELL)
+        ]
         return news >= min(2, len(members)) and 2 * news > len(members) and not rest
 
     def worse(self, told: Mapping[str, GatewayRecord]) -> str:
--- a/yardbank/cluster/rollout/record.py
+++ b/yardbank/cluster/rollout/record.py
@@ -40,7 +40,7 @@
     number: int
     rollout: str = ""
     mark: int = 0  # of the request: ``Change.mark``
-    place: int = 0  # ``place.NAMES``
+    phase: int = 0  # ``phase.NAMES``
     version: str = ""
     stop: str = ""  # why it says stop; empty: it does not
     beat: int = 0  # at whose beginning the figures were read
@@ -88,7 +88,7 @@
 
 def _sound(said: GatewayRecord) -> bool:
     words = [(said.owner, MAX_NAME), (said.rollout, MAX_NAME), (said.version, MAX_NAME), (said.stop, MAX_WHY)]
-    counts = [said.place, said.beat, said.slow, said.restarts, said.memory]
+    counts = [said.phase, said.beat, said.slow, said.restarts, said.memory]
     counts += [number for cell in said.cells for number in (*cell.counts(), cell.p99)]
     names = [cell.name for cell in said.cells]
     return (
--- a/yardbank/cluster/rollout/state_machine.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -21,21 +21,7 @@
     reconciled,
     remembered,
 )
-from yardbank.cluster.rollout.phase import (
-    AWAY,
-    BACK_DUE,
-    BACK_OUT,
-    BACK_SETTLING,
-    DUE,
-    FELL,
-    NAMES,
-    NEW,
-    OLD,
-    OUT,
-    SETTLING,
-    TABLE,
-    Permit,
-)
+from yardbank.cluster.rollout.phase import AWAY, NAMES, TABLE, Permit, Phase
 
 AGAIN = 10_000_000_000  # between two tries to keep what could not be kept
 
@@ -47,7 +33,7 @@
         self._leases, self._keep, self._options = leases, keep, options
         self.force = options.force
         self._memory = remembered(keep)
-        self.place, fell = reconciled(self._memory, options.force)
+        self.phase, fell = reconciled(self._memory, options.force)
         self.change = Change.of(self._memory.change) if self._memory.change else None
         self.orders: list[Activate | RollBack | Commit] = []
         self.turns: list[Transition] = []
@@ -62,8 +48,8 @@
         if self.change is not None:
             self.name = self.force.now.name
             self.permit = self._permit(self.change)
-            if self.place != self._memory.place:
-                self.say(NAMES[self.place].replace(" ", "_"), fell or "after a start")
+            if self.phase != self._memory.phase:
+                self.say(NAMES[self.phase].replace(" ", "_"), fell or "after a start")
 
     def _permit(self, change: Change) -> Permit:
         return Permit(self._leases, change.id, change.most_at_once, change.outage)
@@ -92,10 +78,10 @@
     def _remember(self, now: int) -> bool:
         memory, change = self._memory, self.change
         memory.change = change.kept() if change is not None else ""
-        memory.place = self.place
+        memory.phase = self.phase
         kept = self._keep.save(msgspec.msgpack.encode(memory))
         if not kept and not self._unkept:
-            self.say("not_kept", f"{NAMES[self.place]}: it will not be known after a start")
+            self.say("not_kept", f"{NAMES[self.phase]}: it will not be known after a start")
         self._unkept, self._again = not kept, now + AGAIN
         return kept
 
@@ -121,15 +107,15 @@
         if self.permit is not None:
             self.permit.release(now)
         self.change, self.name = change, name
-        self.place, self._since, self.moved = OLD, now, True
+        self.phase, self._since, self.moved = Phase.OLD, now, True
         self.permit = None if change is None else self._permit(change)
         self._memory.restarts, self._memory.down = self.force.restarts, bool(change is not None and change.program)
         if change is not None and self.force.young and self.force.now.rollout == change.id:
-            self.place = SETTLING  # it is in force though nothing is remembered of it
+            self.phase = Phase.SETTLING  # it is in force though nothing is remembered of it
         elif change is not None and self.force.fell_from == change.id:
-            self.place = FELL
+            self.phase = Phase.FELL
         elif change is not None and self._memory.finished == change.id:
-            self.place = NEW
+            self.phase = Phase.NEW
         self._remember(now)
 
     @property
@@ -141,52 +127,52 @@
     # Moves
 
     def _go(self, now: int, event: str, why: str = "") -> None:
-        to = TABLE.get((self.place, event))
+        to = TABLE.get((self.phase, event))
         if to is None:
             return
-        self.place, self._since, self.moved, self._overdue = to, now, True, False
-        if (self.place, event) not in ((DUE, "turn"), (OLD, "not now")):
+        self.phase, self._since, self.moved, self._overdue = to, now, True, False
+        if (self.phase, event) not in ((Phase.DUE, "turn"), (Phase.OLD, "not now")):
             self.say(NAMES[to].replace(" ", "_"), why)
             if event != "permit":  # that was kept before
                 self._remember(now)
 
-    def step(self, now: int, turn: bool, recall: str, place: int) -> None:
-        """One step, if one is due. ``turn``: may go over; ``place``: in the order; below 0: not to ask yet."""
+    def step(self, now: int, turn: bool, recall: str, position: int) -> None:
+        """One step, if one is due. ``turn``: may go over; ``phase``: in the order; below 0: not to ask yet."""
         change, permit = self.change, self.permit
         if change is None or permit is None:
             return
         if self._unkept and now >= self._again:
             self._remember(now)
-        if self.place in AWAY and not self._overdue and now - self._since > change.outage:
+        if self.phase in AWAY and not self._overdue and now - self._since > change.outage:
             self._overdue = True
-            self.say("overdue", f"{NAMES[self.place]} for longer than {change.outage // 10**9} s")
-        if self.place == OLD and turn:
+            self.say("overdue", f"{NAMES[self.phase]} for longer than {change.outage // 10**9} s")
+        if self.phase == Phase.OLD and turn:
             self._go(now, "turn")
-        if self.place == DUE and not turn:
+        if self.phase == Phase.DUE and not turn:
             permit.release(now)
             self._go(now, "not now")
-        if self.place in (NEW, SETTLING) and recall:
+        if self.phase in (Phase.NEW, Phase.SETTLING) and recall:
             permit.release(now)
             self._go(now, "recalled", recall)
-        if self.place in (DUE, BACK_DUE):
-            self._ask(now, permit, place)
-        elif self.place in (SETTLING, BACK_SETTLING) and now - self._since >= change.settle:
+        if self.phase in (Phase.DUE, Phase.BACK_DUE):
+            self._ask(now, permit, position)
+        elif self.phase in (Phase.SETTLING, Phase.BACK_SETTLING) and now - self._since >= change.settle:
             permit.release(now)
             self._go(now, "settled")
 
-    def _ask(self, now: int, permit: Permit, place: int) -> None:
-        if place >= 0:
-            permit.seek(now, place)
+    def _ask(self, now: int, permit: Permit, position: int) -> None:
+        if position >= 0:
+            permit.seek(now, position)
         down = self._memory.down
         if not permit.may_go(now, down) or now < self._not_before or (self._unkept and now < self._again):
             return
-        before, self.place = self.place, OUT if self.place == DUE else BACK_OUT
+        before, self.phase = self.phase, Phase.OUT if self.phase == Phase.DUE else Phase.BACK_OUT
         kept = self._remember(now)
-        self.place = before
-        if not kept and before == DUE:  # what is not remembered would not be found again: it stays on the old one
+        self.phase = before
+        if not kept and before == Phase.DUE:  # what is not remembered would not be found again: it stays on the old one
             permit.release(now)
             return
-        self.orders.append(Activate(self.version(), down) if before == DUE else RollBack(down))
+        self.orders.append(Activate(self.version(), down) if before == Phase.DUE else RollBack(down))
         self._go(now, "permit")
 
     def version(self) -> Version:
@@ -207,7 +193,7 @@
 
     def up(self, now: int) -> None:
         """The change is made, in service."""
-        self.force = self.force.gone_over(self.version()) if self.place == OUT else self.force.gone_back()
+        self.force = self.force.gone_over(self.version()) if self.phase == Phase.OUT else self.force.gone_back()
         self._go(now, "up")
 
     def not_in_service(self, now: int) -> None:
--- a/yardbank/cluster/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -17,12 +17,12 @@
     places: dict[str, list[str]] = {}
     for name, said in sorted(record_log.all().items()):
         if said.mark == change.mark():
-            places.setdefault(NAMES[said.place] if said.place < len(NAMES) else "unknown", []).append(name)
+            places.setdefault(NAMES[said.phase] if said.phase < len(NAMES) else "unknown", []).append(name)
     return {
         "rollout": change.id,
         "stage": progress.open,
         "stages": len(change.stages),
-        "place": NAMES[state_machine.place],
+        "place": NAMES[state_machine.phase],
         "version": state_machine.name,
         "stopped": state_machine.stopped(change.id),
         "finished": state_machine.finished,
