--- a/tests/cluster/rollout/test_actuator.py
+++ b/tests/cluster/rollout/test_actuator.py
@@ -12,7 +12,7 @@
 from yardbank.cluster.rollout import active_version as forces
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.actuator import Actuator, name_of
-from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Word, taken
+from yardbank.cluster.rollout.document import COMMANDS, SHAPE, Asked, OperatorCommand, taken
 from yardbank.cluster.rollout.local_state import Activate, Commit, RollBack
 from yardbank.config.blocks import RolloutBlock
 
@@ -156,10 +156,10 @@
 def test_stop_and_withdraw_add_their_word_to_the_file_beside(tmp_path):
     file = fleet(tmp_path)
     assert said("stop", file, "a")[0] == said("stop", file, "a")[0] == said("withdraw", file, "b")[0] == 0
-    found = taken((tmp_path / "rollout.hcl.word").read_bytes(), "w", WORDS)
-    assert found == Word(("a",), ("b",))
+    found = taken((tmp_path / "rollout.hcl.word").read_bytes(), "w", COMMANDS)
+    assert found == OperatorCommand(("a",), ("b",))
     assert said("stop", file, 'a" {')[0] == 2
-    assert taken((tmp_path / "rollout.hcl.word").read_bytes(), "w", WORDS) == found
+    assert taken((tmp_path / "rollout.hcl.word").read_bytes(), "w", COMMANDS) == found
 
 
 def test_the_command_line_without_rollouts_imports_none_of_it():
--- a/tests/cluster/rollout/test_faults.py
+++ b/tests/cluster/rollout/test_faults.py
@@ -6,7 +6,7 @@
 
 from tests.cluster.rollout.test_fleet import begun, stopped, worse
 from tests.support.rollout_fleet import SECOND, Kind, World, change, zoned
-from yardbank.cluster.rollout.document import Word
+from yardbank.cluster.rollout.document import OperatorCommand
 from yardbank.testing.rig.network import Effect, pairs_of
 
 ALL = [f"g{n:03d}" for n in range(8)]
@@ -173,10 +173,10 @@
             carry_out(who, process, order)
 
     world._carry_out = broken
-    world.word(Word(("c0",), ()), ["g000", "g001"])  # of another rollout
+    world.take_command(OperatorCommand(("c0",), ()), ["g000", "g001"])  # of another rollout
     world.run(5)
     assert {turn.rollout for _, _, turn in world.said("stopped")} == {"c0"} and len(world.on_new()) >= 2
-    world.word(Word(("c1",), ()), ["g000", "g001"])
+    world.take_command(OperatorCommand(("c1",), ()), ["g000", "g001"])
     assert world.until(world.all_old, 120)
     assert len(failed) == 2 and failed[1] - failed[0] >= 10
 
@@ -184,7 +184,7 @@
 def test_who_has_finished_goes_back_no_more():
     world = begun(6, down=False)
     assert world.until(lambda: len(world.said("finished")) == 6, 400)
-    world.word(Word(("c1",), ()), world.zones)
+    world.take_command(OperatorCommand(("c1",), ()), world.zones)
     world.run(30)
     assert len(world.on_new()) == 6 and set(world.places().values()) == {"new"}
 
@@ -202,6 +202,6 @@
         world.gossip.network.end(str(number))
         world.run(random.choice([0, 2, 8]))
         if number == 20:
-            world.word(Word(("c1",), ()), random.sample(sorted(world.zones), 3))
+            world.take_command(OperatorCommand(("c1",), ()), random.sample(sorted(world.zones), 3))
     assert world.until(world.all_old, 300)
     assert len(world.requests) >= 2 and world.most_away <= 2
--- a/tests/cluster/rollout/test_files.py
+++ b/tests/cluster/rollout/test_files.py
@@ -16,7 +16,7 @@
 from tests.support.router_world import wait_for
 from yardbank.cluster.rollout import active_version as forces
 from yardbank.cluster.rollout.active_version import EXIT_ANEW, ActiveVersion, Version
-from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, taken
+from yardbank.cluster.rollout.document import COMMANDS, SHAPE, Asked, Change, OperatorCommand, Reject, Watching, taken
 from yardbank.cluster.rollout.local_state import Memory, reconciled, remembered
 from yardbank.cluster.rollout.phase import Phase
 from yardbank.config import ConfigError
@@ -59,7 +59,7 @@
     assert isinstance(rejected, Reject) and watching.due() is None
     assert watching.seen(4 * SECOND, {"f": GOOD.encode()}) == []  # the same as before
     assert watching.seen(5 * SECOND, {"f": b""}) == [Asked(None)]
-    assert Watching(WORDS).seen(0, {"f": b'stop "a" {}\nwithdraw "b" {}\n'}) == [Word(("a",), ("b",))]
+    assert Watching(COMMANDS).seen(0, {"f": b'stop "a" {}\nwithdraw "b" {}\n'}) == [OperatorCommand(("a",), ("b",))]
 
 
 def test_programs_with_other_defaults_mean_the_same_rollout():
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.support.rollout_fleet import SECOND, Disk, Kind, World, change, zoned
-from yardbank.cluster.rollout.document import Word
+from yardbank.cluster.rollout.document import OperatorCommand
 
 LOOKUP, WRITE = "lookup:0", "write:0"
 
@@ -171,13 +171,13 @@
 def test_an_operator_s_stop_before_two_gateways_sends_all_back_while_everyone_is_half_way():
     world = begun(8, asked=change(stages=(0.9, 1.0), most_at_once=4))
     assert world.until(lambda: len(world.on_new()) >= 3, 200)
-    world.word(Word(("c1",), ()), ["g006"])
+    world.take_command(OperatorCommand(("c1",), ()), ["g006"])
     moved = len(world.on_new())
     world.run(30)
     assert not [at for at, _, _ in world.said("going_over") if at > world.said("stopped")[0][0] + 5]
     assert {name for _, name, _ in world.said("stopped")} == {"g006"}  # the others wait, and no more
     assert len(world.on_new()) <= moved + 4
-    world.word(Word(("c1",), ()), ["g007"])
+    world.take_command(OperatorCommand(("c1",), ()), ["g007"])
     assert stopped(world) and world.most_away <= 4
 
 
@@ -194,11 +194,11 @@
 def test_the_word_withdraw_holds_as_long_as_it_stands():
     world = begun(6)
     assert world.until(lambda: len(world.on_new()) >= 2, 200)
-    world.word(Word((), ("c1",)), world.zones)
+    world.take_command(OperatorCommand((), ("c1",)), world.zones)
     assert world.until(world.all_old, 200)
     world.run(30)
     assert not world.on_new()
-    world.word(Word((), ()), world.zones)
+    world.take_command(OperatorCommand((), ()), world.zones)
     assert world.until(lambda: len(world.on_new()) >= 2, 200)
 
 
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -96,7 +96,7 @@
         if name in self.asked:
             self.tell(name, self.asked[name])
         if name in self.words:
-            self.word(self.words[name], [name])
+            self.take_command(self.words[name], [name])
 
     def end(self, name, again=SECOND, force=None):
         """The process ends; its supervisor starts it after ``again`` ns; None: it stays away."""
@@ -191,11 +191,11 @@
         for name in names or self.zones:
             self.tell(name, change)
 
-    def word(self, word, names):
+    def take_command(self, word, names):
         for name in names:
             self.words[name] = word
             if name in self.gossip.nodes:
-                self.processes[name].part.word(self.gossip.own(name), word)
+                self.processes[name].part.take_command(self.gossip.own(name), word)
 
     def run(self, seconds):
         self.gossip.run(self.gossip.now + int(seconds * SECOND))
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -155,22 +155,22 @@
 
 
 def _say(file: Path, rollout: str, stop: bool) -> None:
-    from yardbank.cluster.rollout.document import WORDS, Word, taken, word_file
+    from yardbank.cluster.rollout.document import COMMANDS, OperatorCommand, command_file, taken
 
     config = load_or_exit(file)
-    path = word_file(_asked_file(file, config))
+    path = command_file(_asked_file(file, config))
     stops: list[str] = []
     withdrawn: list[str] = []
     if path.exists():
-        found = checked_or_exit(lambda path: taken(read_text(path).encode(), str(path), WORDS), path)
-        assert isinstance(found, Word)
+        found = checked_or_exit(lambda path: taken(read_text(path).encode(), str(path), COMMANDS), path)
+        assert isinstance(found, OperatorCommand)
         stops, withdrawn = list(found.stop), list(found.withdraw)
     words = stops if stop else withdrawn
     if rollout not in words:
         words.append(rollout)
     text = "".join(f'stop "{one}" {{}}\n' for one in stops) + "".join(f'withdraw "{one}" {{}}\n' for one in withdrawn)
     try:
-        taken(text.encode(), str(path), WORDS)
+        taken(text.encode(), str(path), COMMANDS)
     except ConfigError:
         _fault(f"{path}: '{rollout}' is no name of a rollout")
     try:
--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -8,7 +8,17 @@
 
 from yardbank.cluster.rollout import active_version as forces
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
-from yardbank.cluster.rollout.document import SHAPE, WORDS, Asked, Change, Reject, Watching, Word, version_of, word_file
+from yardbank.cluster.rollout.document import (
+    COMMANDS,
+    SHAPE,
+    Asked,
+    Change,
+    OperatorCommand,
+    Reject,
+    Watching,
+    command_file,
+    version_of,
+)
 from yardbank.cluster.rollout.local_state import Activate, Commit, RollBack
 from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.config import Config, ConfigError, load
@@ -58,7 +68,7 @@
         self._prompt, self._reload, self._leave = prompt, reload, leave
         file = given.parent / block.file
         # Not there yet, which is nothing wrong
-        self._absent: dict[Path, Shape[Any]] = {file: SHAPE, word_file(file): WORDS}
+        self._absent: dict[Path, Shape[Any]] = {file: SHAPE, command_file(file): COMMANDS}
         self._watchers: list[Watcher] = []
         self._timer: Any = None
         self._left = False
@@ -94,12 +104,12 @@
                 self._carry_out(order)
                 self._prompt()
 
-    def _take(self, action: Asked | Word | Reject) -> None:
+    def _take(self, action: Asked | OperatorCommand | Reject) -> None:
         if isinstance(action, Reject):
             for fault in action.faults:
                 self._log.error("rollout_rejected", fault=fault)
-        elif isinstance(action, Word):
-            self._part.word(self._now(), action)
+        elif isinstance(action, OperatorCommand):
+            self._part.take_command(self._now(), action)
         else:
             try:
                 name = self._name(action.change) if action.change is not None else ""
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -1,4 +1,4 @@
-"""What a rollout is asked for by: a watched file, and a second one with the operator's word. No I/O.
+"""What a rollout is asked for by: a watched file, and a second one with the operator's commands. No I/O.
 
     rollout "2026-12-a" {
       settings = "new.hcl"
@@ -132,8 +132,8 @@
     rollout: tuple[Change, ...] = ()
 
 
-class WordFile(Model):
-    """The operator's word on rollouts; what is not named goes on."""
+class OperatorCommandFile(Model):
+    """The operator's commands on rollouts; what is not named goes on."""
 
     stop: tuple[Named, ...] = Field(default=(), max_length=64)
     withdraw: tuple[Named, ...] = Field(default=(), max_length=64)
@@ -148,7 +148,7 @@
 
 
 SHAPE = Shape(ChangeFile, {"rollout": "id"}, (), _one)
-WORDS = Shape(WordFile, {"stop": "id", "withdraw": "id"}, ())
+COMMANDS = Shape(OperatorCommandFile, {"stop": "id", "withdraw": "id"}, ())
 
 
 @dataclass(slots=True, frozen=True)
@@ -159,7 +159,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class OperatorCommand:
     """Rollouts that an operator stops, and those that he takes back."""
 
     stop: tuple[str, ...]
@@ -177,22 +177,22 @@
     return Asked(file.rollout[0] if file.rollout else None)
 
 
-def _word(file: WordFile) -> Word:
-    return Word(tuple(one.id for one in file.stop), tuple(one.id for one in file.withdraw))
+def _command_of(file: OperatorCommandFile) -> OperatorCommand:
+    return OperatorCommand(tuple(one.id for one in file.stop), tuple(one.id for one in file.withdraw))
 
 
 class Watching:
     """Which version of one file is in force; ``membership.watcher.Watched``."""
 
     def __init__(self, shape: Shape[Any], patience: int = 2 * SECOND) -> None:
-        """``shape``: ``SHAPE`` or ``WORDS``."""
+        """``shape``: ``SHAPE`` or ``COMMANDS``."""
         self._shape, self._patience = shape, patience
         self._text: bytes | None = None
         self._since = 0
         self._waiting: Reject | None = None
-        self._last: Asked | Word | None = None
+        self._last: Asked | OperatorCommand | None = None
 
-    def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Asked | Word | Reject]:
+    def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Asked | OperatorCommand | Reject]:
         """The file holds this now."""
         name, data = next(iter(texts.items()), ("rollout", b""))
         if data != self._text:
@@ -214,23 +214,23 @@
         """When it is to be looked at again; None: when the file changes."""
         return self._since + self._patience if self._waiting is not None else None
 
-    def force(self) -> list[Asked | Word | Reject]:
+    def force(self) -> list[Asked | OperatorCommand | Reject]:
         """Nothing is held back here."""
         return []
 
 
-def taken(data: bytes, name: str, shape: Shape[Checked]) -> Asked | Word:
+def taken(data: bytes, name: str, shape: Shape[Checked]) -> Asked | OperatorCommand:
     """What a file says. Raises ``ConfigError``."""
     try:
         file = check_text(data.decode(), name, shape)
     except UnicodeDecodeError as problem:
         line = data[: problem.start].count(b"\n") + 1
         raise ConfigError([f"{name}:{line}: not UTF-8"]) from None
-    return _asked(file) if isinstance(file, ChangeFile) else _word(file)  # type: ignore[arg-type]
+    return _asked(file) if isinstance(file, ChangeFile) else _command_of(file)  # type: ignore[arg-type]
 
 
-def word_file(file: Path) -> Path:
-    """Where the operator's word on rollouts stands: beside what asks for them."""
+def command_file(file: Path) -> Path:
+    """Where the operator's commands on rollouts stand: beside what asks for them."""
     return file.with_name(file.name + ".word")
 
 
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -9,7 +9,7 @@
 from yardbank.cluster.lease import Leases
 from yardbank.cluster.peers.parts import KeyValueStore, MembershipView, Message
 from yardbank.cluster.rollout.announcer import SLOW, Announcer
-from yardbank.cluster.rollout.document import Change, Word
+from yardbank.cluster.rollout.document import Change, OperatorCommand
 from yardbank.cluster.rollout.local_state import Activate, Commit, Options, RollBack, Transition
 from yardbank.cluster.rollout.phase import ASKING, AWAY, MOVED, Phase
 from yardbank.cluster.rollout.progress import Progress
@@ -23,7 +23,10 @@
 
 
 class RolloutPart:
-    """See ``peers.parts.Part``. Calls of the shell: ``asked``, ``word``, ``up``, ``failed``, ``orders``, ``turns``."""
+    """See ``peers.parts.Part``.
+
+    The shell calls ``asked``, ``take_command``, ``up``, ``failed``, ``orders`` and ``turns``.
+    """
 
     topic = "rollout"
     rate: tuple[int, int] | None = None
@@ -38,7 +41,7 @@
         self._progress: Progress | None = None
         self._next: tuple[Change | None, str] | None = None  # asked for, once this gateway is back
         self._asked: tuple[Change | None, str] | None = None
-        self._word = Word((), ())
+        self._command = OperatorCommand((), ())
         self._recall = ""
         self._held = ""
         self._announcer = Announcer(membership_view, self._record_log, options)
@@ -53,16 +56,16 @@
         self._asked = change, name
         self._resolve(now)
 
-    def word(self, now: int, word: Word) -> None:
-        """The operator's word on rollouts, as it stands now."""
-        self._word = word
+    def take_command(self, now: int, command: OperatorCommand) -> None:
+        """The operator's commands on rollouts, as they stand now."""
+        self._command = command
         self._resolve(now)
 
     def _resolve(self, now: int) -> None:
         state_machine = self._state_machine
         current = state_machine.change
         change, name = self._asked or (current, state_machine.name)  # until the file is read, what is remembered
-        if change is not None and change.id in self._word.withdraw:
+        if change is not None and change.id in self._command.withdraw:
             change = None
         if change is not None and current is not None and change.mark() == current.mark():
             self._next, state_machine.name = None, name or state_machine.name
@@ -74,7 +77,7 @@
         else:
             self._next = change, name
             self._recall = "withdrawn" if change is None else "replaced"
-        for rollout in self._word.stop:
+        for rollout in self._command.stop:
             state_machine.stop(now, rollout, "operator")
         self._tick_at = min(self._tick_at, now)
 
