--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -128,39 +128,60 @@
         return name_of(file, version.program)
 
     def _carry_out(self, order: Activate | RollBack | Commit) -> None:
-        if isinstance(order, Commit):
-            kept = self._force.kept()
-            if self._write(kept):  # else a start may still go back: it says so
-                self._force = kept
-            return
-        to = order.version if isinstance(order, Activate) else self._force.before
-        force = self._force.gone_over(to, self._wall()) if isinstance(order, Activate) else self._force.gone_back()
+        match order:
+            case Commit():
+                self._commit()
+            case Activate():
+                self._change_to(order.version, self._force.gone_over(order.version, self._wall()), order)
+            case RollBack():
+                self._change_to(self._force.before, self._force.gone_back(), order)
+
+    def _commit(self) -> None:
+        committed = self._force.kept()
+        if self._write(committed):  # else a start may still go back: it says so
+            self._force = committed
+
+    def _change_to(self, version: Version, active: ActiveVersion, order: Activate | RollBack) -> None:
+        """Bring a version into force: in service where that can be, else by a start of the process."""
         try:
-            config = load(to.file(self._given))
-            if isinstance(order, Activate) and name_of(to.file(self._given), to.program) != to.name:
-                raise ConfigError([f"{to.file(self._given)}: not what was asked for any more"])
-        except ConfigError as problem:
-            self._fail(problem.faults[0])
+            config = self._load(version, order)
+        except ConfigError as error:
+            self._fail(error.faults[0])
             return
-        if not self._write(force):
+        if not self._write(active):
             self._fail("what is in force cannot be written")
             return
-        if to.program == self._force.now.program:
-            try:
-                self._reload(config)
-            except ValueError as problem:
-                reason = str(problem)
-            else:
-                self._force = force
-                self._part.up(self._now())
-                return
-        else:
-            reason = "another program"
-        if self._leave is not None and order.down:
+        reason = self._reload_in_service(version, config)
+        if reason is None:
+            self._force = active
+            self._part.up(self._now())
+        elif self._leave is not None and order.down:
             self._left = True
             self._leave()
-            return
-        self._write(self._force)  # nothing has changed
+        else:
+            self._stay(reason)
+
+    def _load(self, version: Version, order: Activate | RollBack) -> Config:
+        """The settings of a version. Raises ``ConfigError``."""
+        file = version.file(self._given)
+        config = load(file)
+        if isinstance(order, Activate) and name_of(file, version.program) != version.name:
+            raise ConfigError([f"{file}: not what was asked for any more"])
+        return config
+
+    def _reload_in_service(self, version: Version, config: Config) -> str | None:
+        """Take the settings in service; None, or why that cannot be."""
+        if version.program != self._force.now.program:
+            return "another program"
+        try:
+            self._reload(config)
+        except ValueError as error:
+            return str(error)
+        return None
+
+    def _stay(self, reason: str) -> None:
+        """Nothing has changed: the process has to start again, and may not."""
+        self._write(self._force)
         if self._leave is None:
             self._fail(f"nobody starts it anew; {reason}")
         else:
