--- a/tests/cluster/rollout/test_faults.py
+++ b/tests/cluster/rollout/test_faults.py
@@ -6,7 +6,7 @@
 
 from tests.cluster.rollout.test_fleet import begun, stopped, worse
 from tests.support.rollout_fleet import SECOND, Kind, World, change, zoned
-from yardbank.cluster.rollout.document import Word
+from yardbank.cluster.rollout.document import OperatorCommand
 from yardbank.testing.rig.network import Effect, pairs_of
 
 ALL = [f"g{n:03d}" for n in range(8)]
@@ -17,7 +17,7 @@
 
 
 def moved(world, count=2, most=200):
-    return world.until(lambda: sum(world.place(name) == "new" for name in world.zones) >= count, most)
+    return world.until(lambda: sum(world.phase(name) == "new" for name in world.zones) >= count, most)
 
 
 @pytest.mark.parametrize("oneway", [False, True])
@@ -47,10 +47,10 @@
     away = world.processes["g000"].part._stage_plan.of(2)[-1]
     cut(world, "away", [away], [name for name in world.zones if name != away])
     others = [name for name in world.zones if name != away]
-    assert world.until(lambda: all(world.place(name) == "new" for name in others), 600)
-    assert world.place(away) != "new"
+    assert world.until(lambda: all(world.phase(name) == "new" for name in others), 600)
+    assert world.phase(away) != "new"
     world.gossip.network.end("away")
-    assert world.until(lambda: world.place(away) == "new", 200)
+    assert world.until(lambda: world.phase(away) == "new", 200)
 
 
 def test_one_that_was_cut_off_on_the_new_version_hears_of_the_stop_when_it_is_back():
@@ -66,7 +66,7 @@
     assert world.until(lambda: {name for _, name, _ in world.said("stopped")} >= rest, 60)
     assert world.until(lambda: world.on_new() == {away}, 200)
     world.run(30)
-    assert world.place(away) in ("new", "due back")
+    assert world.phase(away) in ("new", "due back")
     world.gossip.network.end("away")
     assert world.until(world.all_old, 120)
 
@@ -101,7 +101,7 @@
         at = world.gossip.now + tick * SECOND // 5
         world.gossip.at(at, lambda: setattr(world.gossip.nodes[following].detector, "slowness", 8))
     world.run(95)
-    assert world.place(following) in ("old", "due") and not world.said("stopped")
+    assert world.phase(following) in ("old", "due") and not world.said("stopped")
     assert any("slow" in turn.why for _, _, turn in world.said("held", following))
     assert world.until(lambda: len(world.said("finished")) == 8, 500)
 
@@ -142,7 +142,7 @@
     assert stopped(world) and world.said("not_kept", "g000")
     world.end("g000")  # it has forgotten; the others have not
     world.run(40)
-    assert world.place("g000") == "old" and len(world.said("stopped", "g000")) == 2
+    assert world.phase("g000") == "old" and len(world.said("stopped", "g000")) == 2
     full.full = False
     world.run(15)
     world.end("g000")
@@ -173,10 +173,10 @@
             carry_out(who, process, order)
 
     world._carry_out = broken
-    world.word(Word(("c0",), ()), ["g000", "g001"])  # of another rollout
+    world.take_command(OperatorCommand(("c0",), ()), ["g000", "g001"])  # of another rollout
     world.run(5)
     assert {turn.rollout for _, _, turn in world.said("stopped")} == {"c0"} and len(world.on_new()) >= 2
-    world.word(Word(("c1",), ()), ["g000", "g001"])
+    world.take_command(OperatorCommand(("c1",), ()), ["g000", "g001"])
     assert world.until(world.all_old, 120)
     assert len(failed) == 2 and failed[1] - failed[0] >= 10
 
@@ -184,7 +184,7 @@
 def test_who_has_finished_goes_back_no_more():
     world = begun(6, down=False)
     assert world.until(lambda: len(world.said("finished")) == 6, 400)
-    world.word(Word(("c1",), ()), world.zones)
+    world.take_command(OperatorCommand(("c1",), ()), world.zones)
     world.run(30)
     assert len(world.on_new()) == 6 and set(world.places().values()) == {"new"}
 
@@ -202,6 +202,6 @@
         world.gossip.network.end(str(number))
         world.run(random.choice([0, 2, 8]))
         if number == 20:
-            world.word(Word(("c1",), ()), random.sample(sorted(world.zones), 3))
+            world.take_command(OperatorCommand(("c1",), ()), random.sample(sorted(world.zones), 3))
     assert world.until(world.all_old, 300)
     assert len(world.requests) >= 2 and world.most_away <= 2
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.support.rollout_fleet import SECOND, Disk, Kind, World, change, zoned
-from yardbank.cluster.rollout.document import Word
+from yardbank.cluster.rollout.document import OperatorCommand
 
 LOOKUP, WRITE = "lookup:0", "write:0"
 
@@ -43,7 +43,7 @@
         assert first >= judged >= through + 20 - 1
     world.end("g003")
     world.run(30)
-    assert world.place("g003") == "new"  # it is what it starts with from now on
+    assert world.phase("g003") == "new"  # it is what it starts with from now on
 
 
 WORSE = {
@@ -102,7 +102,7 @@
     world.dies = CRASHES[how]
     assert stopped(world)
     fell = {name for _, name, _ in world.said("fell_back")}
-    assert len(fell) == 2 == len(world.requests) and all(world.place(name) == "fell back" for name in fell)
+    assert len(fell) == 2 == len(world.requests) and all(world.phase(name) == "fell back" for name in fell)
     assert any("restarts of" in turn.why for _, _, turn in world.said("stopped"))
 
 
@@ -171,19 +171,19 @@
 def test_an_operator_s_stop_before_two_gateways_sends_all_back_while_everyone_is_half_way():
     world = begun(8, asked=change(stages=(0.9, 1.0), most_at_once=4))
     assert world.until(lambda: len(world.on_new()) >= 3, 200)
-    world.word(Word(("c1",), ()), ["g006"])
+    world.take_command(OperatorCommand(("c1",), ()), ["g006"])
     moved = len(world.on_new())
     world.run(30)
     assert not [at for at, _, _ in world.said("going_over") if at > world.said("stopped")[0][0] + 5]
     assert {name for _, name, _ in world.said("stopped")} == {"g006"}  # the others wait, and no more
     assert len(world.on_new()) <= moved + 4
-    world.word(Word(("c1",), ()), ["g007"])
+    world.take_command(OperatorCommand(("c1",), ()), ["g007"])
     assert stopped(world) and world.most_away <= 4
 
 
 def test_withdrawn_they_go_back_and_may_be_asked_again():
     world = begun(8)
-    assert world.until(lambda: world.place("g000") == "new" or len(world.on_new()) >= 2, 200)
+    assert world.until(lambda: world.phase("g000") == "new" or len(world.on_new()) >= 2, 200)
     world.ask(None)
     assert world.until(world.all_old, 200) and world.most_away <= 2
     world.run(20)
@@ -194,11 +194,11 @@
 def test_the_word_withdraw_holds_as_long_as_it_stands():
     world = begun(6)
     assert world.until(lambda: len(world.on_new()) >= 2, 200)
-    world.word(Word((), ("c1",)), world.zones)
+    world.take_command(OperatorCommand((), ("c1",)), world.zones)
     assert world.until(world.all_old, 200)
     world.run(30)
     assert not world.on_new()
-    world.word(Word((), ()), world.zones)
+    world.take_command(OperatorCommand((), ()), world.zones)
     assert world.until(lambda: len(world.on_new()) >= 2, 200)
 
 
