--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,9 +26,11 @@
     """A log that keeps nothing."""
 
     def bind(self, **facts: Any) -> Silent:
+        """The same log."""
         return self
 
     def is_enabled_for(self, level: int) -> bool:
+        """No level is."""
         return False
 
     def __getattr__(self, name: str) -> Any:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -32,6 +32,7 @@
     role = b"copy"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Prepare one entry as the answer to every search."""
         self.transport, self.framer = transport, Framer()
         entry = m.SearchEntry(
             f"cn=1,{BASE}",
@@ -46,6 +47,7 @@
         self.bound = codec.Envelope(0, m.Tag.BIND, codec.encode_operation(m.Result(m.Tag.BIND_RESPONSE, 0)), b"")
 
     def data_received(self, data: bytes) -> None:
+        """Answer each search with that entry."""
         out = []
         for frame in self.framer.feed(data):
             asked = codec.open_envelope(frame)
@@ -63,10 +65,12 @@
         self.times, self.counts, self.number = times, counts, 1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Bind."""
         self.transport, self.framer = transport, Framer()
         transport.write(BIND)
 
     def data_received(self, data: bytes) -> None:
+        """Ask again as each answer ends."""
         for frame in self.framer.feed(data):
             raw = codec.open_envelope(frame)
             if raw.tag == m.Tag.DONE:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -38,6 +38,7 @@
     first_at = 0.0
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Note when the first entry came."""
         super().dataReceived(data)
         if not self.first_at and any(asked.answer.entries for asked in self._asked.values()):
             self.first_at = time.perf_counter()
--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, reason",
+    ("change", "reason"),
     [
         ({"fleet": "other"}, "fleet"),
         ({"sender": "g9"}, "stranger"),
--- a/tests/cluster/peers/test_processes.py
+++ b/tests/cluster/peers/test_processes.py
@@ -164,7 +164,7 @@
 ]
 
 
-@pytest.mark.parametrize("name, text, fault", FAULTY)
+@pytest.mark.parametrize(("name", "text", "fault"), FAULTY)
 def test_a_faulty_key_file_is_one_line_and_exit_2(name, text, fault, tmp_path):
     made = Process(tmp_path / "g1")
     (made.folder / name).write_text(text)
--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, fault",
+    ("change", "fault"),
     [
         (('term    = "3s"', 'term    = "900ms"'), "leases: overlap is nothing, or more than half of term"),
         (("voters  = 3", "voters  = 9"), "leases.voters: Input should be less than or equal to 7"),
--- a/tests/golden/cases.py
+++ b/tests/golden/cases.py
@@ -17,4 +17,4 @@
     """Runs a test once for each case of a kind, with its octets and their meaning."""
     cases = load(package)[kind]
     params = [pytest.param(bytes.fromhex(case["octets"]), case["meaning"], id=case["name"]) for case in cases]
-    return pytest.mark.parametrize("octets, meaning", params)
+    return pytest.mark.parametrize(("octets", "meaning"), params)
--- a/tests/support/reactor_thread.py
+++ b/tests/support/reactor_thread.py
@@ -43,7 +43,7 @@
                 done.errback(AssertionError("what the test waits for never happened"))
             else:
                 reactor.callLater(0.005, look)
-        except Exception as problem:
+        except Exception as problem:  # noqa: BLE001  # handed to the thread that waits
             done.errback(problem)
 
     def begin():
--- a/tests/testing/rig/test_cluster_claims.py
+++ b/tests/testing/rig/test_cluster_claims.py
@@ -212,7 +212,7 @@
 ]
 
 
-@pytest.mark.parametrize("text, fault", FAULTY)
+@pytest.mark.parametrize(("text", "fault"), FAULTY)
 def test_a_faulty_scenario_of_a_fleet_together_is_told(text, fault):
     with pytest.raises(ConfigError) as problem:
         scenario(text)
--- a/tests/testing/rig/test_fleet.py
+++ b/tests/testing/rig/test_fleet.py
@@ -117,7 +117,7 @@
 PLAYED = [row for row in FAULTS if EVERY or row[0] in OFTEN]
 
 
-@pytest.mark.parametrize("fault, claim, text, load, more", PLAYED, ids=[row[0] for row in PLAYED])
+@pytest.mark.parametrize(("fault", "claim", "text", "load", "more"), PLAYED, ids=[row[0] for row in PLAYED])
 def test_a_gateway_with_a_fault_of_its_own_is_found(fault, claim, text, load, more, tmp_path):
     file = tmp_path / "s.hcl"
     text_of = SMALL % load + CLAIMS + more
--- a/tests/testing/rig/test_scenarios.py
+++ b/tests/testing/rig/test_scenarios.py
@@ -63,7 +63,7 @@
 ]
 
 
-@pytest.mark.parametrize("text, fault", FAULTY)
+@pytest.mark.parametrize(("text", "fault"), FAULTY)
 def test_a_faulty_scenario_is_told_by_line_and_field(text, fault, tmp_path):
     with pytest.raises(ConfigError) as problem:
         scenario(text)
--- a/tests/testing/rig/test_seeded_faults.py
+++ b/tests/testing/rig/test_seeded_faults.py
@@ -56,7 +56,7 @@
 OFTEN = {"eager"}  # "keeps_on" needs that gateway to own something when it is cut off, which no step waits for
 
 
-@pytest.mark.parametrize("fault, part, length, claim, more, text", CASES, ids=[case[0] for case in CASES])
+@pytest.mark.parametrize(("fault", "part", "length", "claim", "more", "text"), CASES, ids=[case[0] for case in CASES])
 def test_a_fault_of_one_gateway_is_found(fault, part, length, claim, more, text, tmp_path):
     if not EVERY and fault not in OFTEN:
         pytest.skip("played by make rig")
--- a/tests/testing/rig/test_taps.py
+++ b/tests/testing/rig/test_taps.py
@@ -189,7 +189,7 @@
 ]
 
 
-@pytest.mark.parametrize("text, fault", FAULTY)
+@pytest.mark.parametrize(("text", "fault"), FAULTY)
 def test_a_faulty_scenario_of_moments_is_told_plainly(text, fault, tmp_path):
     with pytest.raises(ConfigError) as problem:
         scenario(text)
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -62,6 +62,7 @@
         self._beats = 0
 
     def targets(self, now: int, channel: str, heirs: bool = False) -> list[str]:
+        """Who gets items of a channel from this gateway; ``heirs``: whoever may own it next, too."""
         found = {*self.subscriptions.children(now, channel)}
         if channel in self.owned_channels:
             found.update(self.subscriptions.roots(channel, self.name))
@@ -70,6 +71,7 @@
         return sorted(found - {self.name})
 
     def send_item(self, item: Item, to: Iterable[str]) -> None:
+        """Send an item to some gateways."""
         body = wire.encode(item)
         self.outgoing_messages += [Message(name, body) for name in to]
 
@@ -127,6 +129,7 @@
         self.tell(now, {asker: [channel for channel in channels if channel in self.streams]})
 
     def tell(self, now: int, channels: Mapping[str, Iterable[str]], urgent: bool = False) -> None:
+        """Send states of channels to gateways; ``urgent``: beside the rate."""
         for to, some in channels.items():
             states = [state for channel in some if (state := self._state(now, channel)) is not None]
             self.outgoing_messages += [Message(to, body, urgent) for body in wire.encode_heartbeats(states)]
@@ -141,6 +144,7 @@
         return ChannelState(channel, known.epoch, known.sequence, age, known.owner, known.boot_epoch, known.after)
 
     def flush(self, stream: Stream) -> None:
+        """Hand a stream's items on, or wait for what is missing of it."""
         if stream.waits():
             self.waiting.add(stream.channel)
         else:
--- a/yardbank/cluster/channels/service.py
+++ b/yardbank/cluster/channels/service.py
@@ -209,6 +209,6 @@
     def _call(self, name: str, what: Callable[..., Any], *arguments: Any) -> Any:
         try:
             return what(*arguments)
-        except Exception as problem:  # one listener's error is not the others'
+        except Exception as problem:  # noqa: BLE001  # one listener's error is not the others'
             self._log.error("listener_error", channel=name, error=repr(problem), exc_info=True)
             return None
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -86,6 +86,7 @@
     """Draws that are always the lowest: whoever may act acts as soon as it may. Whatever waits longer is a stop."""
 
     def random(self) -> float:
+        """Always the least draw."""
         return 0.0
 
     def __reduce__(self) -> Any:
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -29,15 +29,19 @@
         self.name, self.boot_epoch, self._zones = name, boot_epoch, zones
 
     def zones(self) -> Mapping[str, str]:
+        """The list, with zones."""
         return self._zones
 
     def alive(self) -> frozenset[str]:
+        """Nobody: safety must not rest on it."""
         return frozenset()
 
     def list_hash(self) -> int:
+        """The list as a number."""
         return xxhash.xxh3_64_intdigest(repr(sorted(self._zones.items())).encode())
 
     def slowness(self) -> int:
+        """Never slow."""
         return 0
 
 
@@ -48,9 +52,11 @@
         self.data = data
 
     def load(self) -> bytes | None:
+        """What was saved last."""
         return self.data
 
     def save(self, data: bytes) -> bool:
+        """Keep it; always works."""
         self.data = data
         return True
 
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -109,7 +109,7 @@
         """What ``kept`` said, perhaps in another program. Raises ``ValueError``."""
         found = json.loads(kept)
         if not isinstance(found, dict) or not isinstance(found.get("id"), str):
-            raise ValueError("no rollout")
+            raise ValueError("no rollout")  # noqa: TRY004  # a fault of the file
         known: dict[str, Any] = {
             key: tuple(value) if isinstance(value, list) else value
             for key, value in found.items()
--- a/yardbank/config/base.py
+++ b/yardbank/config/base.py
@@ -14,7 +14,7 @@
 def duration(value: Any) -> int:
     """Nanoseconds from words such as "500ms". Raises ``ValueError``."""
     if not isinstance(value, str):
-        raise ValueError('a duration such as "500ms" or "3s" is wanted')
+        raise ValueError('a duration such as "500ms" or "3s" is wanted')  # noqa: TRY004  # pydantic takes ValueError as a fault of the text
     found = _DURATION.fullmatch(value)
     if found is None:
         raise ValueError(f'\'{value}\' is no duration such as "500ms" or "3s"')
--- a/yardbank/config/hcl.py
+++ b/yardbank/config/hcl.py
@@ -38,7 +38,7 @@
         raise HclError(line, "this is not HCL") from None
     except RecursionError:
         raise HclError(1, "nested too deep") from None
-    except Exception as problem:  # whatever the library stumbles over is a fault of the text
+    except Exception as problem:  # noqa: BLE001  # whatever the library stumbles over is a fault of the text
         told = getattr(problem, "line", None)
         raise HclError(told if isinstance(told, int) and told > 0 else 1, "this is not HCL") from None
     body = next((child for child in tree.children if isinstance(child, Tree) and child.data == "body"), None)
--- a/yardbank/gateway/connection_pool.py
+++ b/yardbank/gateway/connection_pool.py
@@ -116,7 +116,7 @@
                 lambda connection: self._ready(number, connection),
                 lambda reason: self.lost(number, reason),
             )
-        except Exception as problem:  # border: a protocol's backend; to the module it is a failed connect
+        except Exception as problem:  # noqa: BLE001  # border: a protocol's backend; to the module it is a failed connect
             self._log.error("connect_error", server=self._server.name, error=repr(problem))
             self.lost(number, "error while connecting")
         return pooled
--- a/yardbank/gateway/server_link.py
+++ b/yardbank/gateway/server_link.py
@@ -180,7 +180,7 @@
         except NotSentError as problem:
             assert attempt.slot is not None
             self._pool.let_go(attempt.slot, str(problem))
-        except Exception as problem:  # border: a protocol's backend; one request's fault, not the connection's
+        except Exception as problem:  # noqa: BLE001  # border: a protocol's backend; one request's fault, not the connection's
             self._log.error("submit_error", server=self.server.name, error=repr(problem))
             attempt.end("error", None, "the request could not be written")
 
--- a/yardbank/ldap/intake.py
+++ b/yardbank/ldap/intake.py
@@ -79,7 +79,7 @@
     def _read_ahead(self) -> None:
         read = getattr(self.transport, "doRead", None)
         if read is None:  # a transport that has no socket
-            return
+            return None
         self._looking += 1
         try:
             for _ in range(AHEAD_READS):
--- a/yardbank/pg/wire.py
+++ b/yardbank/pg/wire.py
@@ -94,9 +94,11 @@
         return found
 
     def octet(self, name: str) -> int:
+        """The next octet. Raises ``WireError`` naming the field."""
         return self.take(1, name)[0]
 
     def int16(self, name: str) -> int:
+        """The next two octets as a signed number. Raises ``WireError``."""
         return int(_INT16.unpack(self.take(2, name))[0])
 
     def count(self, name: str, least: int = 1) -> int:
@@ -107,6 +109,7 @@
         return number
 
     def int32(self, name: str) -> int:
+        """The next four octets as a signed number. Raises ``WireError``."""
         return int(_INT32.unpack(self.take(4, name))[0])
 
     def text(self, name: str) -> str:
@@ -127,6 +130,7 @@
         return None if size == -1 else self.take(size, name)
 
     def rest(self) -> bytes:
+        """All octets that are left."""
         found = self._body[self._at :]
         self._at = len(self._body)
         return found
--- a/yardbank/platform/watch.py
+++ b/yardbank/platform/watch.py
@@ -139,7 +139,7 @@
         self._open[number] = made
         try:
             made.connector = self._reactor.connectTCP(host, port, _Factory(made), timeout=2 * SILENCE / 1e9)
-        except Exception as problem:  # no descriptor, say: a dial that failed, and the next comes after its pause
+        except Exception as problem:  # noqa: BLE001  # no descriptor, say: a dial that failed, and the next comes after its pause
             self.ended(made, f"no dial: {problem!r}")
 
     def _say(self, say: Callable[..., None], event: str, **facts: Any) -> None:
@@ -226,7 +226,7 @@
             self._told(joined(lists))
         except ValueError as spoilt:
             return spoilt
-        except Exception as fault:  # border: an error of the program must not end the watch, nor the send that looked
+        except Exception as fault:  # noqa: BLE001  # border: an error of the program must not end the watch, nor the send that looked
             self._log.error("list_error", error=repr(fault), exc_info=True)
             return ValueError("it could not be applied")
         return None
--- a/yardbank/scheduler/runner.py
+++ b/yardbank/scheduler/runner.py
@@ -42,7 +42,7 @@
                 next(job.work)
             except StopIteration:
                 finished = True
-            except Exception as problem:  # one job's fault ends that job
+            except Exception as problem:  # noqa: BLE001  # one job's fault ends that job
                 finished = True
                 self._log.error("background_job_failed", key=job.key, error=repr(problem), exc_info=True)
             self.queue.ran(self._now(), job, self._now() - began, finished)
--- a/yardbank/testing/demo/day.py
+++ b/yardbank/testing/demo/day.py
@@ -48,7 +48,7 @@
         self.connections += 1
         try:
             client = yield connect(self.world.reactor, "127.0.0.1", self.world.port, self.label, self.world.record)
-        except Exception:
+        except Exception:  # noqa: BLE001  # a session that fails is noted, and the day goes on
             yield self.sleep(0.05)
             return False
         answer = yield client.bind(DESK_DN, DESK_PASSWORD)
--- a/yardbank/testing/rig/relay.py
+++ b/yardbank/testing/rig/relay.py
@@ -226,6 +226,7 @@
         self.port: int = self._port.getHost().port
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
+        """Pass a datagram on as the network says: now, late, twice or never."""
         now = self._reactor.seconds()
         self._seen(self.source, self.target, datagram)
         for at, data in self.wire.push(now, datagram, self._network.effect(self.source, self.target)):
