--- a/benchmarks/scale/decisions.py
+++ b/benchmarks/scale/decisions.py
@@ -143,7 +143,11 @@
                     made.handle(now, Outcome(action.id, 0, action.server, "ok", 4 * MS, True, role, position=now))
 
     _, memory = grown_kib(write_all)
-    return {"memory": memory, "write": (time.process_time() - began) / sessions * 1e6, "remembered": len(made.tokens)}
+    return {
+        "memory": memory,
+        "write": (time.process_time() - began) / sessions * 1e6,
+        "remembered": len(made.sessions.tokens),
+    }
 
 
 class IdleTransport:
--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -112,7 +112,7 @@
     began = time.process_time()
     totals = node.totals(SECOND)
     view = (time.process_time() - began) * 1e3
-    return {"memory": memory, "totals": view, "kept": sum(sum_.parts for sum_ in totals.values())}
+    return {"memory": memory, "totals": view, "kept": sum(sum_.contributors for sum_ in totals.values())}
 
 
 def hear_counts(node: GossipNode, name: str) -> None:
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -125,7 +125,7 @@
     known.listed(2, 0, False, 0)
     assert known.reference(1) is None and known.reference(2) == 1
     head = ProbeResult({"001": (3,)}, True)
-    known.told(1, head, 7 * S)
+    known.observed(1, head, 7 * S)
     assert known.report(1, head, 7 * S).position == 7 * S
     copy = ProbeResult({"001": (3,)}, False)
     assert (known.report(2, copy, 8 * S).position, known.report(2, copy, 8 * S).primary) == (7 * S, False)
