--- a/yardbank/server_list/document.py
+++ b/yardbank/server_list/document.py
@@ -65,93 +65,146 @@
     return hasher.hexdigest()
 
 
+@dataclass(slots=True)
+class _SetContents:
+    """What the files of a set contain, before the files are checked against each other."""
+
+    faults: list[str] = field(default_factory=list)
+    servers: dict[str, tuple[ServerSpec, str]] = field(default_factory=dict)  # by name, with file and line
+    places: dict[tuple[str, int], str] = field(default_factory=dict)  # server names by address and port
+    weights: list[tuple[str, float, str]] = field(default_factory=list)  # server name, weight, file and line
+    sets: dict[str, str] = field(default_factory=dict)  # set names by file
+    classes: dict[str, Class] = field(default_factory=dict)
+    counts: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # by file: declared, line, server blocks
+    plans: list[MadePlan] = field(default_factory=list)
+    force: bool = False
+
+
 def read_set(
     texts: Mapping[str, bytes],
     groups: Iterable[str],
     blocks: BlockCache | None = None,
-    weights_told: dict[str, float] | None = None,
-    counts_told: dict[str, int] | None = None,
+    block_weights: dict[str, float] | None = None,
+    declared_counts: dict[str, int] | None = None,
 ) -> ServerListDocument:
     """Read and check a set, file by file. Raises ``ServerListError`` with every fault found.
 
-    ``blocks`` keeps what was read of each block, so that a set read again is not parsed again. ``weights_told`` and
-    ``counts_told`` are filled with what weights blocks and the files' counts say.
+    ``blocks`` caches parsed blocks, so that a set read again is not parsed again. ``block_weights`` receives the
+    weights that weights blocks assign, by server name; ``declared_counts`` receives the servers that each file
+    declares in ``count``, by file name. Both are filled even if the set has faults.
     """
     blocks = blocks or BlockCache()
-    faults: list[str] = []
-    servers: dict[str, tuple[ServerSpec, str]] = {}
-    places: dict[tuple[str, int], str] = {}
-    weights: list[tuple[str, float, str]] = []
-    sets: dict[str, str] = {}
-    classes: dict[str, Class] = {}
-    counts: dict[str, tuple[int, int, int]] = {}
-    plans: list[MadePlan] = []
-    force = False
-    known = set(groups)
+    known_groups = set(groups)
     if not texts:
         raise ServerListError(["the list: no file is there"])
+    contents = _SetContents()
     for name in sorted(texts):
-        try:
-            body = blocks.parse(texts[name].decode())
-        except UnicodeDecodeError as problem:
-            faults.append(f"{name}:{texts[name][: problem.start].count(10) + 1}: not UTF-8")
-            continue
-        except HclError as problem:
-            faults.append(f"{name}:{problem.line}: {problem.reason}")
-            continue
-        for key, line in body.lines.items():
-            if key == "force" and isinstance(body.attributes[key], bool):
-                force = force or body.attributes[key]
-            elif key == "count" and type(body.attributes[key]) is int:
-                counts[name] = body.attributes[key], line, len(body.blocks.get("server", ()))
-            elif key != "set" or not isinstance(body.attributes[key], str):
-                faults.append(f"{name}:{line}: {key}: unknown key, or not a string")
-            else:
-                sets[name] = body.attributes[key]
-        for kind, found in body.blocks.items():
-            for block in found:
-                if kind == "server":
-                    _server(name, block, known, servers, places, faults)
-                elif kind == "class":
-                    _class(name, block, classes, faults)
-                elif kind == "plan":
-                    _plan(name, block, plans, faults)
-                elif kind == "weights" and not block.label and not block.blocks:
-                    _weights(name, block, weights, faults)
-                else:
-                    faults.append(f"{name}:{block.line}: {kind}: unknown block")
-    if counts_told is not None:
-        counts_told.update({name: wanted for name, (wanted, _, _) in counts.items()})
-    for name, (wanted, line, there) in counts.items():
-        if wanted != there:  # cut between two blocks, a file still reads well
-            faults.append(f"{name}:{line}: count is {wanted}, but {there} servers stand in the file")
-    if len(set(sets.values())) > 1:
-        told = ", ".join(f"{name} is of {value!r}" for name, value in sorted(sets.items()))
-        faults.append(f"the parts belong to different sets: {told}")
-    for server, weight, where in weights:
-        if server not in servers:
-            faults.append(f"{where}: weights: no server {server!r}")
-        else:
-            spec, at = servers[server]
-            servers[server] = replace(spec, weight=weight), at
-            if weights_told is not None:
-                weights_told[server] = weight
-    if not servers and not faults:
-        faults.append(f"{sorted(texts)[0]}:1: the list names no server")
-    if len(servers) > MAX_SERVERS:
-        faults.append(f"the list names {len(servers)} servers, {MAX_SERVERS} allowed")
-    if faults:
-        raise ServerListError(faults)
+        body = _parse_file(name, texts[name], blocks, contents.faults)
+        if body is not None:
+            _read_attributes(name, body, contents)
+            _read_blocks(name, body, known_groups, contents)
+    if declared_counts is not None:
+        declared_counts.update({name: declared for name, (declared, _, _) in contents.counts.items()})
+    _check_counts(contents)
+    _check_set_names(contents)
+    assigned_weights = _assign_weights(contents)
+    if block_weights is not None:
+        block_weights.update(assigned_weights)
+    _check_server_total(texts, contents)
+    if contents.faults:
+        raise ServerListError(contents.faults)
     return ServerListDocument(
-        tuple(spec for spec, _ in servers.values()),
+        tuple(spec for spec, _ in contents.servers.values()),
         digest_of(texts),
-        next(iter(sets.values()), ""),
-        force,
-        tuple(classes.values()),
-        tuple(plans),
+        next(iter(contents.sets.values()), ""),
+        contents.force,
+        tuple(contents.classes.values()),
+        tuple(contents.plans),
     )
 
 
+def _parse_file(name: str, text: bytes, blocks: BlockCache, faults: list[str]) -> Body | None:
+    """One file parsed; None, and a fault, if it is not UTF-8 or not HCL."""
+    try:
+        return blocks.parse(text.decode())
+    except UnicodeDecodeError as problem:
+        faults.append(f"{name}:{text[: problem.start].count(10) + 1}: not UTF-8")
+    except HclError as problem:
+        faults.append(f"{name}:{problem.line}: {problem.reason}")
+    return None
+
+
+def _read_attributes(name: str, body: Body, contents: _SetContents) -> None:
+    """The attributes of one file: ``force``, ``count`` and ``set``."""
+    for key, line in body.lines.items():
+        value = body.attributes[key]
+        if key == "force" and isinstance(value, bool):
+            contents.force = contents.force or value
+        elif key == "count" and type(value) is int:
+            contents.counts[name] = value, line, len(body.blocks.get("server", ()))
+        elif key == "set" and isinstance(value, str):
+            contents.sets[name] = value
+        else:
+            contents.faults.append(f"{name}:{line}: {key}: unknown key, or not a string")
+
+
+def _read_blocks(name: str, body: Body, groups: set[str], contents: _SetContents) -> None:
+    """The blocks of one file, kind by kind."""
+    for kind, found in body.blocks.items():
+        for block in found:
+            _read_block(name, kind, block, groups, contents)
+
+
+def _read_block(name: str, kind: str, block: Body, groups: set[str], contents: _SetContents) -> None:
+    """One block of a file, by its kind."""
+    if kind == "server":
+        _server(name, block, groups, contents.servers, contents.places, contents.faults)
+    elif kind == "class":
+        _class(name, block, contents.classes, contents.faults)
+    elif kind == "plan":
+        _plan(name, block, contents.plans, contents.faults)
+    elif kind == "weights" and not block.label and not block.blocks:
+        _weights(name, block, contents.weights, contents.faults)
+    else:
+        contents.faults.append(f"{name}:{block.line}: {kind}: unknown block")
+
+
+def _check_counts(contents: _SetContents) -> None:
+    """Each file's ``count`` equals its server blocks: a file cut between two blocks still parses."""
+    for name, (declared, line, present) in contents.counts.items():
+        if declared != present:
+            contents.faults.append(f"{name}:{line}: count is {declared}, but {present} servers stand in the file")
+
+
+def _check_set_names(contents: _SetContents) -> None:
+    """All files that name a set name the same one."""
+    if len(set(contents.sets.values())) <= 1:
+        return
+    parts = ", ".join(f"{name} is of {value!r}" for name, value in sorted(contents.sets.items()))
+    contents.faults.append(f"the parts belong to different sets: {parts}")
+
+
+def _assign_weights(contents: _SetContents) -> dict[str, float]:
+    """Give servers the weights of the weights blocks; returns these weights by server name."""
+    assigned: dict[str, float] = {}
+    for server, weight, where in contents.weights:
+        if server not in contents.servers:
+            contents.faults.append(f"{where}: weights: no server {server!r}")
+            continue
+        spec, at = contents.servers[server]
+        contents.servers[server] = replace(spec, weight=weight), at
+        assigned[server] = weight
+    return assigned
+
+
+def _check_server_total(texts: Mapping[str, bytes], contents: _SetContents) -> None:
+    """The set has at least one server and at most ``MAX_SERVERS``."""
+    if not contents.servers and not contents.faults:
+        contents.faults.append(f"{sorted(texts)[0]}:1: the list names no server")
+    if len(contents.servers) > MAX_SERVERS:
+        contents.faults.append(f"the list names {len(contents.servers)} servers, {MAX_SERVERS} allowed")
+
+
 def server_of(block: Body, groups: Iterable[str]) -> ServerSpec | None:
     """A server block by itself; None if anything is wrong with it."""
     if block.blocks or not block.label:
