--- a/yardbank/server_list/document.py
+++ b/yardbank/server_list/document.py
@@ -296,22 +296,51 @@
 
 
 def _plan(name: str, block: Body, plans: list[MadePlan], faults: list[str]) -> None:
-    where = f"{name}:{block.line}: plan {block.label!r}"
-    known = {"list": str, "made": (int, float), "fade": str, "proven": bool, "relaxed": str}
+    """Read one plan block. The plan is added only if ``faults`` is empty, earlier faults of the set included."""
+    _check_plan_attributes(name, block, faults)
+    fade = _plan_fade(name, block, faults)
+    weights, switchover = _plan_blocks(name, block, faults)
+    if faults:
+        return
+    plans.append(
+        MadePlan(
+            block.label,
+            block.attributes["list"],
+            float(block.attributes["made"]),
+            fade / 1e9,
+            weights,
+            block.attributes.get("proven", True),
+            switchover,
+            block.attributes.get("relaxed", ""),
+        )
+    )
+
+
+def _check_plan_attributes(name: str, block: Body, faults: list[str]) -> None:
+    """Keys are known, values have their types, ``list`` and ``made`` are present."""
+    types = {"list": str, "made": (int, float), "fade": str, "proven": bool, "relaxed": str}
     for key, line in block.lines.items():
         value = block.attributes[key]
-        if key not in known:
+        if key not in types:
             faults.append(f"{name}:{line}: plan {block.label!r}: {key}: unknown key")
-        elif not isinstance(value, known[key]) or (isinstance(value, bool) and key != "proven"):  # type: ignore[arg-type]
+        elif not isinstance(value, types[key]) or (isinstance(value, bool) and key != "proven"):  # type: ignore[arg-type]
             faults.append(f"{name}:{line}: plan {block.label!r}: {key}: not what is wanted there")
     for key in ("list", "made"):
         if key not in block.attributes:
-            faults.append(f"{where}: {key}: missing")
-    fade = 0
+            faults.append(f"{name}:{block.line}: plan {block.label!r}: {key}: missing")
+
+
+def _plan_fade(name: str, block: Body, faults: list[str]) -> int:
+    """How long the plan fades, in nanoseconds, one hour by default; 0, and a fault, if it is no duration."""
     try:
-        fade = duration(block.attributes.get("fade", "1h"))
+        return duration(block.attributes.get("fade", "1h"))
     except ValueError as problem:
         faults.append(f"{name}:{block.lines.get('fade', block.line)}: plan {block.label!r}: fade: {problem}")
+        return 0
+
+
+def _plan_blocks(name: str, block: Body, faults: list[str]) -> tuple[dict[str, float], dict[str, str]]:
+    """The blocks inside a plan: weights by server name, and the switchover's names."""
     weights: list[tuple[str, float, str]] = []
     switchover: dict[str, str] = {}
     for kind, found in block.blocks.items():
@@ -322,20 +351,7 @@
                 switchover.update(inner.attributes)
             else:
                 faults.append(f"{name}:{inner.line}: plan {block.label!r}: {kind}: unknown block, or not names")
-    if not faults:
-        by_server = {server: weight for server, weight, _ in weights}
-        plans.append(
-            MadePlan(
-                block.label,
-                block.attributes["list"],
-                float(block.attributes["made"]),
-                fade / 1e9,
-                by_server,
-                block.attributes.get("proven", True),
-                switchover,
-                block.attributes.get("relaxed", ""),
-            )
-        )
+    return {server: weight for server, weight, _ in weights}, switchover
 
 
 def _weights(name: str, block: Body, weights: list[tuple[str, float, str]], faults: list[str]) -> None:
