--- a/yardbank/server_list/incremental_reader.py
+++ b/yardbank/server_list/incremental_reader.py
@@ -66,44 +66,17 @@
         known = self._known
         if known is None or texts.keys() != known.texts.keys():
             return None
-        before: dict[str, ServerSpec] = {}
-        after: dict[str, ServerSpec] = {}
-        counts = dict(known.counts)
-        for name, text in texts.items():
-            if text == known.texts[name]:
-                continue
-            blocks = _changed_blocks(known.texts[name], text)
-            if blocks is None:
-                return None
-            old, new = blocks
-            for block in old:
-                was = known.servers.get(block.label)
-                if was is None or block.label in before:
-                    return None
-                before[block.label] = was
-            for block in new:
-                spec = server_of(block, self._groups)
-                if spec is None or spec.name in after:
-                    return None
-                after[spec.name] = spec
-            if name in counts and len(old) != len(new):  # the attribute stands as it was: it no longer fits
-                return None
-        if any(name in known.servers and name not in before for name in after):
+        blocks = _changed_blocks_of_set(known, texts)
+        if blocks is None:
             return None
-        if any(name in known.weights and name not in after for name in before):
+        old_blocks, new_blocks = blocks
+        before = _servers_before(old_blocks, known)
+        after = _servers_after(new_blocks, self._groups)
+        if before is None or after is None:
             return None
-        if not 0 < len(known.servers) + len(after) - len(before) <= MAX_SERVERS:
+        if not _names_fit(known, before, after) or not _addresses_fit(known, before, after):
             return None
-        taken: dict[tuple[str, int], str] = {}
-        for name, spec in after.items():
-            place = spec.host, spec.port
-            holder = taken.setdefault(place, name)
-            other = known.places.get(place)
-            if holder != name or (other is not None and other not in before):
-                return None
-            if name in known.weights:
-                after[name] = replace(spec, weight=known.weights[name])
-        return self._commit(known, texts, before, after)
+        return self._commit(known, texts, before, _with_block_weights(known, after))
 
     def _commit(
         self, known: _Known, texts: Mapping[str, bytes], before: dict[str, ServerSpec], after: dict[str, ServerSpec]
@@ -134,6 +107,77 @@
         return known.fleet
 
 
+def _changed_blocks_of_set(known: _Known, texts: Mapping[str, bytes]) -> tuple[list[Body], list[Body]] | None:
+    """The changed server blocks of all files, old and new; None if more changed, or a file's count no longer fits."""
+    old_blocks: list[Body] = []
+    new_blocks: list[Body] = []
+    for name, text in texts.items():
+        if text == known.texts[name]:
+            continue
+        blocks = _changed_blocks(known.texts[name], text)
+        if blocks is None:
+            return None
+        old, new = blocks
+        if name in known.counts and len(old) != len(new):  # the count attribute itself is unchanged
+            return None
+        old_blocks += old
+        new_blocks += new
+    return old_blocks, new_blocks
+
+
+def _servers_before(blocks: list[Body], known: _Known) -> dict[str, ServerSpec] | None:
+    """The changed servers as they were, by name; None if one is unknown or appears twice."""
+    before: dict[str, ServerSpec] = {}
+    for block in blocks:
+        server = known.servers.get(block.label)
+        if server is None or block.label in before:
+            return None
+        before[block.label] = server
+    return before
+
+
+def _servers_after(blocks: list[Body], groups: frozenset[str]) -> dict[str, ServerSpec] | None:
+    """The changed servers as they are now, by name; None if one is invalid or appears twice."""
+    after: dict[str, ServerSpec] = {}
+    for block in blocks:
+        server = server_of(block, groups)
+        if server is None or server.name in after:
+            return None
+        after[server.name] = server
+    return after
+
+
+def _names_fit(known: _Known, before: dict[str, ServerSpec], after: dict[str, ServerSpec]) -> bool:
+    """No new name belongs to an unchanged server, weights blocks name no removed one, the total is allowed."""
+    if any(name in known.servers and name not in before for name in after):
+        return False
+    if any(name in known.weights and name not in after for name in before):
+        return False
+    return 0 < len(known.servers) + len(after) - len(before) <= MAX_SERVERS
+
+
+def _addresses_fit(known: _Known, before: dict[str, ServerSpec], after: dict[str, ServerSpec]) -> bool:
+    """No changed server shares host and port with another changed server or with an unchanged one."""
+    changed_places: set[tuple[str, int]] = set()
+    for server in after.values():
+        place = server.host, server.port
+        if place in changed_places:
+            return False
+        other = known.places.get(place)
+        if other is not None and other not in before:
+            return False
+        changed_places.add(place)
+    return True
+
+
+def _with_block_weights(known: _Known, servers: dict[str, ServerSpec]) -> dict[str, ServerSpec]:
+    """The servers with the weights of the weights blocks, which outrank a server's own."""
+    return {
+        name: replace(server, weight=known.weights[name]) if name in known.weights else server
+        for name, server in servers.items()
+    }
+
+
 def _changed_blocks(old: bytes, new: bytes) -> tuple[list[Body], list[Body]] | None:
     """The server blocks that stand in one text and not, or not so, in the other; None if more than those changed."""
     front = _shared_front(old, new)
