--- a/yardbank/ldap/exchange.py
+++ b/yardbank/ldap/exchange.py
@@ -75,6 +75,11 @@
     role = Role.PRIMARY if exchange.write and result.code == Code.SUCCESS else Role.UNKNOWN
     if not isinstance(exchange.request, _READ_BACK) or not raw.controls:
         return Reply("ok", raw, role)
+    return _without_added_post_read(exchange, raw, result, role)
+
+
+def _without_added_post_read(exchange: Exchange, raw: codec.Envelope, result: m.Result, role: Role) -> Reply:
+    """The answer to a write with its commit mark, less what the gateway added to the post-read control."""
     controls = list(control_codec.decode_controls(raw.controls))
     found = next((control for control in controls if control.oid == m.Oid.POST_READ), None)
     if found is None or found.value is None:
--- a/yardbank/ldap/filter_codec.py
+++ b/yardbank/ldap/filter_codec.py
@@ -20,24 +20,14 @@
     tag, start, stop = header(data, at, end)
     rule = _MATCH_RULES.get(tag)
     if rule is not None:
-        low, high = expect(data, start, stop, OCTETS, "attributeDesc")
-        first, last = expect(data, high, stop, OCTETS, "assertionValue")
-        if last != stop:
-            raise BerError("filter: octets after its end")
-        return m.Match(rule, text(data, low, high, "attributeDesc"), data[first:last]), stop
+        return _decode_match(data, start, stop, rule), stop
     if tag == 0x87:
         return m.Present(text(data, start, stop, "present")), stop
     if tag in (0xA0, 0xA1):
-        parts, at = [], start
-        while at < stop:
-            part, at = decode_filter(data, at, stop, depth - 1)
-            parts.append(part)
-        return (m.And if tag == 0xA0 else m.Or)(tuple(parts)), stop
+        parts = _decode_parts(data, start, stop, depth - 1)
+        return (m.And if tag == 0xA0 else m.Or)(parts), stop
     if tag == 0xA2:
-        part, at = decode_filter(data, start, stop, depth - 1)
-        if at != stop:
-            raise BerError("filter: not has more than one part")
-        return m.Not(part), stop
+        return _decode_not(data, start, stop, depth - 1), stop
     if tag == 0xA4:
         return _decode_substrings(data, start, stop), stop
     if tag == 0xA9:
@@ -45,6 +35,31 @@
     raise BerError(f"filter: unknown tag 0x{tag:02x}")
 
 
+def _decode_match(data: bytes, start: int, stop: int, rule: str) -> m.Match:
+    low, high = expect(data, start, stop, OCTETS, "attributeDesc")
+    first, last = expect(data, high, stop, OCTETS, "assertionValue")
+    if last != stop:
+        raise BerError("filter: octets after its end")
+    return m.Match(rule, text(data, low, high, "attributeDesc"), data[first:last])
+
+
+def _decode_parts(data: bytes, start: int, stop: int, depth: int) -> tuple[m.Filter, ...]:
+    """The filters that an "and" or an "or" joins."""
+    parts: list[m.Filter] = []
+    at = start
+    while at < stop:
+        part, at = decode_filter(data, at, stop, depth)
+        parts.append(part)
+    return tuple(parts)
+
+
+def _decode_not(data: bytes, start: int, stop: int, depth: int) -> m.Not:
+    part, at = decode_filter(data, start, stop, depth)
+    if at != stop:
+        raise BerError("filter: not has more than one part")
+    return m.Not(part)
+
+
 def _decode_substrings(data: bytes, start: int, stop: int) -> m.Substrings:
     low, high = expect(data, start, stop, OCTETS, "type")
     attribute = text(data, low, high, "type")
--- a/yardbank/ldap/intake.py
+++ b/yardbank/ldap/intake.py
@@ -39,20 +39,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Requests, in any split."""
         for event in self._end.receive(data):
-            match event:
-                case Asked(m.Message(operation=m.ExtendedRequest(oid=m.Oid.CANCEL))):
-                    self._serve(event)
-                case Asked(message, raw):
-                    self._queue[message.id] = event
-                    self._octets += len(raw.operation) + len(raw.controls)
-                case Abandoned(target):
-                    if self._unqueue(target) is None:
-                        self._take_back(target)
-                case Closed():
-                    self._drop()
-                    self._lose()
-                case Broken():
-                    self._broken(event)
+            self._receive_event(event)
         leaving, self._leaving = self._leaving, []
         for taken in leaving:  # only now: to leave one may send the next, which this read may have taken back as well
             self._leave(taken)
@@ -62,6 +49,23 @@
             self._due = True
             self.transport.reactor.callLater(0, self._take_up)
 
+    def _receive_event(self, event: Asked | Abandoned | Closed | Broken) -> None:
+        """Queue a request; a Cancel, an Abandon or the connection's end takes effect at once."""
+        match event:
+            case Asked(m.Message(operation=m.ExtendedRequest(oid=m.Oid.CANCEL))):
+                self._serve(event)
+            case Asked(message, raw):
+                self._queue[message.id] = event
+                self._octets += len(raw.operation) + len(raw.controls)
+            case Abandoned(target):
+                if self._unqueue(target) is None:
+                    self._take_back(target)
+            case Closed():
+                self._drop()
+                self._lose()
+            case Broken():
+                self._broken(event)
+
     def present(self, number: int) -> bool:
         """Whether the client is there and still wants an answer to a request that the gateway has.
 
