--- a/yardbank/pg/classify.py
+++ b/yardbank/pg/classify.py
@@ -117,6 +117,15 @@
     return parts[-1] if len(parts) == 1 or parts[0] == "pg_catalog" else ".".join(parts)
 
 
+def _function_taints(called: str) -> tuple[Taint, ...]:
+    """What a call of a function leaves behind in its session."""
+    if called in _ADVISORY:
+        return (Taint.ADVISORY,)
+    if called == "set_config":
+        return (Taint.SETTING,)
+    return ()
+
+
 class Classifier:
     """Classes of statements by their text; the last ``most`` texts are kept."""
 
@@ -185,10 +194,7 @@
                 kind, why = Kind.WRITE, "a temporary object is its session's"
             elif name == "FuncCall":
                 called = _function(node)
-                if called in _ADVISORY:
-                    taints.add(Taint.ADVISORY)
-                elif called == "set_config":
-                    taints.add(Taint.SETTING)
+                taints.update(_function_taints(called))
                 if called not in self._safe:
                     kind, why = Kind.WRITE, f"{called}() is not known to read only"
         return Statement(kind, frozenset(taints), why, statement.settings)
--- a/yardbank/pg/messages.py
+++ b/yardbank/pg/messages.py
@@ -185,13 +185,8 @@
 def encode_client(message: Client) -> Frame:
     """The frame of a client's message."""
     match message:
-        case Startup(version, parameters):
-            body = b"".join(text(name) + text(held) for name, held in parameters)
-            return Frame(0, int32(version) + body + b"\0")
-        case EncryptionRequest(code):
-            return Frame(0, int32(code))
-        case CancelRequest(process, key):
-            return Frame(0, int32(CANCEL_REQUEST) + int32(process) + key)
+        case Startup() | EncryptionRequest() | CancelRequest():
+            return _encode_first(message)
         case Query(query):
             return Frame(ord("Q"), text(query))
         case Parse(name, query, types):
@@ -211,6 +206,18 @@
             return Frame(kind, octets)
 
 
+def _encode_first(message: Startup | EncryptionRequest | CancelRequest) -> Frame:
+    """The frame of a client's first message, which has no type."""
+    match message:
+        case Startup(version, parameters):
+            body = b"".join(text(name) + text(held) for name, held in parameters)
+            return Frame(0, int32(version) + body + b"\0")
+        case EncryptionRequest(code):
+            return Frame(0, int32(code))
+        case CancelRequest(process, key):
+            return Frame(0, int32(CANCEL_REQUEST) + int32(process) + key)
+
+
 # What servers say, as far as it must be understood
 
 
--- a/yardbank/pg/state.py
+++ b/yardbank/pg/state.py
@@ -322,7 +322,12 @@
                 yield Idle(self.status)
             else:
                 yield Answer(frame)
-        elif kind == "R":
+        else:
+            yield from self._during_start_up(kind, frame)
+
+    def _during_start_up(self, kind: str, frame: Frame) -> Iterator[ClientEvent]:
+        """A message that comes before the connection is open."""
+        if kind == "R":
             self._authenticate(frame)
         elif kind == "K":
             reader = Reader(frame.body)
