--- a/yardbank/plan/exact.py
+++ b/yardbank/plan/exact.py
@@ -19,6 +19,9 @@
 ZERO = Fraction(0)
 NEAR = Fraction(1, 10**9)  # what rounding a share to a floating-point number may cost, relatively
 
+Node = tuple[str, int | str]  # ("d", demand), ("i", zone) and ("o", zone) before and behind its spill, ("s", server)
+Edge = tuple[Node, Node]
+
 
 def written(value: float) -> Fraction:
     """A number as it is written in decimals."""
@@ -118,7 +121,7 @@
                 before = self._reach(demand)
                 if isinstance(before, Cut):
                     return before
-                self._augment(before, demand, lack)
+                self._augment(before, lack)
         return None
 
     def shortfall(self) -> Fraction:
@@ -128,32 +131,43 @@
                 before = self._reach(demand)
                 if isinstance(before, Cut):
                     break
-                self._augment(before, demand, lack)
+                self._augment(before, lack)
         return sum((self.unserved(d) for d in range(len(self.rates))), ZERO)
 
-    # Nodes: ("d", demand), ("i", zone) and ("o", zone) before and behind the spill's limit, ("s", server).
-
-    def _reach(self, demand: int) -> Cut | list[tuple[tuple[str, int | str], tuple[str, int | str]]]:
+    def _reach(self, demand: int) -> Cut | list[Edge]:
         """A path to a server with room, as edges; or the cut where there is none."""
-        came: dict[tuple[str, int | str], tuple[str, int | str]] = {}
-        first: tuple[str, int | str] = ("d", demand)
+        came: dict[Node, Node] = {}
+        first: Node = ("d", demand)
         queue, seen = deque([first]), {first}
         while queue:
             node = queue.popleft()
             kind, place = node
-            if kind == "s" and isinstance(place, int):
-                most = self.room[place]
-                if most is None or self.load[place] < most:
-                    path = []
-                    while node != first:
-                        path.append((came[node], node))
-                        node = came[node]
-                    return path[::-1]
+            if kind == "s" and isinstance(place, int) and self._has_room(place):
+                return self._path(came, first, node)
             for other in self._next(kind, place):
                 if other not in seen:
                     seen.add(other)
                     came[other] = node
                     queue.append(other)
+        return self._cut(seen)
+
+    def _has_room(self, server: int) -> bool:
+        most = self.room[server]
+        return most is None or self.load[server] < most
+
+    @staticmethod
+    def _path(came: Mapping[Node, Node], first: Node, last: Node) -> list[Edge]:
+        """The edges from first to last, by the node from which each was reached."""
+        path = []
+        node = last
+        while node != first:
+            path.append((came[node], node))
+            node = came[node]
+        return path[::-1]
+
+    @staticmethod
+    def _cut(seen: set[Node]) -> Cut:
+        """The limits that stand in the way, by the nodes that were reached."""
         cut = Cut()
         for kind, place in sorted(seen, key=str):
             if kind == "d" and isinstance(place, int):
@@ -164,39 +178,57 @@
                 cut.zones.append(str(place))
         return cut
 
-    def _next(self, kind: str, place: int | str) -> Iterable[tuple[str, int | str]]:
-        if kind == "d" and isinstance(place, int):
-            zone = self._zone[place]
-            for server in self._of_zone.get(zone, ()):
-                yield "s", server
+    def _next(self, kind: str, place: int | str) -> Iterable[Node]:
+        """The nodes to which reads may flow from a node, or from which they may be taken back."""
+        match kind, place:
+            case "d", int(demand):
+                return self._next_of_demand(demand)
+            case "i", str(zone):
+                return self._next_before_spill(zone)
+            case "o", str(zone):
+                return self._next_behind_spill(zone)
+            case "s", int(server):
+                return self._next_of_server(server)
+        return ()
+
+    def _next_of_demand(self, demand: int) -> Iterable[Node]:
+        zone = self._zone[demand]
+        for server in self._of_zone.get(zone, ()):
+            yield "s", server
+        yield "i", zone
+
+    def _next_before_spill(self, zone: str) -> Iterable[Node]:
+        most = self.spill.get(zone)
+        if most is None or self.used[zone] < most:
+            yield "o", zone
+        for demand in self._asks[zone]:
+            if self.out[demand] > 0:
+                yield "d", demand
+
+    def _next_behind_spill(self, zone: str) -> Iterable[Node]:
+        for other, servers in self._of_zone.items():
+            if other != zone:
+                for server in servers:
+                    yield "s", server
+        if self.used[zone] > 0:
             yield "i", zone
-        elif kind == "i":
-            zone = str(place)
-            most = self.spill.get(zone)
-            if most is None or self.used[zone] < most:
+
+    def _next_of_server(self, server: int) -> Iterable[Node]:
+        for demand in self._at[server]:
+            yield "d", demand
+        for zone, held in self.remote.items():
+            if held.get(server, ZERO) > 0:
                 yield "o", zone
-            for demand in self._asks[zone]:
-                if self.out[demand] > 0:
-                    yield "d", demand
-        elif kind == "o":
-            for zone, servers in self._of_zone.items():
-                if zone != place:
-                    for server in servers:
-                        yield "s", server
-            if self.used[str(place)] > 0:
-                yield "i", place
-        elif isinstance(place, int):
-            for demand in self._at[place]:
-                yield "d", demand
-            for zone, held in self.remote.items():
-                if held.get(place, ZERO) > 0:
-                    yield "o", zone
 
-    def _augment(
-        self, path: list[tuple[tuple[str, int | str], tuple[str, int | str]]], demand: int, lack: Fraction
-    ) -> None:
+    def _augment(self, path: list[Edge], lack: Fraction) -> None:
+        """Send along a path what it can carry, at most what is lacking."""
         end = path[-1][1][1]
         assert isinstance(end, int)
+        rate = self._bottleneck(path, end, lack)
+        self._send(path, rate)
+        self.load[end] += rate
+
+    def _bottleneck(self, path: list[Edge], end: int, lack: Fraction) -> Fraction:
         most = lack
         if (room := self.room[end]) is not None:
             most = min(most, room - self.load[end])
@@ -212,28 +244,33 @@
                     most = min(most, self.local[b][a])
                 case "so" if isinstance(a, int):
                     most = min(most, self.remote[str(b)][a])
+        return most
+
+    def _send(self, path: list[Edge], rate: Fraction) -> None:
         for (kind, a), (other, b) in path:
             match kind + other:
                 case "ds" if isinstance(a, int) and isinstance(b, int):
-                    self.local[a][b] = self.local[a].get(b, ZERO) + most
+                    self.local[a][b] = self.local[a].get(b, ZERO) + rate
                     self._at[b][a] = None
                 case "di" if isinstance(a, int):
-                    self.out[a] += most
+                    self.out[a] += rate
                 case "id" if isinstance(b, int):
-                    self.out[b] -= most
+                    self.out[b] -= rate
                 case "io":
-                    self.used[str(a)] += most
+                    self.used[str(a)] += rate
                 case "oi":
-                    self.used[str(a)] -= most
+                    self.used[str(a)] -= rate
                 case "os" if isinstance(b, int):
-                    self.remote[str(a)][b] = self.remote[str(a)].get(b, ZERO) + most
+                    self.remote[str(a)][b] = self.remote[str(a)].get(b, ZERO) + rate
                 case "so" if isinstance(a, int):
-                    self._take(self.remote[str(b)], a, most)
+                    self._take(self.remote[str(b)], a, rate)
                 case "sd" if isinstance(a, int) and isinstance(b, int):
-                    self._take(self.local[b], a, most)
-                    if a not in self.local[b]:
-                        del self._at[a][b]
-        self.load[end] += most
+                    self._take_local(b, a, rate)
+
+    def _take_local(self, demand: int, server: int, rate: Fraction) -> None:
+        self._take(self.local[demand], server, rate)
+        if server not in self.local[demand]:
+            del self._at[server][demand]
 
     @staticmethod
     def _take(held: dict[int, Fraction], key: int, rate: Fraction) -> None:
--- a/yardbank/plan/model.py
+++ b/yardbank/plan/model.py
@@ -57,18 +57,27 @@
     limits: Limits = Limits()
 
     def __post_init__(self) -> None:
+        self._check_doubles()
+        self._check_servers_and_demands()
+        self._check_limits()
+
+    def _check_doubles(self) -> None:
         names = [server.name for server in self.servers]
         if len(set(names)) != len(names):
             raise ValueError("servers: a name is given twice")
         keys = [(d.kind, d.group, d.zone) for d in self.demands]
         if len(set(keys)) != len(keys):
             raise ValueError("demands: the same class, group and zone twice")
+
+    def _check_servers_and_demands(self) -> None:
         for server in self.servers:
             if not (0 <= server.capacity < 1e12 and 0 <= server.warmth <= 1 and 0 <= server.taken < 1e12):
                 raise ValueError(f"server {server.name!r}: capacity, warmth or taken is out of range")
         for demand in self.demands:
             if not 0 <= demand.rate < 1e12:
                 raise ValueError(f"demand {demand.kind!r} of {demand.group!r}: rate is out of range")
+
+    def _check_limits(self) -> None:
         for zone, share in self.limits.spill.items():
             if not 0 <= share <= 1:
                 raise ValueError(f"spill of zone {zone!r} is not between 0 and 1")
