--- a/yardbank/testing/audit/claims.py
+++ b/yardbank/testing/audit/claims.py
@@ -109,34 +109,42 @@
 
     The end is when the load was over and the rig had waited for it; what they say as they are stopped is not judged.
     """
-    running: dict[str, bool] = {}
-    believed: dict[str, dict[str, Fact]] = {}
-    over = False
-    for fact in facts:
-        kind = fact["kind"]
-        if kind == "load_over":
-            over = True
-        elif kind == "process" and fact["name"] in gateways:
-            if over and fact["what"] in ("terminate", "resume"):
-                break
-            running[fact["name"]] = fact["what"] in ("ready", "resume")
-        elif kind == "peer_start":
-            believed[fact["gateway"]] = {}
-        elif kind == "peer":
-            believed.setdefault(fact["gateway"], {})[fact["peer"]] = fact
+    running, reports, over = _at_the_end(facts, gateways)
     judged = [name for name in gateways if running.get(name)]
     for name in judged:
         for other in gateways:
             if other == name:
                 continue
             right = "alive" if running.get(other) else "gone"
-            said = believed.get(name, {}).get(other)
-            if said is None or said["state"] != right:
-                told = said["state"] if said else "unheard"
-                return Finding(False, f"{name} sees {other} as {told}, which is {right}", said)
+            report = reports.get(name, {}).get(other)
+            if report is None or report["state"] != right:
+                seen_as = report["state"] if report else "unheard"
+                return Finding(False, f"{name} sees {other} as {seen_as}, which is {right}", report)
     return Finding(over and bool(judged), f"{len(judged)} gateways see each other rightly")
 
 
+def _at_the_end(
+    facts: Sequence[Fact], gateways: Sequence[str]
+) -> tuple[dict[str, bool], dict[str, dict[str, Fact]], bool]:
+    """Which gateways ran, each one's last report of each peer in its present run, and whether the load was over."""
+    running: dict[str, bool] = {}
+    reports: dict[str, dict[str, Fact]] = {}
+    over = False
+    for fact in facts:
+        match fact["kind"]:
+            case "load_over":
+                over = True
+            case "process" if fact["name"] in gateways:
+                if over and fact["what"] in ("terminate", "resume"):
+                    break
+                running[fact["name"]] = fact["what"] in ("ready", "resume")
+            case "peer_start":
+                reports[fact["gateway"]] = {}
+            case "peer":
+                reports.setdefault(fact["gateway"], {})[fact["peer"]] = fact
+    return running, reports, over
+
+
 def belief(facts: Sequence[Fact], groups: Mapping[str, str]) -> Finding:
     """No gateway spares more than half of a group on others' word. ``groups``: by server.
 
