--- a/yardbank/testing/audit/distributed.py
+++ b/yardbank/testing/audit/distributed.py
@@ -20,35 +20,43 @@
 
 @dataclass(slots=True)
 class Span:
-    """A time in which a gateway did not run, or a way to it was not sound."""
+    """A time in which a gateway did not run, or a link to it was not sound."""
 
     begin: float
     end: float = FOREVER
 
 
-def disturbed(facts: Iterable[Fact], gateways: Sequence[str]) -> dict[str, list[Span]]:
-    """By gateway, in order of their beginnings. A link counts for both of its ends."""
-    found: dict[str, list[Span]] = {name: [] for name in gateways}
-    open_: dict[tuple[str, str], Span] = {}  # by gateway and cause
+class _Disturbances:
+    """Spans by gateway, in order of their beginnings."""
+
+    def __init__(self, gateways: Sequence[str]) -> None:
+        self.found: dict[str, list[Span]] = {name: [] for name in gateways}
+        self._open: dict[tuple[str, str], Span] = {}  # by gateway and cause
 
-    def turn(name: str, cause: str, at: float, sound: bool) -> None:
-        if name not in found:
+    def turn(self, name: str, cause: str, at: float, sound: bool) -> None:
+        """Begin or end the span that this cause holds open; a name that is no gateway is passed over."""
+        if name not in self.found:
             return
-        if sound and (span := open_.pop((name, cause), None)) is not None:
+        if sound and (span := self._open.pop((name, cause), None)) is not None:
             span.end = at
-        elif not sound and (name, cause) not in open_:
-            span = open_[name, cause] = Span(at)
-            found[name].append(span)
+        elif not sound and (name, cause) not in self._open:
+            span = self._open[name, cause] = Span(at)
+            self.found[name].append(span)
 
+
+def disturbed(facts: Iterable[Fact], gateways: Sequence[str]) -> dict[str, list[Span]]:
+    """By gateway, in order of their beginnings. A link counts for both of its ends."""
+    disturbances = _Disturbances(gateways)
+    found = disturbances.found
     for fact in facts:
         if fact["kind"] == "process":
             if fact["what"] in ("start", "kill", "terminate", "pause", "ended", "leaving"):
-                turn(fact["name"], "process", fact["at"], False)
+                disturbances.turn(fact["name"], "process", fact["at"], False)
             elif fact["what"] in ("ready", "resume"):
-                turn(fact["name"], "process", fact["at"], True)
+                disturbances.turn(fact["name"], "process", fact["at"], True)
         elif fact["kind"] == "link" and fact["from"] in found and fact["to"] in found:
             for name in (fact["from"], fact["to"]):
-                turn(name, f"{fact['from']}>{fact['to']}", fact["at"], fact["sound"])
+                disturbances.turn(name, f"{fact['from']}>{fact['to']}", fact["at"], fact["sound"])
     return found
 
 
