--- a/yardbank/testing/rig/play.py
+++ b/yardbank/testing/rig/play.py
@@ -151,18 +151,36 @@
 
     @inlineCallbacks
     def _down(self) -> Generator[Deferred[Any], Any, None]:
+        """End the steps, then the gateways, then the groups, then the network between them."""
         self._over = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
+        self._end_network_steps()
+        if self._restarts:
+            yield DeferredList(self._restarts)
+        self._resume_paused()
+        self._note_costs()
+        yield self._stop_gateways()
+        if self.drive is not None:
+            self.drive.close()
+        self._kill_groups()
+        yield self.processes.close()
+        self._close_network()
+        self._close_record()
+
+    def _end_network_steps(self) -> None:
         for step in self.schedule.holding():
             if step.do in NETWORK:
                 self._changed(self.network.end(step.name))
-        if self._restarts:
-            yield DeferredList(self._restarts)
+
+    def _resume_paused(self) -> None:
         for name in self.places:
             if self._roster.may(name, "resume"):
                 self.processes.signal(name, "resume")
-        self._note_costs()
+
+    @inlineCallbacks
+    def _stop_gateways(self) -> Generator[Deferred[Any], Any, None]:
+        """Terminate all gateways and wait until they are gone; one that stays makes the play a failure."""
         stopping = [name for name in self.places if self._roster.may(name, "terminate")]
         for name in stopping:
             self.processes.signal(name, "terminate")
@@ -173,16 +191,20 @@
         if left:
             text = f"{', '.join(left)}: not gone {STOP_TIMEOUT:g} s after being told to stop"
             self.failure = self.failure or text
-        if self.drive is not None:
-            self.drive.close()
+
+    def _kill_groups(self) -> None:
         for group in self.scenario.group:
             if self._roster.may(group.name, "kill"):
                 self.processes.signal(group.name, "kill")
-        yield self.processes.close()
+
+    def _close_network(self) -> None:
         for relay in self._relays.values():
             relay.close()
         for datagrams in self._datagrams:
             datagrams.close()
+
+    def _close_record(self) -> None:
+        """Take up what the groups recorded, and end the record."""
         for group in self.scenario.group:
             self.record.add_file(self.folder / f"{group.name}.jsonl")
         self.record.close()
