--- a/yardbank/testing/rig/relay.py
+++ b/yardbank/testing/rig/relay.py
@@ -75,23 +75,13 @@
             self._timer.cancel()
         self._timer = None
         other = self.other
-        if other is None or other.transport is None:  # the way onward is not there yet
+        if other is None or other.transport is None:  # the connection onward is not there yet
             return
         effect, now = self._relay.effect(self._pair), self._relay.seconds()
         crowded = self._stream.crowded
         for piece in self._stream.due(now, effect):
-            if other.over:
-                continue
-            if isinstance(piece, bytes):
-                other.transport.write(piece)
-                if self.tap is not None:
-                    self.tap.passed(now, piece)
-                continue
-            other.told_to_end = True
-            if piece.reset:
-                other.transport.abortConnection()
-            else:
-                other.transport.loseConnection()
+            if not other.over:
+                self._hand_on(piece, other, now)
         if crowded and not self._stream.crowded and not self.over:
             self.transport.resumeProducing()
         at = self._stream.next_at(effect)
@@ -100,6 +90,19 @@
         elif self.over and other.over:
             self._relay.forget(self)
 
+    def _hand_on(self, piece: bytes | Ended, other: _Side, now: float) -> None:
+        """Write octets to the other side, or end its connection as this one ended."""
+        if isinstance(piece, bytes):
+            other.transport.write(piece)
+            if self.tap is not None:
+                self.tap.passed(now, piece)
+            return
+        other.told_to_end = True
+        if piece.reset:
+            other.transport.abortConnection()
+        else:
+            other.transport.loseConnection()
+
     def reset(self) -> None:
         """Break it off."""
         if self.transport is not None and not self.over:
