--- a/yardbank/testing/rig/running_fleet.py
+++ b/yardbank/testing/rig/running_fleet.py
@@ -108,36 +108,60 @@
         return 0 if line.get("event") == "group_ready" else None
 
     def _line(self, name: str, line: dict[str, Any]) -> None:
-        event = line.get("event")
-        if event == "group_ready":
-            self._server_ports.update(line["servers"])
-        elif event == "listening":
-            self._refresh(lambda pair: name in pair)
-            self._happened([f"ready:{name}"])
-        elif event == "peers_listening":
-            self._peer_ports[name] = line["port"]
-            self._believed[name] = {}
-            self.record({"kind": "peer_start", "gateway": name, "life": line["life"]})
-        elif event == "peer":
-            self._believed[name][line["peer"]] = line["state"]
-            self.record({"kind": "peer", "gateway": name, "peer": line["peer"], "state": line["state"]})
-            self._look_settled()
-        elif (fact := fact_of(name, line)) is not None:
-            self.record(fact)
-            self._happened(self.known.heard(fact))
-        elif event == "stopping" and self._roster.member(name).state == READY:  # to start anew, of its own accord
+        """Take up what a process says of itself."""
+        match line.get("event"):
+            case "group_ready":
+                self._server_ports.update(line["servers"])
+            case "listening":
+                self._refresh(lambda pair: name in pair)
+                self._happened([f"ready:{name}"])
+            case "peers_listening":
+                self._peers_listening(name, line)
+            case "peer":
+                self._peer_reported(name, line)
+            case "stopping":
+                self._stopping(name)
+            case "elected":
+                self._elected(line["group"], line["server"])
+            case "started_anew":
+                self._started_anew(line["server"], line["started"])
+            case _:
+                self._observed(name, line)
+
+    def _peers_listening(self, gateway: str, line: dict[str, Any]) -> None:
+        self._peer_ports[gateway] = line["port"]
+        self._believed[gateway] = {}
+        self.record({"kind": "peer_start", "gateway": gateway, "life": line["life"]})
+
+    def _peer_reported(self, gateway: str, line: dict[str, Any]) -> None:
+        self._believed[gateway][line["peer"]] = line["state"]
+        self.record({"kind": "peer", "gateway": gateway, "peer": line["peer"], "state": line["state"]})
+        self._look_settled()
+
+    def _stopping(self, name: str) -> None:
+        if self._roster.member(name).state == READY:  # to start anew, of its own accord
             self.record({"kind": "process", "name": name, "what": "leaving"})
-        elif event == "elected":
-            for listed in self.listed.values():
-                for server, one in listed.items():
-                    if one.group == line["group"]:
-                        one.primary = server == line["server"]
-            self._tell_all()
-            self._happened([f"elected:{line['group']}"])
-        elif event == "started_anew":
-            for listed in self.listed.values():
-                listed[line["server"]].started = line["started"]
-            self._tell_all()
+
+    def _elected(self, group: str, primary: str) -> None:
+        for listed in self.listed.values():
+            for server, one in listed.items():
+                if one.group == group:
+                    one.primary = server == primary
+        self._tell_all()
+        self._happened([f"elected:{group}"])
+
+    def _started_anew(self, server: str, started: float) -> None:
+        for listed in self.listed.values():
+            listed[server].started = started
+        self._tell_all()
+
+    def _observed(self, name: str, line: dict[str, Any]) -> None:
+        """A line that becomes a fact as it is, if it is one of these."""
+        fact = fact_of(name, line)
+        if fact is None:
+            return
+        self.record(fact)
+        self._happened(self.known.heard(fact))
 
     def _happened(self, events: Iterable[str]) -> None:
         """Steps may wait for these, once the load has begun."""
