--- a/tests/cluster/rollout/test_actuator.py
+++ b/tests/cluster/rollout/test_actuator.py
@@ -9,7 +9,7 @@
 from tests.cluster.rollout.test_files import GOOD
 from tests.support.paths import EXAMPLE_SETTINGS as SETTINGS
 from yardbank.cli import main
-from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout import active_version as active_version_file
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.actuator import Actuator, name_of
 from yardbank.cluster.rollout.document import COMMANDS, SHAPE, Asked, OperatorCommand, taken
@@ -45,7 +45,7 @@
 BLOCKS = 'peers {\n name = "g0"\n port = 0\n list = "peers.hcl"\n key = "key"\n}\nrollout {\n}\n'
 
 
-def actuator(folder, *, reload=lambda config: None, leave=None, force=None):
+def actuator(folder, *, reload=lambda config: None, leave=None, active_version=None):
     given = folder / "g.hcl"
     given.write_text(SETTINGS.read_text())
     (folder / "new.hcl").write_text(SETTINGS.read_text() + BLOCKS)
@@ -54,7 +54,7 @@
         part,
         given,
         RolloutBlock(),
-        force or ActiveVersion(),
+        active_version or ActiveVersion(),
         reactor=None,
         now=lambda: 5,
         wall=lambda: 9.0,
@@ -74,32 +74,32 @@
     taken_over = []
     made, part, _, version = actuator(tmp_path, reload=taken_over.append)
     made._carry_out(Activate(version, False))
-    assert part.done == [("up",)] and forces.read(tmp_path).now == version and len(taken_over) == 1
+    assert part.done == [("up",)] and active_version_file.read(tmp_path).now == version and len(taken_over) == 1
     made._carry_out(Commit())
-    assert not forces.read(tmp_path).young
-    made, part, _, version = actuator(tmp_path, force=ActiveVersion().gone_over(version))
+    assert not active_version_file.read(tmp_path).young
+    made, part, _, version = actuator(tmp_path, active_version=ActiveVersion().gone_over(version))
     made._carry_out(RollBack(False))
-    assert part.done == [("up",)] and forces.read(tmp_path).now == Version()
+    assert part.done == [("up",)] and active_version_file.read(tmp_path).now == Version()
 
 
 def test_what_cannot_change_in_service_waits_for_its_permit_and_then_leaves(tmp_path):
     left = []
     made, part, _, version = actuator(tmp_path, reload=refuse, leave=lambda: left.append(1))
     made._carry_out(Activate(version, False))
-    assert part.done == [("not_in_service",)] and not forces.read(tmp_path).young and not left
+    assert part.done == [("not_in_service",)] and not active_version_file.read(tmp_path).young and not left
     made._carry_out(Activate(version, True))
-    assert left == [1] and forces.read(tmp_path).now == version
+    assert left == [1] and active_version_file.read(tmp_path).now == version
     made, part, _, version = actuator(tmp_path, reload=refuse)
     made._carry_out(Activate(version, True))
     assert part.done[0][0] == "failed" and "nobody starts it anew" in part.done[0][1]
 
 
 def test_a_disk_that_takes_nothing_leaves_the_old_version_in_force(tmp_path, monkeypatch):
-    def full(folder, force):
+    def full(folder, active_version):
         raise OSError(28, "No space left on device")
 
     made, part, log, version = actuator(tmp_path, reload=lambda config: pytest.fail("it was changed"))
-    monkeypatch.setattr(forces, "write", full)
+    monkeypatch.setattr(active_version_file, "write", full)
     made._carry_out(Activate(version, True))
     assert part.done == [("failed", "what is in force cannot be written")]
     assert [event for event, _ in log.lines] == ["rollout_not_written", "rollout_failed"]
--- a/tests/cluster/rollout/test_files.py
+++ b/tests/cluster/rollout/test_files.py
@@ -14,7 +14,7 @@
 from tests.support.reactor_thread import run, world
 from tests.support.rollout_fleet import Disk
 from tests.support.router_world import wait_for
-from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout import active_version as active_version_file
 from yardbank.cluster.rollout.active_version import EXIT_ANEW, ActiveVersion, Version
 from yardbank.cluster.rollout.document import COMMANDS, SHAPE, Asked, Change, OperatorCommand, Reject, Watching, taken
 from yardbank.cluster.rollout.local_state import Memory, reconciled, remembered
@@ -92,8 +92,8 @@
 def test_a_start_finds_its_place_by_what_is_in_force(place, on_new, finished):
     change = taken(GOOD.encode(), "f", SHAPE).change
     version = Version("a", change.mark(), "new.hcl")
-    force = ActiveVersion(version, Version()) if on_new else ActiveVersion()
-    found, why = reconciled(Memory(change.kept(), place, finished="a" if finished else ""), force)
+    active_version = ActiveVersion(version, Version()) if on_new else ActiveVersion()
+    found, why = reconciled(Memory(change.kept(), place, finished="a" if finished else ""), active_version)
     if finished:
         assert found == Phase.NEW
     else:
@@ -120,17 +120,21 @@
 
 
 def test_what_is_in_force_survives_another_program_s_fields_and_damage_is_said(tmp_path):
-    force = ActiveVersion().gone_over(Version("a", 5, "new.hcl", "", "abc"), 7.0)
-    forces.write(tmp_path, force)
-    assert forces.read(tmp_path) == force and force.young and not force.kept().young
-    path = tmp_path / forces.FILE
+    active_version = ActiveVersion().gone_over(Version("a", 5, "new.hcl", "", "abc"), 7.0)
+    active_version_file.write(tmp_path, active_version)
+    assert (
+        active_version_file.read(tmp_path) == active_version
+        and active_version.young
+        and not active_version.kept().young
+    )
+    path = tmp_path / active_version_file.FILE
     path.write_text(json.dumps(json.loads(path.read_text()) | {"later": 1}))
-    assert forces.read(tmp_path) == force
-    assert force.gone_back("why") == ActiveVersion(fell="why", fell_from="a")
+    assert active_version_file.read(tmp_path) == active_version
+    assert active_version.gone_back("why") == ActiveVersion(fell="why", fell_from="a")
     path.write_text("{")
-    with pytest.raises(ValueError, match=f"{forces.FILE}:1: not what is in force"):
-        forces.read(tmp_path)
-    assert forces.read(tmp_path / "nowhere") == ActiveVersion()
+    with pytest.raises(ValueError, match=f"{active_version_file.FILE}:1: not what is in force"):
+        active_version_file.read(tmp_path)
+    assert active_version_file.read(tmp_path / "nowhere") == ActiveVersion()
 
 
 # The supervisor
@@ -142,20 +146,23 @@
     versions = Versions(ActiveVersion(), 30)
     versions.started(0)
     found = versions.ended(100, 1000, "ended", EXIT_ANEW, NEWER)
-    assert (found.force, found.wait, found.write) == (NEWER, 0, False)
+    assert (found.active_version, found.wait, found.write) == (NEWER, 0, False)
     versions.started(100)
     young = versions.ended(101, 1001, "ended with code 1", 1, NEWER)
-    assert young.force == ActiveVersion(fell=young.why, fell_from="a") and young.write and "code 1" in young.why
+    assert (
+        young.active_version == ActiveVersion(fell=young.why, fell_from="a") and young.write and "code 1" in young.why
+    )
     versions.started(101)
-    assert versions.ended(102, 1002, "ended", 1, young.force).force.restarts == 1  # the old one: no way back from it
+    # The old one: no way back from it
+    assert versions.ended(102, 1002, "ended", 1, young.active_version).active_version.restarts == 1
 
 
 def test_a_worker_that_dies_old_stays_on_its_version_and_its_restarts_are_counted():
     versions = Versions(NEWER, 30)
     for number in range(1, 4):
         versions.started(100 * number)
-        found = versions.ended(100 * number + 31, 2000, "ended", 1, versions.force)
-        assert found.force.now == NEWER.now and found.force.restarts == number and not found.why
+        found = versions.ended(100 * number + 31, 2000, "ended", 1, versions.active_version)
+        assert found.active_version.now == NEWER.now and found.active_version.restarts == number and not found.why
 
 
 def test_one_that_dies_soon_after_a_change_in_service_goes_back_too():
@@ -164,7 +171,7 @@
     assert versions.ended(5000, 1010.0, "ended", 1, NEWER).why
     versions = Versions(ActiveVersion(), 30)
     versions.started(0)
-    assert versions.ended(5000, 1100.0, "ended", 1, NEWER).force.restarts == 1
+    assert versions.ended(5000, 1100.0, "ended", 1, NEWER).active_version.restarts == 1
 
 
 def test_a_supervised_gateway_leaves_a_program_that_does_not_start(tmp_path):
@@ -177,7 +184,7 @@
         (tmp_path / "key").write_text("ab" * 32 + "\n")
         (tmp_path / "peers.hcl").write_text("")
         broken = Version("a", 5, "", f"{sys.executable} -c 'raise SystemExit(7)'", "bad")
-        forces.write(tmp_path, ActiveVersion().gone_over(broken, 0.0))
+        active_version_file.write(tmp_path, ActiveVersion().gone_over(broken, 0.0))
         with log.open("wb") as out:
             command = [sys.executable, "-m", "yardbank", "serve", str(file), "--supervised"]
             process = subprocess.Popen(command, stderr=out)
@@ -190,10 +197,10 @@
             wait_for(lambda: events("listening"))
             left = [one for one in events("rollout") if one["what"] == "left"]  # the supervisor's, the worker's perhaps
             assert left and all(one["rollout"] == "a" and "code 7" in one["why"] for one in left)
-            assert forces.read(tmp_path).fell_from == "a" and not forces.read(tmp_path).young
+            assert active_version_file.read(tmp_path).fell_from == "a" and not active_version_file.read(tmp_path).young
             os.kill(events("worker_started")[1]["pid"], signal.SIGKILL)
             wait_for(lambda: len(events("listening")) == 2)
-            assert forces.read(tmp_path).restarts == 1
+            assert active_version_file.read(tmp_path).restarts == 1
             worker = events("worker_started")[2]["pid"]
             process.kill()  # nobody would start the worker anew: it ends in good order
             process.wait()
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -33,7 +33,7 @@
     world = begun(8)
     assert world.until(lambda: len(world.said("finished")) == 8, 400)
     assert world.on_new() == set(world.zones) and world.most_away <= 2
-    assert not any(process.force.young for process in world.processes.values())
+    assert not any(process.active_version.young for process in world.processes.values())
     new, well = world.said("new"), world.said("well")
     order = world.processes["g000"].part._stage_plan
     for stage in (2, 3):  # nobody of a stage goes before the one before it was judged well, after its hold
@@ -116,7 +116,10 @@
 def test_old_ones_that_die_as_well_take_the_blame_off_the_new_ones():
     world = begun(8)
     world.dies = lambda name, new, age: age > world.young + 5
-    assert world.until(lambda: sum(p.force.young and p.force.restarts > 1 for p in world.processes.values()) >= 2, 300)
+    assert world.until(
+        lambda: sum(p.active_version.young and p.active_version.restarts > 1 for p in world.processes.values()) >= 2,
+        300,
+    )
     world.run(5)
     assert not world.said("stopped")
 
@@ -210,7 +213,7 @@
     assert back and world.until(lambda: len(world.said("finished")) == 8, 500)
     first = min(at for at, _, turn in world.said("going_over") if turn.rollout == "c2")
     assert first >= max(at for at, _, turn in world.said("going_back") if turn.rollout == "c1")
-    assert {process.force.now.rollout for process in world.processes.values()} == {"c2"}
+    assert {process.active_version.now.rollout for process in world.processes.values()} == {"c2"}
 
 
 def test_two_at_once_hold_each_other():
--- a/tests/cluster/rollout/test_processes.py
+++ b/tests/cluster/rollout/test_processes.py
@@ -7,7 +7,7 @@
 
 from tests.support.reactor_thread import run, world
 from tests.support.router_world import wait_for
-from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout import active_version as active_version_file
 from yardbank.testing.demo.world import free_port
 
 NAMES = ["g0", "g1", "g2", "g3"]
@@ -60,7 +60,7 @@
             return [line["what"] for line in events(name, "rollout")]
 
         def on_new():
-            return [name for name in NAMES if forces.read(tmp_path / name).now.rollout == "r1"]
+            return [name for name in NAMES if active_version_file.read(tmp_path / name).now.rollout == "r1"]
 
         try:
             for name in NAMES:
--- a/tests/golden/test_golden_rollout.py
+++ b/tests/golden/test_golden_rollout.py
@@ -61,20 +61,22 @@
     storage = Mock(spec=KeyValueStore)
     storage.load.return_value = octets
     assert remembered(storage) == memory(*values)
-    RolloutStateMachine(Mock(), storage, Options(force=ActiveVersion(now=Version(rollout=rollout, mark=mark)))).begun(0)
+    RolloutStateMachine(
+        Mock(), storage, Options(active_version=ActiveVersion(now=Version(rollout=rollout, mark=mark)))
+    ).begun(0)
     storage.save.assert_called_once_with(bytes.fromhex(stored))  # a start changes at most the place
 
 
 @each("rollout", "in_force")
 def test_the_file_of_the_version_in_force_keeps_its_octets(octets, meaning, tmp_path):
     now, before, restarts, changed, fell, fell_from = meaning
-    force = ActiveVersion(
+    active_version = ActiveVersion(
         now=version(*now), before=version(*before), restarts=restarts, changed=changed, fell=fell, fell_from=fell_from
     )
     (tmp_path / DATA["file"]).write_bytes(octets)
-    assert read(tmp_path) == force
+    assert read(tmp_path) == active_version
     (tmp_path / DATA["file"]).unlink()
-    write(tmp_path, force)
+    write(tmp_path, active_version)
     assert (tmp_path / DATA["file"]).read_bytes() == octets
 
 
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -50,7 +50,7 @@
 
     disk: Disk = field(default_factory=Disk)
     lease_disk: Disk = field(default_factory=Disk)
-    force: ActiveVersion = field(default_factory=ActiveVersion)
+    active_version: ActiveVersion = field(default_factory=ActiveVersion)
     counts: dict = field(default_factory=dict)
     latencies: dict = field(default_factory=dict)
     counted_at: int = 0
@@ -83,8 +83,8 @@
         name = node.name
         process = self.processes[name]
         leases = LeasePart(node.membership_view, self.terms, random, process.lease_disk)
-        new = process.force.now.name == NEW_NAME
-        options = Options(lambda: self.figures(name), process.force, NEW_NAME if new else OLD_NAME)
+        new = process.active_version.now.name == NEW_NAME
+        options = Options(lambda: self.figures(name), process.active_version, NEW_NAME if new else OLD_NAME)
         process.part = RolloutPart(node.membership_view, leases, random, process.disk, options)
         return leases, process.part
 
@@ -98,12 +98,12 @@
         if name in self.words:
             self.take_command(self.words[name], [name])
 
-    def end(self, name, again=SECOND, force=None):
+    def end(self, name, again=SECOND, active_version=None):
         """The process ends; its supervisor starts it after ``again`` ns; None: it stays away."""
         process = self.processes[name]
         process.down = True
-        if force is not None:
-            process.force = force
+        if active_version is not None:
+            process.active_version = active_version
         if name in self.gossip.nodes:
             self.gossip.kill(name)
         if again is not None:
@@ -113,8 +113,13 @@
         """It dies; the supervisor goes by its age."""
         process = self.processes[name]
         age = (self.gossip.now - process.began_at) / SECOND
-        fell = process.force.young and age < self.young
-        self.end(name, force=process.force.gone_back(f"{why} after {age:.0f} s") if fell else process.force.restarted())
+        fell = process.active_version.young and age < self.young
+        self.end(
+            name,
+            active_version=process.active_version.gone_back(f"{why} after {age:.0f} s")
+            if fell
+            else process.active_version.restarted(),
+        )
 
     def _look(self):
         now = self.gossip.now
@@ -126,7 +131,7 @@
             if name in self.gossip.paused:
                 continue
             self._serve(name)
-            new, age = process.force.now.name == NEW_NAME, (now - process.began_at) / SECOND
+            new, age = process.active_version.now.name == NEW_NAME, (now - process.began_at) / SECOND
             for turn in process.part.turns():
                 self.turns.append((now, name, turn))
             for order in process.part.orders():
@@ -140,17 +145,21 @@
     def _carry_out(self, name, process, order):
         own = self.gossip.own(name)
         if isinstance(order, Commit):
-            process.force = process.force.kept()
+            process.active_version = process.active_version.kept()
             return
-        force = process.force.gone_over(order.version) if isinstance(order, Activate) else process.force.gone_back()
+        active_version = (
+            process.active_version.gone_over(order.version)
+            if isinstance(order, Activate)
+            else process.active_version.gone_back()
+        )
         assert isinstance(order, Activate | RollBack)
         if not self.down:
-            process.force = force
+            process.active_version = active_version
             process.part.up(own)
         elif not order.down:
             process.part.not_in_service(own)
         else:
-            self.end(name, 2 * SECOND, force)
+            self.end(name, 2 * SECOND, active_version)
 
     # Requests
 
@@ -158,7 +167,7 @@
         process, random, now = self.processes[name], self.random[name], self.gossip.now
         span = (now - process.counted_at) / SECOND
         process.counted_at = now
-        new = process.force.now.name == NEW_NAME
+        new = process.active_version.now.name == NEW_NAME
         for key, kind in self.kinds(name, new, now / SECOND).items():
             number = random.poisson(kind.rate * span)
             shares = [kind.late, kind.refused, kind.failed]
@@ -177,7 +186,7 @@
             key: ClassFigures(int(c[0]), int(c[1]), int(c[2]), int(c[3]), 0, dict(process.latencies[key]))
             for key, c in process.counts.items()
         }
-        new = process.force.now.name == NEW_NAME
+        new = process.active_version.now.name == NEW_NAME
         return Figures(classes, self.memory(name, new, (self.gossip.now - process.began_at) / SECOND))
 
     # What is asked and seen
@@ -210,7 +219,7 @@
         return {name: self.phase(name) for name in self.zones}
 
     def on_new(self):
-        return {name for name, process in self.processes.items() if process.force.now.name == NEW_NAME}
+        return {name for name, process in self.processes.items() if process.active_version.now.name == NEW_NAME}
 
     def said(self, what, who=None):
         return [(at / SECOND, name, turn) for at, name, turn in self.turns if turn.what == what and who in (None, name)]
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -26,17 +26,17 @@
     except ValueError as problem:  # it runs by what it was started with, and says so
         log.error("active_version_unreadable", fault=str(problem))
         started = Started(ActiveVersion(), file, False)
-    if not started.supervised and started.force.now.program:
+    if not started.supervised and started.active_version.now.program:
         log.error(
             "rollout",
-            rollout=started.force.now.rollout,
+            rollout=started.active_version.now.rollout,
             what="not_in_force",
             stage=0,
-            version=started.force.now.name,
+            version=started.active_version.now.name,
             why="another program runs only under --supervised",
         )
         started = Started(ActiveVersion(), file, False)
-    now = started.force.now.file(started.given)
+    now = started.active_version.now.file(started.given)
     return (started, file, config) if now == file else (started, now, load_or_exit(now))
 
 
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -191,9 +191,9 @@
         if started is None:  # an embedding program: there is no settings file that could be changed for another
             self._log.warning("rollout_disabled", why="this process was not started from a settings file")
             return
-        version = started.force.now
+        version = started.active_version.now
         name = name_of(version.file(started.given), version.program)
-        options = Options(self._figures, started.force, name, block.beat)
+        options = Options(self._figures, started.active_version, name, block.beat)
         node = self._peers.node
         part = RolloutPart(node.membership_view, self.leases, self._random("rollout"), self._store("rollout"), options)
         node.add(part)
@@ -201,7 +201,7 @@
             part,
             started.given,
             block,
-            started.force,
+            started.active_version,
             reactor=self._reactor,
             now=self._gateway.now,
             wall=self._wall,
--- a/yardbank/cluster/rollout/active_version.py
+++ b/yardbank/cluster/rollout/active_version.py
@@ -80,9 +80,9 @@
         raise ValueError(f"not what is in force: {problem}") from None
 
 
-def encoded(force: ActiveVersion) -> str:
+def encoded(active_version: ActiveVersion) -> str:
     """As it stands in the file."""
-    return msgspec.json.encode(force).decode()
+    return msgspec.json.encode(active_version).decode()
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,7 +92,7 @@
     ``leave`` ends the process in good order, for its supervisor to start it anew; None: nobody would.
     """
 
-    force: ActiveVersion
+    active_version: ActiveVersion
     given: Path
     supervised: bool
     leave: Callable[[], None] | None = None
@@ -122,11 +122,11 @@
         raise ValueError(f"{path}:1: {problem}") from None
 
 
-def write(folder: Path, force: ActiveVersion) -> None:
+def write(folder: Path, active_version: ActiveVersion) -> None:
     """Raises ``OSError``; then what was in force still is."""
     part = folder / (FILE + ".part")
     with part.open("w", encoding="utf-8") as file:
-        file.write(encoded(force) + "\n")
+        file.write(encoded(active_version) + "\n")
         file.flush()
         os.fsync(file.fileno())
     os.replace(part, folder / FILE)
--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout import active_version as active_version_file
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.document import (
     COMMANDS,
@@ -42,7 +42,7 @@
 
 
 class Actuator:
-    """One gateway's. ``given``: the settings file it was started with; ``force``: what is in force as it starts.
+    """One gateway's. ``given``: the settings file it was started with; ``active_version``: in force as it starts.
 
     ``reload`` takes other settings in service, or raises ``ValueError`` and changes nothing; ``leave`` ends the process
     so that its supervisor starts it anew; None: there is no supervisor.
@@ -53,7 +53,7 @@
         part: RolloutPart,
         given: Path,
         block: RolloutBlock,
-        force: ActiveVersion,
+        active_version: ActiveVersion,
         *,
         reactor: Any,
         now: Callable[[], int],
@@ -63,7 +63,7 @@
         reload: Callable[[Config], None],
         leave: Callable[[], None] | None,
     ) -> None:
-        self._part, self._given, self._force = part, given, force
+        self._part, self._given, self._active_version = part, given, active_version
         self._reactor, self._now, self._wall, self._log = reactor, now, wall, log
         self._prompt, self._reload, self._leave = prompt, reload, leave
         file = given.parent / block.file
@@ -75,9 +75,14 @@
 
     def start(self) -> None:
         """Begin."""
-        if not self._force.now.rollout and self._force.fell:
+        if not self._active_version.now.rollout and self._active_version.fell:
             self._log.warning(
-                "rollout", rollout=self._force.fell_from, what="left", stage=0, version="", why=self._force.fell
+                "rollout",
+                rollout=self._active_version.fell_from,
+                what="left",
+                stage=0,
+                version="",
+                why=self._active_version.fell,
             )
         self._look()
 
@@ -121,7 +126,7 @@
         self._prompt()
 
     def _name(self, change: Change) -> str:
-        now = self._force.now  # what the change does not name stays as an earlier one has left it
+        now = self._active_version.now  # what the change does not name stays as an earlier one has left it
         version = Version(settings=change.settings or now.settings, program=change.program or now.program)
         file = version.file(self._given)
         sound(load(file), file)
@@ -132,14 +137,14 @@
             case Commit():
                 self._commit()
             case Activate():
-                self._change_to(order.version, self._force.gone_over(order.version, self._wall()), order)
+                self._change_to(order.version, self._active_version.gone_over(order.version, self._wall()), order)
             case RollBack():
-                self._change_to(self._force.before, self._force.gone_back(), order)
+                self._change_to(self._active_version.before, self._active_version.gone_back(), order)
 
     def _commit(self) -> None:
-        committed = self._force.kept()
+        committed = self._active_version.kept()
         if self._write(committed):  # else a start may still go back: it says so
-            self._force = committed
+            self._active_version = committed
 
     def _change_to(self, version: Version, active: ActiveVersion, order: Activate | RollBack) -> None:
         """Bring a version into force: in service where that can be, else by a start of the process."""
@@ -153,7 +158,7 @@
             return
         reason = self._reload_in_service(version, config)
         if reason is None:
-            self._force = active
+            self._active_version = active
             self._part.up(self._now())
         elif self._leave is not None and order.down:
             self._left = True
@@ -171,7 +176,7 @@
 
     def _reload_in_service(self, version: Version, config: Config) -> str | None:
         """Take the settings in service; None, or why that cannot be."""
-        if version.program != self._force.now.program:
+        if version.program != self._active_version.now.program:
             return "another program"
         try:
             self._reload(config)
@@ -181,7 +186,7 @@
 
     def _stay(self, reason: str) -> None:
         """Nothing has changed: the process has to start again, and may not."""
-        self._write(self._force)
+        self._write(self._active_version)
         if self._leave is None:
             self._fail(f"nobody starts it anew; {reason}")
         else:
@@ -191,10 +196,12 @@
         self._log.error("rollout_failed", why=why)
         self._part.failed(self._now(), why)
 
-    def _write(self, force: ActiveVersion) -> bool:
+    def _write(self, active_version: ActiveVersion) -> bool:
         try:
-            forces.write(self._given.parent, force)
+            active_version_file.write(self._given.parent, active_version)
         except OSError as problem:
-            self._log.error("rollout_not_written", path=str(self._given.parent / forces.FILE), error=str(problem))
+            self._log.error(
+                "rollout_not_written", path=str(self._given.parent / active_version_file.FILE), error=str(problem)
+            )
             return False
         return True
--- a/yardbank/cluster/rollout/local_state.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -21,7 +21,7 @@
     """What the part is made with."""
 
     figures: Callable[[], Figures] = Figures  # this gateway's, at this time
-    force: ActiveVersion = field(default_factory=ActiveVersion)  # what is in force as the process starts
+    active_version: ActiveVersion = field(default_factory=ActiveVersion)  # what is in force as the process starts
     name: str = ""  # a short hash of that
     beat: int = 0  # ns between two readings of figures; 0: by the size of the fleet
 
@@ -85,7 +85,7 @@
     return found
 
 
-def reconciled(memory: Memory, force: ActiveVersion) -> tuple[int, str]:
+def reconciled(memory: Memory, active_version: ActiveVersion) -> tuple[int, str]:
     """Where this gateway stands as it starts, and why if it fell back: by what it remembers and what is in force."""
     try:
         change = Change.of(memory.change)
@@ -93,7 +93,7 @@
         return Phase.OLD, ""
     if memory.finished == change.id:
         return Phase.NEW, ""
-    on_new = force.now.rollout == change.id and force.now.mark == change.mark()
+    on_new = active_version.now.rollout == change.id and active_version.now.mark == change.mark()
     phase = memory.phase
     if phase == Phase.OUT:
         event = "up" if on_new else "crashed"
@@ -103,5 +103,5 @@
         event = "restarted" if on_new else "crashed"
     else:  # the file of what is in force may have outlived what is remembered
         event = "found" if on_new else "restarted"
-    why = force.fell or ("did not come over" if phase == Phase.OUT else "another version is in force")
+    why = active_version.fell or ("did not come over" if phase == Phase.OUT else "another version is in force")
     return TABLE.get((phase, event), Phase.OLD), why if event == "crashed" else ""
--- a/yardbank/cluster/rollout/state_machine.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -31,9 +31,9 @@
 
     def __init__(self, leases: Leases, keep: KeyValueStore, options: Options) -> None:
         self._leases, self._keep, self._options = leases, keep, options
-        self.force = options.force
+        self.active_version = options.active_version
         self._memory = remembered(keep)
-        self.phase, fell = reconciled(self._memory, options.force)
+        self.phase, fell = reconciled(self._memory, options.active_version)
         self.change = Change.of(self._memory.change) if self._memory.change else None
         self.orders: list[Activate | RollBack | Commit] = []
         self.turns: list[Transition] = []
@@ -46,7 +46,7 @@
         self._unkept = False
         self._overdue = False
         if self.change is not None:
-            self.name = self.force.now.name
+            self.name = self.active_version.now.name
             self.permit = self._permit(self.change)
             if self.phase != self._memory.phase:
                 self.say(NAMES[self.phase].replace(" ", "_"), fell or "after a start")
@@ -97,7 +97,7 @@
     def finish(self, now: int) -> None:
         """The whole fleet is through with it."""
         if self.change is not None and not self.finished:
-            self._memory.finished, self.force = self.change.id, self.force.kept()
+            self._memory.finished, self.active_version = self.change.id, self.active_version.kept()
             self._remember(now)
             self.orders.append(Commit())
             self.say("finished")
@@ -109,10 +109,13 @@
         self.change, self.name = change, name
         self.phase, self._since, self.moved = Phase.OLD, now, True
         self.permit = None if change is None else self._permit(change)
-        self._memory.restarts, self._memory.down = self.force.restarts, bool(change is not None and change.program)
-        if change is not None and self.force.young and self.force.now.rollout == change.id:
+        self._memory.restarts, self._memory.down = (
+            self.active_version.restarts,
+            bool(change is not None and change.program),
+        )
+        if change is not None and self.active_version.young and self.active_version.now.rollout == change.id:
             self.phase = Phase.SETTLING  # it is in force though nothing is remembered of it
-        elif change is not None and self.force.fell_from == change.id:
+        elif change is not None and self.active_version.fell_from == change.id:
             self.phase = Phase.FELL
         elif change is not None and self._memory.finished == change.id:
             self.phase = Phase.NEW
@@ -121,8 +124,8 @@
     @property
     def restarts(self) -> int:
         """Of the process since it was asked for, or since the version came into force."""
-        on_new = self.change is not None and self.force.now.rollout == self.change.id
-        return self.force.restarts if on_new else max(0, self.force.restarts - self._memory.restarts)
+        on_new = self.change is not None and self.active_version.now.rollout == self.change.id
+        return self.active_version.restarts if on_new else max(0, self.active_version.restarts - self._memory.restarts)
 
     # Moves
 
@@ -179,21 +182,29 @@
         """What is asked for."""
         change = self.change
         if change is None:
-            return self.force.now
-        settings = change.settings or self.force.now.settings
-        program = change.program or self.force.now.program
+            return self.active_version.now
+        settings = change.settings or self.active_version.now.settings
+        program = change.program or self.active_version.now.program
         return Version(change.id, change.mark(), settings, program, self.name)
 
     @property
     def running(self) -> str:
         """The short name of the version in force."""
-        if self.change is not None and self.force.now.rollout == self.change.id:
+        if self.change is not None and self.active_version.now.rollout == self.change.id:
             return self.name
-        return self._options.name if self.force.now == self._options.force.now else self.force.now.name
+        return (
+            self._options.name
+            if self.active_version.now == self._options.active_version.now
+            else self.active_version.now.name
+        )
 
     def up(self, now: int) -> None:
         """The change is made, in service."""
-        self.force = self.force.gone_over(self.version()) if self.phase == Phase.OUT else self.force.gone_back()
+        self.active_version = (
+            self.active_version.gone_over(self.version())
+            if self.phase == Phase.OUT
+            else self.active_version.gone_back()
+        )
         self._go(now, "up")
 
     def not_in_service(self, now: int) -> None:
--- a/yardbank/daemon/versioned_supervisor.py
+++ b/yardbank/daemon/versioned_supervisor.py
@@ -15,7 +15,7 @@
 
 from twisted.internet.protocol import ProcessProtocol
 
-from yardbank.cluster.rollout import active_version as forces
+from yardbank.cluster.rollout import active_version as active_version_file
 from yardbank.cluster.rollout.active_version import ActiveVersion
 from yardbank.daemon.versions import Versions
 
@@ -31,7 +31,7 @@
 def read_active_version(folder: Path, log: Any) -> ActiveVersion:
     """What the file says; where it cannot be used, what the gateway is started with."""
     try:
-        return forces.read(folder)
+        return active_version_file.read(folder)
     except ValueError as problem:
         log.error("active_version_unreadable", fault=str(problem))
         return ActiveVersion()
@@ -51,9 +51,12 @@
         """Start the worker."""
         if self._stopping:
             return
-        now = self._versions.force.now
+        now = self._versions.active_version.now
         command = [*now.command([sys.executable, "-m", "yardbank"]), "serve", str(now.file(self._file)), *self._options]
-        told = {forces.VARIABLE: forces.encoded(self._versions.force), forces.GIVEN: str(self._file)}
+        told = {
+            active_version_file.VARIABLE: active_version_file.encoded(self._versions.active_version),
+            active_version_file.GIVEN: str(self._file),
+        }
         environment = {**os.environ, **told}
         self._versions.started(time.monotonic())
         self._process = self._reactor.spawnProcess(
@@ -74,19 +77,26 @@
             return
         how = f"ended by signal {ended_by}" if ended_by is not None else f"ended with code {code}"
         file = read_active_version(self._file.parent, self._log)
-        before = self._versions.force.now
+        before = self._versions.active_version.now
         found = self._versions.ended(time.monotonic(), time.time(), how, code, file)
         if found.write:
             try:
-                forces.write(self._file.parent, found.force)
+                active_version_file.write(self._file.parent, found.active_version)
             except OSError as problem:  # the worker is told by its environment all the same
-                self._log.error("rollout_not_written", path=str(self._file.parent / forces.FILE), error=str(problem))
+                self._log.error(
+                    "rollout_not_written", path=str(self._file.parent / active_version_file.FILE), error=str(problem)
+                )
         if found.why:
             self._log.error(
-                "rollout", rollout=found.force.fell_from, what="left", stage=0, version=before.name, why=found.why
+                "rollout",
+                rollout=found.active_version.fell_from,
+                what="left",
+                stage=0,
+                version=before.name,
+                why=found.why,
             )
-        elif code == forces.EXIT_ANEW:
-            self._log.info("worker_restarted", worker=0, version=found.force.now.name)
+        elif code == active_version_file.EXIT_ANEW:
+            self._log.info("worker_restarted", worker=0, version=found.active_version.now.name)
         else:
             self._log.error("worker_died", worker=0, code=code, signal=ended_by, again_in_s=found.wait)
         self._reactor.callLater(found.wait, self.start)
--- a/yardbank/daemon/versions.py
+++ b/yardbank/daemon/versions.py
@@ -12,7 +12,7 @@
 class Next:
     """What to start, after how many seconds; ``write``: it differs from what the file says; ``why``: it went back."""
 
-    force: ActiveVersion
+    active_version: ActiveVersion
     wait: float
     write: bool = False
     why: str = ""
@@ -21,8 +21,8 @@
 class Versions:
     """One worker's. Times in seconds: steady ones, but for ``wall``."""
 
-    def __init__(self, force: ActiveVersion, young: float) -> None:
-        self.force, self._young = force, young
+    def __init__(self, active_version: ActiveVersion, young: float) -> None:
+        self.active_version, self._young = active_version, young
         self._restarts = Restarts()
         self._started = 0.0
 
@@ -34,18 +34,20 @@
     def ended(self, now: float, wall: float, how: str, code: int | None, file: ActiveVersion) -> Next:
         """The worker ended by itself; ``file``: what the file says is in force."""
         if code == EXIT_ANEW:
-            self.force = file
+            self.active_version = file
             return Next(file, 0.0)
         age = now - self._started
-        changed = file.now != self.force.now  # in service, since it started
+        changed = file.now != self.active_version.now  # in service, since it started
         since = wall - file.changed if changed and wall >= file.changed else age
         if file.young and min(age, since) < self._young:
             why = f"{how} {min(age, since):.1f} s after it came into force"
-            self.force = file.gone_back(why)
-            return Next(self.force, 0.0, True, why)
-        self.force = (
+            self.active_version = file.gone_back(why)
+            return Next(self.active_version, 0.0, True, why)
+        self.active_version = (
             file.restarted()
             if changed
-            else ActiveVersion(file.now, file.before, self.force.restarts + 1, file.changed, file.fell, file.fell_from)
+            else ActiveVersion(
+                file.now, file.before, self.active_version.restarts + 1, file.changed, file.fell, file.fell_from
+            )
         )
-        return Next(self.force, self._restarts.died(now), True)
+        return Next(self.active_version, self._restarts.died(now), True)
--- a/yardbank/daemon/worker.py
+++ b/yardbank/daemon/worker.py
@@ -40,9 +40,9 @@
     """The settings file that counts now: a rollout may have changed it in service. Raises ``ValueError``."""
     if started is None:
         return file
-    from yardbank.cluster.rollout import active_version as force
+    from yardbank.cluster.rollout import active_version
 
-    return force.read(started.given.parent).now.file(started.given)
+    return active_version.read(started.given.parent).now.file(started.given)
 
 
 class SupervisorWatch:
