--- a/yardbank/testing/rig/scenarios/rolling.hcl
+++ b/yardbank/testing/rig/scenarios/rolling.hcl
@@ -13,8 +13,10 @@
 }
 
 load {
-  rate   = 100
-  length = "7s"
+  rate    = 100
+  length  = "7s"
+  longest = "30s"
+  rest    = "1500ms"
 }
 
 step "first" {
