--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,3 +25,5 @@
 def pytest_terminal_summary(terminalreporter, config):
     for entry in config.known_red:
         terminalreporter.write_line(f"KNOWN RED: {entry}")
+    for report in terminalreporter.stats.get("xfailed", ()):
+        terminalreporter.write_line(f"KNOWN RED failed: {report.nodeid}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -52,6 +52,7 @@
         ("test_red", "a cause", 0, "KNOWN RED: tests/test_x.py::test_red: a cause (make test; issue 38)"),
         ("test_green", "a cause", 1, "XPASS(strict)"),
         ("test_red", NOW_AND_THEN, 0, "KNOWN RED: tests/test_x.py::test_red: now and then: a cause"),
+        ("test_red", NOW_AND_THEN, 0, "KNOWN RED failed: tests/test_x.py::test_red"),
         ("test_none", "a cause", 4, "names no test: tests/test_x.py::test_none"),
         (None, "", 1, "assert False"),
     ],
--- /dev/null
+++ b/tests/testing/standin/test_port.py
@@ -0,0 +1,30 @@
+"""A stand-in's port is its own, also while it is down."""
+
+import errno
+import socket
+
+import pytest
+
+from tests.support.reactor_thread import ensure_reactor, run
+from yardbank.testing.demo.world import Recorder, World
+
+
+def test_nobody_else_gets_the_port_of_a_server_that_is_down():
+    ensure_reactor()
+    server = next(iter(run(lambda: World(_reactor(), Recorder())).servers.values()))
+    port = server.port
+    run(server.crash)
+    with pytest.raises(ConnectionRefusedError):
+        socket.create_connection(("127.0.0.1", port), timeout=30)
+    with socket.socket() as other, pytest.raises(OSError, match="in use") as refused:
+        other.bind(("127.0.0.1", port))
+    assert refused.value.errno == errno.EADDRINUSE
+    run(server.restart)
+    with socket.create_connection(("127.0.0.1", port), timeout=30):
+        assert server.port == port
+
+
+def _reactor():
+    from twisted.internet import reactor
+
+    return reactor
--- a/yardbank/testing/audit/excuses.py
+++ b/yardbank/testing/audit/excuses.py
@@ -19,7 +19,7 @@
 
 
 class Excuses:
-    """Spans of time in which a gateway, or a way, was not as it should be."""
+    """Spans of time in which a gateway, or a link, was not as it should be."""
 
     def __init__(self, facts: Iterable[Fact]) -> None:
         self._spans: dict[tuple[str, str], list[list[float]]] = defaultdict(list)
@@ -59,7 +59,7 @@
         return self._overlaps((gateway, ""), since, until)
 
     def way(self, a: str, b: str, since: float, until: float) -> bool:
-        """Whether the way between two ends was broken, in either direction, at any moment of this span."""
+        """Whether the link between two ends was broken, in either direction, at any moment of this span."""
         return self._overlaps((a, b), since, until) or self._overlaps((b, a), since, until)
 
     def silence(self, gateway: str, since: float, until: float) -> bool:
@@ -69,14 +69,14 @@
     def loss(self, gateway: str, since: float, until: float) -> bool:
         """Whether a connection may have gone with this request, sent at ``since``, unanswered.
 
-        As for silence; or it was sent when the gateway had been told to stop, or so shortly before that it was still
+        As for silence; or it was sent when the gateway had been asked to stop, or so shortly before that it was still
         on its way: it takes nothing more then.
         """
         stopping = self._overlaps((gateway, "stopping"), since, since + ON_ITS_WAY)
         return bool(gateway) and (stopping or self.silence(gateway, since, until))
 
     def told_from(self, gateway: str, at: float) -> float:
-        """From when a gateway can know what it was told at this time: when it went on, if it was stopped then."""
+        """From when a gateway can know what it was notified of at this time: when it went on, if stopped then."""
         for begin, end in self._spans.get((gateway, ""), ()):
             if begin <= at <= end:
                 return end
--- a/yardbank/testing/audit/frames.py
+++ b/yardbank/testing/audit/frames.py
@@ -1,4 +1,4 @@
-"""LDAP messages as the rig's relays see them: a small reader of the judge's own, of the words that claims need."""
+"""LDAP messages as the rig's relays see them: a small reader of the judge's own, of the fields that claims need."""
 
 from __future__ import annotations
 
--- a/yardbank/testing/audit/gossip_messages.py
+++ b/yardbank/testing/audit/gossip_messages.py
@@ -1,4 +1,4 @@
-"""Letters between gateways as the rig's relays see them: a small reader of its own, of the words that claims need."""
+"""Gossip messages as the rig's relays see them: a small reader of its own, of the fields that claims need."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def letters(data: bytes) -> list[tuple[str, str, list[Any]]]:
-    """What one datagram carries: sender, topic and the letter's words. Nothing of what is spoilt or of another kind."""
+    """What one datagram carries: sender, topic and fields. Nothing of what is spoilt or of another kind."""
     if data[:2] != MAGIC or data[2:3] != bytes((VERSION,)):
         return []
     try:
--- a/yardbank/testing/rig/network.py
+++ b/yardbank/testing/rig/network.py
@@ -125,7 +125,7 @@
         self._octets += size
 
     def due(self, now: float, effect: Effect) -> list[bytes | Ended]:
-        """What reaches the receiver now, in order; nothing while the way is cut."""
+        """What reaches the receiver now, in order; nothing while the link is cut."""
         found: list[bytes | Ended] = []
         while self._held and not effect.cut and self._held[0][0] <= now:
             piece = self._held.popleft()[1]
@@ -168,7 +168,7 @@
         return found
 
     def arrived(self) -> None:
-        """One is off the way."""
+        """One is off the link."""
         self.under_way -= 1
 
 
--- a/yardbank/testing/rig/observations.py
+++ b/yardbank/testing/rig/observations.py
@@ -1,4 +1,4 @@
-"""What the rig knows of a play as it goes: from log lines and from letters that crossed. No I/O.
+"""What the rig knows of a play as it goes: from log lines and from gossip messages that crossed. No I/O.
 
 It makes facts of them, and says which events they are that steps may wait for, and whom words such as
 ``owner:CHANNEL`` mean now.
@@ -46,7 +46,7 @@
         self._stages: set[int] = set()
 
     def crossed(self, source: str, target: str, data: bytes) -> tuple[list[Fact], list[str]]:
-        """A datagram entered the way from one to another: facts and events."""
+        """A datagram entered the link from one to another: facts and events."""
         facts: list[Fact] = [{**item, "sender": source, "to": target} for item in items(data)]
         events = []
         for fact in facts:
--- a/yardbank/testing/rig/scenario.py
+++ b/yardbank/testing/rig/scenario.py
@@ -54,7 +54,7 @@
         return next((one for one in self.program if matching(one.who, [gateway])), None)
 
     def older(self) -> set[str]:
-        """Gateways that run a program from before letters."""
+        """Gateways that run a program from before gossip messages."""
         return {name for name in self.gateways() if (one := self.program_of(name)) and one.name == "landed"}
 
     def channels(self) -> list[str]:
--- a/yardbank/testing/standin/server.py
+++ b/yardbank/testing/standin/server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+import socket
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -60,8 +61,20 @@
     kind: str
 
 
+def _reserved(port: int) -> socket.socket:
+    """A socket that is bound and never listens: nobody else gets the port while the server is down (0: any port)."""
+    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    try:
+        made.bind(("127.0.0.1", port))
+    except OSError:
+        made.close()
+        raise
+    return made
+
+
 class Standin:
-    """One server: a member of a cluster, listening on a port."""
+    """One server: a member of a cluster, listening on a port that is its own as long as the object lives."""
 
     def __init__(
         self,
@@ -88,16 +101,15 @@
         self._paused: list[Callable[[], None]] = []
         self._port: Any = None
         self._epoch = 0
-        self.port = port
+        self._reservation = _reserved(port)
+        self.port: int = self._reservation.getsockname()[1]
         self.listen()
 
     # Faults on command
 
     def listen(self) -> None:
-        """Take connections; always on the same port once one was given."""
-        factory = _Door(self)
-        self._port = self.reactor.listenTCP(self.port, factory, interface="127.0.0.1")
-        self.port = self._port.getHost().port
+        """Take connections, always on the same port."""
+        self._port = self.reactor.listenTCP(self.port, _Door(self), interface="127.0.0.1")
 
     def note(self, kind: str, **facts: Any) -> None:
         """Record what happened here."""
