--- a/benchmarks/atlas_fleet.py
+++ b/benchmarks/atlas_fleet.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from yardbank.cluster.latency_map.options import SECOND, Options, Pair, pair_of
-from yardbank.cluster.latency_map.part import AtlasPart
+from yardbank.cluster.latency_map.part import LatencyMapPart
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.testing.rig.gossip import GossipFleet
 from yardbank.testing.rig.network import Effect, pairs_of
@@ -45,11 +45,11 @@
         """``trips`` in ms; ``probes`` a second of each gateway at servers of each zone that ``trips`` names."""
         self.trips, self.jitter, self.probes = dict(trips), jitter, probes
         self.zones, self._random = dict(zones), Random(f"fleet/{seed}")
-        self.parts: dict[str, AtlasPart] = {}
+        self.parts: dict[str, LatencyMapPart] = {}
         self.slow: dict[str, int] = {}  # what a gateway adds itself to all it sees, ns
 
-        def made(node: GossipNode, random: Random) -> list[AtlasPart]:
-            part = AtlasPart(node.membership_view, random, options)
+        def made(node: GossipNode, random: Random) -> list[LatencyMapPart]:
+            part = LatencyMapPart(node.membership_view, random, options)
             node.on_round_trip.append(part.saw_peer)
             self.parts[node.name] = part
             return [part]
--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -330,10 +330,10 @@
     copy = world.router.servers[2]
     copy.failures, copy.ejected_until = 4, world.now + 2 * SECOND
     assert 2 not in went(world, 10)
-    world.feed(GossipedOutliers(well=(2, 99)))
+    world.feed(GossipedOutliers(healthy=(2, 99)))
     assert world.now < copy.ejected_until <= world.now + 250 * MS and copy.failures == 4
     before = copy.ejected_until
-    world.feed(GossipedOutliers(well=(2,)))
+    world.feed(GossipedOutliers(healthy=(2,)))
     assert copy.ejected_until <= before
     assert world.router.servers[3].ejected_until == 0
 
@@ -343,6 +343,6 @@
     for seed in range(20):
         world = World(group(3), reports="probe", seed=seed)
         world.router.servers[2].failures, world.router.servers[2].ejected_until = 4, world.now + 2 * SECOND
-        world.feed(GossipedOutliers(well=(2,)))
+        world.feed(GossipedOutliers(healthy=(2,)))
         times.add(world.router.servers[2].ejected_until)
     assert len(times) == 20
--- a/tests/cluster/rollout/test_files.py
+++ b/tests/cluster/rollout/test_files.py
@@ -15,7 +15,7 @@
 from tests.support.rollout_fleet import Disk
 from tests.support.router_world import wait_for
 from yardbank.cluster.rollout import active_version as active_version_file
-from yardbank.cluster.rollout.active_version import EXIT_ANEW, ActiveVersion, Version
+from yardbank.cluster.rollout.active_version import EXIT_FOR_RESTART, ActiveVersion, Version
 from yardbank.cluster.rollout.document import COMMANDS, SHAPE, Asked, Change, OperatorCommand, Reject, Watching, taken
 from yardbank.cluster.rollout.local_state import Memory, reconciled, remembered
 from yardbank.cluster.rollout.phase import Phase
@@ -145,7 +145,7 @@
 def test_a_worker_is_started_anew_by_what_the_file_says():
     versions = Versions(ActiveVersion(), 30)
     versions.started(0)
-    found = versions.ended(100, 1000, "ended", EXIT_ANEW, NEWER)
+    found = versions.ended(100, 1000, "ended", EXIT_FOR_RESTART, NEWER)
     assert (found.active_version, found.wait, found.write) == (NEWER, 0, False)
     versions.started(100)
     young = versions.ended(101, 1001, "ended with code 1", 1, NEWER)
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -3,7 +3,7 @@
 from tests.golden.cases import each, load
 from yardbank.cluster.latency_map.measurements import GatewayHealth
 from yardbank.cluster.latency_map.messages import Entry, ReceivedRows, decode, digest, encode
-from yardbank.cluster.latency_map.part import AtlasPart
+from yardbank.cluster.latency_map.part import LatencyMapPart
 
 
 def entry(value, spread, age, witnesses):
@@ -24,5 +24,5 @@
 
 
 def test_topic_and_states_stay_the_same():
-    assert AtlasPart.topic == load("atlas")["topic"]
+    assert LatencyMapPart.topic == load("atlas")["topic"]
     assert load("atlas")["states"] == [GatewayHealth.WELL, GatewayHealth.DOUBTFUL, GatewayHealth.SLOW]
--- a/tests/policy/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -18,7 +18,12 @@
 
 RECORD = json.loads((DATA / "recorded_events.json").read_text())
 ZONES = json.loads((DATA / "recorded_zones.json").read_text())
-RENAMED = {"aim": "latency_objective", "worth": "priority_weight", "late_worth": "late_weight"}  # since the recording
+RENAMED = {  # since the recording
+    "aim": "latency_objective",
+    "worth": "priority_weight",
+    "late_worth": "late_weight",
+    "doubted": "outliers",
+}
 RENAMED_EVENTS = {"Gone": "ClientCancelled", "Restored": "TokensLost", "Hearsay": "GossipedOutliers"}
 
 
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -9,7 +9,7 @@
 from yardbank.cluster.rollout.active_version import ActiveVersion
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.local_state import Activate, Commit, Options, RollBack
-from yardbank.cluster.rollout.metrics import ClassFigures, Figures
+from yardbank.cluster.rollout.metrics import ClassFigures, Metrics
 from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.cluster.rollout.phase import AWAY, NAMES
 from yardbank.testing.rig.gossip import WAY, GossipFleet
@@ -187,7 +187,7 @@
             for key, c in process.counts.items()
         }
         new = process.active_version.now.name == NEW_NAME
-        return Figures(classes, self.memory(name, new, (self.gossip.now - process.began_at) / SECOND))
+        return Metrics(classes, self.memory(name, new, (self.gossip.now - process.began_at) / SECOND))
 
     # What is asked and seen
 
--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -30,7 +30,7 @@
     "ConnectError": api.Status.CONNECT_FAILED,
     "ResetByPeer": api.Status.RESET,
     "Canceled": api.Status.CANCELLED,
-    "Ignored": api.Status.MOOT,
+    "Ignored": api.Status.NOT_SENT,
     "Miss": api.Status.MISS,
 }
 
--- a/yardbank/cli/rig.py
+++ b/yardbank/cli/rig.py
@@ -12,7 +12,7 @@
 import click
 
 from yardbank.cli.common import EXIT_FAULT, checked_or_exit, set_up_logs
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 
 
 def _load(file: str) -> Any:
@@ -89,7 +89,7 @@
     for name, values in result["latency_ms"].items():
         click.echo(f"{name}: " + ", ".join(f"{key} {value:.1f} ms" for key, value in values.items()))
     if json_file is not None:
-        write_whole(json_file, json.dumps(result, indent=2) + "\n")
+        write_atomically(json_file, json.dumps(result, indent=2) + "\n")
     if keep is None and result["held"]:
         shutil.rmtree(folder, ignore_errors=True)
     elif not result["held"]:
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -15,7 +15,7 @@
 from yardbank.cli.common import EXIT_FAULT, checked_or_exit, load_or_exit
 from yardbank.config import Config, ConfigError
 from yardbank.config.checked import read_text
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 
 if TYPE_CHECKING:
     from yardbank.cluster.rollout.document import Asked
@@ -174,7 +174,7 @@
     except ConfigError:
         _fault(f"{path}: '{rollout}' is no name of a rollout")
     try:
-        write_whole(path, text)
+        write_atomically(path, text)
     except OSError as problem:
         _fault(f"{path}: {problem.strerror or problem}")
     if stop:
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -28,10 +28,10 @@
     from yardbank.cluster.channels.placement import Distance
     from yardbank.cluster.channels.position_polling import PositionFeeds
     from yardbank.cluster.channels.service import Channels
-    from yardbank.cluster.latency_map.part import AtlasPart
+    from yardbank.cluster.latency_map.part import LatencyMapPart
     from yardbank.cluster.list_distribution.files import DistributionFiles
     from yardbank.cluster.rollout.active_version import Started
-    from yardbank.cluster.rollout.metrics import Figures
+    from yardbank.cluster.rollout.metrics import Metrics
     from yardbank.cluster.rollout.part import RolloutPart
 
 SECOND = 1_000_000_000
@@ -86,7 +86,7 @@
         self._next_list_check = 0
         self.channels: Channels | None = None
         self._feeds: PositionFeeds | None = None
-        self._map: AtlasPart | None = None
+        self._map: LatencyMapPart | None = None
         self._distribution: DistributionFiles | None = None
         self._services: list[Service] = []  # in the order in which they start and stop
         self._terms = self._lease_terms(config)
@@ -133,11 +133,11 @@
 
     def _make_map(self, config: Config) -> None:
         from yardbank.cluster.latency_map.options import Options
-        from yardbank.cluster.latency_map.part import AtlasPart
+        from yardbank.cluster.latency_map.part import LatencyMapPart
 
         block = config.atlas
         assert block is not None
-        part = AtlasPart(
+        part = LatencyMapPart(
             self._peers.node.membership_view, self._random("map"), Options(block.life, block.taken_up, block.step)
         )
         self._peers.node.add(part)
@@ -249,7 +249,7 @@
         changed = part.changed()
         return sorted(names, key=lambda name: (name not in changed, name))
 
-    def _figures(self) -> Figures:
+    def _figures(self) -> Metrics:
         from yardbank.cluster.rollout.metrics import of_gateway, resident
         from yardbank.gateway.request_counters import beyond
 
--- a/yardbank/cluster/latency_map/part.py
+++ b/yardbank/cluster/latency_map/part.py
@@ -28,7 +28,7 @@
 FAR_INTERVAL = 4  # seconds between two updates of a pair that the own zone is not in
 
 
-class AtlasPart:
+class LatencyMapPart:
     """The latency map as a part of the peers' node."""
 
     topic = "map"
--- a/yardbank/cluster/list_distribution/files.py
+++ b/yardbank/cluster/list_distribution/files.py
@@ -10,7 +10,7 @@
 from yardbank.cluster.list_distribution.part import DistributionPart
 from yardbank.cluster.list_distribution.table import DoesNotFitError, Table, shown
 from yardbank.config.blocks import DistributionBlock
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 from yardbank.server_list.document import ServerListError, digest_of
 from yardbank.server_list.watcher import Watcher
 
@@ -102,7 +102,7 @@
         self._part.replica.faults.clear()
         if adoptions:
             try:
-                write_whole(self._path, text_of(self._part.replica.table))
+                write_atomically(self._path, text_of(self._part.replica.table))
             except OSError as problem:
                 self._log.error("distributed_list_not_written", path=str(self._path), fault=str(problem))
 
--- a/yardbank/cluster/peers/startup.py
+++ b/yardbank/cluster/peers/startup.py
@@ -9,7 +9,7 @@
 from yardbank.cluster.peers import PeersError
 from yardbank.cluster.peers.datagram import read_keys
 from yardbank.cluster.peers.peer_list import next_boot_epoch, parse_stored_epoch
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 
 EPOCH_FILE = "peers-life"  # in the state folder; the name is that of the landed version
 
@@ -42,7 +42,7 @@
     boot_epoch = next_boot_epoch(parse_stored_epoch(stored), wall)
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        write_whole(path, str(boot_epoch))
+        write_atomically(path, str(boot_epoch))
     except OSError as error:
         log.warning("boot_epoch_write_failed", path=str(path), error=str(error))
     return boot_epoch
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -25,7 +25,7 @@
 from yardbank.cluster.peers.startup import begin_boot_epoch, load_keys
 from yardbank.cluster.peers.view import node_view
 from yardbank.config.blocks import PeersBlock
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 from yardbank.server_list.watcher import Watcher
 
 WRITE_EVERY = 1.0  # seconds between two writings of the view, at least
@@ -196,7 +196,7 @@
         self._view_timer = self._reactor.callLater(5 * WRITE_EVERY, self._write_view)
         path = self._folder / self._block.view
         try:
-            write_whole(path, json.dumps(self.view()) + "\n")
+            write_atomically(path, json.dumps(self.view()) + "\n")
         except OSError as problem:
             self._log.warning("peers_view_write_failed", path=str(path), error=str(problem))
 
--- a/yardbank/cluster/rollout/active_version.py
+++ b/yardbank/cluster/rollout/active_version.py
@@ -14,9 +14,9 @@
 import msgspec
 
 FILE = "rollout-in-force.json"
-VARIABLE = "YARDBANK_IN_FORCE"  # a worker's environment: the same, as its supervisor knows it
-GIVEN = "YARDBANK_GIVEN"  # likewise: the settings file that its supervisor was given
-EXIT_ANEW = 86  # of a worker that is to be started anew, by what the file says then
+ACTIVE_VERSION_VARIABLE = "YARDBANK_IN_FORCE"  # a worker's environment: the same, as its supervisor knows it
+SETTINGS_FILE_VARIABLE = "YARDBANK_GIVEN"  # likewise: the settings file that its supervisor was given
+EXIT_FOR_RESTART = 86  # of a worker that is to be started anew, by what the file says then
 MAX_OCTETS = 1 << 16
 
 
@@ -100,8 +100,12 @@
 
 def of_worker(environment: Mapping[str, str], file: Path) -> Started:
     """Of a process that serves ``file``. Raises ``ValueError``."""
-    if VARIABLE in environment:
-        return Started(decoded(environment[VARIABLE]), Path(environment.get(GIVEN, str(file))), True)
+    if ACTIVE_VERSION_VARIABLE in environment:
+        return Started(
+            decoded(environment[ACTIVE_VERSION_VARIABLE]),
+            Path(environment.get(SETTINGS_FILE_VARIABLE, str(file))),
+            True,
+        )
     return Started(read(file.parent), file, False)
 
 
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -6,7 +6,7 @@
 
 from yardbank.cluster.peers.parts import MembershipView, Message
 from yardbank.cluster.rollout.local_state import Options
-from yardbank.cluster.rollout.metrics import Figures, cells
+from yardbank.cluster.rollout.metrics import Metrics, cells
 from yardbank.cluster.rollout.record import MAX_RECORD, MAX_WHY, Cell, GatewayRecord, encoded
 from yardbank.cluster.rollout.record_log import RecordLog, passed_on_often
 from yardbank.cluster.rollout.stage_plan import StagePlan
@@ -34,7 +34,7 @@
         self._at = 0  # of the next beat
         self._number = 0
         self._rounds = 0  # of telling at once that this gateway says stop, still to go
-        self._figures = Figures()
+        self._figures = Metrics()
         self._cells: tuple[Cell, ...] = ()
 
     def enter(self, now: int, order: StagePlan, stage: int) -> bool:
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -22,7 +22,7 @@
 import xxhash
 from pydantic import ConfigDict, Field, field_validator, model_validator
 
-from yardbank.config.base import Duration, Model, Words
+from yardbank.config.base import Duration, Model, StringTuple
 from yardbank.config.checked import Checked, ConfigError, Faults, Shape, check_text
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,31}$"
@@ -45,7 +45,7 @@
     most_at_once: Annotated[int, Field(ge=1, le=64, strict=True)] = 1
     outage: Duration = 30 * SECOND  # one that changes is back and settled within this, or it is no planned one
     longest: Duration = 1800 * SECOND  # to wait for evidence in one stage
-    worse: Words = METRICS
+    worse: StringTuple = METRICS
     worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.02  # of the requests of a class
     false_stop: Annotated[float, Field(gt=0, le=0.5)] = 0.05
     false_pass: Annotated[float, Field(gt=0, le=0.5)] = 0.05
--- a/yardbank/cluster/rollout/local_state.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -10,7 +10,7 @@
 from yardbank.cluster.peers.parts import KeyValueStore
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.document import Change
-from yardbank.cluster.rollout.metrics import Figures
+from yardbank.cluster.rollout.metrics import Metrics
 from yardbank.cluster.rollout.phase import MOVED, TABLE, Phase
 
 MAX_STOPPED = 64  # rollouts that are remembered as stopped; the oldest are forgotten first
@@ -20,7 +20,7 @@
 class Options:
     """What the part is made with."""
 
-    figures: Callable[[], Figures] = Figures  # this gateway's, at this time
+    figures: Callable[[], Metrics] = Metrics  # this gateway's, at this time
     active_version: ActiveVersion = field(default_factory=ActiveVersion)  # what is in force as the process starts
     name: str = ""  # a short hash of that
     beat: int = 0  # ns between two readings of figures; 0: by the size of the fleet
--- a/yardbank/cluster/rollout/metrics.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
+class Metrics:
     """Of one gateway: by ``class_key``, and the memory of its process in octets."""
 
     classes: Mapping[str, ClassFigures] = field(default_factory=dict)
@@ -56,7 +56,7 @@
     return 0
 
 
-def cells(before: Figures, after: Figures) -> tuple[tuple[Cell, ...], tuple[str, ...]]:
+def cells(before: Metrics, after: Metrics) -> tuple[tuple[Cell, ...], tuple[str, ...]]:
     """A record's cells, p99 of what came since ``before``; and the classes that there is no room for.
 
     Those with most requests are told; of equals the first by name.
@@ -104,7 +104,7 @@
     promises: Mapping[str, Iterable[object]],
     beyond: Callable[[int], int],
     memory: int,
-) -> Figures:
+) -> Metrics:
     """A gateway's figures; ``beyond``: the latency that ends a bucket; ``promises``: what is promised for a class."""
     classes = {
         class_key(name, promises[name]): ClassFigures(
@@ -118,7 +118,7 @@
         for name, one in tallies.items()
         if name in promises
     }
-    return Figures(classes, memory)
+    return Metrics(classes, memory)
 
 
 def resident(statm: str, page: int) -> int:
--- a/yardbank/config/base.py
+++ b/yardbank/config/base.py
@@ -26,7 +26,7 @@
 
 
 Duration = Annotated[int, BeforeValidator(duration)]  # nanoseconds
-Words = Annotated[tuple[str, ...], BeforeValidator(_list)]
+StringTuple = Annotated[tuple[str, ...], BeforeValidator(_list)]
 
 
 class Model(BaseModel):
--- a/yardbank/config/schema.py
+++ b/yardbank/config/schema.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field, model_validator
 
-from yardbank.config.base import Duration, Model, Words
+from yardbank.config.base import Duration, Model, StringTuple
 from yardbank.config.blocks import (
     AtlasBlock,
     ChannelsBlock,
@@ -106,11 +106,11 @@
 class Match(Model):
     """What a class's operations look like; what is left out matches all."""
 
-    operation: Words
+    operation: StringTuple
     base: str = ""
-    scope: Words = ()
-    attribute: Words = ()
-    identity: Words = ()
+    scope: StringTuple = ()
+    attribute: StringTuple = ()
+    identity: StringTuple = ()
 
     @model_validator(mode="after")
     def _words(self) -> Match:
--- a/yardbank/daemon/versioned_supervisor.py
+++ b/yardbank/daemon/versioned_supervisor.py
@@ -1,7 +1,7 @@
 """One worker and its versions: starts it by what is in force, anew when it asks for it, back when it dies young.
 
-The worker's environment says what is in force (``rollout.active_version.VARIABLE``). Any program that has
-``serve FILE`` can be the worker; one that knows nothing of rollouts runs, and is kept running.
+The worker's environment says what is in force (``rollout.active_version.ACTIVE_VERSION_VARIABLE``). Any program that
+has ``serve FILE`` can be the worker; one that knows nothing of rollouts runs, and is kept running.
 """
 
 from __future__ import annotations
@@ -54,8 +54,8 @@
         now = self._versions.active_version.now
         command = [*now.command([sys.executable, "-m", "yardbank"]), "serve", str(now.file(self._file)), *self._options]
         told = {
-            active_version_file.VARIABLE: active_version_file.encoded(self._versions.active_version),
-            active_version_file.GIVEN: str(self._file),
+            active_version_file.ACTIVE_VERSION_VARIABLE: active_version_file.encoded(self._versions.active_version),
+            active_version_file.SETTINGS_FILE_VARIABLE: str(self._file),
         }
         environment = {**os.environ, **told}
         self._versions.started(time.monotonic())
@@ -95,7 +95,7 @@
                 version=before.name,
                 why=found.why,
             )
-        elif code == active_version_file.EXIT_ANEW:
+        elif code == active_version_file.EXIT_FOR_RESTART:
             self._log.info("worker_restarted", worker=0, version=found.active_version.now.name)
         else:
             self._log.error("worker_died", worker=0, code=code, signal=ended_by, again_in_s=found.wait)
--- a/yardbank/daemon/versions.py
+++ b/yardbank/daemon/versions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from yardbank.cluster.rollout.active_version import EXIT_ANEW, ActiveVersion
+from yardbank.cluster.rollout.active_version import EXIT_FOR_RESTART, ActiveVersion
 from yardbank.daemon.restarts import Restarts
 
 
@@ -33,7 +33,7 @@
 
     def ended(self, now: float, wall: float, how: str, code: int | None, file: ActiveVersion) -> Next:
         """The worker ended by itself; ``file``: what the file says is in force."""
-        if code == EXIT_ANEW:
+        if code == EXIT_FOR_RESTART:
             self.active_version = file
             return Next(file, 0.0)
         age = now - self._started
--- a/yardbank/daemon/worker.py
+++ b/yardbank/daemon/worker.py
@@ -128,9 +128,9 @@
 
     def leave(self) -> None:
         """A rollout asks for it: the supervisor starts this gateway again, by what is in force then."""
-        from yardbank.cluster.rollout.active_version import EXIT_ANEW
+        from yardbank.cluster.rollout.active_version import EXIT_FOR_RESTART
 
-        self.exit_code = EXIT_ANEW
+        self.exit_code = EXIT_FOR_RESTART
         self.stop()
 
     def supervisor_gone(self) -> None:
--- a/yardbank/files.py
+++ b/yardbank/files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-def write_whole(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """A file that is there whole or not at all. Raises ``OSError``."""
     part = path.with_name(path.name + ".part")
     part.write_text(text, encoding="utf-8")
--- a/yardbank/gateway/prober.py
+++ b/yardbank/gateway/prober.py
@@ -161,8 +161,8 @@
         Raises its ``ValueError``.
         """
         event = api.ZoneLatencies(tuple(latencies))
-        if event.ways != self._zone_latencies:
-            self._zone_latencies = event.ways
+        if event.latencies != self._zone_latencies:
+            self._zone_latencies = event.latencies
             self._events.handle(event)
 
     def forget(self, server: int) -> None:
--- a/yardbank/interface/events.py
+++ b/yardbank/interface/events.py
@@ -112,12 +112,12 @@
 class GossipedOutliers:
     """What gossip says of servers' health; replaces the last one.
 
-    ``doubted``: servers found to be outliers, each until when (ns); ``well``: servers that this gateway has ejected and
-    others find healthy.
+    ``outliers``: servers found to be outliers, each until when (ns); ``healthy``: servers that this gateway has ejected
+    and others find healthy.
     """
 
-    doubted: tuple[tuple[int, int], ...] = ()
-    well: tuple[int, ...] = ()
+    outliers: tuple[tuple[int, int], ...] = ()
+    healthy: tuple[int, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -132,15 +132,15 @@
 class ZoneLatencies:
     """Latencies to other zones; replaces the last one. A zone that is not named costs a constant factor.
 
-    Each entry of ``ways``: the zone; the round trip beyond one within this gateway's own zone (ns); the longest whole
-    round trip (ns), with less than which left an attempt is of no use there (0: the first alone says). Raises
+    Each entry of ``latencies``: the zone; the round trip beyond one within this gateway's own zone (ns); the longest
+    whole round trip (ns), with less than which left an attempt is of no use there (0: the first alone says). Raises
     ``ValueError`` for a negative one.
     """
 
-    ways: tuple[tuple[str, int, int], ...] = ()
+    latencies: tuple[tuple[str, int, int], ...] = ()
 
     def __post_init__(self) -> None:
-        for zone, beyond, longest in self.ways:
+        for zone, beyond, longest in self.latencies:
             require(beyond >= 0 and longest >= 0, f"ways[{zone}]: a round trip must not be negative")
 
 
--- a/yardbank/interface/settings.py
+++ b/yardbank/interface/settings.py
@@ -6,7 +6,7 @@
 
 from yardbank.interface.values import Effect, KeyScope, ReadMode, ReplicaCheck, ReportMode, TokenMode
 
-LONGEST = 1 << 62  # ns, 146 years: sums with longer times would not be exact enough
+MAX_DURATION = 1 << 62  # ns, 146 years: sums with longer times would not be exact enough
 MAX_WEIGHT = 1e12
 
 
@@ -30,9 +30,11 @@
 
     def __post_init__(self) -> None:
         require(self.name != "", "classes must have names")
-        require(0 < self.latency_objective < LONGEST, f"classes[{self.name}].aim must be positive and under 146 years")
-        require(0 < self.deadline < LONGEST, f"classes[{self.name}].deadline must be positive and under 146 years")
-        require(0 <= self.window < LONGEST, f"classes[{self.name}].window must not be negative, nor 146 years")
+        require(
+            0 < self.latency_objective < MAX_DURATION, f"classes[{self.name}].aim must be positive and under 146 years"
+        )
+        require(0 < self.deadline < MAX_DURATION, f"classes[{self.name}].deadline must be positive and under 146 years")
+        require(0 <= self.window < MAX_DURATION, f"classes[{self.name}].window must not be negative, nor 146 years")
         require(self.effect in tuple(Effect), f"classes[{self.name}].effect: {self.effect!r}")
         require(self.scope in tuple(KeyScope), f"classes[{self.name}].scope: {self.scope!r}")
         require(
@@ -43,7 +45,7 @@
             f"classes[{self.name}].late_worth must not be negative, nor beyond 1e12",
         )
         bound = self.staleness_bound
-        require(0 <= bound < LONGEST, f"classes[{self.name}].staleness_bound must not be negative, nor 146 years")
+        require(0 <= bound < MAX_DURATION, f"classes[{self.name}].staleness_bound must not be negative, nor 146 years")
         require(self.read in tuple(ReadMode), f"classes[{self.name}].read: {self.read!r}")
 
 
@@ -83,12 +85,12 @@
         require(self.reports in tuple(ReportMode), f"reports: {self.reports!r}")
         require(len(self.classes) > 0, "classes must name at least one class")
         require(len({c.name for c in self.classes}) == len(self.classes), "classes must have distinct names")
-        require(0 < self.period < LONGEST, "period must be positive and under 146 years")
+        require(0 < self.period < MAX_DURATION, "period must be positive and under 146 years")
         require(self.max_attempts > 0, "max_attempts must be positive")
-        require(0 <= self.cold < LONGEST, "cold must not be negative, nor 146 years")
-        require(0 <= self.patience < LONGEST, "patience must not be negative, nor 146 years")
-        require(0 < self.connect_timeout < LONGEST, "connect_timeout must be positive and under 146 years")
-        require(0 <= self.max_retry_after < LONGEST, "max_retry_after must not be negative, nor 146 years")
+        require(0 <= self.cold < MAX_DURATION, "cold must not be negative, nor 146 years")
+        require(0 <= self.patience < MAX_DURATION, "patience must not be negative, nor 146 years")
+        require(0 < self.connect_timeout < MAX_DURATION, "connect_timeout must be positive and under 146 years")
+        require(0 <= self.max_retry_after < MAX_DURATION, "max_retry_after must not be negative, nor 146 years")
         require(0 < self.cold_share <= 1, "cold_share must be above 0 and at most 1")
 
 
--- a/yardbank/interface/values.py
+++ b/yardbank/interface/values.py
@@ -92,9 +92,9 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection broke
     CANCELLED = "cancelled"
-    MOOT = "moot"  # it was not sent
+    NOT_SENT = "moot"  # it was not sent
     MISS = "miss"  # the server is not primary, or is behind what the read requires
 
 
-NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS))  # attempts without an effect
+NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS))  # attempts without an effect
 NEEDS_PRIMARY = frozenset((ReadMode.FRESH, ReadMode.WRITE))
--- a/yardbank/platform/config.py
+++ b/yardbank/platform/config.py
@@ -11,7 +11,7 @@
 
 from yardbank.gateway.api import ServerSpec
 from yardbank.interface import Settings
-from yardbank.interface.settings import LONGEST
+from yardbank.interface.settings import MAX_DURATION
 from yardbank.platform.listing import Listing, ListingError, describe_fault, parse_listing, read_port
 from yardbank.wire import WireError, read_settings
 
@@ -109,10 +109,10 @@
     if sockets < LEAST_SOCKETS:
         raise PlatformError(f"limits.sockets: {sockets} is too few")
     memory = 128 if limits.memory_mb is None else limits.memory_mb
-    if not 1 <= memory < LONGEST:
+    if not 1 <= memory < MAX_DURATION:
         raise PlatformError(f"limits.memory_mb: {memory!r} is no size")
     idle_close = ceilings.idle_close or MAX_SECONDS_BETWEEN * 10**9
-    if not 0 < idle_close < LONGEST:
+    if not 0 < idle_close < MAX_DURATION:
         raise PlatformError(f"settings.ceilings.idle_close: {idle_close} must not be negative, nor 146 years")
     try:
         known = Listing(0, True, {}) if bytes(told.known) == bytes(_NULL) else parse_listing(told.known)
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -183,8 +183,8 @@
 
     def apply_gossiped_outliers(self, now: int, event: api.GossipedOutliers) -> None:
         """Gossip keeps reads from a server that another can take, and brings trials forward, not all at once."""
-        self.gossiped_outliers = dict(event.doubted)
-        for number in event.well:
+        self.gossiped_outliers = dict(event.outliers)
+        for number in event.healthy:
             server = self.servers.get(number)
             if server is None:
                 continue
@@ -194,7 +194,7 @@
 
     def apply_zone_latencies(self, event: api.ZoneLatencies) -> None:
         """Replace the latencies between zones: the round trip, and the longest one that must still fit."""
-        self.zone_latencies = {zone: (beyond, max(beyond, longest)) for zone, beyond, longest in event.ways}
+        self.zone_latencies = {zone: (beyond, max(beyond, longest)) for zone, beyond, longest in event.latencies}
 
     def extra_latency(self, server: Server) -> int:
         """The round trip to a server's zone beyond one within this zone (ns); 0 where it is not known."""
--- a/yardbank/testing/demo/runner.py
+++ b/yardbank/testing/demo/runner.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 
 from yardbank.config import advice, load_text
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 from yardbank.testing.audit import judge
 from yardbank.testing.audit.report import as_dict, show
 from yardbank.testing.audit.summary import ClassRow, by_class, table
@@ -38,7 +38,7 @@
 
 def write_json(path: Path, value: Any) -> None:
     """A file that is there whole or not at all."""
-    write_whole(path, json.dumps(value, indent=2) + "\n")
+    write_atomically(path, json.dumps(value, indent=2) + "\n")
 
 
 def _row(row: ClassRow) -> dict[str, Any]:
--- a/yardbank/testing/rig/blocks.py
+++ b/yardbank/testing/rig/blocks.py
@@ -6,14 +6,14 @@
 
 from pydantic import Field
 
-from yardbank.config.base import Duration, Model, Words
+from yardbank.config.base import Duration, Model, StringTuple
 
 
 class Fleet(Model):
     """The gateways, g1 to gN."""
 
     gateways: Annotated[int, Field(gt=0, le=64, strict=True)] = 4
-    zones: Words = ("norte", "sur")  # gateways and servers take them in turn
+    zones: StringTuple = ("norte", "sur")  # gateways and servers take them in turn
     durable: bool = True  # each keeps its state on disk
     stop_grace: Duration = 2_000_000_000
     peers: bool = False  # they know of each other
@@ -21,7 +21,7 @@
     channels: bool = False  # one carries the servers' positions, and what programs publish, for all
     rollout: bool = False  # changes go through them in stages; each runs under a supervisor
     atlas: bool = False  # they share a map of ways between zones
-    publishers: Words = ()  # gateways that may publish a list, which all hold a copy of
+    publishers: StringTuple = ()  # gateways that may publish a list, which all hold a copy of
     term: Duration = 1_000_000_000  # of a lease
     overlap: Duration = 300_000_000  # of two holders, at a planned handing on
     settle: Duration = 60_000_000_000  # they may take so long to agree, once the load is over
@@ -31,7 +31,7 @@
     """Gateways that run another program than this one."""
 
     name: Literal["landed", "notices"]  # an older one, laid out at $YARDBANK_LANDED; the example that has channels
-    who: Words
+    who: StringTuple
     channels: Annotated[int, Field(gt=0, le=200, strict=True)] = 2  # notices-1 to notices-N
 
     def carried(self) -> list[str]:
--- a/yardbank/testing/rig/claim.py
+++ b/yardbank/testing/rig/claim.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field, model_validator
 
-from yardbank.config.base import Duration, Model, Words
+from yardbank.config.base import Duration, Model, StringTuple
 
 PEERS = ("views", "belief", "unmoved")  # need gateways that know of each other
 CHANNELS = ("owners", "followers", "owned_again", "steady")
@@ -73,7 +73,7 @@
     least: Annotated[float, Field(ge=0, le=1)] = 0.0  # share, for "served"
     after: str = ""  # a step: counted from its end
     until: str = ""  # a step: counted up to its beginning
-    who: Words = ("*",)  # gateways
+    who: StringTuple = ("*",)  # gateways
     request_class: str = ""
     most: Annotated[int, Field(ge=0, strict=True)] = 0  # gateways out together; changes of owner
     overlap: Duration | None = None  # of two owners; as the fleet's, if it is not given
--- a/yardbank/testing/rig/gateway_folder.py
+++ b/yardbank/testing/rig/gateway_folder.py
@@ -10,7 +10,7 @@
 
 import lmdb
 
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 from yardbank.testing.rig.changes import asking, changed, file_name, word
 from yardbank.testing.rig.load import DEADLINE, STALENESS
 from yardbank.testing.rig.load_driver import DESK_DN, DESK_PASSWORD
@@ -173,27 +173,27 @@
         self.log = self.folder / "log"
         self._store, self._kept = self.folder / "state", self.folder / "state-as-it-was"
         self._source, self._copy = self.folder / "source.hcl", self.folder / "distributed.hcl"
-        write_whole(self.folder / "peers.key", f"{seed:064x}\n")
+        write_atomically(self.folder / "peers.key", f"{seed:064x}\n")
         self.in_force = self.folder / "rollout-in-force.json"
         self._text = settings_text(scenario, name, seed)
-        write_whole(self.settings, self._text)
+        write_atomically(self.settings, self._text)
 
     def ask(self, step: Step) -> None:
         """A rollout is asked for, or an operator has his word on it."""
         if step.do == "rollout":
-            write_whole(self.folder / file_name(step), changed(self._text, step.change))
-            write_whole(self.folder / "rollout.hcl", asking(step))
+            write_atomically(self.folder / file_name(step), changed(self._text, step.change))
+            write_atomically(self.folder / "rollout.hcl", asking(step))
         else:
-            write_whole(self.folder / "rollout.hcl.word", word(step))
+            write_atomically(self.folder / "rollout.hcl.word", word(step))
 
     def publish(self, text: str) -> None:
         """The list that this gateway is to publish, where it may."""
-        write_whole(self._source, text)
+        write_atomically(self._source, text)
 
     def start_with(self, program: str) -> None:
         """The supervisor's worker is another program than the supervisor's own."""
         version = {"program": program}
-        write_whole(self.in_force, json.dumps({"now": version, "before": version}) + "\n")
+        write_atomically(self.in_force, json.dumps({"now": version, "before": version}) + "\n")
 
     def keep_copy(self) -> None:
         """Copy the store as it is now, while its owner runs: what a backup would hold."""
--- a/yardbank/testing/rig/record.py
+++ b/yardbank/testing/rig/record.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 
 
 class Recorder:
@@ -45,4 +45,4 @@
             self._file.close()
             self._file = None
             lines = (json.dumps(fact, separators=(",", ":")) + "\n" for fact in self.facts)
-            write_whole(self._path, "".join(lines))
+            write_atomically(self._path, "".join(lines))
--- a/yardbank/testing/rig/running_fleet.py
+++ b/yardbank/testing/rig/running_fleet.py
@@ -13,7 +13,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from yardbank.files import write_whole
+from yardbank.files import write_atomically
 from yardbank.testing.rig.gateway_folder import (
     GATEWAY_DN,
     GATEWAY_PASSWORD,
@@ -218,7 +218,7 @@
             return
         listed = self.listed[gateway]
         ports = {server: self._relays[gateway, server].port for server in listed}
-        write_whole(self.places[gateway].list, list_text(listed, ports))
+        write_atomically(self.places[gateway].list, list_text(listed, ports))
         before = self._written.setdefault(gateway, {})
         for server, one in listed.items():
             if one.state != before.get(server, "ready"):
@@ -251,7 +251,7 @@
                     )
                     self._datagrams.append(datagrams)
                     ports[target] = datagrams.port
-                write_whole(self.places[source].peers, peers_text(ports, self._peer_zones()))
+                write_atomically(self.places[source].peers, peers_text(ports, self._peer_zones()))
 
     def _tap(self, source: str, target: str) -> Callable[[int], Tap]:
         if source == CLIENTS:
--- a/yardbank/testing/rig/steps.py
+++ b/yardbank/testing/rig/steps.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field, model_validator
 
-from yardbank.config.base import Duration, Model, Words
+from yardbank.config.base import Duration, Model, StringTuple
 
 DATAGRAMS = ("lose", "double", "reorder")  # of gateways to each other; a stream has none of it
 NETWORK = ("cut", "delay", "throttle", "spoil", "lose", "double", "reorder")
@@ -95,9 +95,9 @@
     after: str = ""  # a step (when it is over) or an event such as "elected:GROUP"
     lasts: Duration = 0  # 0: for good, or until ``until``
     until: str = ""  # a step or an event that ends it
-    who: Words = ()
-    from_: Words = Field(default=(), alias="from")
-    to: Words = ()
+    who: StringTuple = ()
+    from_: StringTuple = Field(default=(), alias="from")
+    to: StringTuple = ()
     oneway: bool = False
     how: Literal["silent", "reset"] = "silent"
     by: Duration = 0
@@ -108,7 +108,7 @@
     count: Annotated[int, Field(ge=0, strict=True)] = 0  # of committed writes whose answers are lost
     state: Literal["", "ready", "draining", "gone"] = ""
     store: Literal["kept", "lost", "damaged", "old"] = "kept"  # what the gateway finds when it is started again
-    gateways: Words = ("*",)  # who is told; whose clients leave
+    gateways: StringTuple = ("*",)  # who is told; whose clients leave
     late: Duration = 0  # they are told so long after discovery has it
     means: Literal["close", "reset", "abandon"] = "close"  # of clients that leave
     rollout: Annotated[str, Field(pattern=r"^[a-z0-9-]{1,32}$")] = "change"  # its name
