--- a/yardbank/cluster/rollout/active_version.py
+++ b/yardbank/cluster/rollout/active_version.py
@@ -14,8 +14,9 @@
 import msgspec
 
 FILE = "rollout-in-force.json"
-ACTIVE_VERSION_VARIABLE = "YARDBANK_IN_FORCE"  # a worker's environment: the same, as its supervisor knows it
-SETTINGS_FILE_VARIABLE = "YARDBANK_GIVEN"  # likewise: the settings file that its supervisor was given
+# Environment variables of a worker: the active version as JSON, and the settings file its supervisor was started with
+ACTIVE_VERSION_VARIABLE = "YARDBANK_IN_FORCE"
+SETTINGS_FILE_VARIABLE = "YARDBANK_GIVEN"
 EXIT_FOR_RESTART = 86  # of a worker that is to be started anew, by what the file says then
 MAX_OCTETS = 1 << 16
 
--- a/yardbank/cluster/rollout/canary_analysis.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -49,8 +49,8 @@
         self._spread: dict[str, tuple[float, int]] = {}  # of the p99 of a class: sum of differences, and windows
         self.classes: set[str] = set()
         self.apart: set[str] = set()  # classes that only one side has, or promises otherwise: not compared
-        self.altered: set[str] = set()  # classes that both have and promise otherwise: never shown to be well
-        self.evidence = self.soundness = 0.0  # logarithms
+        self.altered: set[str] = set()  # classes both sides have, with other targets: prevent a pass
+        self.evidence = self.soundness = 0.0  # logarithms of e-values: that it is worse, that it is not
         self.why = ""
 
     @property
@@ -167,7 +167,7 @@
         table = np.stack([[self._worse.get((pair, what), none) for what in whats] for pair in self.pairs])
         found = float(judge.stop_evidence(table, [pair.zone for pair in self.pairs], groups))
         most = max(MAX_CELLS * len(self.change.worse), len(whats))  # those not seen yet count as one each
-        rest = math.log(most - len(whats) + 1e-9)
+        rest = math.log(most - len(whats) + 1e-9)  # comparisons not seen yet count with an e-value of 1
         self.evidence = float(np.logaddexp(found + math.log(len(whats)), rest)) - math.log(most)
         totals = table.sum(axis=0).max(axis=-1)
         metric, name = whats[int(totals.argmax())]
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -27,7 +27,8 @@
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,31}$"
 SHARES = ("served", "refused", "failed", "late")  # of requests, judged by class
-FILE = r"^([A-Za-z0-9][A-Za-z0-9._-]{0,99})?$"  # in the same folder: what it names lies where it did
+# A file in the same directory, so that relative paths in it resolve as in the original settings
+FILE = r"^([A-Za-z0-9][A-Za-z0-9._-]{0,99})?$"
 METRICS = (*SHARES, "p99", "restarts", "memory")
 SECOND = 1_000_000_000
 MAX_STAGES = 16
@@ -46,7 +47,7 @@
     outage: Duration = 30 * SECOND  # one that changes is back and settled within this, or it is no planned one
     longest: Duration = 1800 * SECOND  # to wait for evidence in one stage
     worse: StringTuple = METRICS
-    worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.02  # of the requests of a class
+    worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.02  # least difference, as a share of a class's requests
     false_stop: Annotated[float, Field(gt=0, le=0.5)] = 0.05
     false_pass: Annotated[float, Field(gt=0, le=0.5)] = 0.05
     p99: Annotated[float, Field(gt=1, le=100)] = 1.5  # times the old one's
--- a/yardbank/cluster/rollout/metrics.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -22,7 +22,7 @@
     refused: int = 0
     failed: int = 0
     left: int = 0
-    latencies: Mapping[int, int] = field(default_factory=dict)  # upper bound (ns): how many, of those answered
+    latencies: Mapping[int, int] = field(default_factory=dict)  # bucket's upper bound (ns): count, of answered requests
 
     def total(self) -> int:
         """All of them."""
--- a/yardbank/cluster/rollout/record_log.py
+++ b/yardbank/cluster/rollout/record_log.py
@@ -28,7 +28,8 @@
     said: GatewayRecord
     raw: bytes
     told: int = 0  # how often it was passed on
-    past: deque[GatewayRecord] = field(default_factory=lambda: deque(maxlen=MAX_PAST))  # of this life and side, by beat
+    # By beat; only records comparable with the newest one
+    past: deque[GatewayRecord] = field(default_factory=lambda: deque(maxlen=MAX_PAST))
 
 
 class RecordLog:
--- a/yardbank/cluster/rollout/sequential_test.py
+++ b/yardbank/cluster/rollout/sequential_test.py
@@ -1,16 +1,16 @@
-"""Whether the new version does worse: e-processes over pairs of gateways, looked at as often as wanted. Pure.
+"""Anytime-valid test whether the new version does worse: e-processes over pairs of gateways. Pure functions.
 
-In each window a new gateway and an old one of its zone are compared: the same number of requests of each (of the one
-that had more a hypergeometric draw), ``D`` the difference of their shares. If the version makes no difference, the two
-could as well have been told the other way round, whatever befell both: so ``D`` is symmetric, and for a symmetric X
+Each window compares a new gateway with an old one of its zone on the same number of requests; the side with more is
+subsampled by a hypergeometric draw. ``D`` is the difference of their shares. If the version makes no difference, the
+two gateways are exchangeable, whatever affects both, so ``D`` is symmetric, and for a symmetric X
     E exp(bet X - bet^2 X^2 / 2) <= 1        (de la Peña, Annals of Probability 27, 1999, lemma 6.1)
-for any bet, also for one that is shifted down: g(y - c) + g(-y - c) <= 2 for c >= 0. X is D less a margin, over a
-scale that does not tell who is who. The product over windows and pairs is a test martingale's, mixed over bets; by
-Ville's inequality it passes 1/a at any time with a chance of a at most. Nothing is assumed of requests within a window:
-they may fail in bursts.
+for any bet, also if X is shifted down: g(y - c) + g(-y - c) <= 2 for c >= 0. X is ``D`` less a margin, divided by a
+scale that is the same if the two gateways are exchanged. The product over windows and pairs, mixed over bets, is a
+test supermartingale; by Ville's inequality it ever exceeds 1/a with probability at most a, so it may be checked at any
+time. Requests within a window need not be independent: they may fail in bursts.
 
-Of each product the best single gateway is left out before it is judged: one that lies moves nothing by itself, and what
-is left out only makes a verdict later.
+From each product the most favourable single gateway is left out, so that one gateway with false reports cannot cause a
+verdict; leaving it out can only delay a verdict.
 """
 
 from __future__ import annotations
@@ -69,8 +69,8 @@
 def stop_evidence(pairs: Floats, zones: Sequence[str], groups: Sequence[Sequence[int]]) -> Floats:
     """The logarithm of the e-value that something got worse: of (..., pair, what, bet), by ``worse``.
 
-    Mixed over all zones together and each by itself, over all that is compared, and over bets. ``groups``: the pairs
-    that each gateway is part of.
+    Mixed over all zones together and each zone by itself, over everything compared, and over bets. ``groups``: the
+    pairs that each gateway is part of.
     """
     if len(groups) < 2:
         return np.zeros(pairs.shape[:-3])
--- a/yardbank/cluster/rollout/state_machine.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -172,7 +172,7 @@
         before, self.phase = self.phase, Phase.OUT if self.phase == Phase.DUE else Phase.BACK_OUT
         kept = self._remember(now)
         self.phase = before
-        if not kept and before == Phase.DUE:  # what is not remembered would not be found again: it stays on the old one
+        if not kept and before == Phase.DUE:  # a restart would not find a change that is not stored
             permit.release(now)
             return
         self.orders.append(Activate(self.version(), down) if before == Phase.DUE else RollBack(down))
