--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from yardbank.scheduler import Budget, Job, Queue, Runner
-from yardbank.scheduler.plan import AGEING
+from yardbank.scheduler.plan import AGING_INTERVAL
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -76,8 +76,8 @@
 def test_nothing_starves():
     queue = Queue(Budget(1.0, SECOND))
     queue.add(0, Job("patient", 0, iter(())))
-    queue.add(2 * AGEING, Job("urgent", 1, iter(())))
-    assert queue.next(2 * AGEING).key == "patient"
+    queue.add(2 * AGING_INTERVAL, Job("urgent", 1, iter(())))
+    assert queue.next(2 * AGING_INTERVAL).key == "patient"
 
 
 def test_the_bound_drops_the_least_urgent_and_says_so():
@@ -116,13 +116,13 @@
         found = queue.next(now)
         if isinstance(found, Job):
             assert all(
-                j.priority <= found.priority or j.added_at > found.added_at - AGEING for j in queue.jobs.values()
+                j.priority <= found.priority or j.added_at > found.added_at - AGING_INTERVAL for j in queue.jobs.values()
             )
             assert spent <= now * share + 5 * MS  # before this slice
             now += cost * MS
             spent += cost * MS
             runs += 1
-            queue.ran(now, found, cost * MS, finished=cost % 2 == 0)
+            queue.record_slice(now, found, cost * MS, finished=cost % 2 == 0)
         else:
             now += found if found else 0
         now += MS
--- a/yardbank/directory/__init__.py
+++ b/yardbank/directory/__init__.py
@@ -1,1 +1,1 @@
-"""What directories are named and answered by, for all that knows of trees: names, scopes, result codes. No I/O."""
+"""Protocol-independent LDAP definitions: distinguished names, search scopes and result codes. No I/O."""
--- a/yardbank/directory/codes.py
+++ b/yardbank/directory/codes.py
@@ -1,4 +1,4 @@
-"""Result codes and scopes (RFC 4511)."""
+"""LDAP result codes and search scopes (RFC 4511)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Code(IntEnum):
-    """Result codes that the program itself names (RFC 4511 appendix A, RFC 3909, RFC 4528)."""
+    """Result codes that this program refers to by name (RFC 4511 appendix A, RFC 3909, RFC 4528)."""
 
     SUCCESS = 0
     OPERATIONS_ERROR = 1
@@ -40,9 +40,9 @@
 
 
 class Scope(IntEnum):
-    """What part of the tree a search covers."""
+    """Which part of the directory tree a search covers."""
 
     BASE = 0
     ONE = 1
     SUBTREE = 2
-    SUBORDINATE = 3  # the subtree without its base (as OpenLDAP and others serve it)
+    SUBORDINATE = 3  # the subtree without its base entry (an extension that OpenLDAP and others support)
--- a/yardbank/scheduler/__init__.py
+++ b/yardbank/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Background work with priorities and a budget: decided without I/O, run in slices on the reactor."""
+"""Scheduling of background jobs with priorities and a CPU budget, run in slices on the reactor."""
 
 from yardbank.scheduler.plan import Budget, Job, Queue
 from yardbank.scheduler.runner import Runner
--- a/yardbank/scheduler/runner.py
+++ b/yardbank/scheduler/runner.py
@@ -1,4 +1,4 @@
-"""Runs background jobs on a reactor, a slice at a time, between the events that matter more. Thin."""
+"""Runs background jobs on a reactor, one slice at a time, so that other events are handled in between."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class Runner:
-    """One gateway's background work."""
+    """Runner of one gateway's background jobs."""
 
     def __init__(self, queue: Queue, reactor: Any, now: Callable[[], int], log: Any) -> None:
         self.queue, self._reactor, self._now, self._log = queue, reactor, now, log
         self._timer: Any = None
 
     def add(self, key: str, priority: int, work: Iterator[object]) -> None:
-        """Do this work in the background; newer work of a key replaces older."""
-        gave_way = self.queue.add(self._now(), Job(key, priority, work))
-        if gave_way is not None and gave_way.key != key:
-            self._log.warning("background_job_dropped", key=gave_way.key, bound=self.queue.most)
+        """Add a background job; it replaces an older job with the same key."""
+        displaced = self.queue.add(self._now(), Job(key, priority, work))
+        if displaced is not None and displaced.key != key:
+            self._log.warning("background_job_dropped", key=displaced.key, bound=self.queue.most)
         self._arm(0)
 
     def stop(self) -> None:
-        """No more slices."""
+        """Drop all jobs and run no more slices."""
         self.queue.jobs.clear()
         if self._timer is not None:
             self._timer.cancel()
@@ -37,15 +37,15 @@
         self._timer = None
         job = self.queue.next(self._now())
         if isinstance(job, Job):
-            began, finished = self._now(), False
+            started_at, finished = self._now(), False
             try:
                 next(job.work)
             except StopIteration:
                 finished = True
-            except Exception as problem:  # noqa: BLE001  # one job's fault ends that job
+            except Exception as problem:  # noqa: BLE001  # error boundary: an error in one job ends only that job
                 finished = True
                 self._log.error("background_job_failed", key=job.key, error=repr(problem), exc_info=True)
-            self.queue.ran(self._now(), job, self._now() - began, finished)
+            self.queue.record_slice(self._now(), job, self._now() - started_at, finished)
             self._arm(0)
         elif job is not None:
             self._arm(job)
