--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -209,7 +209,7 @@
         def arrived() -> None:
             server = self.servers[number]
             marks = {"log": (server.position(),)}
-            self._passed[index].seen(self.clock.now, number, marks, asked_at)
+            self._passed[index].record_answer(self.clock.now, number, marks, asked_at)
             self._deciders[index].answered(self.clock.now, str(number), marks, asked_at)
             self._act(index)
 
@@ -225,8 +225,8 @@
             primary = self._primary[self._group[number]]
             if number == primary:
                 continue
-            taken = passed.take(self.clock.now, number, 1, one.marks)
-            if passed.due(self.clock.now, number):
+            taken = passed.record_claim(self.clock.now, number, 1, one.marks)
+            if passed.probe_due(self.clock.now, number):
                 self.ask(index, number)
             # a mark proves no more than what this gateway knows itself of the log's head
             position = min(one.marks["log"][0], gateway.router.servers[primary].position)  # type: ignore[attr-defined]
--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -9,7 +9,7 @@
 from tests.support.virtual_gateway import SERVERS, Place
 from yardbank.gateway import Reply, ServerSpec
 from yardbank.gateway.api import ProbeResult
-from yardbank.gateway.gossiped_positions import AGREED, FALSE, LOOK, TABLE, TRUSTED, UNSEEN, GossipedPositions
+from yardbank.gateway.gossiped_positions import AGREED, FALSE, PROBE_INTERVAL, TRANSITIONS, TRUST_PERIOD, UNSEEN, GossipedPositions
 from yardbank.interface import PositionGossiped, Role
 
 SEEDS = pytest.mark.parametrize("seed", [1, 2])
@@ -164,45 +164,45 @@
         if what == "word":
             claimed = min(much, has) if not lied else much
             lied = lied or much == 6 > has  # from now on words may claim too much
-            taken = passed.take(now, 1, 7, {"": (max(claimed, 1) if not lied else much + 1,)})
-            assert not taken or (agreed_at is not None and now - agreed_at < TRUSTED)
-        elif what == "look" and out is None and passed.due(now, 1):
+            taken = passed.record_claim(now, 1, 7, {"": (max(claimed, 1) if not lied else much + 1,)})
+            assert not taken or (agreed_at is not None and now - agreed_at < TRUST_PERIOD)
+        elif what == "look" and out is None and passed.probe_due(now, 1):
             out = now
         elif what == "lose":
             out = None
         elif what == "answer" and out is not None:
             has = max(has, much, 1) if not lied else max(has, 1)
-            if not passed.seen(now, 1, {"": (has,)}, out):
+            if not passed.record_answer(now, 1, {"": (has,)}, out):
                 assert lied
             agreed_at = now if passed.state(1) == AGREED else agreed_at
             out = None
         after = passed.state(1)
-        assert before == after or ((before, after) in {(a, b) for a, _, b in TABLE} and before != FALSE)
+        assert before == after or ((before, after) in {(a, b) for a, _, b in TRANSITIONS} and before != FALSE)
     assert passed.state(1) in (UNSEEN, AGREED, FALSE)
 
 
 def agreed(now=10**9):
     passed = GossipedPositions(Random(1), 0)
-    assert not passed.take(now, 1, 7, {"": (1,)}) and passed.due(now, 1) and passed.seen(now, 1, {"": (1,)}, now)
+    assert not passed.record_claim(now, 1, 7, {"": (1,)}) and passed.probe_due(now, 1) and passed.record_answer(now, 1, {"": (1,)}, now)
     return passed
 
 
 def test_only_an_answer_to_a_question_asked_after_the_word_says_that_it_is_false_or_holds():
     passed, now = agreed(), 10**9
-    assert passed.take(now + 1, 1, 7, {"": (5,)})
-    assert passed.seen(now + 2, 1, {"": (1,)}, now)  # the module's own, asked before: it says nothing
-    later = now + TRUSTED
-    assert passed.seen(later, 1, {"": (9,)}, later - 1)  # nor does one that this did not ask for extend the trust
-    assert not passed.take(later, 1, 7, {"": (5,)}) and passed.state(1) == UNSEEN
-    assert passed.due(later, 1) and passed.seen(later + 1, 1, {"": (1,)}, later - 1)  # begun before: asked in vain
-    assert passed.state(1) == UNSEEN and not passed.due(later + 1, 1)
-    assert not passed.seen(later + 2, 1, {"": (4,)}, later)
+    assert passed.record_claim(now + 1, 1, 7, {"": (5,)})
+    assert passed.record_answer(now + 2, 1, {"": (1,)}, now)  # the module's own, asked before: it says nothing
+    later = now + TRUST_PERIOD
+    assert passed.record_answer(later, 1, {"": (9,)}, later - 1)  # nor does one that this did not ask for extend the trust
+    assert not passed.record_claim(later, 1, 7, {"": (5,)}) and passed.state(1) == UNSEEN
+    assert passed.probe_due(later, 1) and passed.record_answer(later + 1, 1, {"": (1,)}, later - 1)  # begun before: asked in vain
+    assert passed.state(1) == UNSEEN and not passed.probe_due(later + 1, 1)
+    assert not passed.record_answer(later + 2, 1, {"": (4,)}, later)
 
 
 def test_trust_ends_where_a_server_leaves_looks_unanswered():
     passed, now = agreed(), 10**9
-    assert passed.take(now + TRUSTED - 1, 1, 7, {"": (1,)}) and not passed.take(now + TRUSTED, 1, 7, {"": (1,)})
-    passed.dropped(1)
+    assert passed.record_claim(now + TRUST_PERIOD - 1, 1, 7, {"": (1,)}) and not passed.record_claim(now + TRUST_PERIOD, 1, 7, {"": (1,)})
+    passed.forget(1)
     assert passed.state(1) == UNSEEN
 
 
@@ -210,12 +210,12 @@
     at = []
     for seed in range(200):
         passed, now = GossipedPositions(Random(seed), 200 * 10**6), 10**9
-        while not passed.take(now, 1, 7, {"": (1,)}) and not passed.due(now, 1):
+        while not passed.record_claim(now, 1, 7, {"": (1,)}) and not passed.probe_due(now, 1):
             now += 10**6
         at.append(now - 10**9)
     assert max(at) <= 201 * 10**6 and max(at.count(each) for each in at) < 10
     looks = 0
     for now in range(2 * 10**9, 62 * 10**9, 10**8):
-        passed.take(now, 1, 7, {"": (1,)})
-        looks += passed.due(now, 1)
-    assert 8 <= looks <= 16 and LOOK < TRUSTED
+        passed.record_claim(now, 1, 7, {"": (1,)})
+        looks += passed.probe_due(now, 1)
+    assert 8 <= looks <= 16 and PROBE_INTERVAL < TRUST_PERIOD
--- a/tests/gateway/test_parts.py
+++ b/tests/gateway/test_parts.py
@@ -7,7 +7,7 @@
 from tests.support.virtual_gateway import KEYED, READ, WRITE
 from yardbank.gateway.clock import SteadyClock, started_at
 from yardbank.gateway.deadlines import Deadlines
-from yardbank.gateway.ending import allowance, may_be_refused
+from yardbank.gateway.ending import allowed_time, may_be_refused
 from yardbank.gateway.slots import SlotTable
 
 
@@ -40,31 +40,31 @@
 
 def test_the_pool_shares_connections_and_is_bounded():
     pool = SlotTable(connections=2, multiplex=2, idle_close=100)
-    first = pool.place(0)
-    assert first.opening and pool.place(0).slot == first.slot  # the second waits for the same one
-    second = pool.place(0)
+    first = pool.assign(0)
+    assert first.opening and pool.assign(0).slot == first.slot  # the second waits for the same one
+    second = pool.assign(0)
     assert second.opening and second.slot != first.slot
-    pool.opened(first.slot, 1)
-    pool.opened(second.slot, 1)
-    assert pool.place(2).slot == second.slot
-    assert pool.place(2).slot is None  # every connection is full, and no more may be opened
-    assert not pool.freed(first.slot, 3, 0, True) and not pool.freed(first.slot, 3, 0, True)
-    assert pool.idle() == [first.slot] and pool.overdue(50) == [] and pool.overdue(103) == [first.slot]
+    pool.mark_open(first.slot, 1)
+    pool.mark_open(second.slot, 1)
+    assert pool.assign(2).slot == second.slot
+    assert pool.assign(2).slot is None  # every connection is full, and no more may be opened
+    assert not pool.release(first.slot, 3, 0, True) and not pool.release(first.slot, 3, 0, True)
+    assert pool.idle() == [first.slot] and pool.expired(50) == [] and pool.expired(103) == [first.slot]
 
 
 def test_a_connection_with_nothing_heard_since_a_time_out_takes_nothing_new():
     pool = SlotTable(1, 4, 100)
-    slot = pool.place(0).slot
-    pool.opened(slot, 1)
-    pool.place(5)
-    assert not pool.freed(slot, 10, 5, answered=False)  # one is still out there
-    assert pool.place(11).slot is None
-    assert pool.freed(slot, 12, 5, answered=True)  # now it can be closed
-    pool.lost(slot)
-    assert pool.place(13).opening
+    slot = pool.assign(0).slot
+    pool.mark_open(slot, 1)
+    pool.assign(5)
+    assert not pool.release(slot, 10, 5, answered=False)  # one is still out there
+    assert pool.assign(11).slot is None
+    assert pool.release(slot, 12, 5, answered=True)  # now it can be closed
+    pool.remove(slot)
+    assert pool.assign(13).opening
 
 
 def test_what_may_be_said_of_a_request_that_ends_early():
     assert may_be_refused(READ, True) and may_be_refused(KEYED, True) and may_be_refused(WRITE, False)
     assert not may_be_refused(WRITE, True)
-    assert allowance(READ, 0) == READ.deadline and allowance(READ, 5) == 5 and allowance(READ, 10**12) == READ.deadline
+    assert allowed_time(READ, 0) == READ.deadline and allowed_time(READ, 5) == 5 and allowed_time(READ, 10**12) == READ.deadline
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -5,7 +5,7 @@
 
 from tests.support.virtual_gateway import READ, WRITE, Place
 from yardbank.gateway.api import MS
-from yardbank.gateway.request_counters import BUCKETS, LEAST, MOST, ClassCounters, RequestCounters, beyond, bucket
+from yardbank.gateway.request_counters import BUCKET_COUNT, FIRST_POWER, LIMIT_POWER, ClassCounters, RequestCounters, beyond, bucket_index
 
 ANSWERS = st.tuples(
     st.sampled_from([READ, WRITE]), st.sampled_from(["served", "refused", "failed", "left"]), st.integers(0, 1 << 40)
@@ -13,11 +13,11 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(st.integers(1 << LEAST, (1 << MOST) - 1), st.integers(0, 1 << 50))
+@given(st.integers(1 << FIRST_POWER, (1 << LIMIT_POWER) - 1), st.integers(0, 1 << 50))
 def test_a_bucket_holds_what_is_at_most_an_eighth_below_its_end(ns, other):
-    assert ns < beyond(bucket(ns)) <= ns * 1.125 + 1
-    assert 0 <= bucket(other) < BUCKETS and (bucket(ns) <= bucket(other)) == (
-        beyond(bucket(ns)) <= beyond(bucket(other))
+    assert ns < beyond(bucket_index(ns)) <= ns * 1.125 + 1
+    assert 0 <= bucket_index(other) < BUCKET_COUNT and (bucket_index(ns) <= bucket_index(other)) == (
+        beyond(bucket_index(ns)) <= beyond(bucket_index(other))
     )
 
 
@@ -41,8 +41,8 @@
             one is kind and answer != "served" for one, answer, _ in ends
         )
         if served:
-            assert tally.quantile(1.0) == beyond(bucket(served[-1])) and tally.quantile(0.5) == beyond(
-                bucket(served[(len(served) - 1) // 2])
+            assert tally.quantile(1.0) == beyond(bucket_index(served[-1])) and tally.quantile(0.5) == beyond(
+                bucket_index(served[(len(served) - 1) // 2])
             )
         if earlier is not None:
             after = tally.since(earlier[kind.name])
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -4,7 +4,7 @@
 
 from tests.support.virtual_gateway import Place
 from yardbank.gateway.api import MS, ServerSpec
-from yardbank.gateway.view import MOST_SERVERS
+from yardbank.gateway.view import MAX_SERVERS
 
 
 def fleet_of(count):
@@ -34,11 +34,11 @@
     for group in range(20):
         router.selection.cautious_until[group] = 1 << 62
     for number in range(64):
-        place.gateway._attempts.ends[f"error: a rather long reason that was seen once and number {number:02} of it"] = (
+        place.gateway._attempts.failure_counts[f"error: a rather long reason that was seen once and number {number:02} of it"] = (
             12345
         )
     view = place.gateway.view()
-    assert len(view["servers"]) == MOST_SERVERS
+    assert len(view["servers"]) == MAX_SERVERS
     assert len(json.dumps(view)) < 4096 - 200  # what the log adds of its own
 
 
--- a/yardbank/gateway/__init__.py
+++ b/yardbank/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The library: a gateway that carries out what the decision module decides."""
+"""The gateway: an embeddable proxy instance that executes the decisions of the policy router."""
 
 from yardbank.gateway.api import Call, Limits, Reply, ServerSpec, Sink
 from yardbank.gateway.gateway import Gateway
--- a/yardbank/gateway/api.py
+++ b/yardbank/gateway/api.py
@@ -1,4 +1,4 @@
-"""What fronts and backends of any protocol share with the gateway. Times are integer nanoseconds."""
+"""Types that frontends and backends of every protocol share with the gateway. Times are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerSpec:
-    """One server as the operator lists it."""
+    """One server as configured in the server list."""
 
     name: str
     group: str
@@ -23,27 +23,27 @@
     port: int
     primary: bool = False
     state: str = "ready"  # ready | draining
-    started: float = 0.0  # wall clock, seconds; 0: long ago
+    started: float = 0.0  # start time, wall clock, seconds; 0: long ago
     weight: float = 1.0
 
     @property
     def start(self) -> int:
-        """Its start as gateways tell each other of it: milliseconds since 1970."""
+        """The server's start time as gateways exchange it: milliseconds since 1970."""
         return round(self.started * 1000)
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Bounds of one gateway; each one reached is logged."""
+    """Resource limits of one gateway; each limit that is reached is logged."""
 
-    max_open: int = 10_000  # requests taken and not yet answered
-    connections: int = 8  # to one server
+    max_open: int = 10_000  # requests accepted and not yet answered
+    connections: int = 8  # connections to one server
     multiplex: int = 64  # attempts outstanding on one connection
     connect_timeout: int = 250 * MS
     probe_timeout: int = 250 * MS
     idle_close: int = 30 * SECOND
-    gather: int = 256 << 10  # octets of an answer kept back, so that an attempt that dies can go elsewhere
-    stream_idle: int = 10 * SECOND  # a streamed answer that pauses longer is broken off
+    gather: int = 256 << 10  # bytes of a response buffered, so that a failed attempt can be retried elsewhere
+    stream_idle: int = 10 * SECOND  # a streamed response that pauses for longer is aborted
     stop_grace: int = 5 * SECOND
 
     def __post_init__(self) -> None:
@@ -54,11 +54,12 @@
 
 @dataclass(slots=True)
 class Reply:
-    """The last part of a server's answer to one attempt.
+    """The last part of a server's response to one attempt.
 
-    ``status`` is ``ok`` for any definite answer that belongs to the client, else ``full``, ``miss`` (both
-    prove that nothing ran) or ``error``. ``commit`` is the origin and mark under which a write was committed.
-    A miss with a payload is a read's answer that a server further on may give otherwise: the primary's is definite.
+    ``status`` is ``ok`` for any definite response to the client, else ``full``, ``miss`` (both prove that nothing
+    ran) or ``error``. ``commit`` is the origin and log position under which a write was committed. A miss with a
+    payload is the response of a replica to a read that a more recent server may answer differently; from the primary
+    the same response is definite.
     """
 
     status: str
@@ -66,14 +67,14 @@
     role: Role = Role.UNKNOWN
     commit: tuple[str, LogPosition] | None = None
     reason: str = ""
-    report: ProbeResult | None = None  # what the answer tells of its server besides
+    report: ProbeResult | None = None  # what the response reports about the server itself
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """What a probe told: marks by origin, and whether the server says it is primary (None: it does not say).
+    """Result of a probe: log positions by origin, and whether the server is primary (None: not reported).
 
-    ``load`` is the share of its cores that the server says is busy, where it tells that.
+    ``load`` is the busy share of the server's cores, if the server reports it.
     """
 
     marks: Vector
@@ -82,24 +83,27 @@
 
 
 class Sink(Protocol):
-    """A front's side of one request. Exactly one of the last three is called, once, and nothing after it."""
+    """The frontend's side of one request.
+
+    Exactly one of the last three methods is called, once, and nothing after it.
+    """
 
     def part(self, payload: Any) -> None:
-        """One part of an answer, in order."""
+        """Deliver one part of the response; parts come in order."""
 
     def served(self, payload: Any) -> None:
-        """The answer's last part."""
+        """Deliver the last part of the response."""
 
     def refused(self, retry_after: int, reason: str) -> None:
-        """Turned away; nothing ran, or repeating is harmless."""
+        """The request was rejected: nothing ran, or repeating it is harmless. ``retry_after``: ns."""
 
     def failed(self, reason: str) -> None:
-        """Nothing is promised either way."""
+        """The request failed, and it may or may not have run."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One request that a front hands over. ``operation`` is read by the protocol's backend only."""
+    """One request passed in by a frontend. ``operation`` is read by the protocol's backend only."""
 
     class_name: str
     group: str
@@ -108,58 +112,58 @@
     session: str | None = None
     tenant: str | None = None
     since_write: int | None = None
-    time_limit: int = 0  # the client's own, ns; 0: the class's deadline alone
-    expires: int = 0  # ns, when its answer is needed at the latest; 0: it follows from the class and the above
-    gather: int = 0  # octets of the answer kept back; 0: the gateway's own bound
-    label: str = ""  # for the log
-    present: Callable[[], bool] | None = None  # whether the client is still there, asked before an attempt is written
+    time_limit: int = 0  # the client's own time limit, ns; 0: only the deadline of the request class applies
+    expires: int = 0  # absolute deadline of the response, ns; 0: derived from the request class and ``time_limit``
+    gather: int = 0  # bytes of the response buffered before streaming; 0: ``Limits.gather`` applies
+    label: str = ""  # name of the operation in the log
+    present: Callable[[], bool] | None = None  # whether the client is connected; called before an attempt is written
     facts: Mapping[str, Any] = field(default_factory=dict)
 
 
 class Receiver(Protocol):
-    """Where a connection puts what an attempt brings."""
+    """Receives what a connection reads for an attempt."""
 
     def attempt_part(self, payload: Any, size: int) -> None:
-        """A part of the answer, ``size`` octets."""
+        """A part of the response arrived, ``size`` bytes long."""
 
     def attempt_done(self, reply: Reply) -> None:
-        """The last part."""
+        """The last part of the response arrived."""
 
     def attempt_lost(self, reason: str) -> None:
-        """The connection went with the attempt outstanding."""
+        """The connection was lost while the attempt was outstanding."""
 
 
 class NotSentError(ValueError):
-    """An attempt could not be written and the system took no octet of it: it never ran, and may go elsewhere."""
+    """An attempt could not be written and the kernel accepted none of its bytes: it never ran and may be retried."""
 
 
 class Connection(Protocol):
-    """One connection to a server, ready for attempts."""
+    """One established connection to a server."""
 
     def submit(self, operation: Any, receiver: Receiver) -> int:
         """Send an attempt; returns its number on this connection.
 
-        Raises ``ValueError`` if it cannot be sent, ``NotSentError`` if besides nothing of it can have gone out.
+        Raises ``ValueError`` if it cannot be sent, ``NotSentError`` if also none of its bytes can have been sent.
         """
 
     def abandon(self, number: int) -> None:
-        """Stop waiting for one; what still comes for it is dropped."""
+        """Stop waiting for an attempt; anything that still arrives for it is dropped."""
 
     def probe(self, done: Callable[[ProbeResult | None], None]) -> int:
-        """Ask for position and role; ``done`` is called once, with None if the answer makes no sense."""
+        """Ask for log position and role; ``done`` is called once, with None if the response is malformed."""
 
     def fit(self) -> bool:
-        """Whether it can take a further attempt now: not if it is spent, closing or brings what nobody asked for."""
+        """Whether another attempt can be sent now: not if it is broken, closing or has received unsolicited data."""
 
     def close(self) -> None:
-        """Close in good order."""
+        """Close the connection gracefully."""
 
 
 BROKE_OPENING = "the connection broke while it was opening"
 
 
 class Backend(Protocol):
-    """How one protocol reaches its servers."""
+    """Connects to the servers of one protocol."""
 
     def connect(
         self,
@@ -167,10 +171,11 @@
         ready: Callable[[Connection], None],
         lost: Callable[[str], None],
     ) -> Callable[[], None]:
-        """Open a connection. ``ready`` at most once, then ``lost`` exactly once; the result gives it up.
+        """Open a connection; returns a function that aborts it.
 
-        ``lost`` is told ``BROKE_OPENING`` where the other end was there and said nothing, as against having refused.
+        ``ready`` is called at most once, then ``lost`` exactly once. ``lost`` receives ``BROKE_OPENING`` if the peer
+        accepted the connection and then dropped it without a response, as opposed to refusing it.
         """
 
     def describe(self, operation: Any) -> str:
-        """A short name of an operation for the log."""
+        """Return a short name of an operation for the log."""
--- a/yardbank/gateway/attempt.py
+++ b/yardbank/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on its way to a server."""
+"""An attempt: one try of a request at one server."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class Attempt:
-    """One attempt on its way to a server. Ends once, whatever happens; a ``Receiver`` of its connection."""
+    """One try of a request at one server. Ends exactly once; receives the data of its connection (``Receiver``)."""
 
     __slots__ = (
         "_ended",
         "check",
         "link",
-        "list_seen",
+        "lists_handled",
         "number",
         "on_end",
         "on_part",
@@ -27,7 +27,7 @@
         "sent_at",
         "slot",
         "timer",
-        "until",
+        "valid_until",
     )
 
     def __init__(
@@ -37,46 +37,46 @@
         on_part: Callable[[Any, int], None],
         on_end: Callable[[str, Reply | None, str], None],
         check: Callable[[Attempt], SendCheck | None] = lambda attempt: None,
-        list_seen: int = 0,
+        lists_handled: int = 0,
     ) -> None:
         self.operation = operation
         self.sent_at = sent_at
         self.on_part = on_part
         self.on_end = on_end
-        self.check = check  # asked right before it is written
-        self.list_seen = list_seen  # how many lists the module had been given when it decided on the attempt
-        self.until = 0  # it is of no use from then on (ns)
+        self.check = check  # called right before the attempt is written
+        self.lists_handled = lists_handled  # server lists that the router had received when it decided on this
+        self.valid_until = 0  # deadline (ns); a response is useless from then on
         self.slot: int | None = None
-        self.number: int | None = None  # on its connection, once it has gone out
+        self.number: int | None = None  # request number on its connection, set once it has been written
         self.timer: int | None = None
         self.link: ServerLink | None = None
         self._ended = False
 
     @property
     def ended(self) -> bool:
-        """Whether its end was reported."""
+        """Whether the end of the attempt has been reported."""
         return self._ended
 
     @property
-    def gone_out(self) -> bool:
-        """Whether it may have reached the server."""
+    def was_written(self) -> bool:
+        """Whether the attempt may have reached the server."""
         return self.number is not None
 
     def attempt_part(self, payload: Any, size: int) -> None:
-        """A part of the answer came."""
+        """Handle one part of the response."""
         if not self._ended:
             self.on_part(payload, size)
 
     def attempt_done(self, reply: Reply) -> None:
-        """The answer is whole."""
+        """Handle the last part of the response."""
         self.end(reply.status, reply, reply.reason, answered=True)
 
     def attempt_lost(self, reason: str) -> None:
-        """The connection went."""
-        self.end("reset" if self.gone_out else "connect_failed", None, reason)
+        """Handle the loss of the connection."""
+        self.end("reset" if self.was_written else "connect_failed", None, reason)
 
     def end(self, status: str, reply: Reply | None, reason: str, answered: bool = False) -> None:
-        """Report the end, once."""
+        """Release the connection slot and report the end of the attempt, once."""
         if self._ended:
             return
         self._ended = True
--- a/yardbank/gateway/context.py
+++ b/yardbank/gateway/context.py
@@ -1,4 +1,4 @@
-"""What every part of one gateway uses and none of them owns: settings, clock, timers, log, record of facts."""
+"""Settings, clock, timers, log and recording callback that all components of one gateway share."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayContext:
-    """The surroundings of one gateway's parts. Made once by ``Gateway``; no part replaces anything in it."""
+    """Dependencies shared by one gateway's components. Created once by ``Gateway``; components never modify it."""
 
     settings: api.Settings
     limits: Limits
-    now: Callable[[], int]  # the gateway's clock, ns
+    now: Callable[[], int]  # the gateway's monotonic clock, ns
     deadlines: Deadlines
     reactor: Any
     log: Any
-    explains: bool  # whether the log takes debug lines: they are not made up otherwise
+    debug_enabled: bool  # whether debug logging is enabled; debug events are not built otherwise
     record: Record | None
 
-    def note(self, kind: str, **facts: Any) -> None:
-        """Hand a fact to the owner's record, if it keeps one."""
+    def record_event(self, kind: str, **fields: Any) -> None:
+        """Pass an event to the recording callback, if there is one."""
         if self.record:
-            self.record({"kind": f"gateway_{kind}", **facts})
+            self.record({"kind": f"gateway_{kind}", **fields})
--- a/yardbank/gateway/deadlines.py
+++ b/yardbank/gateway/deadlines.py
@@ -1,8 +1,9 @@
-"""Many time-outs, one timer: a heap of instants of which only the earliest is armed.
+"""Many deadlines on a single reactor timer: a heap in which only the earliest deadline is armed.
 
-A reactor runs timers before it reads its sockets, and after a busy turn both are due at once. So a timer that is due
-only lets the sockets be read once more; what is due then fires in the turn after. An answer that lies in a socket comes
-before its deadline, a list before the retry that it forbids.
+A reactor runs timers before it reads its sockets, and after a long reactor iteration both are due at once. When the
+timer fires, the deadlines that are due are therefore postponed by one reactor iteration, so that the sockets are read
+first: a response that is already in a socket buffer is processed before its deadline expires, and a server list update
+before the retry that it rules out.
 """
 
 from __future__ import annotations
@@ -12,74 +13,74 @@
 from itertools import count
 from typing import Any
 
-Fire = Callable[[], None]
+Callback = Callable[[], None]
 
 
 class Deadlines:
-    """Calls back at or after instants (ns), once the sockets were looked at since. What was cancelled costs nothing."""
+    """Calls functions at or after given times (ns), once the sockets have been polled; cancelling costs nothing."""
 
     def __init__(self, now: Callable[[], int], call_later: Callable[..., Any]) -> None:
         self._now = now
         self._call_later = call_later
         self._heap: list[tuple[int, int]] = []
-        self._fire: dict[int, Fire] = {}
+        self._callbacks: dict[int, Callback] = {}
         self._numbers = count()
-        self._armed: Any = None
-        self._armed_for = 0
-        self._looking = False  # something is due: the sockets come first
+        self._timer: Any = None
+        self._timer_due_at = 0
+        self._polling_sockets = False  # a deadline is due, and the sockets are polled before it fires
 
     def __len__(self) -> int:
-        return len(self._fire)
+        return len(self._callbacks)
 
-    def add(self, at: int, fire: Fire) -> int:
-        """Call ``fire`` once ``at`` has come; returns a number to cancel by."""
+    def add(self, at: int, callback: Callback) -> int:
+        """Call ``callback`` once ``at`` has been reached; returns a number to cancel it by."""
         number = next(self._numbers)
-        self._fire[number] = fire
+        self._callbacks[number] = callback
         heapq.heappush(self._heap, (at, number))
-        if self._armed is None or (at < self._armed_for and not self._looking):
+        if self._timer is None or (at < self._timer_due_at and not self._polling_sockets):
             self._arm()
         return number
 
     def cancel(self, number: int) -> None:
-        """Forget one; harmless if it has fired."""
-        if self._fire.pop(number, None) is not None and len(self._heap) > 64 + 2 * len(self._fire):
-            self._heap = [entry for entry in self._heap if entry[1] in self._fire]
+        """Cancel a deadline; has no effect if it has already fired."""
+        if self._callbacks.pop(number, None) is not None and len(self._heap) > 64 + 2 * len(self._callbacks):
+            self._heap = [entry for entry in self._heap if entry[1] in self._callbacks]
             heapq.heapify(self._heap)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Cancel all deadlines."""
         self._heap.clear()
-        self._fire.clear()
-        if self._armed is not None:
-            self._armed.cancel()
-            self._armed = None
-            self._looking = False
+        self._callbacks.clear()
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+            self._polling_sockets = False
 
     def _arm(self) -> None:
-        if self._armed is not None:
-            self._armed.cancel()
-            self._armed = None
-        while self._heap and self._heap[0][1] not in self._fire:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        while self._heap and self._heap[0][1] not in self._callbacks:
             heapq.heappop(self._heap)
         if self._heap:
-            self._armed_for = self._heap[0][0]
-            self._armed = self._call_later(max(0, self._armed_for - self._now()) / 1e9, self._due)
+            self._timer_due_at = self._heap[0][0]
+            self._timer = self._call_later(max(0, self._timer_due_at - self._now()) / 1e9, self._on_timer)
 
-    def _due(self) -> None:
-        """Have the sockets read once more; what is due by now, and nothing that falls due meanwhile, fires then."""
+    def _on_timer(self) -> None:
+        """Poll the sockets, then fire what is due now; deadlines that pass meanwhile get a poll of their own."""
         now = self._now()
-        self._looking = True
-        self._armed = self._call_later(0, lambda: self._run(now))
+        self._polling_sockets = True
+        self._timer = self._call_later(0, lambda: self._fire_due(now))
 
-    def _run(self, now: int) -> None:
-        """Fire what was due at ``now`` (ns). An error in one goes up; the others stay armed."""
-        self._armed = None
-        self._looking = False
+    def _fire_due(self, now: int) -> None:
+        """Fire the deadlines that were due at ``now`` (ns). An exception in one propagates; the others stay armed."""
+        self._timer = None
+        self._polling_sockets = False
         try:
             while self._heap and self._heap[0][0] <= now:
-                fire = self._fire.pop(heapq.heappop(self._heap)[1], None)
-                if fire is not None:
-                    fire()
+                callback = self._callbacks.pop(heapq.heappop(self._heap)[1], None)
+                if callback is not None:
+                    callback()
         finally:
-            if self._armed is None:
+            if self._timer is None:
                 self._arm()
--- a/yardbank/gateway/dial.py
+++ b/yardbank/gateway/dial.py
@@ -1,4 +1,4 @@
-"""Opening one connection to a server, whatever is spoken on it: thin Twisted that every backend shares."""
+"""Opening a TCP connection to a server with Twisted, shared by the backends of all protocols."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from yardbank.gateway.api import BROKE_OPENING, ServerSpec
 
 Lost = Callable[[str], None]
-SYSTEM_TIMEOUT = 30  # seconds, the reactor's own; the gateway gives up long before
+REACTOR_TIMEOUT_SECONDS = 30  # timeout of the reactor; the gateway's own connect timeout expires long before
 
 
-def why_not(reason: Failure) -> str:
-    """Why a connection never came up: ``BROKE_OPENING`` where it was reset or ended and not refused."""
+def connect_failure_reason(reason: Failure) -> str:
+    """Why a connection failed: ``BROKE_OPENING`` if it was reset or closed rather than refused."""
     broke = reason.check(ConnectionLost, ConnectionDone) or getattr(reason.value, "osError", None) == ECONNRESET
     return BROKE_OPENING if broke else reason.getErrorMessage()
 
 
-class _Dialler(ClientFactory):
+class _ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, make: Callable[[], Protocol], lost: Lost) -> None:
@@ -33,28 +33,29 @@
         return self._make()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        self._lost(why_not(reason))
+        self._lost(connect_failure_reason(reason))
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        """Connector and transport point at each other: parted, they go at once, without the collector."""
+        """Break the reference cycle of connector and transport, so both are freed without the garbage collector."""
         connector.transport = None
 
 
 def dial(reactor: Any, server: ServerSpec, make: Callable[[Lost], Protocol], lost: Lost) -> Callable[[], None]:
-    """Open a connection whose protocol ``make`` builds; ``lost`` is called exactly once. The result gives it up.
+    """Open a connection whose protocol ``make`` builds; returns a function that aborts it.
 
-    ``make`` is handed what to call when the connection is lost, and may call it more than once.
+    ``lost`` is called exactly once. ``make`` receives the function to call when the connection is lost, and may call it
+    more than once.
     """
-    over = False
+    reported = False
 
     def lost_once(reason: str) -> None:
-        nonlocal over
-        if not over:
-            over = True
+        nonlocal reported
+        if not reported:
+            reported = True
             lost(reason)
 
-    factory = _Dialler(lambda: make(lost_once), lost_once)
-    connector = reactor.connectTCP(server.host, server.port, factory, timeout=SYSTEM_TIMEOUT)
+    factory = _ConnectionFactory(lambda: make(lost_once), lost_once)
+    connector = reactor.connectTCP(server.host, server.port, factory, timeout=REACTOR_TIMEOUT_SECONDS)
 
     def give_up() -> None:
         if connector.state == "connected":
--- a/yardbank/gateway/endpoint_set.py
+++ b/yardbank/gateway/endpoint_set.py
@@ -1,9 +1,10 @@
-"""The servers that are listed, and the links to them.
+"""The listed servers and the links to them.
 
-Owns: the list by server name, the numbers of servers and groups, a link to each listed server, the retired links to
-servers that left the list or moved, and the timer that closes idle connections. Only this part changes them; the view,
-the prober and the attempt runner read. Bound: one entry a listed server; a number, once given, stays for the
-gateway's life; a retired link goes with its last connection. Invariant: every listed server has exactly one link.
+Owns: the server list by name, the numbers of servers and groups, a link to each listed server, the retired links to
+servers that were removed or moved, and the timer that closes idle connections. Only this class changes them; the view,
+the prober and the attempt runner read them. Bound: one entry per listed server; a number, once assigned, is kept for
+the gateway's lifetime; a retired link is dropped with its last connection. Invariant: every listed server has exactly
+one link.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from yardbank.gateway.server_link import ServerLink
 from yardbank.timeline import LogPosition
 
-LatencyListener = Callable[[int, str, int, str], None]  # now, server's zone, ns, "connect" or "probe"
+LatencyListener = Callable[[int, str, int, str], None]  # now, server's zone, latency (ns), "connect" or "probe"
 MAX_NAMES_LOGGED = 20
 
 
 def _invalidates_attempts(old: ServerSpec, new: ServerSpec) -> bool:
-    """Whether a server begins to drain, moves, or is another one for the decision module."""
+    """Whether a server starts draining, moves, or becomes a different server to the router."""
     if old.state != "draining" and new.state == "draining":
         return True
     return (old.host, old.port, old.group, old.zone) != (new.host, new.port, new.group, new.zone)
@@ -37,21 +38,21 @@
 
 @dataclass(slots=True)
 class _ListChange:
-    """One change of the list while it is taken in."""
+    """A server list update while it is being applied."""
 
     members: list[api.Member] = field(default_factory=list)
-    left_group: list[api.Member] = field(default_factory=list)  # listed on, as another server for the module
+    left_group: list[api.Member] = field(default_factory=list)  # still listed, but as a different server to the router
     removed: list[str] = field(default_factory=list)
     invalidated: dict[int, ServerLink | None] = field(
         default_factory=dict
-    )  # not what attempts were decided on; old link
+    )  # servers whose pending attempts no longer apply, with their old links
 
 
 class EndpointSet:
     """Servers by name and number, and a link to each.
 
-    ``connections_bound`` says how many connections all servers together may have now; ``before_send`` takes in lists
-    that lie unread; ``on_removed`` is told the number of each server that is listed no longer.
+    ``connections_bound`` returns how many connections all servers together may have now; ``before_send`` applies
+    pending server lists; ``on_removed`` receives the number of each server that is no longer listed.
     """
 
     def __init__(
@@ -75,69 +76,72 @@
         self._before_send = before_send
         self._on_removed = on_removed
         self.specs: dict[str, ServerSpec] = {}
-        self.server_numbers: dict[str, int] = {}  # a server keeps its own for good
+        self.server_numbers: dict[str, int] = {}  # a server keeps its number for the gateway's lifetime
         self.group_numbers: dict[str, int] = {}
         self.links: dict[int, ServerLink] = {}
-        self.list_version = 0  # of the list that requests are routed by
+        self.list_version = 0  # version of the list that requests are routed by
         self.latency_listeners: list[LatencyListener] = []
-        self._retired: list[ServerLink] = []  # until nothing is out there
-        self._started: dict[int, int] = {}
+        self._retired: list[ServerLink] = []  # links to removed or moved servers, until their connections are closed
+        self._start_times: dict[int, int] = {}
         self._floor_now = 0
         self._floors: Mapping[str, Mapping[str, LogPosition]] = {}
-        self._taking_list = False
-        self._lists_queued = 0  # lists queued for the module
-        self._changed_in: dict[int, int] = {}  # by server, the list with which it last drained, moved or was gone
+        self._applying_list = False
+        self._lists_queued = 0  # server lists queued for the router
+        self._last_invalidation: dict[int, int] = {}  # list number by server, see ``last_invalidation``
         self._idle_timer: int | None = None
 
-    # What is remembered over a restart
+    # State kept across restarts
 
     def restarted(self, floor_now: bool, floors: Mapping[str, Mapping[str, LogPosition]]) -> None:
-        """An earlier run's tokens are lost; call before the first list. ``floors``: marks by origin, by group."""
+        """Record that the session tokens of an earlier run are lost; call before the first list is applied.
+
+        ``floor_now``: sessions may have written up to now. ``floors``: log positions by origin, by group.
+        """
         self._floor_now = self._context.now() if floor_now else 0
         self._floors = dict(floors)
 
     def remember(self) -> tuple[dict[str, dict[str, LogPosition]], dict[str, dict[str, LogPosition]]]:
-        """For the durable state: marks that cover all tokens, by group; what each server last reported, by name."""
+        """Return what to persist: positions covering all tokens, by group; last reported positions, by server name."""
         heads = {name: self._positions.head(number) for name, number in self.group_numbers.items()}
         marks = {name: self._positions.marks(self.server_numbers[name]) for name in self.specs}
         return heads, marks
 
-    # The list
+    # The server list
 
-    def catch_up(self) -> None:
-        """Have lists taken in that lie unread, unless one is being taken right now."""
-        if self._before_send is None or self._taking_list:
+    def apply_pending_lists(self) -> None:
+        """Apply pending server lists, unless one is being applied right now."""
+        if self._before_send is None or self._applying_list:
             return
-        self._taking_list = True
+        self._applying_list = True
         try:
             self._before_send()
-        except Exception as problem:  # border: the owner's code; an attempt goes out by the list that is known
+        except Exception as problem:  # error boundary: caller's code; the attempt is sent by the list already known
             self._context.log.error("before_send_error", error=repr(problem), exc_info=True)
         finally:
-            self._taking_list = False
+            self._applying_list = False
 
     def apply_list(self, servers: Sequence[ServerSpec], version: int) -> None:
-        """Take the complete list of servers. Raises ``ValueError`` if one is named twice."""
+        """Apply the complete list of servers. Raises ``ValueError`` if one is listed twice."""
         names = [spec.name for spec in servers]
         if len(set(names)) != len(names):
-            twice = next(name for name, count in Counter(names).items() if count > 1)
-            raise ValueError(f"server {twice!r} is listed twice")
+            duplicate = next(name for name, count in Counter(names).items() if count > 1)
+            raise ValueError(f"server {duplicate!r} is listed twice")
         listed = set(names)
         changes: dict[str, ServerSpec | None] = {spec.name: spec for spec in servers}
         changes.update({name: None for name in self.specs if name not in listed})
         self.apply_changes(changes, version)
 
     def apply_changes(self, changes: Mapping[str, ServerSpec | None], version: int) -> None:
-        """Take what changes of the list, by server name (None: it is gone); the cost is that of the change.
+        """Apply a change of the server list, by server name (None: removed); the cost depends on the change only.
 
-        May be called at any time, also while the module's actions are carried out.
+        May be called at any time, also while actions of the router are being executed.
         """
-        taking_already = self._taking_list
-        self._taking_list = True
+        was_applying = self._applying_list
+        self._applying_list = True
         try:
             self._apply(changes, version)
         finally:
-            self._taking_list = taking_already
+            self._applying_list = was_applying
 
     def _apply(self, changes: Mapping[str, ServerSpec | None], version: int) -> None:
         now, wall = self._context.now(), self._wall()
@@ -151,17 +155,19 @@
                 assert old is not None
                 self._remove(change, old)
             else:
-                self._put(change, old, spec, now, wall)
+                self._upsert(change, old, spec, now, wall)
         self.list_version = version
         if self._context.record:
-            self._context.note("list", version=version, servers={name: spec.state for name, spec in self.specs.items()})
+            self._context.record_event(
+                "list", version=version, servers={name: spec.state for name, spec in self.specs.items()}
+            )
         self._context.log.info(
             "list_applied",
             servers=len(self.specs),
             changed=len(change.members),
             gone=change.removed[:MAX_NAMES_LOGGED],
         )
-        self._announce(change, is_first)
+        self._notify_router(change, is_first)
         for name in change.removed:
             number = self.server_numbers[name]
             self._positions.dropped(number)
@@ -176,28 +182,28 @@
         change.members.append(api.Member(number, old.zone, self.group_numbers[old.group], False, "gone"))
         del self.specs[old.name]
 
-    def _put(self, change: _ListChange, old: ServerSpec | None, spec: ServerSpec, now: int, wall: float) -> None:
-        """Enter a server that is new, or listed in other terms than before."""
+    def _upsert(self, change: _ListChange, old: ServerSpec | None, spec: ServerSpec, now: int, wall: float) -> None:
+        """Add a server, or update one whose entry has changed."""
         number = self.server_numbers.setdefault(spec.name, len(self.server_numbers) + 1)
         group = self.group_numbers.get(spec.group)
         if group is None:
             group = self._new_group(spec.group)
         if old is not None:
-            self._leave_old_terms(change, number, old, spec)
+            self._detach_old_entry(change, number, old, spec)
         if number not in self.links:
             self.links[number] = self._new_link(spec)
         self._positions.listed(number, group, spec.primary, now)
         started = started_at(now, wall, spec.started)
         if old is not None and old.started == spec.started:
-            started = self._started[number]  # one start stays one instant, also if the wall clock steps
-        self._started[number] = started
+            started = self._start_times[number]  # the same start keeps its time even if the wall clock steps
+        self._start_times[number] = started
         change.members.append(api.Member(number, spec.zone, group, spec.primary, spec.state, started, spec.weight))
         self.specs[spec.name] = spec
 
-    def _leave_old_terms(self, change: _ListChange, number: int, old: ServerSpec, spec: ServerSpec) -> None:
+    def _detach_old_entry(self, change: _ListChange, number: int, old: ServerSpec, spec: ServerSpec) -> None:
         if _invalidates_attempts(old, spec):
             change.invalidated[number] = self.links.get(number)
-        if (old.group, old.zone) != (spec.group, spec.zone):  # for the module it is another server
+        if (old.group, old.zone) != (spec.group, spec.zone):  # the router treats it as a different server
             old_group = self.group_numbers[old.group]
             change.left_group.append(api.Member(number, old.zone, old_group, False, "gone"))
         if (old.host, old.port, old.group) != (spec.host, spec.port, spec.group):
@@ -207,7 +213,7 @@
         number = self.group_numbers[name] = len(self.group_numbers)
         floor = self._floor_now
         if marks := self._floors.get(name):
-            floor = max(floor, self._positions.floor(number, marks, self._context.now()))
+            floor = max(floor, self._positions.floor_token(number, marks, self._context.now()))
         if floor:
             self._events.handle(api.TokensLost(((number, floor),)))
         return number
@@ -224,14 +230,14 @@
             self.latency_measured,
         )
 
-    def _announce(self, change: _ListChange, is_first: bool) -> None:
-        """Tell the module; what it was told with says later which attempts were decided on before it."""
+    def _notify_router(self, change: _ListChange, is_first: bool) -> None:
+        """Pass the change to the router; the list number later shows which attempts were decided on before it."""
         updates = []
         if change.left_group:
             updates.append(api.ServerList("delta", tuple(change.left_group)))
         updates.append(api.ServerList("saved" if is_first else "delta", tuple(change.members)))
         self._lists_queued += len(updates)
-        self._changed_in.update(dict.fromkeys(change.invalidated, self._lists_queued))
+        self._last_invalidation.update(dict.fromkeys(change.invalidated, self._lists_queued))
         for update in updates:
             self._events.handle(update)
 
@@ -243,65 +249,67 @@
             if self.links.get(number) is not link:
                 link.withdraw_probes()
 
-    def changed_in(self, number: int) -> int:
-        """Which of the lists it was with which a server last began to drain, moved or was gone; 0: none."""
-        return self._changed_in.get(number, 0)
+    def last_invalidation(self, number: int) -> int:
+        """Number of the list with which a server last started draining, moved or was removed; 0: none."""
+        return self._last_invalidation.get(number, 0)
 
     def _superseded(self, number: int, attempt: Attempt) -> bool:
-        """Whether an attempt was decided on before its server last began to drain, moved or was gone."""
-        return attempt.list_seen < self.changed_in(number)
+        """Whether an attempt was decided on before its server last started draining, moved or was removed."""
+        return attempt.lists_handled < self.last_invalidation(number)
 
     # Links and their connections
 
     def all_links(self) -> tuple[ServerLink, ...]:
-        """Links to listed servers, then the retired ones."""
+        """Return the links to listed servers, then the retired ones."""
         return (*self.links.values(), *self._retired)
 
     def _retire(self, number: int) -> None:
-        """Nothing new goes over this link; what is out there may still be answered, then its connections close."""
+        """Retire a link: it takes no new attempts, outstanding ones may finish, then its connections are closed."""
         link = self.links.pop(number, None)
         if link is None:
             return
         link.close_idle()
         if link.connections:
             self._retired.append(link)
-            self.watch_idle()
+            self.arm_idle_timer()
 
     @property
     def connection_count(self) -> int:
-        """Connections to servers, open or opening."""
+        """Number of connections to servers, open or opening."""
         return sum(link.connections for link in self.all_links())
 
     def connections(self) -> dict[str, int]:
-        """Open connections by server name."""
+        """Return the number of connections, open or opening, by server name."""
         links = self.links
         return {name: links[number].connections for name, number in self.server_numbers.items() if number in links}
 
-    def latency_measured(self, server: ServerSpec, ns: int, what: str) -> None:
-        """A connection came up, or a probe was answered in time; passed on unless the server has moved meanwhile."""
+    def latency_measured(self, server: ServerSpec, latency_ns: int, kind: str) -> None:
+        """Report the latency of a connect or an answered probe to the listeners, unless the server has moved."""
         spec = self.specs.get(server.name)
         if spec is None or (spec.host, spec.port) != (server.host, server.port):
             return
         for listener in self.latency_listeners:
             try:
-                listener(self._context.now(), spec.zone, ns, what)
-            except Exception as problem:  # border: a listener's error is not the link's
+                listener(self._context.now(), spec.zone, latency_ns, kind)
+            except Exception as problem:  # error boundary: an error in a listener does not affect the link
                 self._context.log.error("listener_error", server=server.name, error=repr(problem), exc_info=True)
 
     def _has_room(self) -> bool:
-        """Whether one connection more may be opened; at the bound the idlest of all gives way to it."""
+        """Whether one more connection may be opened; at the limit the longest-idle one is closed to make room."""
         if self._connections_bound is None or self.connection_count < self._connections_bound():
             return True
         links = self.all_links()
-        idle = [(used_at, number) for number, link in enumerate(links) if (used_at := link.idle_since()) is not None]
+        idle = [
+            (idle_since, number) for number, link in enumerate(links) if (idle_since := link.idle_since()) is not None
+        ]
         if not idle:
             return False
-        _, idlest = min(idle)
-        links[idlest].close_idlest()
+        _, longest_idle = min(idle)
+        links[longest_idle].close_longest_idle()
         return True
 
-    def watch_idle(self) -> None:
-        """One timer for all connections, and none while there are none."""
+    def arm_idle_timer(self) -> None:
+        """Arm the idle timer, one for all connections; none runs while there are no connections."""
         if self._idle_timer is None:
             at = self._context.now() + self._context.limits.idle_close // 4
             self._idle_timer = self._context.deadlines.add(at, self._sweep_idle)
@@ -309,9 +317,9 @@
     def _sweep_idle(self) -> None:
         self._idle_timer = None
         for link in self.links.values():
-            link.close_overdue()
+            link.close_expired()
         for link in self._retired:
             link.close_idle()
         self._retired = [link for link in self._retired if link.connections]
         if self._retired or any(link.connections for link in self.links.values()):
-            self.watch_idle()
+            self.arm_idle_timer()
--- a/yardbank/gateway/event_queue.py
+++ b/yardbank/gateway/event_queue.py
@@ -1,10 +1,9 @@
-"""Events into the decision module, its actions out, strictly one event after the other.
+"""Passes events to the policy router and executes its actions, strictly one event after the other.
 
-Owns: the events that wait, and how many server lists the module has been given. Only this part calls the module.
-Bound: an action adds at most a few events, and the queue is empty whenever control goes back to the reactor.
-Invariant: all actions of one event are carried out before the next event is handed over; an event that comes up
-meanwhile waits at the end of the queue. An error in the module or in an action is handed to ``rescue`` and goes no
-further.
+Owns: the pending events, and the number of server lists passed to the router. Only this class calls the router.
+Bound: an action adds at most a few events, and the queue is empty whenever control returns to the reactor.
+Invariant: all actions of one event are executed before the next event is passed on; an event raised meanwhile is
+appended to the queue. An exception in the router or in an action is handed to ``on_error`` and is not propagated.
 """
 
 from __future__ import annotations
@@ -18,25 +17,28 @@
 
 
 class EventQueue:
-    """Feeds one decision module. ``carry_out`` does an action; ``rescue`` ends the request that an error concerns."""
+    """Event queue of one router.
+
+    ``execute`` performs an action; ``on_error`` ends the request that an error concerns.
+    """
 
     def __init__(
         self,
         context: GatewayContext,
         router: Router,
-        carry_out: Callable[[api.Action, api.Event], None],
-        rescue: Callable[[api.Event | api.Action], None],
+        execute: Callable[[api.Action, api.Event], None],
+        on_error: Callable[[api.Event | api.Action], None],
     ) -> None:
         self._context = context
         self._router = router
-        self._carry_out = carry_out
-        self._rescue = rescue
+        self._execute = execute
+        self._on_error = on_error
         self._events: deque[api.Event] = deque()
         self._handling = False
         self.lists_handled = 0
 
     def handle(self, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions; if another is being handled, after that."""
+        """Pass an event to the router and execute its actions; if another event is being handled, after that one."""
         self._events.append(event)
         if self._handling:
             return
@@ -48,11 +50,11 @@
             self._handling = False
 
     def append(self, event: api.Event) -> None:
-        """Put an event in the queue without starting on it: the caller runs within ``handle``."""
+        """Queue an event without processing it: the caller is running within ``handle``."""
         self._events.append(event)
 
-    def silence(self) -> None:
-        """From now on the module hears nothing and decides nothing, as in a process that was killed."""
+    def detach_router(self) -> None:
+        """Stop passing events to the router, so that it decides nothing more, as in a killed process."""
         self._router.handle = lambda now, event: []  # type: ignore[method-assign]
 
     def _handle_one(self, event: api.Event) -> None:
@@ -61,13 +63,13 @@
         log = self._context.log
         try:
             actions = self._router.handle(self._context.now(), event)
-        except Exception as problem:  # border: an error in one decision ends one request, not the gateway
+        except Exception as problem:  # error boundary: an error in one decision ends one request, not the gateway
             log.error("decision_error", cause=type(event).__name__, error=repr(problem), exc_info=True)
-            self._rescue(event)
+            self._on_error(event)
             return
         for action in actions:
             try:
-                self._carry_out(action, event)
-            except Exception as problem:  # border: fronts' and backends' code runs in there
+                self._execute(action, event)
+            except Exception as problem:  # error boundary: actions run code of frontends and backends
                 log.error("action_error", action=type(action).__name__, error=repr(problem), exc_info=True)
-                self._rescue(action)
+                self._on_error(action)
--- a/yardbank/gateway/gateway.py
+++ b/yardbank/gateway/gateway.py
@@ -1,15 +1,15 @@
-"""One gateway: feeds the decision module what happens and carries out what it decides.
+"""A gateway: passes events to the policy router and executes the actions it decides on.
 
-Nothing is decided here. Each request taken gets exactly one final answer, and the module gets exactly one
-``Outcome`` for each ``Send``, in the order in which things happened. ``Gateway`` makes and holds the parts and passes
-calls along; each part says at its top what it owns:
+Nothing is decided here. Each accepted request gets exactly one final answer, and the router gets exactly one
+``Outcome`` for each ``Send``, in the order in which things happened. ``Gateway`` creates the components and delegates
+calls to them; each module states at its top what it owns:
 
-``EventQueue``      events into the module, actions out, in their order
-``RequestTable``    requests taken, by number
-``EndpointSet``     servers listed, and the links to them
-``Prober``          questions to servers, and positions that other gateways passed on
+``EventQueue``      passes events to the router and executes its actions, in order
+``RequestTable``    accepted requests by number
+``EndpointSet``     listed servers and the links to them
+``Prober``          probes of servers, and positions reported by other gateways
 ``Responder``       final answers, stopping
-``AttemptRunner``   attempts on their way, their answers and ends
+``AttemptRunner``   attempts in flight, their responses and how they end
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from yardbank.gateway.clock import SteadyClock
 from yardbank.gateway.context import GatewayContext, Record
 from yardbank.gateway.deadlines import Deadlines
-from yardbank.gateway.ending import allowance, strained
+from yardbank.gateway.ending import allowed_time, is_near_limit
 from yardbank.gateway.endpoint_set import EndpointSet, LatencyListener
 from yardbank.gateway.event_queue import EventQueue
 from yardbank.gateway.positions import Positions
@@ -43,17 +43,17 @@
 from yardbank.timeline import LogPosition, Vector
 
 __all__ = ["Gateway", "Record"]
-Shares = TypeVar("Shares")
+Component = TypeVar("Component")
 
 
 class Gateway:
-    """An instance of the proxy on a reactor; shares nothing with any other.
+    """An instance of the proxy on a reactor; shares no state with other instances.
 
-    ``settings`` are the decision module's own; ``backend`` reaches the servers; ``record`` is told of every
-    request, attempt and answer, as plain dictionaries. ``router`` makes the decision module's instance;
-    ``positions`` says what servers' marks mean; ``connections_bound`` how many connections all servers together may
-    have now: at the bound the idlest gives way to a new one; ``before_send`` is called before each attempt is written,
-    and takes in lists that lie unread (``apply_changes`` may be called from it).
+    ``settings`` are those of the policy router; ``backend`` connects to the servers; ``record`` receives every request,
+    attempt and answer as a plain dictionary. ``router`` creates the policy router; ``positions`` interprets the log
+    positions that servers report; ``connections_bound`` returns how many connections all servers together may have
+    now: at the limit the longest-idle connection is closed to make room for a new one; ``before_send`` is called before
+    each attempt is written and applies pending server lists (it may call ``apply_changes``).
     """
 
     def __init__(
@@ -75,13 +75,13 @@
     ) -> None:
         self.settings = settings
         self.limits = limits or Limits()
-        self.log = (log or structlog.get_logger()).bind()  # bound once: a lazy logger is made anew at each line
+        self.log = (log or structlog.get_logger()).bind()  # bound once: a lazy logger is created anew for each line
         is_enabled_for = getattr(self.log, "is_enabled_for", None)
         self._clock = SteadyClock(seconds)
         self._deadlines = Deadlines(self._clock.now, reactor.callLater)
         self._router = router(settings)
         self._positions = positions or Positions()
-        self._bound_logged_at = 0
+        self._limit_logged_at = 0
         context = GatewayContext(
             settings=settings,
             limits=self.limits,
@@ -89,12 +89,12 @@
             deadlines=self._deadlines,
             reactor=reactor,
             log=self.log,
-            explains=is_enabled_for is None or is_enabled_for(logging.DEBUG),
+            debug_enabled=is_enabled_for is None or is_enabled_for(logging.DEBUG),
             record=record,
         )
         self._context = context
         self._requests = RequestTable(settings.classes, settings.seed)
-        self._events = EventQueue(context, self._router, self._carry_out, self._rescue)
+        self._events = EventQueue(context, self._router, self._execute, self._end_after_error)
         self._endpoints = EndpointSet(
             context,
             backend,
@@ -113,77 +113,80 @@
             context, self._requests, self._endpoints, self._positions, self._events, self._responder
         )
 
-    # What it is at
+    # Status
 
     @property
     def unanswered(self) -> int:
-        """Requests taken and not yet answered."""
+        """Number of requests accepted and not yet answered."""
         return self._requests.unanswered
 
     @property
     def stopping(self) -> bool:
-        """Whether ``stop`` was called."""
+        """Whether the gateway is stopping or has stopped."""
         return self._responder.stopping
 
     @property
     def groups(self) -> frozenset[str]:
-        """Names of the groups that servers were listed for."""
+        """Names of the groups for which servers have been listed."""
         return frozenset(self._endpoints.group_numbers)
 
     @property
     def strained(self) -> bool:
-        """Whether the bound of open requests is near."""
-        return strained(self._requests.unanswered, self.limits.max_open)
+        """Whether the number of open requests is near its limit."""
+        return is_near_limit(self._requests.unanswered, self.limits.max_open)
 
     @property
     def list_version(self) -> int:
-        """The version of the list that requests are routed by."""
+        """The version of the server list that requests are routed by."""
         return self._endpoints.list_version
 
     @property
     def server_connections(self) -> int:
-        """Connections to servers, open or opening."""
+        """Number of connections to servers, open or opening."""
         return self._endpoints.connection_count
 
     @property
     def counts(self) -> dict[str, int]:
-        """How many requests ended since the start, by answer."""
+        """Number of requests that ended since the start, by answer."""
         return self._responder.counts
 
     @property
     def request_counters(self) -> RequestCounters:
-        """How requests ended since the start, by class, with their latencies."""
+        """Requests that ended since the start, by class, with their latencies."""
         return self._responder.request_counters
 
     @property
     def asks_left_out(self) -> int:
-        """Calls of ``ask`` that were not put to the server, as too many waited for its answer."""
+        """Number of ``ask`` calls not sent to the server because too many callers were waiting for its answer."""
         return self._prober.asks_left_out
 
     @property
     def latency_listeners(self) -> list[LatencyListener]:
-        """Listeners for the time that each connect and each probe took; whoever wants to hear of them adds one."""
+        """Listeners called with the latency of each connect and each probe; append to the list to subscribe."""
         return self._endpoints.latency_listeners
 
     def connections(self) -> dict[str, int]:
-        """Open connections by server name."""
+        """Return the number of connections, open or opening, by server name."""
         return self._endpoints.connections()
 
     def now(self) -> int:
-        """The gateway's clock, ns."""
+        """Return the time on the gateway's monotonic clock, ns."""
         return self._clock.now()
 
     def request_class(self, class_name: str) -> api.RequestClass:
-        """A class by its name. Raises ``KeyError`` if there is none of it."""
+        """Return a request class by its name. Raises ``KeyError`` if there is none."""
         return self._requests.classes[class_name]
 
-    def call_at(self, at: int, fire: Callable[[], None]) -> Callable[[], None]:
-        """Call back at an instant (ns); the result calls it off. For fronts: no timer of their own each."""
-        number = self._deadlines.add(at, fire)
+    def call_at(self, at: int, callback: Callable[[], None]) -> Callable[[], None]:
+        """Call ``callback`` at a given time (ns); returns a function that cancels it.
+
+        Saves frontends timers of their own.
+        """
+        number = self._deadlines.add(at, callback)
         return lambda: self._deadlines.cancel(number)
 
     def view(self) -> dict[str, Any]:
-        """What the gateway makes of its load and its servers, for the log."""
+        """Return the gateway's view of its load and its servers, for the log."""
         endpoints, gossiped = self._endpoints, self._prober.gossiped
         return {
             "owed": self.unanswered,
@@ -197,18 +200,18 @@
                 endpoints.server_numbers,
                 endpoints.connections(),
                 endpoints.group_numbers,
-                self._attempts.ends,
+                self._attempts.failure_counts,
             ),
         }
 
     # Requests
 
     def take(self, call: Call) -> str:
-        """Take a request; its sink gets exactly one final answer. Returns its number."""
+        """Accept a request; its sink gets exactly one final answer. Returns the request's number."""
         now = self._clock.now()
         request = self._requests.add(call, now, self.list_version)
         if self._context.record:
-            self._context.note(
+            self._context.record_event(
                 "taken", id=request.id, request_class=request.request_class.name, list=self.list_version, **call.facts
             )
         reason = self._reason_to_refuse(call, now)
@@ -219,7 +222,7 @@
             id=request.id,
             group=self._endpoints.group_numbers[call.group],
             class_name=request.request_class.name,
-            expires=call.expires or now + allowance(request.request_class, call.time_limit),
+            expires=call.expires or now + allowed_time(request.request_class, call.time_limit),
             session=call.session,
             tenant=call.tenant,
             since_write=call.since_write,
@@ -228,12 +231,12 @@
         return request.id
 
     def _reason_to_refuse(self, call: Call, now: int) -> str | None:
-        """Why a request is refused before the module hears of it; None: it is not."""
+        """Return why a request is refused before it is passed to the router; None if it is not."""
         if self.stopping:
             return "the gateway is stopping"
         if self.unanswered > self.limits.max_open:
-            if now - self._bound_logged_at > SECOND:
-                self._bound_logged_at = now
+            if now - self._limit_logged_at > SECOND:
+                self._limit_logged_at = now
                 self.log.warning("open_requests_bound", bound=self.limits.max_open)
             return "too many requests are open"
         if call.group not in self._endpoints.group_numbers:
@@ -241,13 +244,16 @@
         return None
 
     def leave(self, number: str) -> None:
-        """The client of a request has gone, or wants no answer: none is sent, and what has not gone out never will."""
+        """Handle a client that has disconnected or cancelled its request.
+
+        No answer is given, and attempts that have not been written yet never will be.
+        """
         self._attempts.leave(number)
 
     def shorten(self, number: str, expires: int) -> None:
-        """A request's answer is needed by ``expires`` (ns), sooner than was said; a later instant changes nothing."""
-        request = self._requests.unended(number)
-        if request is None or request.answering is not None or request.event is None:
+        """Move the deadline of a request forward to ``expires`` (ns); a later time has no effect."""
+        request = self._requests.get_open(number)
+        if request is None or request.answering_attempt is not None or request.event is None:
             return
         if expires >= request.event.expires:
             return
@@ -256,51 +262,55 @@
         self._attempts.shorten(request, expires)
 
     def stop(self, grace: int | None = None) -> Deferred[None]:
-        """Take nothing new; fires when all that was taken is answered, at the latest after ``grace`` ns."""
+        """Accept no more requests; fires when all accepted ones are answered, at the latest after ``grace`` ns."""
         return self._responder.stop(grace)
 
     def kill(self) -> None:
-        """End as a killed process does: connections are cut, nothing is answered."""
+        """Stop like a killed process: connections are aborted and nothing is answered."""
         self._responder.kill()
 
-    # The list of servers
+    # The server list
 
     def restarted(self, floor_now: bool, floors: Mapping[str, Mapping[str, LogPosition]]) -> None:
-        """An earlier run's tokens are lost; call before the first list. ``floors``: marks by origin, by group."""
+        """Record that the session tokens of an earlier run are lost; call before the first list is applied.
+
+        ``floor_now``: sessions may have written up to now. ``floors``: log positions by origin, by group.
+        """
         self._endpoints.restarted(floor_now, floors)
 
     def remember(self) -> tuple[dict[str, dict[str, LogPosition]], dict[str, dict[str, LogPosition]]]:
-        """For the durable state: marks that cover all tokens, by group; what each server last reported, by name."""
+        """Return what to persist: positions covering all tokens, by group; last reported positions, by server name."""
         return self._endpoints.remember()
 
     def apply_list(self, servers: Sequence[ServerSpec], version: int = 0) -> None:
-        """Take the complete list of servers. Raises ``ValueError`` if one is named twice."""
+        """Apply the complete list of servers. Raises ``ValueError`` if one is listed twice."""
         self._endpoints.apply_list(servers, version)
 
     def apply_changes(self, changes: Mapping[str, ServerSpec | None], version: int = 0) -> None:
-        """Take what changes of the list, by server name (None: it is gone); the cost is that of the change.
+        """Apply a change of the server list, by server name (None: removed); the cost depends on the change only.
 
-        What waits for a connection to a server that begins to drain, moves or is gone is taken back at once. May be
-        called at any time, also while the module's actions are carried out: it hears of the list in its turn.
+        Attempts that wait for a connection to a server that starts draining, moves or is removed are withdrawn at once.
+        May be called at any time, also while actions of the router are being executed: the router then receives the
+        change after the events queued before it.
         """
         self._endpoints.apply_changes(changes, version)
 
-    # Those who know of the fleet
+    # Called by the cluster modules
 
     def ask(self, server: str, then: ProbeDone) -> None:
-        """Ask a server for its position; see ``Prober.ask``."""
+        """Probe a server for its log position; see ``Prober.ask``."""
         self._prober.ask(server, then)
 
     def apply_gossiped_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
-        """Take a server's marks that another gateway passed on; see ``Prober.position_gossiped``."""
+        """Apply a server's log positions reported by another gateway; see ``Prober.position_gossiped``."""
         return self._prober.position_gossiped(server, started, marks, checked)
 
-    def apply_zone_latencies(self, ways: Sequence[tuple[str, int, int]]) -> None:
-        """Take the latencies to other zones; see ``Prober.zone_latencies_measured``."""
-        self._prober.zone_latencies_measured(ways)
+    def apply_zone_latencies(self, latencies: Sequence[tuple[str, int, int]]) -> None:
+        """Apply the latencies to other zones; see ``Prober.zone_latencies_measured``."""
+        self._prober.zone_latencies_measured(latencies)
 
-    def shared(self, make: Callable[..., Shares]) -> Shares:
-        """Whatever tells other gateways of this one, and takes in their word; made of what it has to read and call."""
+    def shared(self, make: Callable[..., Component]) -> Component:
+        """Create the component that exchanges state with other gateways, giving it access to this gateway's state."""
         endpoints = self._endpoints
         return make(
             self._router,
@@ -311,9 +321,9 @@
             self._events.handle,
         )
 
-    # What the module decided
+    # Actions of the router
 
-    def _carry_out(self, action: api.Action, cause: api.Event) -> None:
+    def _execute(self, action: api.Action, cause: api.Event) -> None:
         match action:
             case api.Send():
                 self._attempts.send(action, cause)
@@ -332,26 +342,26 @@
                 if link := self._endpoints.links.get(action.server):
                     link.close_idle()
             case api.Subscribe():
-                pass  # the list comes by itself
+                pass  # the server list is applied through ``apply_list`` and ``apply_changes`` anyway
 
     def _refuse(self, action: api.Refuse, cause: api.Event) -> None:
-        if (request := self._to_end(action, cause, action.id)) is not None:
+        if (request := self._open_request(action, cause, action.id)) is not None:
             self._responder.refuse(request, action.retry_after, "turned away")
             self._responder.withdraw(request)
 
     def _fail(self, action: api.Fail, cause: api.Event) -> None:
-        if (request := self._to_end(action, cause, action.id)) is not None:
+        if (request := self._open_request(action, cause, action.id)) is not None:
             self._responder.fail(request, "no answer that can be relied on")
             self._responder.withdraw(request)
 
-    def _to_end(self, action: api.Action, cause: api.Event, number: str) -> InFlightRequest | None:
-        request = self._requests.unended(number)
+    def _open_request(self, action: api.Action, cause: api.Event, number: str) -> InFlightRequest | None:
+        request = self._requests.get_open(number)
         if request is not None:
-            self._attempts.explain(action, cause, request)
+            self._attempts.log_decision(action, cause, request)
         return request
 
-    def _rescue(self, cause: api.Event | api.Action) -> None:
-        self._responder.rescue(cause)
+    def _end_after_error(self, cause: api.Event | api.Action) -> None:
+        self._responder.end_after_error(cause)
 
     def _server_removed(self, number: int) -> None:
         self._prober.forget(number)
--- a/yardbank/gateway/presence.py
+++ b/yardbank/gateway/presence.py
@@ -1,4 +1,4 @@
-"""What a connection's socket holds, looked at without taking anything: unread octets, and the other end's end."""
+"""Inspects a socket without consuming data: whether data is unread and whether the peer has closed."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 import socket
 from typing import Any
 
-ENDED = getattr(select, "POLLRDHUP", 0) | getattr(select, "POLLHUP", 0) | getattr(select, "POLLERR", 0)
-LOOK = socket.MSG_PEEK | socket.MSG_DONTWAIT
+CLOSED_EVENTS = getattr(select, "POLLRDHUP", 0) | getattr(select, "POLLHUP", 0) | getattr(select, "POLLERR", 0)
+PEEK_FLAGS = socket.MSG_PEEK | socket.MSG_DONTWAIT
 
 
 def unread(transport: Any) -> bool:
-    """Whether octets of the other end wait: a close over them would reset the connection."""
+    """Whether unread data from the peer is pending: closing the socket would then reset the connection."""
     try:
-        return bool(transport.socket.recv(1, LOOK))
+        return bool(transport.socket.recv(1, PEEK_FLAGS))
     except (OSError, AttributeError):
         return False
 
 
 def present(transport: Any) -> bool:
-    """Whether the other end is there, as far as the system knows: not if it has ended its sending, or was reset.
+    """Whether the peer is connected, as far as the system knows: not if it ended its sending or reset the connection.
 
-    One system call, and a second one where unread octets may hide the end behind them. What cannot be told counts as
-    there: a transport without a socket, a system without ``poll``.
+    Takes one system call, and a second one if unread data may hide the end of the stream. If it cannot be determined,
+    the peer counts as connected: a transport without a socket, a system without ``poll``.
     """
     try:
-        found = transport.socket.recv(1, LOOK)
+        data = transport.socket.recv(1, PEEK_FLAGS)
     except ConnectionError:
         return False
     except (OSError, AttributeError):
         return True
-    return bool(found) and not _ended(transport.socket)
+    return bool(data) and not _is_closed(transport.socket)
 
 
-def _ended(held: socket.socket) -> bool:
-    """Whether the end has come behind octets that are not read yet."""
+def _is_closed(connection: socket.socket) -> bool:
+    """Whether the end of the stream follows data that is not read yet."""
     try:
         poll = select.poll()
-        poll.register(held, ENDED)
-        return any(events & ENDED for _, events in poll.poll(0))
+        poll.register(connection, CLOSED_EVENTS)
+        return any(events & CLOSED_EVENTS for _, events in poll.poll(0))
     except (OSError, ValueError, AttributeError):
         return False
--- a/yardbank/gateway/request.py
+++ b/yardbank/gateway/request.py
@@ -1,4 +1,4 @@
-"""A request that a gateway has taken, as long as anything of it is owed or out."""
+"""A request that a gateway has accepted, kept until it is answered and its attempts have ended."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class InFlightRequest:
-    """A request that is owed its answer, or whose attempts are still out."""
+    """A request that is not answered yet, or that has attempts outstanding."""
 
     __slots__ = (
-        "answering",
+        "answering_attempt",
         "attempts",
         "call",
         "ended",
         "event",
-        "gathered",
+        "gathered_bytes",
         "id",
         "list_version",
-        "missed",
-        "out",
+        "miss_payload",
+        "outstanding",
         "parts",
         "ran_at",
         "request_class",
@@ -36,27 +36,27 @@
         self.request_class = request_class
         self.taken_at = now
         self.list_version = list_version
-        self.event: api.Request | None = None  # as the decision module was last told of it
+        self.event: api.Request | None = None  # as last passed to the router
         self.attempts = 0
-        self.out: dict[int, Attempt] = {}
-        self.parts: dict[int, list[Any]] = {}  # gathered, by attempt
-        self.gathered: dict[int, int] = {}  # octets
-        self.answering: int | None = None  # the attempt whose answer has begun to reach the client
+        self.outstanding: dict[int, Attempt] = {}
+        self.parts: dict[int, list[Any]] = {}  # buffered parts of responses, by attempt
+        self.gathered_bytes: dict[int, int] = {}  # buffered bytes, by attempt
+        self.answering_attempt: int | None = None  # the attempt whose response is being streamed to the client
         self.stream_timer: int | None = None
         self.ended = False
-        self.ran_at: int | None = None  # when the earliest attempt that has ended and may have run was issued (ns)
-        self.missed: Any = None  # what a copy answered along with a miss: it stands if no server answers otherwise
+        self.ran_at: int | None = None  # issue time (ns) of the earliest finished attempt that may have run
+        self.miss_payload: Any = None  # payload of a replica's miss: the answer if no server gives another
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt has ended that may have run."""
+        """Whether a finished attempt may have run."""
         return self.ran_at is not None
 
-    def ran(self, issued: int) -> None:
-        """An attempt issued at that instant (ns) has ended, and may have run."""
-        self.ran_at = issued if self.ran_at is None else min(self.ran_at, issued)
+    def record_run(self, issued_at: int) -> None:
+        """Record that an attempt issued at that time (ns) has ended and may have run."""
+        self.ran_at = issued_at if self.ran_at is None else min(self.ran_at, issued_at)
 
-    def first_issue(self) -> int | None:
-        """When the earliest attempt was issued that may have run or is out (ns); None: there is none."""
-        issued = [attempt.sent_at for attempt in self.out.values() if attempt.gone_out]
-        return min(issued, default=self.ran_at) if self.ran_at is None else min([self.ran_at, *issued])
+    def earliest_issue(self) -> int | None:
+        """Return when the earliest attempt that is outstanding or may have run was issued (ns); None: there is none."""
+        issue_times = [attempt.sent_at for attempt in self.outstanding.values() if attempt.was_written]
+        return min(issue_times, default=self.ran_at) if self.ran_at is None else min([self.ran_at, *issue_times])
--- a/yardbank/gateway/request_counters.py
+++ b/yardbank/gateway/request_counters.py
@@ -1,7 +1,7 @@
-"""How requests ended, by class, since the gateway's start. No I/O; bounded by the number of classes.
+"""Counts how requests ended since the gateway's start, by class. No I/O; bounded by the number of classes.
 
-Latencies go to buckets of a fixed size, eight for each doubling, as in an HDR histogram of one digit: a few integer
-operations a request, and two gateways' figures can be added bucket by bucket.
+Latencies are counted in a histogram of fixed size with eight buckets per power of two, like an HDR histogram of one
+significant digit: recording takes a few integer operations, and histograms of gateways can be added bucket by bucket.
 """
 
 from __future__ import annotations
@@ -12,46 +12,49 @@
 
 from yardbank.interface import RequestClass
 
-PARTS = 3  # bits: eight buckets for each doubling, so what is read off is at most an eighth too high
-LEAST, MOST = 14, 37  # powers of two, ns: 16 us and 137 s; what lies beyond counts as the last
-BUCKETS = (MOST - LEAST) << PARTS
+BUCKET_BITS = 3  # eight buckets per power of two: a quantile is at most an eighth too high
+FIRST_POWER, LIMIT_POWER = 14, 37  # powers of two, ns: 16 us and 137 s; the outer buckets count all beyond
+BUCKET_COUNT = (LIMIT_POWER - FIRST_POWER) << BUCKET_BITS
 
 
-def bucket(ns: int) -> int:
-    """Where a latency counts."""
-    held = min(max(ns, 1 << LEAST), (1 << MOST) - 1)
-    power = held.bit_length() - 1
-    return ((power - LEAST) << PARTS) + (held >> (power - PARTS)) - (1 << PARTS)
+def bucket_index(ns: int) -> int:
+    """Return the index of a latency's bucket."""
+    clamped = min(max(ns, 1 << FIRST_POWER), (1 << LIMIT_POWER) - 1)
+    power = clamped.bit_length() - 1
+    return ((power - FIRST_POWER) << BUCKET_BITS) + (clamped >> (power - BUCKET_BITS)) - (1 << BUCKET_BITS)
 
 
 def beyond(index: int) -> int:
-    """The least latency (ns) that is beyond a bucket."""
-    power, part = divmod(index, 1 << PARTS)
-    return ((1 << PARTS) + part + 1) << (power + LEAST - PARTS)
+    """Return the exclusive upper bound (ns) of a bucket."""
+    power, offset = divmod(index, 1 << BUCKET_BITS)
+    return ((1 << BUCKET_BITS) + offset + 1) << (power + FIRST_POWER - BUCKET_BITS)
 
 
 @dataclass(slots=True)
 class ClassCounters:
-    """One class. ``latencies`` are of what was served, in time or late."""
+    """Counters of one request class. ``latencies`` counts served requests, in time or late."""
 
     in_time: int = 0
     late: int = 0
     refused: int = 0
     failed: int = 0
     left: int = 0
-    latencies: list[int] = field(default_factory=lambda: [0] * BUCKETS)
+    latencies: list[int] = field(default_factory=lambda: [0] * BUCKET_COUNT)
 
-    def quantile(self, part: float) -> int:
-        """The latency (ns) that this part of what was served stayed under, at most an eighth too high; 0: none was."""
-        rest = part * (self.in_time + self.late)
+    def quantile(self, fraction: float) -> int:
+        """Return the latency (ns) that this fraction of served requests stayed under; 0: none was served.
+
+        The result is at most an eighth too high.
+        """
+        remaining = fraction * (self.in_time + self.late)
         for index, count in enumerate(self.latencies):
-            rest -= count
-            if count and rest <= 0:
+            remaining -= count
+            if count and remaining <= 0:
                 return beyond(index)
         return 0
 
     def since(self, earlier: ClassCounters) -> ClassCounters:
-        """What came after an earlier copy was taken."""
+        """Return the difference to an earlier copy."""
         return ClassCounters(
             self.in_time - earlier.in_time,
             self.late - earlier.late,
@@ -63,43 +66,43 @@
 
 
 class RequestCounters:
-    """All classes of one gateway."""
+    """Counters of all request classes of one gateway."""
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.by_class = {request_class.name: ClassCounters() for request_class in classes}
 
     def add(self, request_class: RequestClass, answer: str, took: int) -> None:
-        """A request has ended: served, refused, failed or left, ``took`` ns after it was taken."""
-        tally = self.by_class[request_class.name]
+        """Count a request that was served, refused, failed or left by its client, ``took`` ns after it was accepted."""
+        counters = self.by_class[request_class.name]
         if answer == "served":
-            tally.latencies[bucket(took)] += 1
+            counters.latencies[bucket_index(took)] += 1
             if took <= request_class.latency_objective:
-                tally.in_time += 1
+                counters.in_time += 1
             else:
-                tally.late += 1
+                counters.late += 1
         elif answer == "refused":
-            tally.refused += 1
+            counters.refused += 1
         elif answer == "failed":
-            tally.failed += 1
+            counters.failed += 1
         else:
-            tally.left += 1
+            counters.left += 1
 
     def copy(self) -> dict[str, ClassCounters]:
-        """The figures as they are now, by class."""
+        """Return a copy of the counters, by class."""
         nothing = ClassCounters()
-        return {name: tally.since(nothing) for name, tally in self.by_class.items()}
+        return {name: counters.since(nothing) for name, counters in self.by_class.items()}
 
     def view(self) -> dict[str, dict[str, Any]]:
-        """The same as plain values, for a log or a page; latencies in ms."""
+        """Return the counters as plain values for the log; latencies in ms."""
         return {
             name: {
-                "in_time": tally.in_time,
-                "late": tally.late,
-                "refused": tally.refused,
-                "failed": tally.failed,
-                "left": tally.left,
-                "p50": tally.quantile(0.5) / 1e6,
-                "p99": tally.quantile(0.99) / 1e6,
+                "in_time": counters.in_time,
+                "late": counters.late,
+                "refused": counters.refused,
+                "failed": counters.failed,
+                "left": counters.left,
+                "p50": counters.quantile(0.5) / 1e6,
+                "p99": counters.quantile(0.99) / 1e6,
             }
-            for name, tally in self.by_class.items()
+            for name, counters in self.by_class.items()
         }
--- a/yardbank/gateway/responder.py
+++ b/yardbank/gateway/responder.py
@@ -1,8 +1,8 @@
-"""How requests end: the one final answer each, and the end of all when the gateway stops.
+"""Gives each request its one final answer, and ends all requests when the gateway stops.
 
-Owns: the counts of answers, the state of stopping and the shutdown trigger. Only this part gives final answers and
-marks requests as answered. Bound: counters by request class. Invariant: a request's sink gets exactly one of
-``served``, ``refused``, ``failed``, or nothing where its client has left, and nothing after that.
+Owns: the counts of answers, the stopping state and the shutdown trigger. Only this class gives final answers and marks
+requests as answered. Bound: counters by request class. Invariant: a request's sink gets exactly one of ``served``,
+``refused``, ``failed``, or none if its client has left, and nothing after that.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from yardbank.gateway.request_table import RequestTable
 from yardbank.gateway.send_check import SendCheck
 
-AT_ONCE = 5_000_000  # ns
-STOPPED = "the gateway has stopped"
+IMMEDIATE_REFUSAL_NS = 5_000_000  # a refusal within this time (ns) counts as "at once", a later one as "held"
+STOPPED_REASON = "the gateway has stopped"
 
 
 class Responder:
-    """Final answers, and stopping."""
+    """Final answers and stopping."""
 
     def __init__(
         self,
@@ -47,22 +47,22 @@
         self._events = events
         self._log_answers = log_answers
         self.counts: dict[str, int] = dict.fromkeys(("served", "refused", "failed", "left"), 0)
-        self.refused_by_class: Counter[str] = Counter()  # and whether at once, held or after attempts
+        self.refused_by_class: Counter[str] = Counter()  # and by timing, see ``_count``
         self.request_counters = RequestCounters(context.settings.classes)
         self._stopping: Deferred[None] | None = None
         self._trigger: Any = None
-        if hasattr(context.reactor, "addSystemEventTrigger"):  # a bare clock has no shutdown
-            self._trigger = context.reactor.addSystemEventTrigger("before", "shutdown", self._host_stops)
+        if hasattr(context.reactor, "addSystemEventTrigger"):  # a test clock has no shutdown event
+            self._trigger = context.reactor.addSystemEventTrigger("before", "shutdown", self._on_reactor_shutdown)
 
     # Stopping
 
     @property
     def stopping(self) -> bool:
-        """Whether the gateway takes nothing new any more."""
+        """Whether the gateway no longer accepts requests."""
         return self._stopping is not None
 
     def stop(self, grace: int | None) -> Deferred[None]:
-        """Take nothing new; fires when all that was taken is answered, at the latest after ``grace`` ns."""
+        """Accept no more requests; fires when all accepted ones are answered, at the latest after ``grace`` ns."""
         if self._stopping is None:
             self._stopping = Deferred()
             self._begin_stop(grace)
@@ -80,14 +80,14 @@
         unanswered = self._requests.unanswered
         self._context.log.info("stopping", owed=unanswered)
         if not unanswered:
-            self._stopped()
+            self._finish_stopping()
             return
         limit = self._context.limits.stop_grace if grace is None else grace
         self._context.deadlines.add(self._context.now() + limit, self._end_all)
 
     def kill(self) -> None:
-        """End as a killed process does: connections are cut, nothing is answered."""
-        self._events.silence()
+        """Stop like a killed process: connections are aborted and nothing is answered."""
+        self._events.detach_router()
         for request in self._requests.all():
             request.ended = True
         self._context.deadlines.clear()
@@ -97,8 +97,8 @@
             self._context.reactor.removeSystemEventTrigger(self._trigger)
             self._trigger = None
 
-    def _host_stops(self) -> None:
-        """The host process stops without having asked: every request taken gets its answer now."""
+    def _on_reactor_shutdown(self) -> None:
+        """Answer every open request now: the reactor shuts down without ``stop`` having been called."""
         if self._stopping is None:
             self._stopping = Deferred()
         self._end_all()
@@ -106,10 +106,10 @@
     def _end_all(self) -> None:
         for request in self._requests.all():
             if not request.ended:
-                self.end(request, STOPPED)
-        self._stopped()
+                self.end(request, STOPPED_REASON)
+        self._finish_stopping()
 
-    def _stopped(self) -> None:
+    def _finish_stopping(self) -> None:
         assert self._stopping is not None
         if self._stopping.called:
             return
@@ -117,26 +117,26 @@
         if trigger is not None:
             try:
                 self._context.reactor.removeSystemEventTrigger(trigger)
-            except (ValueError, KeyError):  # it is running right now
+            except (ValueError, KeyError):  # the trigger is running right now
                 pass
         for link in self._endpoints.all_links():
-            link.close(STOPPED)
+            link.close(STOPPED_REASON)
         self._context.deadlines.clear()
         self._context.log.info("stopped", **self.counts)
         self._stopping.callback(None)
 
-    def _stopped_if_empty(self) -> None:
+    def _finish_stopping_if_answered(self) -> None:
         if not self._requests.unanswered:
-            self._stopped()
+            self._finish_stopping()
 
     # Final answers
 
-    def rescue(self, cause: api.Event | api.Action) -> None:
-        """An error in the program stands where a decision or its execution should: end that request alone."""
+    def end_after_error(self, cause: api.Event | api.Action) -> None:
+        """End the one request that an internal error concerns."""
         number = getattr(cause, "id", None)
         if not isinstance(number, str):
             return
-        request = self._requests.unended(number)
+        request = self._requests.get_open(number)
         if request is None:
             return
         self.end(request, "internal error")
@@ -144,25 +144,25 @@
             self._events.append(api.ClientCancelled(request.id))
 
     def serve(self, request: InFlightRequest, payload: Any, server: str = "") -> None:
-        """Give the answer's last part; ``server`` is the name of the one that gave it, for the log."""
+        """Deliver the last part of the response; ``server`` is the name of the server that sent it, for the log."""
         self.finish(request, "served", server)
         self._call_sink(request, lambda: request.call.sink.served(payload))
 
     def refuse(self, request: InFlightRequest, retry_after: int, reason: str) -> None:
-        """Reject a request, or serve what a copy answered along with a miss. ``retry_after``: ns."""
-        if request.missed is not None:  # copies that its class allows have answered, and nobody said otherwise
-            self.serve(request, request.missed)
+        """Refuse a request, or serve the payload of a replica's miss. ``retry_after``: ns."""
+        if request.miss_payload is not None:  # an allowed replica answered, and no server differed
+            self.serve(request, request.miss_payload)
             return
         self.finish(request, "refused", "")
         self._call_sink(request, lambda: request.call.sink.refused(retry_after, reason))
 
     def fail(self, request: InFlightRequest, reason: str) -> None:
-        """End a request with nothing promised either way."""
+        """Fail a request, which may or may not have run."""
         self.finish(request, "failed", "")
         self._call_sink(request, lambda: request.call.sink.failed(reason))
 
     def end(self, request: InFlightRequest, reason: str) -> None:
-        """End a request without a decision of the module."""
+        """End a request without a decision of the router."""
         if self._may_refuse(request):
             self.refuse(request, self._context.settings.max_retry_after, reason)
         else:
@@ -170,32 +170,32 @@
         self.withdraw(request)
 
     def _may_refuse(self, request: InFlightRequest) -> bool:
-        if request.answering is not None:
+        if request.answering_attempt is not None:
             return False
-        may_have_run = request.may_have_run or any(attempt.gone_out for attempt in request.out.values())
+        may_have_run = request.may_have_run or any(attempt.was_written for attempt in request.outstanding.values())
         return may_be_refused(request.request_class, may_have_run)
 
     def withdraw(self, request: InFlightRequest) -> None:
-        """Nothing more is sent for a request: its attempts that wait for a connection end as never run."""
-        for attempt in list(request.out.values()):
-            if not attempt.gone_out and not attempt.ended:
+        """Withdraw attempts of a request that wait for a connection: they end as never run."""
+        for attempt in list(request.outstanding.values()):
+            if not attempt.was_written and not attempt.ended:
                 attempt.end("moot", None, SendCheck.ENDED.value)
 
     def finish(self, request: InFlightRequest, answer: str, server: str) -> None:
-        """Count a request as ended, ahead of its sink's call: from here on it counts as answered everywhere."""
-        self._requests.answered(request)
+        """Count a request as ended before its sink is called, so that it counts as answered everywhere."""
+        self._requests.mark_answered(request)
         took = self._context.now() - request.taken_at
         self._count(request, answer, took)
         if request.stream_timer is not None:
             self._context.deadlines.cancel(request.stream_timer)
         request.parts.clear()
         if self._context.record:
-            self._context.note("answer", id=request.id, answer=answer)
+            self._context.record_event("answer", id=request.id, answer=answer)
         if self._log_answers:
             self._log_answer(request, answer, server, took)
-        self._requests.discard_if_over(request)
+        self._requests.discard_if_done(request)
         if self._stopping is not None and not self._requests.unanswered and not self._stopping.called:
-            self._context.reactor.callLater(0, self._stopped_if_empty)
+            self._context.reactor.callLater(0, self._finish_stopping_if_answered)
 
     def _count(self, request: InFlightRequest, answer: str, took: int) -> None:
         self.counts[answer] += 1
@@ -204,7 +204,7 @@
             return
         if request.attempts:
             when = "after attempts"
-        elif took < AT_ONCE:
+        elif took < IMMEDIATE_REFUSAL_NS:
             when = "at once"
         else:
             when = "held"
@@ -223,8 +223,8 @@
             ms=round(took / 1e6, 3),
         )
 
-    def _call_sink(self, request: InFlightRequest, give: Callable[[], None]) -> None:
+    def _call_sink(self, request: InFlightRequest, deliver: Callable[[], None]) -> None:
         try:
-            give()
-        except Exception as problem:  # border: the request is over for the module; its front must not harm others
+            deliver()
+        except Exception as problem:  # error boundary: a frontend must not harm other requests
             self._context.log.error("front_error", request=request.id, error=repr(problem), exc_info=True)
--- a/yardbank/gateway/send_check.py
+++ b/yardbank/gateway/send_check.py
@@ -1,7 +1,7 @@
-"""Whether an attempt may still be written, asked right before it is: the one place where that is decided. No I/O.
+"""Decides, right before an attempt is written, whether it may still be sent. No I/O.
 
-Between the decision to send and the write lie the opening of a connection, other events and, on a busy machine, any
-time at all. What the module decided is not judged anew here; only what has become untrue since is found.
+Between the decision to send and the write, a connection is opened, other events are handled and, on a busy machine, any
+amount of time passes. The router's decision is not reconsidered here; only what has become invalid since is detected.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class SendCheck(Enum):
-    """Why an attempt is not written; it ends as one that never ran."""
+    """Why an attempt is not written; such an attempt ends as one that never ran."""
 
     ENDED = "the request had ended"
     EXPIRED = "its time had run out"
@@ -22,27 +22,27 @@
     MAY_HAVE_RUN = "an earlier attempt may have run"
 
 
-def check_send(request: InFlightRequest, attempt: Attempt, now: int, changed_in: int) -> SendCheck | None:
-    """Why an attempt may not be written at ``now`` (ns); None: it may.
+def check_send(request: InFlightRequest, attempt: Attempt, now: int, last_invalidation: int) -> SendCheck | None:
+    """Return why an attempt may not be written at ``now`` (ns); None if it may.
 
-    ``changed_in`` is the number of the list with which its server last began to drain, moved or was gone; an attempt
-    that was decided on with that list in hand goes there knowingly.
+    ``last_invalidation`` is the number of the list with which its server last started draining, moved or was removed;
+    an attempt that was decided on with that list already known may be sent there.
     """
-    if attempt.ended or request.ended or request.answering is not None:
+    if attempt.ended or request.ended or request.answering_attempt is not None:
         return SendCheck.ENDED
-    if attempt.until <= now:
+    if attempt.valid_until <= now:
         return SendCheck.EXPIRED
-    if attempt.list_seen < changed_in:
+    if attempt.lists_handled < last_invalidation:
         return SendCheck.SUPERSEDED
     return check_repeat(request, now)
 
 
 def check_repeat(request: InFlightRequest, now: int) -> SendCheck | None:
-    """A repeat of what may have run: harmless if it is safe, or keyed and still within its window."""
+    """Check a repeat of a request that may have run: allowed if the class is safe, or keyed and within its window."""
     request_class = request.request_class
     if request_class.effect == "safe":
         return None
-    issued = request.first_issue()
+    issued = request.earliest_issue()
     if issued is None:
         return None
     if request_class.effect == "keyed" and request_class.scope != "zone":
--- a/yardbank/gateway/server_link.py
+++ b/yardbank/gateway/server_link.py
@@ -1,7 +1,8 @@
-"""The link to one server: carries attempts and probes over pooled connections and reports how each one ended.
+"""Link to one server: sends attempts and probes over pooled connections and reports how each one ended.
 
-Owns: its pool. The endpoint set makes and retires it; attempts and the prober use it. Bound: the pool's. Invariant:
-every attempt submitted and every probe put ends exactly once, and gives its slot back.
+Owns: its connection pool. The endpoint set creates and retires links; the attempt runner and the prober use them.
+Bound: that of the pool. Invariant: every attempt submitted and every probe started ends exactly once and releases its
+slot.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 
 
 class _PendingProbe:
-    """One probe that is under way; ``done`` gets its position, when it went out (ns), and the status, once."""
+    """A probe in progress; ``done`` is called once with the position, the time it was sent (ns), and the status."""
 
-    __slots__ = ("_done", "_link", "_over", "_sent_at", "_slot", "timer")
+    __slots__ = ("_done", "_link", "_reported", "_sent_at", "_slot", "timer")
 
     def __init__(
         self,
@@ -35,12 +36,12 @@
         self._slot = slot
         self._sent_at = sent_at
         self._done = done
-        self._over = False
-        self.timer = -1  # no timer has this number: cancelling it does nothing
+        self._reported = False
+        self.timer = -1  # no timer has this number: cancelling it has no effect
 
-    def put(self, connection: Connection | None) -> None:
-        """Send it over a connection that is up; None: none came up."""
-        if self._over:
+    def send(self, connection: Connection | None) -> None:
+        """Send the probe over an open connection; None: no connection could be opened."""
+        if self._reported:
             return
         if connection is None:
             self.not_connected()
@@ -49,29 +50,29 @@
         connection.probe(self._answered)
 
     def not_connected(self) -> None:
-        """It cannot go out."""
+        """End the probe: no connection could be used."""
         self._finish(None, "connect_failed", False)
 
     def timed_out(self) -> None:
-        """Its time is over."""
+        """End the probe: there was no answer in time."""
         self._finish(None, "timeout", False)
 
     def _answered(self, position: ProbeResult | None) -> None:
         self._finish(position, "ok" if position else "error", True)
 
     def _finish(self, position: ProbeResult | None, status: str, answered: bool) -> None:
-        if self._over:
+        if self._reported:
             return
-        self._over = True
+        self._reported = True
         self._link.probe_ended(self.timer, self._slot, self._sent_at, status, answered)
         self._done(position, self._sent_at, status)
 
 
 class ServerLink:
-    """All that goes to one server from one gateway.
+    """All traffic from one gateway to one server.
 
-    ``has_room`` says whether the gateway may hold one connection more; ``measured`` is told of each connect and each
-    probe that succeeded: server, ns, which of the two.
+    ``has_room`` says whether the gateway may open one more connection; ``on_latency`` is called for each successful
+    connect and probe with the server, the latency (ns) and which of the two it was.
     """
 
     def __init__(
@@ -83,28 +84,28 @@
         now: Callable[[], int],
         log: Any,
         has_room: Callable[[], bool] = lambda: True,
-        measured: Callable[[ServerSpec, int, str], None] = lambda server, ns, what: None,
+        on_latency: Callable[[ServerSpec, int, str], None] = lambda server, ns, kind: None,
     ) -> None:
         self.server = server
         self.now = now
         self._limits = limits
         self._deadlines = deadlines
         self._log = log
-        self._measured = measured
-        self._pool = ConnectionPool(server, backend, limits, deadlines, now, log, has_room, measured, self._write)
+        self._on_latency = on_latency
+        self._pool = ConnectionPool(server, backend, limits, deadlines, now, log, has_room, on_latency, self._write)
 
     @property
     def connections(self) -> int:
-        """Connections open or opening."""
+        """Number of connections, open or opening."""
         return len(self._pool.open_or_opening)
 
     # Attempts
 
-    def submit(self, attempt: Attempt, until: int) -> None:
-        """Send an attempt, now or when a connection for it is up; its end is reported through it. ``until``: ns."""
+    def submit(self, attempt: Attempt, valid_until: int) -> None:
+        """Send an attempt, now or once a connection for it is open; it reports its own end. ``valid_until``: ns."""
         attempt.link = self
-        attempt.until = until
-        if until <= self.now():
+        attempt.valid_until = valid_until
+        if valid_until <= self.now():
             attempt.end("moot", None, SendCheck.EXPIRED.value)
             return
         assignment = self._pool.assign()
@@ -113,8 +114,8 @@
             attempt.end("connect_failed", None, "every connection is full")
             return
         attempt.slot = assignment.slot
-        attempt.timer = self._deadlines.add(until, partial(self._overdue, attempt))
-        pooled = self._pool.pooled(assignment)
+        attempt.timer = self._deadlines.add(valid_until, partial(self._on_deadline, attempt))
+        pooled = self._pool.connection_for(assignment)
         if attempt.ended:
             return
         if pooled is None:
@@ -124,40 +125,40 @@
         if pooled.connection is not None:
             self._write(pooled, attempt)
 
-    def shorten(self, attempt: Attempt, until: int) -> None:
-        """An attempt is of no use from ``until`` (ns) on, which is sooner than was said."""
-        if attempt.ended or until >= attempt.until:
+    def shorten(self, attempt: Attempt, valid_until: int) -> None:
+        """Move an attempt's deadline forward to ``valid_until`` (ns); a later time has no effect."""
+        if attempt.ended or valid_until >= attempt.valid_until:
             return
-        attempt.until = until
+        attempt.valid_until = valid_until
         if attempt.timer is not None:
             self._deadlines.cancel(attempt.timer)
-            attempt.timer = self._deadlines.add(until, partial(self._overdue, attempt))
+            attempt.timer = self._deadlines.add(valid_until, partial(self._on_deadline, attempt))
 
-    def withdraw(self, why: SendCheck, meant: Callable[[Attempt], bool]) -> None:
-        """Take back those of the attempts that wait for a connection which ``meant`` picks: they never ran."""
+    def withdraw(self, reason: SendCheck, matches: Callable[[Attempt], bool]) -> None:
+        """Withdraw the attempts selected by ``matches`` that wait for a connection: they end as never run."""
         for pooled in list(self._pool.open_or_opening.values()):
             for attempt in list(pooled.waiting):
-                if not attempt.ended and meant(attempt):
-                    attempt.end("moot", None, why.value)
+                if not attempt.ended and matches(attempt):
+                    attempt.end("moot", None, reason.value)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for one attempt; the server is told where it can be."""
+        """Cancel an attempt; the server is told if the protocol allows it."""
         self._abandon(attempt)
         attempt.end("cancelled", None, "called off")
 
     def release(self, attempt: Attempt, answered: bool) -> None:
-        """An attempt ended: its slot is free."""
+        """Release the slot and the timer of an attempt that has ended."""
         if attempt.timer is not None:
             self._deadlines.cancel(attempt.timer)
         if attempt.slot is None:
             return
         if pooled := self._pool.open_or_opening.get(attempt.slot):
             pooled.waiting.pop(attempt, None)
-            pooled.out.pop(attempt, None)
-        self._pool.free(attempt.slot, attempt.sent_at, answered or not attempt.gone_out)
+            pooled.outstanding.pop(attempt, None)
+        self._pool.release(attempt.slot, attempt.sent_at, answered or not attempt.was_written)
 
-    def _overdue(self, attempt: Attempt) -> None:
-        if attempt.gone_out:
+    def _on_deadline(self, attempt: Attempt) -> None:
+        if attempt.was_written:
             self._abandon(attempt)
             attempt.end("timeout", None, "no answer in time")
         else:
@@ -171,27 +172,27 @@
             pooled.connection.abandon(attempt.number)
 
     def _write(self, pooled: PooledConnection, attempt: Attempt) -> None:
-        """Write an attempt, unless something that has come between says otherwise."""
+        """Write an attempt, unless the check before writing rules it out."""
         assert pooled.connection is not None
-        if not attempt.ended and (why := attempt.check(attempt)) is not None:
-            attempt.end("moot", None, why.value)
+        if not attempt.ended and (reason := attempt.check(attempt)) is not None:
+            attempt.end("moot", None, reason.value)
         pooled.waiting.pop(attempt, None)
-        if attempt.ended:  # what the check found may have ended it, too
+        if attempt.ended:  # the check may have ended the attempt as a side effect
             return
-        pooled.out[attempt] = None
+        pooled.outstanding[attempt] = None
         try:
             attempt.number = pooled.connection.submit(attempt.operation, attempt)
         except NotSentError as problem:
             assert attempt.slot is not None
-            self._pool.let_go(attempt.slot, str(problem))
-        except Exception as problem:  # noqa: BLE001  # border: a protocol's backend; one request's fault, not the connection's
+            self._pool.discard(attempt.slot, str(problem))
+        except Exception as problem:  # noqa: BLE001  # error boundary: a backend; ends one request only
             self._log.error("submit_error", server=self.server.name, error=repr(problem))
             attempt.end("error", None, "the request could not be written")
 
     # Probes
 
     def probe(self, done: Callable[[ProbeResult | None, int, str], None]) -> None:
-        """Ask for position and role; ``done`` gets them, when the question went out (ns), and the status."""
+        """Probe the server; ``done`` gets position and role, the time the probe was sent (ns), and the status."""
         sent_at = self.now()
         assignment = self._pool.assign()
         probe = _PendingProbe(self, assignment.slot, sent_at, done)
@@ -200,51 +201,51 @@
         if assignment.slot is None:
             probe.not_connected()
             return
-        pooled = self._pool.pooled(assignment)
+        pooled = self._pool.connection_for(assignment)
         if pooled is None:
             probe.not_connected()
         elif pooled.connection is not None:
-            probe.put(pooled.connection)
+            probe.send(pooled.connection)
         else:
-            pooled.probes.append(probe.put)
+            pooled.probes.append(probe.send)
 
     def probe_ended(self, timer: int, slot: int | None, sent_at: int, status: str, answered: bool) -> None:
-        """A probe is over: its timer and its slot are free."""
+        """Release the timer and the slot of a probe that has ended."""
         self._deadlines.cancel(timer)
         if status == "ok":
-            self._measured(self.server, self.now() - sent_at, "probe")
+            self._on_latency(self.server, self.now() - sent_at, "probe")
         if slot is not None:
-            self._pool.free(slot, sent_at, answered)
+            self._pool.release(slot, sent_at, answered)
 
     def withdraw_probes(self) -> None:
-        """Nobody is asked here any more: questions that wait for a connection end as never put."""
+        """End the probes that wait for a connection, because the server has moved or been removed."""
         for pooled in list(self._pool.open_or_opening.values()):
             waiting, pooled.probes = pooled.probes, []
-            for put in waiting:
-                put(None)
+            for send in waiting:
+                send(None)
 
     # Connections
 
     def close_idle(self) -> None:
-        """Close what carries nothing."""
+        """Close idle connections."""
         self._pool.close_idle()
 
     def idle_since(self) -> int | None:
-        """Since when its idlest connection has carried nothing (ns); None: none is idle."""
+        """Return since when the longest-idle connection has been idle (ns); None if none is idle."""
         return self._pool.idle_since()
 
-    def close_idlest(self) -> None:
+    def close_longest_idle(self) -> None:
         """Close the connection that has been idle longest."""
-        self._pool.close_idlest()
+        self._pool.close_longest_idle()
 
-    def close_overdue(self) -> None:
-        """Close what has carried nothing for the idle time."""
-        self._pool.close_overdue()
+    def close_expired(self) -> None:
+        """Close the connections that have been idle for ``Limits.idle_close``."""
+        self._pool.close_expired()
 
     def close(self, reason: str) -> None:
-        """Close all connections; what is out is lost."""
+        """Close all connections; outstanding attempts are lost."""
         self._pool.close(reason)
 
     def abort(self) -> None:
-        """Cut every connection without a word."""
+        """Abort every connection without a graceful close."""
         self._pool.abort()
--- a/yardbank/gateway/slots.py
+++ b/yardbank/gateway/slots.py
@@ -1,7 +1,7 @@
-"""Which connection to a server carries an attempt, when one is opened, when one is closed. No I/O.
+"""Decides which connection to a server carries an attempt, and when connections are opened and closed. No I/O.
 
-The gateway tells what happens to connections and carries out what this says. Servers are chosen by the
-decision module; here only the way to the chosen one is.
+The connection pool reports events on connections and executes what is decided here. Servers are chosen by the policy
+router; only the connection to the chosen server is chosen here.
 """
 
 from __future__ import annotations
@@ -16,110 +16,113 @@
     number: int
     opened_at: int
     ready: bool = False
-    load: int = 0  # attempts placed on it
-    used_at: int = 0
-    heard_at: int = 0
-    opened_again: bool = False
-    retired: bool = False  # takes nothing new; closed once nothing is outstanding
+    in_use: int = 0  # attempts and probes assigned to the connection
+    last_used_at: int = 0
+    last_received_at: int = 0
+    reopened: bool = False
+    retired: bool = False  # takes no new attempts; closed once none is outstanding
 
 
 @dataclass(slots=True)
 class SlotAssignment:
-    """Where an attempt goes: a connection there is, or one to be opened; None of both: no room."""
+    """Slot of an attempt: an existing connection, or one to be opened; no slot: there is no room."""
 
     slot: int | None = None
     opening: bool = False
 
 
 class SlotTable:
-    """The connections of one gateway to one server."""
+    """Connections of one gateway to one server."""
 
     def __init__(self, connections: int, multiplex: int, idle_close: int) -> None:
-        self._most = connections
+        self._max_connections = connections
         self._multiplex = multiplex
         self._idle_close = idle_close
         self.slots: dict[int, Slot] = {}
-        self._next = 0
+        self._next_number = 0
 
-    def place(self, now: int) -> SlotAssignment:
-        """Place one attempt: on the open connection with most room, else one that is opening, else a new one.
+    def assign(self, now: int) -> SlotAssignment:
+        """Assign an attempt to the least loaded open connection, else to one that is opening, else to a new one.
 
-        Attempts share a connection as long as it has room: each connection costs its server a handshake and
-        memory, and hundreds of gateways ask the same servers. No room anywhere is an answer: nothing waits
-        here, where it could not be ordered.
+        Attempts share a connection as long as it has room: each connection costs its server a handshake and memory, and
+        hundreds of gateways connect to the same servers. If there is no room, the caller is told so at once: attempts
+        are not queued here, where they could not be ordered.
         """
-        usable = [slot for slot in self.slots.values() if not slot.retired and slot.load < self._multiplex]
-        best = min(usable, key=lambda slot: (not slot.ready, slot.load, slot.number), default=None)
+        usable = [slot for slot in self.slots.values() if not slot.retired and slot.in_use < self._multiplex]
+        best = min(usable, key=lambda slot: (not slot.ready, slot.in_use, slot.number), default=None)
         if best is None:
-            if len(self.slots) >= self._most:
+            if len(self.slots) >= self._max_connections:
                 return SlotAssignment()
-            best = self.slots[self._next] = Slot(self._next, now)
-            self._next += 1
-            best.load = 1
-            best.used_at = now
+            best = self.slots[self._next_number] = Slot(self._next_number, now)
+            self._next_number += 1
+            best.in_use = 1
+            best.last_used_at = now
             return SlotAssignment(best.number, opening=True)
-        best.load += 1
-        best.used_at = now
+        best.in_use += 1
+        best.last_used_at = now
         return SlotAssignment(best.number)
 
-    def opened(self, number: int, now: int) -> None:
-        """A connection is up."""
+    def mark_open(self, number: int, now: int) -> None:
+        """Mark a connection as open."""
         slot = self.slots[number]
         slot.ready = True
-        slot.heard_at = now
+        slot.last_received_at = now
 
-    def again(self, number: int) -> bool:
-        """Whether a connection that broke while it was opening is opened once more: nothing was sent on it yet.
+    def claim_reopen(self, number: int) -> bool:
+        """Whether a connection that broke while opening is reopened: nothing has been sent on it yet.
 
-        Once only: a server that breaks two in a row is the decision module's matter.
+        It is reopened only once: a server that breaks two connections in a row is left to the router.
         """
         slot = self.slots.get(number)
-        if slot is None or slot.opened_again or slot.retired:
+        if slot is None or slot.reopened or slot.retired:
             return False
-        slot.opened_again = True
+        slot.reopened = True
         return True
 
-    def heard(self, number: int, now: int) -> None:
-        """Something came from it."""
+    def mark_received(self, number: int, now: int) -> None:
+        """Record that data was received on a connection."""
         if slot := self.slots.get(number):
-            slot.heard_at = now
+            slot.last_received_at = now
 
-    def freed(self, number: int, now: int, sent_at: int, answered: bool) -> bool:
-        """An attempt there ended; True if the connection is to be closed now.
+    def release(self, number: int, now: int, sent_at: int, answered: bool) -> bool:
+        """Release an attempt's place on a connection; returns whether the connection is to be closed now.
 
-        One whose attempt timed out with not a byte heard since it was sent may be half open: the other end
-        has forgotten it and nobody says so. It takes nothing new.
+        A connection on which an attempt timed out and nothing was received since it was sent may be half-open: the
+        peer has lost its state and nothing reports that. It takes no new attempts.
         """
         slot = self.slots.get(number)
         if slot is None:
             return False
-        slot.load -= 1
-        slot.used_at = now
+        slot.in_use -= 1
+        slot.last_used_at = now
         if answered:
-            slot.heard_at = now
-        elif slot.heard_at <= sent_at:
+            slot.last_received_at = now
+        elif slot.last_received_at <= sent_at:
             slot.retired = True
-        return slot.retired and slot.load == 0
+        return slot.retired and slot.in_use == 0
 
-    def lost(self, number: int) -> None:
-        """A connection is gone, or never came up."""
+    def remove(self, number: int) -> None:
+        """Remove a connection that was lost or could not be opened."""
         self.slots.pop(number, None)
 
     def retire(self, number: int) -> bool:
-        """The other end is closing (a notice of disconnection); True if it can be closed now."""
+        """Take no new attempts on a connection; returns whether it can be closed now.
+
+        Called for example when the server announces that it is closing the connection.
+        """
         if slot := self.slots.get(number):
             slot.retired = True
-            return slot.load == 0
+            return slot.in_use == 0
         return False
 
     def idle(self) -> list[int]:
-        """Open connections that carry nothing."""
-        return [slot.number for slot in self.slots.values() if slot.ready and slot.load == 0 and not slot.retired]
+        """Return the open connections that have nothing outstanding."""
+        return [slot.number for slot in self.slots.values() if slot.ready and slot.in_use == 0 and not slot.retired]
 
-    def idlest(self) -> Slot | None:
-        """The open connection that has carried nothing for the longest time."""
-        return min((self.slots[number] for number in self.idle()), key=lambda slot: slot.used_at, default=None)
+    def longest_idle(self) -> Slot | None:
+        """Return the open connection that has been idle longest."""
+        return min((self.slots[number] for number in self.idle()), key=lambda slot: slot.last_used_at, default=None)
 
-    def overdue(self, now: int) -> list[int]:
-        """Idle connections that are to be closed by now."""
-        return [number for number in self.idle() if now - self.slots[number].used_at >= self._idle_close]
+    def expired(self, now: int) -> list[int]:
+        """Return the connections that have been idle for ``idle_close``."""
+        return [number for number in self.idle() if now - self.slots[number].last_used_at >= self._idle_close]
--- a/yardbank/gateway/view.py
+++ b/yardbank/gateway/view.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of things, for the log: totals, and the servers that stand out. No I/O; bounded in length."""
+"""Builds a gateway's status for the log: totals, and the most notable servers. No I/O; bounded in length."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from yardbank.gateway.api import MS, ServerSpec
 from yardbank.policy import FULL_LATENCY_RATIO, Router, Server
 
-MOST_SERVERS = 10  # that stand out; a line stays under 4 KiB, as collectors cut longer ones
-MOST_ENDS = 10
-MOST_GROUPS = 16
-EASY_LAG = 1000 * MS  # a copy that is further behind stands out
+MAX_SERVERS = 10  # most notable servers listed; keeps a line under 4 KiB, as log collectors truncate longer ones
+MAX_FAILURES_SHOWN = 10
+MAX_GROUPS = 16
+NOTABLE_LAG = 1000 * MS  # a replica with a greater lag is notable
 
 
-def server_line(server: Server, spec: ServerSpec, connections: int) -> dict[str, Any]:
-    """One server as the module sees it; lag in ms, load as it last told."""
+def server_view(server: Server, spec: ServerSpec, connections: int) -> dict[str, Any]:
+    """One server as the router sees it; lag in ms, load as last reported."""
     return {
         "group": spec.group,
         "zone": spec.zone,
@@ -33,15 +33,15 @@
     }
 
 
-def _outstanding(server: Server, router: Router) -> float:
-    """How much a server stands out: doubt first, then what fills or strains it; 0: it does not."""
-    doubt = (
+def _notability(server: Server, router: Router) -> float:
+    """Return how notable a server is: suspected failures first, then high load or latency; 0: not at all."""
+    suspicion = (
         100.0 * server.silent + 50.0 * (server.failures > 0) + 20.0 * (server.draining or server.overload_backoff > 0)
     )
-    told = server.load if router.table.load_of(router.now, server) is not None else 0.0
-    strained = server.latency_ratio if server.latency_ratio > FULL_LATENCY_RATIO else 0.0
-    behind = 5.0 if server.lag > EASY_LAG and not server.is_primary() else 0.0
-    return doubt + 10.0 * (told > 1.0) + behind + strained + len(server.in_flight) / max(server.limit, 1.0)
+    reported_load = server.load if router.table.load_of(router.now, server) is not None else 0.0
+    latency = server.latency_ratio if server.latency_ratio > FULL_LATENCY_RATIO else 0.0
+    behind = 5.0 if server.lag > NOTABLE_LAG and not server.is_primary() else 0.0
+    return suspicion + 10.0 * (reported_load > 1.0) + behind + latency + len(server.in_flight) / max(server.limit, 1.0)
 
 
 def _totals(servers: list[Server], router: Router) -> dict[str, Any]:
@@ -62,28 +62,30 @@
     numbers: Mapping[str, int],
     connections: Mapping[str, int],
     groups: Mapping[str, int],
-    ends: Counter[str],
+    failure_counts: Counter[str],
 ) -> dict[str, Any]:
-    """Totals by role, what admission goes by, groups that are looked at first, and the servers that stand out."""
+    """Totals by role, admission figures, groups whose servers are probed before use, and the most notable servers."""
     known = {name: router.servers[numbers[name]] for name in specs if numbers[name] in router.servers}
-    marked = sorted(((_outstanding(server, router), name) for name, server in known.items()), reverse=True)
-    out = [name for weight, name in marked[:MOST_SERVERS] if weight > 0]
-    wary = [name for name, number in groups.items() if router.selection.cautious_until.get(number, 0) > router.now]
+    ranked = sorted(((_notability(server, router), name) for name, server in known.items()), reverse=True)
+    notable = [name for weight, name in ranked[:MAX_SERVERS] if weight > 0]
+    cautious_groups = [
+        name for name, number in groups.items() if router.selection.cautious_until.get(number, 0) > router.now
+    ]
     primaries = [server for server in known.values() if server.is_primary()]
     return {
         "held": len(router.queue),
-        "ends": dict(ends.most_common(MOST_ENDS)),
-        "wanted_and_good": [  # lately: what admission goes by
+        "ends": dict(failure_counts.most_common(MAX_FAILURES_SHOWN)),
+        "wanted_and_good": [  # recent attempts and successes, on which admission is based
             round(router.admission.recent_attempts, 1),
             round(router.admission.recent_successes, 1),
         ],
         "positions_ahead": router.sessions.positions_ahead,
         "shed": {str(reason): count for reason, count in router.shed.items()},
-        "share": round(router.admission.admitted_share(), 2),  # of what is asked that is let through; 1 and more: all
-        "looked_at_first": len(wary),
-        "groups_looked_at": wary[:MOST_GROUPS],
+        "share": round(router.admission.admitted_share(), 2),  # share of requests that is admitted; 1 or more: all
+        "looked_at_first": len(cautious_groups),
+        "groups_looked_at": cautious_groups[:MAX_GROUPS],
         "primaries": _totals(primaries, router),
         "replicas": _totals([server for server in known.values() if not server.is_primary()], router),
         "connections": sum(connections.values()),
-        "servers": {name: server_line(known[name], specs[name], connections.get(name, 0)) for name in out},
+        "servers": {name: server_view(known[name], specs[name], connections.get(name, 0)) for name in notable},
     }
