--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of gateway."""
+"""Tests of the gateway package."""
--- a/tests/gateway/test_dial.py
+++ b/tests/gateway/test_dial.py
@@ -1,4 +1,4 @@
-"""Opening connections to servers: what one held goes along with it, and is not left to the collector."""
+"""A closed server connection is freed at once and leaves no reference cycle to the garbage collector."""
 
 import gc
 import select
@@ -12,44 +12,44 @@
 from yardbank.platform.backend import PlatformBackend
 
 
-def turn(reactor, until):
+def run_until(reactor, condition):
     for _ in range(500):
-        if until():
+        if condition():
             return
         reactor.iterate(0.01)
-    raise AssertionError("it never came to that")
+    raise AssertionError("condition not reached within 500 reactor iterations")
 
 
-def test_a_connection_that_is_gone_leaves_nothing_behind():
-    reactor, held, lost = EPollReactor(), [], []
+def test_closed_connection_is_freed_without_garbage_collector():
+    reactor, references, lost = EPollReactor(), [], []
 
     class Listener:
-        """Held by what dials: gone with the connection, not before."""
+        """Referenced by the connection attempt; freed with the connection and not before."""
 
         def __call__(self, reason):
             lost.append(reason)
 
     backend = PlatformBackend(reactor, lambda: 0)
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        spec = ServerSpec("s-1", "0", "a", "127.0.0.1", listening.getsockname()[1])
+    with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+        spec = ServerSpec("s-1", "0", "a", "127.0.0.1", listening_socket.getsockname()[1])
         gc.collect()
         gc.disable()
         try:
             for _ in range(3):
                 listener = Listener()
-                held.append(weakref.ref(listener))
-                backend.connect(spec, lambda made: held.extend(map(weakref.ref, (made, made._session))), listener)
+                references.append(weakref.ref(listener))
+                backend.connect(spec, lambda connection: references.extend(map(weakref.ref, (connection, connection._session))), listener)
                 del listener
-                turn(reactor, lambda: select.select([listening], [], [], 0)[0])
-                far, _ = listening.accept()
-                far.sendall(AUTHENTICATED)
-                told = len(held)
-                turn(reactor, lambda told=told: len(held) > told)
-                far.close()
-                gone = len(lost)
-                turn(reactor, lambda gone=gone: len(lost) > gone)
+                run_until(reactor, lambda: select.select([listening_socket], [], [], 0)[0])
+                peer, _ = listening_socket.accept()
+                peer.sendall(AUTHENTICATED)
+                count_before = len(references)
+                run_until(reactor, lambda count_before=count_before: len(references) > count_before)
+                peer.close()
+                losses_before = len(lost)
+                run_until(reactor, lambda losses_before=losses_before: len(lost) > losses_before)
                 reactor.iterate(0)
-            assert len(held) == 9 and not [each for each in held if each() is not None]
+            assert len(references) == 9 and not [each for each in references if each() is not None]
         finally:
             gc.enable()
             for each in reactor.removeAll():
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -1,4 +1,4 @@
-"""The gateway on a virtual clock: errors inside, bounds, stopping, lists."""
+"""The gateway on a virtual clock: internal errors, limits, stopping, server lists."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -11,71 +11,71 @@
 
 
 class FailingRouter(Router):
-    """An error hides in the module."""
+    """A router that raises an error on events of one type."""
 
-    on = None
+    failing_event = None
 
     def handle(self, now, event):
-        if self.on and isinstance(event, self.on):
-            raise RuntimeError("hidden")
+        if self.failing_event and isinstance(event, self.failing_event):
+            raise RuntimeError("injected")
         return super().handle(now, event)
 
 
 @pytest.mark.parametrize(("kind", "answer"), [(Request, "refused"), (Timer, "served")])
-def test_an_error_in_the_module_ends_that_request_alone(kind, answer):
-    place = Place(FailingRouter)
-    place.gateway._router.on = kind
-    sink = place.ask("read")
-    place.pass_time(0.1)
+def test_error_in_router_ends_only_that_request(kind, answer):
+    harness = Place(FailingRouter)
+    harness.gateway._router.failing_event = kind
+    sink = harness.ask("read")
+    harness.pass_time(0.1)
     if answer == "served":
-        place.backend.to(place.backend.sent[-1][0]).answer()
+        harness.backend.to(harness.backend.sent[-1][0]).answer()
     assert sink.finals == [answer]
-    place.gateway._router.on = None
-    again = place.ask("read")
-    place.backend.to(place.backend.sent[-1][0]).answer()
+    harness.gateway._router.failing_event = None
+    again = harness.ask("read")
+    harness.backend.to(harness.backend.sent[-1][0]).answer()
     assert again.finals == ["served"]
 
 
-def test_an_error_in_a_front_or_a_backend_ends_that_request_alone():
-    place = Place()
-    sink = place.ask("read")
+def test_error_in_frontend_or_backend_ends_only_that_request():
+    harness = Place()
+    sink = harness.ask("read")
     sink.broken = True
-    place.backend.to(place.backend.sent[-1][0]).answer()
-    assert place.gateway.unanswered == 0
-    write = place.ask("write", "unwritable")
-    place.pass_time(3)
+    harness.backend.to(harness.backend.sent[-1][0]).answer()
+    assert harness.gateway.unanswered == 0
+    write = harness.ask("write", "unwritable")
+    harness.pass_time(3)
     assert len(write.finals) == 1
-    good = place.ask("write")
-    place.backend.to("p").answer()
+    good = harness.ask("write")
+    harness.backend.to("p").answer()
     assert good.finals == ["served"]
 
 
-def test_open_requests_are_bounded():
-    place = Place(limits=Limits(max_open=2))
-    sinks = [place.ask("write") for _ in range(3)]
+def test_open_requests_are_limited():
+    harness = Place(limits=Limits(max_open=2))
+    sinks = [harness.ask("write") for _ in range(3)]
     assert [sink.finals for sink in sinks] == [[], [], ["refused"]]
 
 
-def test_stop_waits_and_then_answers_all():
-    place = Place(limits=Limits(stop_grace=500 * MS))
-    quick, write, read = place.ask("read", session="a"), place.ask("write"), place.ask("read", session="b")
+def test_stop_waits_for_grace_period_and_then_answers_all():
+    harness = Place(limits=Limits(stop_grace=500 * MS))
+    quick, write, read = harness.ask("read", session="a"), harness.ask("write"), harness.ask("read", session="b")
     stopped = []
-    place.gateway.stop().addCallback(stopped.append)
-    assert place.ask("read").finals == ["refused"]
-    name = next(n for n, _ in place.backend.sent if n == "c")
-    place.backend.to(name).answer()
+    harness.gateway.stop().addCallback(stopped.append)
+    assert harness.ask("read").finals == ["refused"]
+    name = next(n for n, _ in harness.backend.sent if n == "c")
+    harness.backend.to(name).answer()
     assert quick.finals == ["served"] and not stopped
-    place.pass_time(0.6)
+    harness.pass_time(0.6)
     assert write.finals == ["failed"] and read.finals == ["refused"] and stopped == [None]
     again = []
-    place.gateway.stop().addCallback(again.append)
+    harness.gateway.stop().addCallback(again.append)
     assert again == [None]
 
 
-def test_a_host_that_just_stops_closes_every_request_once():
+def test_reactor_shutdown_answers_every_request_once():
     triggers = []
 
-    class Host(Clock):
+    class ReactorWithShutdown(Clock):
         def addSystemEventTrigger(self, *args):  # noqa: N802
             triggers.append(args)
             return len(triggers)
@@ -83,90 +83,90 @@
         def removeSystemEventTrigger(self, number):  # noqa: N802
             pass
 
-    host = Host()
-    host.advance(100)
+    reactor = ReactorWithShutdown()
+    reactor.advance(100)
     gateway = Gateway(
-        Settings(1, "a", 1, (READ, WRITE)), FakeBackend(), reactor=host, seconds=host.seconds, wall=host.seconds
+        Settings(1, "a", 1, (READ, WRITE)), FakeBackend(), reactor=reactor, seconds=reactor.seconds, wall=reactor.seconds
     )
     gateway.apply_list(SERVERS)
     sinks = [Sink(), Sink()]
     gateway.take(Call("write", "g", "op", sinks[0]))
     gateway.take(Call("read", "g", "op", sinks[1]))
-    ((phase, event, act),) = triggers
+    ((phase, event, trigger),) = triggers
     assert (phase, event) == ("before", "shutdown")
-    act()
-    act()
+    trigger()
+    trigger()
     assert [sink.finals for sink in sinks] == [["failed"], ["refused"]]
 
 
-def test_two_gateways_in_one_process_share_nothing():
-    one, two = Place(), Place()
-    one.ask("write")
-    one.backend.to("p").answer(Reply("ok", "", Role.PRIMARY, ("", (9,))))
-    one.backend.mode = "refuse"
-    for connection in one.backend.connections:
+def test_two_gateways_in_one_process_share_no_state():
+    first, second = Place(), Place()
+    first.ask("write")
+    first.backend.to("p").answer(Reply("ok", "", Role.PRIMARY, ("", (9,))))
+    first.backend.mode = "refuse"
+    for connection in first.backend.connections:
         connection.drop()
-    sink = two.ask("read")
-    two.backend.to("c").answer()
+    sink = second.ask("read")
+    second.backend.to("c").answer()
     assert sink.finals == ["served"]
-    assert one.gateway._router.servers.keys() == two.gateway._router.servers.keys()
-    assert not any(a is b for a, b in zip(one.gateway._router.servers.values(), two.gateway._router.servers.values()))
-    assert not two.gateway._router.sessions.tokens and one.gateway._router.sessions.tokens
+    assert first.gateway._router.servers.keys() == second.gateway._router.servers.keys()
+    assert not any(a is b for a, b in zip(first.gateway._router.servers.values(), second.gateway._router.servers.values()))
+    assert not second.gateway._router.sessions.tokens and first.gateway._router.sessions.tokens
 
 
-def test_the_same_events_give_the_same_record():
-    def live():
-        place = Place()
+def test_same_events_give_same_record():
+    def run():
+        harness = Place()
         for number in range(30):
-            place.ask("write" if number % 3 == 0 else "read", session=f"s{number % 4}")
+            harness.ask("write" if number % 3 == 0 else "read", session=f"s{number % 4}")
             if number % 7 == 3:
-                place.backend.connections[0].drop()
-            for connection in place.backend.connections:
+                harness.backend.connections[0].drop()
+            for connection in harness.backend.connections:
                 while connection.out:
                     connection.answer()
-            place.pass_time(0.05)
-        return place.facts
+            harness.pass_time(0.05)
+        return harness.facts
 
-    assert live() == live()
+    assert run() == run()
 
 
-def test_a_list_that_names_a_server_twice_is_refused_and_the_old_one_stays():
-    place = Place()
+def test_list_with_duplicate_server_is_rejected_and_old_list_stays():
+    harness = Place()
     with pytest.raises(ValueError, match="'p' is listed twice"):
-        place.gateway.apply_list([*SERVERS, SERVERS[0]])
-    assert len(place.gateway._router.servers) == 2
+        harness.gateway.apply_list([*SERVERS, SERVERS[0]])
+    assert len(harness.gateway._router.servers) == 2
 
 
-def test_a_server_that_left_gets_nothing_new_and_its_idle_connections_close():
-    place = Place()
-    place.ask("read")
-    place.backend.to("c").answer()
-    connection = place.backend.to("c")
-    place.gateway.apply_list(SERVERS[:1])
+def test_removed_server_gets_no_attempts_and_its_idle_connections_close():
+    harness = Place()
+    harness.ask("read")
+    harness.backend.to("c").answer()
+    connection = harness.backend.to("c")
+    harness.gateway.apply_list(SERVERS[:1])
     assert connection.closed
-    place.ask("read")
-    assert place.backend.sent[-1][0] == "p"
+    harness.ask("read")
+    assert harness.backend.sent[-1][0] == "p"
 
 
-def test_idle_connections_close_and_then_no_timer_is_left():
-    place = Place(limits=Limits(idle_close=1000 * MS))
-    place.ask("read")
-    connection = place.backend.to("c")
+def test_idle_connections_close_and_no_timer_remains():
+    harness = Place(limits=Limits(idle_close=1000 * MS))
+    harness.ask("read")
+    connection = harness.backend.to("c")
     connection.answer()
-    place.pass_time(2, 0.1)
-    assert all(each.closed for each in place.backend.connections)
-    for each in list(place.backend.connections):
+    harness.pass_time(2, 0.1)
+    assert all(each.closed for each in harness.backend.connections)
+    for each in list(harness.backend.connections):
         each.lost("closed")
-    place.pass_time(3, 0.1)
-    assert place.clock.getDelayedCalls() == []
+    harness.pass_time(3, 0.1)
+    assert harness.clock.getDelayedCalls() == []
 
 
-def test_gone_is_told_once():
-    place = Place()
+def test_router_is_told_once_that_client_left():
+    harness = Place()
     seen = []
-    handle = place.gateway._router.handle
-    place.gateway._router.handle = lambda now, event: seen.append(event) or handle(now, event)
-    place.ask("read")
-    place.gateway.leave(place.number)
-    place.gateway.leave(place.number)
+    handle = harness.gateway._router.handle
+    harness.gateway._router.handle = lambda now, event: seen.append(event) or handle(now, event)
+    harness.ask("read")
+    harness.gateway.leave(harness.number)
+    harness.gateway.leave(harness.number)
     assert sum(isinstance(event, ClientCancelled) for event in seen) == 1
--- a/tests/gateway/test_race_timers.py
+++ b/tests/gateway/test_race_timers.py
@@ -1,4 +1,4 @@
-"""Crossings of a timer and what lies in a socket in the same turn."""
+"""Races of a deadline with data that is in a socket buffer when it is due."""
 
 import select
 import socket
@@ -11,15 +11,15 @@
 from yardbank.gateway.deadlines import Deadlines
 
 
-class Turns(Clock):
-    """A reactor that runs what is due and then reads its sockets, turn by turn, as Twisted's own do."""
+class SteppedReactor(Clock):
+    """A reactor that runs due timers and then reads its sockets, in each iteration, as Twisted's reactors do."""
 
     def __init__(self):
         super().__init__()
         self.readers = {}
 
-    def turn(self, seconds=0.0):
-        """One turn: timers that were due when it began, then the sockets."""
+    def iterate(self, seconds=0.0):
+        """Run one iteration: the timers that were due when it began, then the sockets."""
         self.rightNow += seconds
         for call in [call for call in self.getDelayedCalls() if call.getTime() <= self.rightNow]:
             if call.active():
@@ -30,52 +30,52 @@
             self.readers[each](each.recv(1000))
 
 
-def world():
-    turns = Turns()
-    near, far = socket.socketpair()
-    return turns, Deadlines(lambda: int(turns.seconds() * 1e9), turns.callLater), near, far
+def reactor_with_socket():
+    reactor = SteppedReactor()
+    near, peer = socket.socketpair()
+    return reactor, Deadlines(lambda: int(reactor.seconds() * 1e9), reactor.callLater), near, peer
 
 
-def test_what_lies_in_a_socket_comes_before_the_deadline_that_is_due():
-    turns, deadlines, near, far = world()
-    said = []
-    number = deadlines.add(100 * MS, lambda: said.append("late"))
+def test_data_in_socket_is_read_before_due_deadline_fires():
+    reactor, deadlines, near, peer = reactor_with_socket()
+    calls = []
+    number = deadlines.add(100 * MS, lambda: calls.append("late"))
 
     def answered(data):
-        said.append(data)
+        calls.append(data)
         deadlines.cancel(number)
 
-    turns.readers[near] = answered
-    far.send(b"answer")
-    turns.turn(0.1)
-    turns.turn()
-    turns.turn()
-    assert said == [b"answer"] and not len(deadlines)
+    reactor.readers[near] = answered
+    peer.send(b"answer")
+    reactor.iterate(0.1)
+    reactor.iterate()
+    reactor.iterate()
+    assert calls == [b"answer"] and not len(deadlines)
 
 
-def test_what_falls_due_while_the_sockets_are_read_gets_a_look_of_its_own():
-    turns, deadlines, near, far = world()
-    said = []
-    deadlines.add(100 * MS, lambda: said.append("first"))
-    second = deadlines.add(150 * MS, lambda: said.append("late"))
+def test_deadline_passing_while_sockets_are_read_gets_its_own_poll():
+    reactor, deadlines, near, peer = reactor_with_socket()
+    calls = []
+    deadlines.add(100 * MS, lambda: calls.append("first"))
+    second = deadlines.add(150 * MS, lambda: calls.append("late"))
 
     def read(data):
-        said.append(data)
+        calls.append(data)
         if data == b"answer":
             deadlines.cancel(second)
-        turns.rightNow += 0.1  # it takes long, and the answer comes meanwhile
-        far.send(b"answer")
+        reactor.rightNow += 0.1  # reading takes long, and the answer arrives meanwhile
+        peer.send(b"answer")
 
-    turns.readers[near] = read
-    far.send(b"much")
-    turns.turn(0.1)
-    turns.turn()
-    assert said[:3] == [b"much", "first", b"answer"]
-    turns.turn()
-    assert "late" not in said
+    reactor.readers[near] = read
+    peer.send(b"much")
+    reactor.iterate(0.1)
+    reactor.iterate()
+    assert calls[:3] == [b"much", "first", b"answer"]
+    reactor.iterate()
+    assert "late" not in calls
 
 
-def test_a_deadline_fires_in_its_own_instant_and_once():
+def test_deadline_fires_at_its_time_and_once():
     clock, fired = Clock(), []
     deadlines = Deadlines(lambda: int(clock.seconds() * 1e9), clock.callLater)
     deadlines.add(100 * MS, lambda: fired.append(clock.seconds()))
@@ -84,37 +84,37 @@
     assert fired == [0.1] and not clock.getDelayedCalls()
 
 
-def test_what_is_added_for_earlier_during_the_look_neither_puts_it_off_nor_waits():
-    turns, deadlines, _, _ = world()
+def test_earlier_deadline_added_during_poll_fires_with_it():
+    reactor, deadlines, _, _ = reactor_with_socket()
     fired = []
     deadlines.add(100 * MS, lambda: fired.append("first"))
-    turns.turn(0.1)
+    reactor.iterate(0.1)
     deadlines.add(50 * MS, lambda: fired.append("earlier"))
-    assert fired == [] and len(turns.getDelayedCalls()) == 1
-    turns.turn()
+    assert fired == [] and len(reactor.getDelayedCalls()) == 1
+    reactor.iterate()
     assert fired == ["earlier", "first"]
 
 
-@pytest.mark.parametrize("looking", [False, True])
-def test_forgetting_all_calls_off_the_look_too(looking):
-    turns, deadlines, _, _ = world()
+@pytest.mark.parametrize("polling", [False, True])
+def test_clear_cancels_pending_poll(polling):
+    reactor, deadlines, _, _ = reactor_with_socket()
     fired = []
     deadlines.add(100 * MS, lambda: fired.append("first"))
-    if looking:
-        turns.turn(0.1)
+    if polling:
+        reactor.iterate(0.1)
     deadlines.clear()
-    assert not turns.getDelayedCalls()
+    assert not reactor.getDelayedCalls()
     deadlines.add(400 * MS, lambda: fired.append("second"))
     deadlines.add(250 * MS, lambda: fired.append("third"))
-    turns.turn(0.3 - turns.rightNow)
-    turns.turn()
+    reactor.iterate(0.3 - reactor.rightNow)
+    reactor.iterate()
     assert fired == ["third"]
-    turns.turn(0.1)
-    turns.turn()
+    reactor.iterate(0.1)
+    reactor.iterate()
     assert fired == ["third", "second"]
 
 
-def test_an_error_in_one_keeps_no_other_from_firing():
+def test_error_in_one_callback_does_not_stop_others():
     clock, fired = Clock(), []
     deadlines = Deadlines(lambda: int(clock.seconds() * 1e9), clock.callLater)
     deadlines.add(100 * MS, lambda: 1 // 0)
@@ -127,15 +127,15 @@
     assert fired == ["same", "later"]
 
 
-def test_an_answer_that_lies_in_the_socket_when_its_request_runs_out_is_the_answer():
-    place = Place(may_cancel=False)
-    sink = place.ask("write")
-    place.clock.rightNow += 2  # the deadline is due, and no timer has run
-    due = [call for call in place.clock.getDelayedCalls() if call.getTime() <= place.clock.rightNow]
+def test_answer_in_socket_at_request_deadline_is_delivered():
+    harness = Place(may_cancel=False)
+    sink = harness.ask("write")
+    harness.clock.rightNow += 2  # the deadline is due, and no timer has run yet
+    due = [call for call in harness.clock.getDelayedCalls() if call.getTime() <= harness.clock.rightNow]
     for call in due:
-        place.clock.calls.remove(call)
+        harness.clock.calls.remove(call)
         call.called = 1
-        call.func()  # the turn's timers; the sockets are read after them
-    place.backend.to("p").answer()
-    place.clock.advance(0)
+        call.func()  # timers of this iteration; the sockets are read after them
+    harness.backend.to("p").answer()
+    harness.clock.advance(0)
     assert sink.finals == ["served"]
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -1,4 +1,4 @@
-"""Figures by class: buckets hold what they say, and nothing is counted twice."""
+"""Request counters by class: bucket bounds hold, and each request is counted once."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.integers(1 << FIRST_POWER, (1 << LIMIT_POWER) - 1), st.integers(0, 1 << 50))
-def test_a_bucket_holds_what_is_at_most_an_eighth_below_its_end(ns, other):
+def test_bucket_bound_is_at_most_an_eighth_above_latency(ns, other):
     assert ns < beyond(bucket_index(ns)) <= ns * 1.125 + 1
     assert 0 <= bucket_index(other) < BUCKET_COUNT and (bucket_index(ns) <= bucket_index(other)) == (
         beyond(bucket_index(ns)) <= beyond(bucket_index(other))
@@ -23,45 +23,45 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(st.lists(ANSWERS, max_size=40), st.integers(0, 40))
-def test_figures_add_up_and_a_copy_stays(ends, cut):
-    tallies, earlier = RequestCounters([READ, WRITE]), None
-    for number, (kind, answer, took) in enumerate(ends):
+def test_counters_add_up_and_copy_does_not_change(ends, cut):
+    counters, earlier = RequestCounters([READ, WRITE]), None
+    for number, (request_class, answer, took) in enumerate(ends):
         if number == cut:
-            earlier = tallies.copy()
-        tallies.add(kind, answer, took)
-    for kind in (READ, WRITE):
-        tally = tallies.by_class[kind.name]
-        served = sorted(took for one, answer, took in ends if one is kind and answer == "served")
-        assert (tally.in_time, tally.late) == (
-            sum(t <= kind.latency_objective for t in served),
-            sum(t > kind.latency_objective for t in served),
+            earlier = counters.copy()
+        counters.add(request_class, answer, took)
+    for request_class in (READ, WRITE):
+        class_counters = counters.by_class[request_class.name]
+        served = sorted(took for ended_class, answer, took in ends if ended_class is request_class and answer == "served")
+        assert (class_counters.in_time, class_counters.late) == (
+            sum(t <= request_class.latency_objective for t in served),
+            sum(t > request_class.latency_objective for t in served),
         )
-        assert sum(tally.latencies) == len(served) == tally.in_time + tally.late
-        assert tally.refused + tally.failed + tally.left == sum(
-            one is kind and answer != "served" for one, answer, _ in ends
+        assert sum(class_counters.latencies) == len(served) == class_counters.in_time + class_counters.late
+        assert class_counters.refused + class_counters.failed + class_counters.left == sum(
+            ended_class is request_class and answer != "served" for ended_class, answer, _ in ends
         )
         if served:
-            assert tally.quantile(1.0) == beyond(bucket_index(served[-1])) and tally.quantile(0.5) == beyond(
+            assert class_counters.quantile(1.0) == beyond(bucket_index(served[-1])) and class_counters.quantile(0.5) == beyond(
                 bucket_index(served[(len(served) - 1) // 2])
             )
         if earlier is not None:
-            after = tally.since(earlier[kind.name])
-            assert sum(after.latencies) == sum(one is kind and answer == "served" for one, answer, _ in ends[cut:])
+            after = class_counters.since(earlier[request_class.name])
+            assert sum(after.latencies) == sum(ended_class is request_class and answer == "served" for ended_class, answer, _ in ends[cut:])
     assert ClassCounters().quantile(0.99) == 0
 
 
-def test_each_request_of_a_gateway_counts_once_by_its_class_and_end():
-    place = Place()
+def test_each_request_is_counted_once_by_class_and_outcome():
+    harness = Place()
     for late in (False, True):
-        place.ask("read")
-        place.pass_time(0.05 if not late else 0.45)
-        place.backend.to(place.backend.sent[-1][0]).answer()
-    place.ask("write")
-    place.gateway.leave(place.number)
-    place.ask("write")
-    place.backend.to("p").drop()
-    place.pass_time(3)
-    read, write = (place.gateway.request_counters.by_class[name] for name in ("read", "write"))
+        harness.ask("read")
+        harness.pass_time(0.05 if not late else 0.45)
+        harness.backend.to(harness.backend.sent[-1][0]).answer()
+    harness.ask("write")
+    harness.gateway.leave(harness.number)
+    harness.ask("write")
+    harness.backend.to("p").drop()
+    harness.pass_time(3)
+    read, write = (harness.gateway.request_counters.by_class[name] for name in ("read", "write"))
     assert (read.in_time, read.late, read.refused, read.failed, read.left) == (1, 1, 0, 0, 0)
     assert (write.in_time, write.late, write.refused, write.failed, write.left) == (0, 0, 0, 1, 1)
-    assert 50 * MS < read.quantile(0.5) <= 60 * MS and place.gateway.request_counters.view()["read"]["p99"] > 400
+    assert 50 * MS < read.quantile(0.5) <= 60 * MS and harness.gateway.request_counters.view()["read"]["p99"] > 400
--- a/tests/gateway/test_zone_latencies.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of ways to servers, and what it is told of ways between zones."""
+"""Latencies of connects and probes that a gateway reports, and zone latencies that it is given."""
 
 import pytest
 
@@ -8,77 +8,77 @@
 from yardbank.interface import ZoneLatencies
 
 
-def watched(place):
+def recorded_latencies(harness):
     seen = []
-    place.gateway.latency_listeners.append(lambda now, zone, ns, what: seen.append((now, zone, ns, what)))
+    harness.gateway.latency_listeners.append(lambda now, zone, ns, kind: seen.append((now, zone, ns, kind)))
     return seen
 
 
-def test_connects_that_came_up_and_probes_answered_in_time_are_told_with_the_servers_zone():
-    place = Place()
-    place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "b", "h", 2)])
-    place.gateway.latency_listeners.append(lambda *told: 1 / 0)  # another's error
-    seen = watched(place)
-    place.backend.mode = "slow"
-    place.gateway.ask("c", lambda *told: None)
-    place.pass_time(0.03)
-    ((server, ready, lost),) = place.backend.waiting
-    place.backend.position = None
-    connection = FakeConnection(place.backend, server, lost)
+def test_successful_connects_and_timely_probes_are_reported_with_zone():
+    harness = Place()
+    harness.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "b", "h", 2)])
+    harness.gateway.latency_listeners.append(lambda *args: 1 / 0)  # an error in another listener has no effect
+    seen = recorded_latencies(harness)
+    harness.backend.mode = "slow"
+    harness.gateway.ask("c", lambda *args: None)
+    harness.pass_time(0.03)
+    ((server, ready, lost),) = harness.backend.waiting
+    harness.backend.position = None
+    connection = FakeConnection(harness.backend, server, lost)
     ready(connection)
-    place.pass_time(0.02)
+    harness.pass_time(0.02)
     connection.probes.pop()(ProbeResult({"": (1,)}, False))
-    now = place.gateway.now()
-    assert [(zone, round(ns / MS), what) for _, zone, ns, what in seen] == [("b", 30, "connect"), ("b", 20, "probe")]
+    now = harness.gateway.now()
+    assert [(zone, round(ns / MS), kind) for _, zone, ns, kind in seen] == [("b", 30, "connect"), ("b", 20, "probe")]
     assert seen[1][0] == now
-    place.gateway.ask("c", lambda *told: None)
-    connection.probes.pop()(None)  # no sense
-    place.gateway.ask("c", lambda *told: None)
-    place.pass_time(0.6)
-    connection.probes.pop()(ProbeResult({"": (1,)}, False))  # too late
+    harness.gateway.ask("c", lambda *args: None)
+    connection.probes.pop()(None)  # malformed answer
+    harness.gateway.ask("c", lambda *args: None)
+    harness.pass_time(0.6)
+    connection.probes.pop()(ProbeResult({"": (1,)}, False))  # answered too late
     assert len(seen) == 2
 
 
-def test_a_connection_that_broke_while_opening_and_a_server_that_moved_tell_nothing():
-    place = Place()
-    seen = watched(place)
-    place.backend.mode = "slow"
-    place.gateway.ask("c", lambda *told: None)
-    place.backend.waiting[0][2](BROKE_OPENING)
-    server, ready, lost = place.backend.waiting[1]
-    ready(FakeConnection(place.backend, server, lost))
-    assert [what for *_, what in seen] == ["probe"]  # how long the second opening took is not known
-    place.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "far", "elsewhere", 9)])
-    place.gateway._endpoints.latency_measured(server, 5, "connect")
+def test_reopened_connection_and_moved_server_report_no_latency():
+    harness = Place()
+    seen = recorded_latencies(harness)
+    harness.backend.mode = "slow"
+    harness.gateway.ask("c", lambda *args: None)
+    harness.backend.waiting[0][2](BROKE_OPENING)
+    server, ready, lost = harness.backend.waiting[1]
+    ready(FakeConnection(harness.backend, server, lost))
+    assert [kind for *_, kind in seen] == ["probe"]  # how long the second connect took is not known
+    harness.gateway.apply_list([SERVERS[0], ServerSpec("c", "g", "far", "elsewhere", 9)])
+    harness.gateway._endpoints.latency_measured(server, 5, "connect")
     assert len(seen) == 1
 
 
-def test_ways_are_told_to_the_module_where_they_differ_and_bad_ones_change_nothing():
-    place = Place()
-    told = []
-    handle = place.gateway._router.handle
-    place.gateway._router.handle = lambda now, event: told.append(event) or handle(now, event)
-    ways = [("b", 20 * MS, 0)]
-    place.gateway.apply_zone_latencies(ways)
-    place.gateway.apply_zone_latencies(tuple(ways))
+def test_router_is_told_of_changed_zone_latencies_and_invalid_ones_are_rejected():
+    harness = Place()
+    events = []
+    handle = harness.gateway._router.handle
+    harness.gateway._router.handle = lambda now, event: events.append(event) or handle(now, event)
+    latencies = [("b", 20 * MS, 0)]
+    harness.gateway.apply_zone_latencies(latencies)
+    harness.gateway.apply_zone_latencies(tuple(latencies))
     with pytest.raises(ValueError, match="negative"):
-        place.gateway.apply_zone_latencies([("b", -1, 0)])
-    assert told == [ZoneLatencies((("b", 20 * MS, 0),))] and place.gateway._router.table.zone_latencies == {
+        harness.gateway.apply_zone_latencies([("b", -1, 0)])
+    assert events == [ZoneLatencies((("b", 20 * MS, 0),))] and harness.gateway._router.table.zone_latencies == {
         "b": (20 * MS, 20 * MS)
     }
-    place.gateway.apply_zone_latencies([])
-    assert told[1:] == [ZoneLatencies()] and place.gateway._router.table.zone_latencies == {}
+    harness.gateway.apply_zone_latencies([])
+    assert events[1:] == [ZoneLatencies()] and harness.gateway._router.table.zone_latencies == {}
 
 
-def test_with_ways_a_read_goes_where_it_is_there_and_back_soonest():
-    place = Place()
+def test_read_goes_to_zone_with_lowest_round_trip():
+    harness = Place()
     far = ServerSpec("far", "g", "b", "h", 3)
-    place.gateway.apply_list([SERVERS[0], ServerSpec("near", "g", "c", "h", 2), far])
-    for ways, wanted in (
+    harness.gateway.apply_list([SERVERS[0], ServerSpec("near", "g", "c", "h", 2), far])
+    for latencies, expected in (
         ((("b", 300 * MS, 0), ("c", 5 * MS, 0)), "near"),
         ((("b", 5 * MS, 0), ("c", 300 * MS, 0)), "far"),
     ):
-        place.gateway.apply_zone_latencies(ways)
-        place.ask("read")
-        assert place.backend.sent[-1][0] == wanted
-        place.backend.to(wanted).answer()
+        harness.gateway.apply_zone_latencies(latencies)
+        harness.ask("read")
+        assert harness.backend.sent[-1][0] == expected
+        harness.backend.to(expected).answer()
--- a/tests/scheduler/__init__.py
+++ b/tests/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of scheduler."""
+"""Tests of the scheduler package."""
