--- a/yardbank/gateway/gossiped_positions.py
+++ b/yardbank/gateway/gossiped_positions.py
@@ -154,7 +154,7 @@
         gossip.state = AGREED
         gossip.trusted_until = now + TRUST_PERIOD
         # Randomized, so that gateways do not all probe at the same time.
-        gossip.next_probe_at = now + int(PROBE_INTERVAL * (1 + self._random.random()) / 2) 
+        gossip.next_probe_at = now + int(PROBE_INTERVAL * (1 + self._random.random()) / 2)
         return True
 
     def forget(self, server: int) -> None:
