--- a/tests/gateway/test_dial.py
+++ b/tests/gateway/test_dial.py
@@ -38,7 +38,11 @@
             for _ in range(3):
                 listener = Listener()
                 references.append(weakref.ref(listener))
-                backend.connect(spec, lambda connection: references.extend(map(weakref.ref, (connection, connection._session))), listener)
+                backend.connect(
+                    spec,
+                    lambda connection: references.extend(map(weakref.ref, (connection, connection._session))),
+                    listener,
+                )
                 del listener
                 run_until(reactor, lambda: select.select([listening_socket], [], [], 0)[0])
                 peer, _ = listening_socket.accept()
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -86,7 +86,11 @@
     reactor = ReactorWithShutdown()
     reactor.advance(100)
     gateway = Gateway(
-        Settings(1, "a", 1, (READ, WRITE)), FakeBackend(), reactor=reactor, seconds=reactor.seconds, wall=reactor.seconds
+        Settings(1, "a", 1, (READ, WRITE)),
+        FakeBackend(),
+        reactor=reactor,
+        seconds=reactor.seconds,
+        wall=reactor.seconds,
     )
     gateway.apply_list(SERVERS)
     sinks = [Sink(), Sink()]
@@ -110,7 +114,9 @@
     second.backend.to("c").answer()
     assert sink.finals == ["served"]
     assert first.gateway._router.servers.keys() == second.gateway._router.servers.keys()
-    assert not any(a is b for a, b in zip(first.gateway._router.servers.values(), second.gateway._router.servers.values()))
+    assert not any(
+        a is b for a, b in zip(first.gateway._router.servers.values(), second.gateway._router.servers.values())
+    )
     assert not second.gateway._router.sessions.tokens and first.gateway._router.sessions.tokens
 
 
--- a/tests/gateway/test_gossiped_positions.py
+++ b/tests/gateway/test_gossiped_positions.py
@@ -9,7 +9,15 @@
 from tests.support.virtual_gateway import SERVERS, Place
 from yardbank.gateway import Reply, ServerSpec
 from yardbank.gateway.api import ProbeResult
-from yardbank.gateway.gossiped_positions import AGREED, FALSE, PROBE_INTERVAL, TRANSITIONS, TRUST_PERIOD, UNSEEN, GossipedPositions
+from yardbank.gateway.gossiped_positions import (
+    AGREED,
+    FALSE,
+    PROBE_INTERVAL,
+    TRANSITIONS,
+    TRUST_PERIOD,
+    UNSEEN,
+    GossipedPositions,
+)
 from yardbank.interface import PositionGossiped, Role
 
 FOR_EACH_SEED = pytest.mark.parametrize("seed", [1, 2])
@@ -57,8 +65,12 @@
     harness.gateway._prober.ask = lambda server, then: probes.append(server)
     for malformed in ({"": [5]}, {}):
         assert not harness.gateway.apply_gossiped_position("c", START, malformed, checked=True)
-    assert harness.gateway.apply_gossiped_position("c", START, {"": (5,)}, checked=True) and len(gossip_events(harness)) == 1
-    assert not harness.gateway.apply_gossiped_position("c", START + 1, {"": (5,)}, checked=True)  # a claim for another start of the server
+    assert (
+        harness.gateway.apply_gossiped_position("c", START, {"": (5,)}, checked=True)
+        and len(gossip_events(harness)) == 1
+    )
+    # a claim for another start of the server
+    assert not harness.gateway.apply_gossiped_position("c", START + 1, {"": (5,)}, checked=True)
     assert probes == []
     assert not claim(harness) and probes == ["c"]
 
@@ -78,7 +90,8 @@
 @FOR_EACH_SEED
 def test_false_claim_is_detected_by_next_probe_and_gossip_is_ignored_until_restart(seed):
     harness = gossip_harness(seed, applied=3)
-    assert not claim(harness, 3) and not claim(harness, 3)  # the gateway's timeline has no entry covered by this position: nothing is proved
+    # the gateway's timeline has no entry covered by this position: nothing is proved
+    assert not claim(harness, 3) and not claim(harness, 3)
     assert claim(harness, 5)  # a false claim
     number = harness.gateway._endpoints.server_numbers["c"]
     for _ in range(11):
@@ -124,7 +137,11 @@
     answers = []
     for _ in range(70):
         harness.gateway.ask("c", lambda *answer: answers.append(answer))
-    assert len(replica.probes) == 1 and [answer[2] for answer in answers] == ["full"] * 7 and harness.gateway.asks_left_out == 7
+    assert (
+        len(replica.probes) == 1
+        and [answer[2] for answer in answers] == ["full"] * 7
+        and harness.gateway.asks_left_out == 7
+    )
     replica.probes.pop()(ProbeResult({"": (5,)}, False))
     assert len(answers) == 70 and {answer[2] for answer in answers[7:]} == {"ok"} and claim(harness)
     for _ in range(40):
@@ -157,7 +174,14 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(STEP, max_size=60), st.integers(0, 3))
 def test_claim_is_used_only_soon_after_probe_and_true_claim_is_never_false(steps, seed):
-    gossip, now, position, probe_sent_at, agreed_at, false_claims = GossipedPositions(Random(seed), 0), 1, 0, None, None, False
+    gossip, now, position, probe_sent_at, agreed_at, false_claims = (
+        GossipedPositions(Random(seed), 0),
+        1,
+        0,
+        None,
+        None,
+        False,
+    )
     for step, value, wait in steps:
         now += wait
         before = gossip.state(1)
@@ -183,25 +207,34 @@
 
 def agreed_gossip(now=10**9):
     gossip = GossipedPositions(Random(1), 0)
-    assert not gossip.record_claim(now, 1, 7, {"": (1,)}) and gossip.probe_due(now, 1) and gossip.record_answer(now, 1, {"": (1,)}, now)
+    assert (
+        not gossip.record_claim(now, 1, 7, {"": (1,)})
+        and gossip.probe_due(now, 1)
+        and gossip.record_answer(now, 1, {"": (1,)}, now)
+    )
     return gossip
 
 
 def test_only_answer_to_probe_sent_after_claim_confirms_or_refutes_it():
     gossip, now = agreed_gossip(), 10**9
     assert gossip.record_claim(now + 1, 1, 7, {"": (5,)})
-    assert gossip.record_answer(now + 2, 1, {"": (1,)}, now)  # an answer to a probe of the router, sent before the claim: it says nothing
+    # an answer to a probe of the router, sent before the claim: it says nothing
+    assert gossip.record_answer(now + 2, 1, {"": (1,)}, now)
     later = now + TRUST_PERIOD
-    assert gossip.record_answer(later, 1, {"": (9,)}, later - 1)  # an answer to a probe that gossip did not start does not extend the trust
+    # an answer to a probe that gossip did not start does not extend the trust
+    assert gossip.record_answer(later, 1, {"": (9,)}, later - 1)
     assert not gossip.record_claim(later, 1, 7, {"": (5,)}) and gossip.state(1) == UNSEEN
-    assert gossip.probe_due(later, 1) and gossip.record_answer(later + 1, 1, {"": (1,)}, later - 1)  # sent before the probe was due: does not count as its answer
+    # sent before the probe was due: does not count as its answer
+    assert gossip.probe_due(later, 1) and gossip.record_answer(later + 1, 1, {"": (1,)}, later - 1)
     assert gossip.state(1) == UNSEEN and not gossip.probe_due(later + 1, 1)
     assert not gossip.record_answer(later + 2, 1, {"": (4,)}, later)
 
 
 def test_trust_ends_when_probes_stay_unanswered():
     gossip, now = agreed_gossip(), 10**9
-    assert gossip.record_claim(now + TRUST_PERIOD - 1, 1, 7, {"": (1,)}) and not gossip.record_claim(now + TRUST_PERIOD, 1, 7, {"": (1,)})
+    assert gossip.record_claim(now + TRUST_PERIOD - 1, 1, 7, {"": (1,)}) and not gossip.record_claim(
+        now + TRUST_PERIOD, 1, 7, {"": (1,)}
+    )
     gossip.forget(1)
     assert gossip.state(1) == UNSEEN
 
--- a/tests/gateway/test_parts.py
+++ b/tests/gateway/test_parts.py
@@ -67,4 +67,8 @@
 def test_refusal_and_time_limit_of_requests_that_end_early():
     assert may_be_refused(READ, True) and may_be_refused(KEYED, True) and may_be_refused(WRITE, False)
     assert not may_be_refused(WRITE, True)
-    assert allowed_time(READ, 0) == READ.deadline and allowed_time(READ, 5) == 5 and allowed_time(READ, 10**12) == READ.deadline
+    assert (
+        allowed_time(READ, 0) == READ.deadline
+        and allowed_time(READ, 5) == 5
+        and allowed_time(READ, 10**12) == READ.deadline
+    )
--- a/tests/gateway/test_race_attempts.py
+++ b/tests/gateway/test_race_attempts.py
@@ -1,4 +1,4 @@
-"""Races of an attempt waiting to be written: its client leaves, its time runs out, its request ends, its window closes."""
+"""Races of an attempt that waits to be written: its client leaves, or its time, its request or its window ends."""
 
 import pytest
 
@@ -154,7 +154,9 @@
     assert len(harness.backend.waiting) == 2
     harness.clock.rightNow = 100 + late / 1e9  # the window counts from the issue of the first attempt
     harness.up(1)
-    assert len(harness.backend.sent) == 1 + is_written and harness.statuses() == (["reset"] if is_written else ["reset", "moot"])
+    assert len(harness.backend.sent) == 1 + is_written and harness.statuses() == (
+        ["reset"] if is_written else ["reset", "moot"]
+    )
     assert sink.finals == ([] if is_written else ["failed"])
 
 
--- a/tests/gateway/test_race_lists.py
+++ b/tests/gateway/test_race_lists.py
@@ -42,7 +42,9 @@
     harness.ask()
     first, second = harness.backend.waiting[0][0].name, {"p": "c", "c": "p"}[harness.backend.waiting[0][0].name]
     spec = {"p": LONE, "c": COPY}[first]
-    changed = change and ServerSpec(first, "g", "a", "h", 3 if change is MOVED else spec.port, spec.primary, change.state)
+    changed = change and ServerSpec(
+        first, "g", "a", "h", 3 if change is MOVED else spec.port, spec.primary, change.state
+    )
     harness.gateway.apply_changes({first: changed})
     assert harness.statuses() == ["moot"] and len(harness.backend.waiting) == 2
     assert isinstance(harness.router.events[-2], ServerList)
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -5,7 +5,15 @@
 
 from tests.support.virtual_gateway import READ, WRITE, Place
 from yardbank.gateway.api import MS
-from yardbank.gateway.request_counters import BUCKET_COUNT, FIRST_POWER, LIMIT_POWER, ClassCounters, RequestCounters, beyond, bucket_index
+from yardbank.gateway.request_counters import (
+    BUCKET_COUNT,
+    FIRST_POWER,
+    LIMIT_POWER,
+    ClassCounters,
+    RequestCounters,
+    beyond,
+    bucket_index,
+)
 
 ANSWERS = st.tuples(
     st.sampled_from([READ, WRITE]), st.sampled_from(["served", "refused", "failed", "left"]), st.integers(0, 1 << 40)
@@ -31,7 +39,9 @@
         counters.add(request_class, answer, took)
     for request_class in (READ, WRITE):
         class_counters = counters.by_class[request_class.name]
-        served = sorted(took for ended_class, answer, took in ends if ended_class is request_class and answer == "served")
+        served = sorted(
+            took for ended_class, answer, took in ends if ended_class is request_class and answer == "served"
+        )
         assert (class_counters.in_time, class_counters.late) == (
             sum(t <= request_class.latency_objective for t in served),
             sum(t > request_class.latency_objective for t in served),
@@ -41,12 +51,14 @@
             ended_class is request_class and answer != "served" for ended_class, answer, _ in ends
         )
         if served:
-            assert class_counters.quantile(1.0) == beyond(bucket_index(served[-1])) and class_counters.quantile(0.5) == beyond(
-                bucket_index(served[(len(served) - 1) // 2])
-            )
+            assert class_counters.quantile(1.0) == beyond(bucket_index(served[-1])) and class_counters.quantile(
+                0.5
+            ) == beyond(bucket_index(served[(len(served) - 1) // 2]))
         if earlier is not None:
             after = class_counters.since(earlier[request_class.name])
-            assert sum(after.latencies) == sum(ended_class is request_class and answer == "served" for ended_class, answer, _ in ends[cut:])
+            assert sum(after.latencies) == sum(
+                ended_class is request_class and answer == "served" for ended_class, answer, _ in ends[cut:]
+            )
     assert ClassCounters().quantile(0.99) == 0
 
 
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -34,9 +34,9 @@
     for group in range(20):
         router.selection.cautious_until[group] = 1 << 62
     for number in range(64):
-        harness.gateway._attempts.failure_counts[f"error: a rather long reason that was seen once and number {number:02} of it"] = (
-            12345
-        )
+        harness.gateway._attempts.failure_counts[
+            f"error: a rather long reason that was seen once and number {number:02} of it"
+        ] = 12345
     view = harness.gateway.view()
     assert len(view["servers"]) == MAX_SERVERS
     assert len(json.dumps(view)) < 4096 - 200  # room for the fields that the log adds
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -116,7 +116,8 @@
         found = queue.next(now)
         if isinstance(found, Job):
             assert all(
-                j.priority <= found.priority or j.added_at > found.added_at - AGING_INTERVAL for j in queue.jobs.values()
+                j.priority <= found.priority or j.added_at > found.added_at - AGING_INTERVAL
+                for j in queue.jobs.values()
             )
             assert spent <= now * share + 5 * MS  # excluding the slice that is about to run
             now += cost * MS
