--- a/tests/platform/test_broken_settings.py
+++ b/tests/platform/test_broken_settings.py
@@ -1,4 +1,4 @@
-"""A spoilt configuration: at the start one plain line and exit 2, at a reload one line, and the last good one serves on."""
+"""Invalid configurations: one line and exit code 2 at the start, one log line at a reload, the last valid one stays."""
 
 import copy
 import json
@@ -13,7 +13,7 @@
 
 from tests.support.platform import CONFIG, ENTRY, START, Log, Reactor, listening, query, serving
 from yardbank.gateway.api import SECOND
-from yardbank.platform.client import EMPTY
+from yardbank.platform.client import EMPTY_QUERY_ANSWER
 from yardbank.platform.config import PlatformError, read_config
 from yardbank.platform.service import Service
 
@@ -94,7 +94,7 @@
         yield from paths(held, (*where, name))
 
 
-def spoilt(where, octets, told=FULL):
+def with_octets(where, octets, told=FULL):
     """The document with other octets in one place."""
     document = copy.deepcopy(told)
     place = document
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("where", list(paths(FULL)), ids=lambda where: ".".join(map(str, where)))
-def test_any_value_in_any_place_is_taken_or_refused_in_one_line_that_names_it(where):
+def test_any_value_in_any_field_is_accepted_or_rejected_in_one_line_naming_the_field(where):
     named = {str(name) for name in where} | {
         "JSON",
         *{
@@ -121,40 +121,40 @@
     }
     for octets in ODD:
         try:
-            config = read_config(spoilt(where, octets))
+            config = read_config(with_octets(where, octets))
         except PlatformError as problem:
             assert "\n" not in str(problem) and any(name in str(problem) for name in named), (octets, str(problem))
             continue
-        made = Service(config, Reactor(), Log(), listening)  # what is taken can be served by
+        made = Service(config, Reactor(), Log(), listening)  # a service can start with whatever is accepted
         made.start()
 
 
 BAD = {
     "no JSON": (b"{", "not JSON"),
-    "NaN": (spoilt(("settings", "services", 0, "credit"), b"NaN"), "not JSON"),
+    "NaN": (with_octets(("settings", "services", 0, "credit"), b"NaN"), "not JSON"),
     "no object": (b"[1]", "object"),
-    "settings no object": (spoilt(("settings",), b"[1]"), "settings"),
-    "wrong type": (spoilt(("settings", "services", 1, "aim"), b'"soon"'), "aim"),
-    "negative aim": (spoilt(("settings", "services", 1, "aim"), b"-1"), "classes[book].aim"),
-    "negative window": (spoilt(("settings", "services", 1, "window"), b"-1"), "classes[book].window"),
-    "no classes": (spoilt(("settings", "services"), b"[]"), "classes"),
-    "a class twice": (spoilt(("settings", "services", 1, "name"), b'"look"'), "distinct names"),
-    "a class without a name": (spoilt(("settings", "services", 1, "name"), b'""'), "names"),
-    "unknown effect": (spoilt(("settings", "services", 1, "effect"), b'"fatal"'), "effect"),
-    "unknown registry mode": (spoilt(("settings", "registry_mode"), b'"push"'), "registry_mode"),
-    "unknown read": (spoilt(("settings", "domain", "class_read", 0), b'"eager"'), "class_read"),
-    "no time to connect": (spoilt(("settings", "ceilings", "connect_timeout"), b"0"), "connect_timeout"),
-    "negative idle time": (spoilt(("settings", "ceilings", "idle_close"), b"-1"), "idle_close"),
-    "retry-after no yes or no": (spoilt(("settings", "ceilings", "retry_after"), b'"no"'), "retry_after"),
-    "a time beyond all": (spoilt(("settings", "services", 0, "aim"), b"9" * 400), "classes[look].aim"),
-    "too few sockets": (spoilt(("limits", "sockets"), b"8"), "limits.sockets"),
-    "memory no number": (spoilt(("limits", "memory_mb"), b'"much"'), "limits.memory_mb"),
-    "a known list": (spoilt(("known", "instances", 0, "hostPort"), b'"h"'), "known: instances[0].hostPort"),
+    "settings no object": (with_octets(("settings",), b"[1]"), "settings"),
+    "wrong type": (with_octets(("settings", "services", 1, "aim"), b'"soon"'), "aim"),
+    "negative aim": (with_octets(("settings", "services", 1, "aim"), b"-1"), "classes[book].aim"),
+    "negative window": (with_octets(("settings", "services", 1, "window"), b"-1"), "classes[book].window"),
+    "no classes": (with_octets(("settings", "services"), b"[]"), "classes"),
+    "a class twice": (with_octets(("settings", "services", 1, "name"), b'"look"'), "distinct names"),
+    "a class without a name": (with_octets(("settings", "services", 1, "name"), b'""'), "names"),
+    "unknown effect": (with_octets(("settings", "services", 1, "effect"), b'"fatal"'), "effect"),
+    "unknown registry mode": (with_octets(("settings", "registry_mode"), b'"push"'), "registry_mode"),
+    "unknown read": (with_octets(("settings", "domain", "class_read", 0), b'"eager"'), "class_read"),
+    "no time to connect": (with_octets(("settings", "ceilings", "connect_timeout"), b"0"), "connect_timeout"),
+    "negative idle time": (with_octets(("settings", "ceilings", "idle_close"), b"-1"), "idle_close"),
+    "retry-after no yes or no": (with_octets(("settings", "ceilings", "retry_after"), b'"no"'), "retry_after"),
+    "a time beyond all": (with_octets(("settings", "services", 0, "aim"), b"9" * 400), "classes[look].aim"),
+    "too few sockets": (with_octets(("limits", "sockets"), b"8"), "limits.sockets"),
+    "memory no number": (with_octets(("limits", "memory_mb"), b'"much"'), "limits.memory_mb"),
+    "a known list": (with_octets(("known", "instances", 0, "hostPort"), b'"h"'), "known: instances[0].hostPort"),
 }
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_the_program_refuses_to_start_with_exit_2_and_one_plain_line(tmp_path, bad):
+def test_an_invalid_configuration_ends_the_start_with_exit_code_2_and_one_line(tmp_path, bad):
     octets, name = BAD[bad]
     file = tmp_path / "config.json"
     file.write_bytes(octets)
@@ -169,7 +169,7 @@
     assert ended.returncode == 2 and line.startswith(f"yardbank: {file}: ") and name in line
 
 
-def test_a_spoilt_configuration_at_a_reload_is_one_line_and_the_last_good_one_serves_on(tmp_path):
+def test_an_invalid_configuration_at_reload_is_logged_and_the_last_valid_one_stays(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as discovery, socket.create_server(("127.0.0.1", 0)) as other:
         discovery.settimeout(30)
         other.settimeout(30)
@@ -184,12 +184,12 @@
                 with socket.create_connection(("127.0.0.1", port), 30) as client:
                     client.sendall(START + query(""))
                     got = b""
-                    while not got.endswith(EMPTY):
+                    while not got.endswith(EMPTY_QUERY_ANSWER):
                         got += client.recv(1000)
             moved = {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{other.getsockname()[1]}"}
             file.write_bytes(orjson.dumps(moved))
             process.send_signal(signal.SIGHUP)
-            other.accept()[0].close()  # the next good one is taken
+            other.accept()[0].close()  # the next valid one is applied
             watch.close()
             assert process.poll() is None
         finally:
--- a/tests/platform/test_clients.py
+++ b/tests/platform/test_clients.py
@@ -1,29 +1,29 @@
-"""Clients, admission and the gateway together."""
+"""Client connections, admission and the gateway together."""
 
 from tests.support.platform import READ, READY, WRITE, World, query
 from yardbank.gateway import Reply
 from yardbank.pg import messages as pg
 from yardbank.pg.wire import Frame
 from yardbank.platform.admission import State
-from yardbank.platform.client import EMPTY
+from yardbank.platform.client import EMPTY_QUERY_ANSWER
 from yardbank.platform.pipeline import MAX_OPEN
 
 
-def test_requests_are_served_in_turn_with_their_own_answers():
+def test_requests_are_answered_in_order_with_their_own_answers():
     world = World()
     made, transport = world.connect()
-    made.dataReceived(query(READ) + query(WRITE) + query(""))  # of one row: the write waits for the read
+    made.dataReceived(query(READ) + query(WRITE) + query(""))  # one row: the write waits for the read
     assert len(world.backend.out) == 1 and world.factory.open_ids == {"a1", "a2"}
     world.backend.out[0][1].attempt_done(Reply("ok", b"first"))
     assert transport.value() == b"first" + READY and world.backend.out[1][0].statement.id == "a2"
     assert world.factory.open_ids == {"a2"}
     transport.clear()
     world.backend.out[1][1].attempt_done(Reply("ok", b"second"))
-    assert transport.value() == b"second" + READY + EMPTY and not world.factory.open_ids
+    assert transport.value() == b"second" + READY + EMPTY_QUERY_ANSWER and not world.factory.open_ids
     assert world.factory.admission.count(State.IDLE) == 1
 
 
-def test_a_refusal_says_when_to_come_back_and_a_write_that_may_have_run_fails():
+def test_a_refusal_carries_a_retry_delay_and_a_write_that_may_have_run_fails():
     world = World()
     made, transport = world.connect()
     made.dataReceived(query(READ.replace("cluster=2", "cluster=9")))
@@ -35,7 +35,7 @@
     assert b"C58000\0" in transport.value() and world.gateway.counts["failed"] == 1
 
 
-def test_a_bad_statement_and_an_open_requests_id_are_errors_and_the_other_request_lives():
+def test_an_invalid_statement_or_a_reused_id_is_an_error_and_leaves_the_open_request_alone():
     world = World()
     first, first_out = world.connect()
     first.dataReceived(query(READ))
@@ -47,7 +47,7 @@
     assert first_out.value().startswith(b"mine") and len(world.backend.out) == 1
 
 
-def test_a_client_that_leaves_is_owed_nothing():
+def test_requests_of_a_disconnected_client_are_withdrawn():
     world = World()
     made, transport = world.connect()
     made.dataReceived(query(READ))
@@ -57,7 +57,7 @@
     assert transport.value() == b"" and len(world.factory.admission) == 0 and not world.factory.open_ids
 
 
-def test_silent_and_halting_clients_are_let_go_and_idle_ones_later():
+def test_silent_and_partial_clients_time_out_before_idle_ones():
     world = World()
     silent, halting, idle = world.connect(b""), world.connect(), world.connect()
     halting[0].dataReceived(query(READ)[:20])
@@ -69,8 +69,8 @@
     assert idle[1].disconnecting
 
 
-def test_at_the_bound_a_newcomer_takes_the_place_of_a_silent_one_or_is_told():
-    world = World(connections=3)  # one of them the servers'
+def test_at_the_connection_limit_a_new_client_replaces_a_silent_one_or_is_refused():
+    world = World(connections=3)  # one of them is reserved for servers
     silent, busy = world.connect(b""), world.connect()
     busy[0].dataReceived(query(READ))
     world.clock.advance(0.3)
@@ -83,7 +83,7 @@
     assert len(world.factory.admission) == 2
 
 
-def test_a_client_that_does_not_read_gets_no_more_work_done_and_is_cut():
+def test_a_client_that_does_not_read_has_no_requests_dispatched_and_times_out():
     world = World()
     made, transport = world.connect()
     made.pauseProducing()
@@ -98,7 +98,7 @@
     assert transport.disconnecting
 
 
-def test_of_many_queries_at_once_a_few_are_open_together_and_reading_pauses():
+def test_many_queries_at_once_are_limited_in_parallel_and_pause_reading():
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(b"".join(query(READ.replace("a1", f"q{n}")) for n in range(300)))
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway: lists of servers and the configuration."""
+"""Parsing of the configuration and of discovery's server lists."""
 
 import orjson
 import pytest
@@ -17,12 +17,12 @@
 from yardbank.platform.listing import MAX_ENTRIES, ListingError, parse_listing
 
 
-def told(*instances, **more):
+def parse_instances(*instances, **more):
     return parse_listing(orjson.dumps({"generation": 41, "instances": instances} | more))
 
 
-def test_a_list_becomes_servers():
-    got = told(
+def test_a_list_is_parsed_into_server_specs():
+    got = parse_instances(
         ENTRY,
         {**ENTRY, "instanceId": "s-2", "lifecycle": "Terminating", "part": "replica"},
         {"instanceId": "s-3", "lifecycle": "Gone"},
@@ -59,12 +59,12 @@
         ("startedAtMs", True),
     ],
 )
-def test_a_fault_in_a_list_names_entry_and_field(key, wrong):
+def test_a_list_error_names_entry_and_field(key, wrong):
     with pytest.raises(ListingError, match=rf"^instances\[1\]\.{key}: "):
-        told(ENTRY, {**ENTRY, "instanceId": "b", key: wrong})
+        parse_instances(ENTRY, {**ENTRY, "instanceId": "b", key: wrong})
     for missing in ("instanceId", "hostPort"):
         with pytest.raises(ListingError, match=rf"^instances\[0\]\.{missing}: missing"):
-            told({name: held for name, held in ENTRY.items() if name != missing})
+            parse_instances({name: held for name, held in ENTRY.items() if name != missing})
 
 
 @pytest.mark.parametrize(
@@ -82,16 +82,18 @@
         ({"hostPort": "[::1]:06432"}, 1.5),
     ],
 )
-def test_what_older_and_other_senders_send_is_taken(change, started):
-    got = told({**ENTRY, **change}, more=None).entries["s-1"]
+def test_optional_and_unknown_list_fields_are_accepted(change, started):
+    got = parse_instances({**ENTRY, **change}, more=None).entries["s-1"]
     assert got.started == started and got.port == 6432
-    bare = told({"instanceId": "b", "hostPort": "h:1"}).entries["b"]
+    bare = parse_instances({"instanceId": "b", "hostPort": "h:1"}).entries["b"]
     assert bare == ServerSpec("b", "0", "", "h", 1, False, "ready", 0.0)
-    gone = told({"instanceId": "b", "lifecycle": "Gone", "hostPort": 7, "cell": None, "startedAtMs": -1}, reset=False)
+    gone = parse_instances(
+        {"instanceId": "b", "lifecycle": "Gone", "hostPort": 7, "cell": None, "startedAtMs": -1}, reset=False
+    )
     assert gone.entries == {"b": None} and not gone.reset
 
 
-def test_a_server_listed_twice_and_what_is_no_list():
+def test_duplicate_servers_and_malformed_lists_are_rejected():
     for wrong, name in (
         ({"instances": [ENTRY, ENTRY]}, "twice"),
         ([], "object"),
@@ -118,7 +120,7 @@
             parse_listing(noise)
 
 
-def test_the_configuration_is_read(tmp_path):
+def test_the_configuration_is_parsed(tmp_path):
     file = tmp_path / "config.json"
     file.write_bytes(orjson.dumps(CONFIG))
     config = load_config({"NODE_CONFIG": str(file)})
@@ -147,14 +149,14 @@
         ({"settings": {**ENV, "ceilings": {"idle_close": 1.5}}}, r"settings\.ceilings\.idle_close"),
     ],
 )
-def test_a_fault_in_the_configuration_names_file_and_field(tmp_path, change, name):
+def test_a_configuration_error_names_file_and_field(tmp_path, change, name):
     file = tmp_path / "config.json"
     file.write_bytes(orjson.dumps({**CONFIG, **change}))
     with pytest.raises(PlatformError, match=rf"config\.json: {name}"):
         load_config({"NODE_CONFIG": str(file)})
 
 
-def test_null_and_absent_fields_of_the_configuration_stand_for_their_defaults():
+def test_null_and_absent_configuration_fields_get_their_defaults():
     bare = {name: held for name, held in CONFIG.items() if name not in ("name", "limits", "known")}
     for document in (
         bare,
@@ -169,7 +171,7 @@
         assert config.idle_close == 30 * SECOND
 
 
-def test_a_configuration_that_is_missing_or_no_json():
+def test_a_missing_or_malformed_configuration_is_rejected():
     with pytest.raises(PlatformError, match="NODE_CONFIG is not set"):
         load_config({})
     with pytest.raises(PlatformError, match="NODE_CONFIG"):
--- a/tests/platform/test_connection_end.py
+++ b/tests/platform/test_connection_end.py
@@ -1,4 +1,4 @@
-"""How connections of clients end: no request that a client sent on an open one is swallowed."""
+"""How client connections end: no request sent on an open connection goes unanswered."""
 
 import json
 import signal
@@ -13,14 +13,27 @@
 from yardbank.gateway import Reply
 from yardbank.platform.admission import State
 from yardbank.platform.backend import Operation
-from yardbank.platform.client import EMPTY
+from yardbank.platform.client import EMPTY_QUERY_ANSWER
 from yardbank.platform.statement import read_statement
 
-ABSENT = ("peers", "lease", "channels", "rollout", "atlas", "config", "plan", "rig", "state", "ldap", "spread", "joint")
-
-
-class Sockets(World):
-    """Connections whose unread octets can be looked at; ``far`` is the client's end."""
+UNLOADED = (
+    "peers",
+    "lease",
+    "channels",
+    "rollout",
+    "atlas",
+    "config",
+    "plan",
+    "rig",
+    "state",
+    "ldap",
+    "spread",
+    "joint",
+)
+
+
+class SocketWorld(World):
+    """Connections over socket pairs, so that unread data can be checked; ``far`` is the client's end."""
 
     def connect(self, first=START):
         made, transport = self.factory.buildProtocol(None), StringTransport()
@@ -34,7 +47,7 @@
         return made, transport
 
 
-def test_a_gateway_that_stops_closes_idle_connections_and_the_others_once_answered():
+def test_stop_closes_idle_connections_at_once_and_busy_ones_once_answered():
     world = World()
     idle, busy = world.connect(START + query("")), world.connect()
     busy[0].dataReceived(query(READ))
@@ -42,12 +55,12 @@
     assert idle[1].disconnecting and not busy[1].disconnecting
     world.backend.out[0][1].attempt_done(Reply("ok", b"last"))
     assert busy[1].value() == b"last" + READY and busy[1].disconnecting
-    assert not idle[1].value()  # a request that crosses this is sent again
+    assert not idle[1].value()  # a client that was answered before repeats a request that crosses the close
     assert world.factory.counts["closed_unanswered"] == 0
 
 
-@pytest.mark.parametrize("first", [b"", START[:5], START], ids=["silent", "half a word", "nothing asked"])
-def test_one_that_was_never_answered_is_told_that_nothing_ran(first):
+@pytest.mark.parametrize("first", [b"", START[:5], START], ids=["silent", "partial startup", "no request"])
+def test_close_tells_a_client_that_was_never_answered_that_nothing_ran(first):
     for late in (False, True):
         world = World()
         made, transport = world.connect(first)
@@ -62,7 +75,7 @@
         assert world.factory.counts["closed_unanswered"] == 0
 
 
-def test_half_a_request_is_waited_for_and_what_comes_while_stopping_is_refused():
+def test_stop_waits_for_the_rest_of_a_partial_request_and_refuses_it():
     world = World()
     made, transport = world.connect(START + query(""))
     made.dataReceived(query(READ)[:30])
@@ -73,7 +86,7 @@
     assert b"C53300\0" in transport.value() and transport.value().endswith(READY) and transport.disconnecting
 
 
-def test_half_a_request_that_stays_half_is_told_so():
+def test_a_request_that_stays_partial_gets_a_final_message():
     world = World()
     made, transport = world.connect(START + query(""))
     made.dataReceived(query(READ)[:30])
@@ -82,11 +95,11 @@
     assert b"C57P03\0" in transport.value() and transport.disconnecting
 
 
-def test_a_stop_swallows_no_request_of_a_client_that_reads_late():
+def test_stop_drops_no_request_of_a_client_that_reads_late():
     world = World()
     made, transport = world.connect()
     made.dataReceived(query(READ) + query(READ.replace("a1", "a3")))
-    made.pauseProducing()  # it is stuck, and its first request is out
+    made.pauseProducing()  # its answers are not read, and its first request is sent
     made.dataReceived(b"")
     assert world.factory.admission.count(State.STUCK) == 1
     world.factory.close_idle()
@@ -98,8 +111,8 @@
 
 
 @pytest.mark.parametrize("end", ["stop", "last look", "idle for long"])
-def test_what_waits_in_the_socket_is_read_before_a_connection_is_closed(end):
-    world = Sockets()
+def test_unread_requests_are_served_before_a_connection_is_closed(end):
+    world = SocketWorld()
     made, transport = world.connect(START + query(""))
     other, _ = world.connect(START + query(""))
     transport.far.send(query(READ))
@@ -116,8 +129,8 @@
     assert transport.value() == b"x" + READY and transport.disconnecting == (end != "idle for long")
 
 
-def test_what_comes_while_the_last_answer_goes_out_is_answered_too():
-    world = Sockets()
+def test_a_request_that_arrives_during_the_last_answer_is_answered():
+    world = SocketWorld()
     made, transport = world.connect()
     made.dataReceived(query(READ))
     world.factory.close_idle()
@@ -129,7 +142,7 @@
     assert b"C53300\0" in transport.value() and transport.disconnecting
 
 
-def test_a_request_that_never_went_out_is_refused_whatever_is_said_of_it_and_counted():
+def test_a_failed_request_that_was_never_sent_is_refused_and_counted():
     for sent, code in ((False, b"C53300\0"), (True, b"C58000\0")):
         world = World()
         made, transport = world.connect()
@@ -141,7 +154,7 @@
         assert world.factory.counts["failed_unsent"] == (not sent)
 
 
-def test_an_operation_is_sent_once_it_is_written_and_not_before():
+def test_an_operation_counts_as_sent_only_once_it_is_written():
     pair = Pair()
     operation = Operation(read_statement(WRITE, KINDS), 1 << 40)
     assert not operation.sent
@@ -149,7 +162,7 @@
     assert operation.sent
 
 
-def test_a_connection_that_is_cut_with_a_request_on_it_is_counted():
+def test_an_aborted_connection_with_an_open_request_is_counted():
     world = World()
     made, transport = world.connect()
     made.pauseProducing()
@@ -159,7 +172,7 @@
 
 
 def answer(client, octets):
-    """Send; what comes up to ReadyForQuery, or to the end."""
+    """Sends octets and returns what arrives up to ReadyForQuery or the end."""
     got = b""
     try:
         client.sendall(octets)
@@ -171,31 +184,31 @@
 
 
 @pytest.mark.parametrize("clients", [12])
-def test_until_it_is_gone_the_program_answers_on_every_connection_that_it_leaves_open(tmp_path, clients):
+def test_every_open_connection_is_answered_until_the_program_exits(tmp_path, clients):
     process, port, lines, _ = serving(tmp_path, 9, "-X", "importtime")
     ends = {}
 
-    def ask_on(number, client, halves):
-        """Ask as long as the connection is there; the last is None or what came before the end."""
+    def keep_asking(number, client, in_halves):
+        """Sends requests until the connection ends; the last entry is what arrived before the end."""
         got = [answer(client, START + query(""))]
         while got[-1].endswith(READY):
-            if halves:
+            if in_halves:
                 client.sendall(query(READ)[:20])
-            got.append(answer(client, query(READ)[20 if halves else 0 :]))
+            got.append(answer(client, query(READ)[20 if in_halves else 0 :]))
         ends[number] = got
 
     try:
         asking = []
         for number in range(clients):
             client = socket.create_connection(("127.0.0.1", port), timeout=30)
-            asking.append(threading.Thread(target=ask_on, args=(number, client, number % 2)))
+            asking.append(threading.Thread(target=keep_asking, args=(number, client, number % 2)))
         idle = socket.create_connection(("127.0.0.1", port), timeout=30)
-        assert answer(idle, START + query("")).endswith(EMPTY)
+        assert answer(idle, START + query("")).endswith(EMPTY_QUERY_ANSWER)
         for thread in asking:
             thread.start()
         process.send_signal(signal.SIGTERM)
-        late = socket.create_connection(("127.0.0.1", port), timeout=30)  # it still comes, and is served
-        assert answer(late, START + query("")).endswith(EMPTY)
+        late = socket.create_connection(("127.0.0.1", port), timeout=30)  # still accepted and served
+        assert answer(late, START + query("")).endswith(EMPTY_QUERY_ANSWER)
         for thread in asking:
             thread.join()
         assert idle.recv(1000) == b"" and late.recv(1000) == b""
@@ -205,10 +218,10 @@
         process.kill()
         process.wait()
     for got in ends.values():
-        assert got[0].endswith(EMPTY) and all(b"C53300\0" in each for each in got[1:-1])
-        assert got[-1] == b"" or b"C57P03\0" in got[-1]  # it crossed the end: it may be sent again, or is told so
+        assert got[0].endswith(EMPTY_QUERY_ANSWER) and all(b"C53300\0" in each for each in got[1:-1])
+        assert got[-1] == b"" or b"C57P03\0" in got[-1]  # crossed the close: may be repeated, or never ran
     ended = json.loads(next(line for line in lines if b'"ended"' in line))
     assert ended["closed_unanswered"] == ended["failed_unsent"] == 0
     loaded = {line.rpartition(b"|")[2].strip().decode() for line in lines if line.startswith(b"import time:")}
     assert "yardbank.platform.service" in loaded
-    assert not [name for name in loaded if name.startswith(tuple(f"yardbank.{part}" for part in ABSENT))]
+    assert not [name for name in loaded if name.startswith(tuple(f"yardbank.{part}" for part in UNLOADED))]
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -1,4 +1,4 @@
-"""One watch's octets to lists: HTTP in any split, lists in any shape, and what is no HTTP."""
+"""One watch: HTTP responses in any split to lists, and invalid HTTP."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 @given(st.data())
-def test_a_watch_is_read_in_any_split_and_lists_may_be_indented(data):
+def test_a_response_is_parsed_in_any_split_and_lists_may_be_indented(data):
     body = (
         chunk(b"\n")
         + chunk(LINE[:20])
@@ -40,7 +40,7 @@
     assert watch.request.endswith(b"\r\n\r\n") and list(watch.receive(b"more")) == []
 
 
-def test_an_answer_with_a_length_or_until_the_end_needs_no_last_newline():
+def test_a_response_with_content_length_or_until_close_needs_no_last_newline():
     watch = Watch("h:1", 41)
     with_length = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(INDENTED)
     assert lists(watch, with_length + INDENTED + b"surplus") == [43] and watch.done
@@ -48,7 +48,7 @@
     assert lists(watch, b"HTTP/1.0 200 OK\r\n\r\n" + INDENTED, LINE[:-1]) == [43, 43] and not watch.done
 
 
-def test_data_of_one_endless_chunk_are_read_as_they_come():
+def test_data_of_an_unfinished_chunk_is_parsed_as_it_arrives():
     watch = Watch("h:1", 41)
     assert lists(watch, HEAD + b"fffffff\r\n") == []
     assert all(lists(watch, *(LINE[at : at + 1] for at in range(len(LINE)))) == [43] for _ in range(100))
@@ -70,6 +70,6 @@
         HEAD + b"0\r\n" + b"a: b\r\n" * 5000,
     ],
 )
-def test_what_is_no_http_is_an_error(stream):
+def test_an_invalid_http_response_is_an_error(stream):
     with pytest.raises(HttpError):
         list(Watch("h:1", 41).receive(stream))
--- a/tests/platform/test_drawn_settings.py
+++ b/tests/platform/test_drawn_settings.py
@@ -1,4 +1,4 @@
-"""Drawn settings: what the program does depends on what they say, and on no name in them."""
+"""Random settings: what the program does depends on the settings, and on no name in them."""
 
 from collections import Counter
 
@@ -25,19 +25,19 @@
     return {name: held for name, held in fields.items() if held is not None}
 
 
-def of_ms(least, most):
+def in_ms(least, most):
     return st.integers(least, most).map(milliseconds)
 
 
 SERVICE = st.fixed_dictionaries(
     {
-        "aim": of_ms(100, 900),
-        "hard_limit": of_ms(500, 3000),
+        "aim": in_ms(100, 900),
+        "hard_limit": in_ms(500, 3000),
         "effect": st.sampled_from(EFFECTS),
         "credit": some(st.sampled_from((0, 1, 1.5, 4))),
         "late_worth": some(st.sampled_from((0.0, 0.3, 1))),
         "key_scope": some(st.sampled_from(("all", "cell", "zone"))),
-        "window": some(of_ms(50, 3000)),
+        "window": some(in_ms(50, 3000)),
     }
 ).map(present)
 CEILINGS = st.fixed_dictionaries(
@@ -46,8 +46,8 @@
         "cancel": some(st.booleans()),
         "probes": st.sampled_from((True, True, False, None)),
         "retry_after": some(st.booleans()),
-        "max_retry_after": some(of_ms(0, 2000)),
-        "connect_timeout": some(of_ms(100, 400)),
+        "max_retry_after": some(in_ms(0, 2000)),
+        "connect_timeout": some(in_ms(100, 400)),
     }
 ).map(present)
 REPORTING = st.fixed_dictionaries(
@@ -82,14 +82,14 @@
 
 @st.composite
 def deployments(draw):
-    """Settings and servers by number, and a script."""
+    """Settings, servers by number, and a script."""
     services = draw(st.lists(SERVICE, min_size=1, max_size=6))
     count = len(services)
     domain = {
         "class_read": draw(st.lists(st.sampled_from(READS), min_size=count, max_size=count)),
-        "lag_allowed": draw(some(st.lists(of_ms(50, 2000), min_size=count, max_size=count))),
+        "lag_allowed": draw(some(st.lists(in_ms(50, 2000), min_size=count, max_size=count))),
         "checks": draw(some(st.sampled_from(("silent", "bounce", "await")))),
-        "patience": draw(some(of_ms(0, 80))),
+        "patience": draw(some(in_ms(0, 80))),
         "session_marks": draw(some(st.sampled_from(("brought", "kept")))),
         "tells_position": draw(some(st.booleans())),
     }
@@ -99,9 +99,9 @@
         "ceilings": draw(some(CEILINGS)),
         "reporting": draw(some(REPORTING)),
         "fleet_size": draw(some(st.sampled_from((1, 3, 40, 200)))),
-        "period": draw(some(of_ms(1, 10))),
+        "period": draw(some(in_ms(1, 10))),
         "rules": draw(
-            some(st.fixed_dictionaries({"cold": of_ms(1000, 9000), "start_capacity": st.sampled_from((0.2, 0.5, 1))}))
+            some(st.fixed_dictionaries({"cold": in_ms(1000, 9000), "start_capacity": st.sampled_from((0.2, 0.5, 1))}))
         ),
         "unheard_of": draw(some(st.just({"more": [1]}))),
     }
@@ -121,16 +121,16 @@
 
 
 def renamed(names, others, back):
-    """The names' order kept among other names, or turned round."""
+    """Other names for the same things, in the same order or reversed."""
     ranks = {name: rank for rank, name in enumerate(sorted(names))}
     ordered = sorted(others, reverse=back)
     return [ordered[ranks[name]] for name in names]
 
 
 def search(play=Play, played=None, phases=(Phase.generate, Phase.shrink), number=None):
-    """Plays of drawn deployments, each under three sets of names; what is not equal is an ``AssertionError``.
+    """Plays random deployments, each under three sets of names; an ``AssertionError`` if the traces differ.
 
-    ``number``: of another set of draws than the usual one.
+    ``number``: selects a set of draws other than the usual one.
     """
     cells = st.integers(0, 10**6)
 
@@ -161,23 +161,23 @@
     plays()
 
 
-def test_every_action_is_the_same_under_other_names():
+def test_actions_do_not_depend_on_names():
     played = Counter()
     search(played=played)
     assert min(played[what] for what in ("server", "client", "dial", "closed")) > 100, played
 
 
-MOST_ROUNDS = 6  # of further draws: what Hypothesis draws depends on the modules that are loaded
+MAX_ROUNDS = 6  # of further draws; Hypothesis draws differently depending on the loaded modules
 
 
-def test_behind_the_bench_s_wire_every_action_is_the_same_under_other_names_and_tenants():
+def test_actions_through_the_benchmark_adapter_do_not_depend_on_names_or_tenants():
     played = Counter()
 
     def enough():
         return min(played[what] for what in ("forward", "busy", "schedule")) > 100 and played["sound_out"] > 30
 
     search(WirePlay, played)
-    for number in range(MOST_ROUNDS):
+    for number in range(MAX_ROUNDS):
         if not enough():
             search(WirePlay, played, (Phase.generate,), number)
     assert enough(), played
@@ -185,11 +185,11 @@
 
 
 @pytest.mark.parametrize("what", ["classes", "servers", "zones"])
-def test_an_action_that_depends_on_a_name_is_found(what, monkeypatch):
-    if what == "classes":  # what is held goes by its class's name
+def test_an_action_that_depends_on_a_name_is_detected(what, monkeypatch):
+    if what == "classes":  # requests are held in the order of their class names
         ranked = Admission._ranked
         monkeypatch.setattr(Admission, "_ranked", lambda self: sorted(ranked(self)))
-    elif what == "servers":  # the list is gone through by name
+    elif what == "servers":  # the list is processed in the order of names
         take = Play.__init__.__globals__["specs"]
         monkeypatch.setitem(
             Play.__init__.__globals__, "specs", lambda listing: sorted(take(listing), key=lambda s: s.name)
--- a/tests/platform/test_json_stream.py
+++ b/tests/platform/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON values out of a stream: whole where they end, in any split, in one pass, bounded."""
+"""Splitting a stream into JSON objects: complete at their last octet, in any split, scanned once, limited in size."""
 
 import json
 
@@ -25,23 +25,23 @@
 
 
 @given(st.lists(st.tuples(OBJECTS, st.sampled_from([None, 0, 2, "\t"]), st.booleans(), BLANKS), max_size=5), st.data())
-def test_any_objects_with_any_white_space_come_out_whole_in_any_split(told, data):
-    texts = [json.dumps(each, indent=indent, ensure_ascii=ascii).encode() for each, indent, ascii, _ in told]
-    texts = [text.replace(b"\n", b"\r\n") if len(text) % 2 else text for text in texts]  # no string holds a raw one
-    stream = b"".join(text + blank.encode() for text, (*_, blank) in zip(texts, told))
+def test_objects_with_any_whitespace_are_parsed_in_any_split(drawn, data):
+    texts = [json.dumps(each, indent=indent, ensure_ascii=ascii).encode() for each, indent, ascii, _ in drawn]
+    texts = [text.replace(b"\n", b"\r\n") if len(text) % 2 else text for text in texts]  # no string has a raw one
+    stream = b"".join(text + blank.encode() for text, (*_, blank) in zip(texts, drawn))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=12)))
     pieces = [stream[a:b] for a, b in zip([0, *cuts], [*cuts, len(stream)])]
     for way in (pieces, [stream[at : at + 1] for at in range(len(stream))]):
         parser = StreamParser()
-        assert objects(parser, *way) == texts and parser.waiting == 0
+        assert objects(parser, *way) == texts and parser.buffered_octets == 0
 
 
-def test_white_space_between_values_shows_life_and_inside_of_one_does_not():
+def test_whitespace_yields_a_token_between_values_but_not_inside_one():
     parser = StreamParser()
-    assert list(parser.feed(b"\r\n")) == [Token.BLANK]
-    assert list(parser.feed(b' {"a":')) == [Token.BLANK, Token.BEGUN]
-    assert list(parser.feed(b"\r\n\r\n")) == [] and parser.waiting == 9
-    assert list(parser.feed(b"1}\n")) == [b'{"a":\r\n\r\n1}', Token.BLANK]
+    assert list(parser.feed(b"\r\n")) == [Token.WHITESPACE]
+    assert list(parser.feed(b' {"a":')) == [Token.WHITESPACE, Token.VALUE_STARTED]
+    assert list(parser.feed(b"\r\n\r\n")) == [] and parser.buffered_octets == 9
+    assert list(parser.feed(b"1}\n")) == [b'{"a":\r\n\r\n1}', Token.WHITESPACE]
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
         b'{"a":' * (MAX_DEPTH + 1),
     ],
 )
-def test_what_can_be_no_object_is_told_at_once_and_what_came_before_stands(spoilt):
+def test_invalid_input_is_reported_at_once_and_earlier_objects_are_kept(spoilt):
     parser, got = StreamParser(), []
     with pytest.raises(SplitError):
         for found in parser.feed(b'{"b":1}' + spoilt):
@@ -69,7 +69,7 @@
     assert got[1] == b'{"b":1}'
 
 
-def test_a_value_is_bounded_and_one_of_just_that_size_is_taken():
+def test_a_value_of_the_maximum_size_is_accepted_and_a_larger_one_rejected():
     whole = b'{"a":"' + b"x" * 92 + b'"}'
     assert objects(StreamParser(100), whole, whole[:50], whole[50:]) == [whole, whole]
     for pieces in ([whole[:-2], b"xxx"], [whole[:6]] + [b"x"] * 200, [whole[:-1] + b" }"]):
@@ -77,16 +77,16 @@
             objects(StreamParser(100), *pieces)
 
 
-def test_each_octet_is_looked_at_once_however_a_value_is_cut(monkeypatch):
+def test_each_octet_is_scanned_once_in_any_split(monkeypatch):
     seen = []
-    through = StreamParser._through
+    scan = StreamParser._scan
 
     def counted(self, data, at):
-        end = through(self, data, at)
+        end = scan(self, data, at)
         seen.append(end - at)
         return end
 
-    monkeypatch.setattr(StreamParser, "_through", counted)
+    monkeypatch.setattr(StreamParser, "_scan", counted)
     whole = json.dumps({"instances": [{"instanceId": f"s-{number}"} for number in range(500)]}, indent=2).encode()
     assert objects(StreamParser(), *(whole[at : at + 1] for at in range(len(whole)))) == [whole]
     assert sum(seen) == len(whole)
--- a/tests/platform/test_memory.py
+++ b/tests/platform/test_memory.py
@@ -1,4 +1,4 @@
-"""Memory of the real program while many clients send much at once and no server answers."""
+"""Memory of the real program while many clients send large requests and no server answers."""
 
 import re
 import socket
@@ -23,7 +23,7 @@
 
 
 def hanging_server(listening):
-    """Takes connections and statements and answers nothing."""
+    """Accepts connections and statements and answers nothing."""
     kept = []
     while True:
         try:
@@ -35,20 +35,20 @@
 
 
 def write(number, octets):
-    """A write whose value has so many hexadecimal digits."""
+    """A write whose value has ``octets`` hexadecimal digits."""
     text = WRITE.replace("id=a2", f"id=w{number}").replace("d=900", "d=20000").replace("cluster=2", "cluster=3")
     return query(text.replace("9f03", LARGEST_VALUE[:octets]).replace("'7f3a'", f"'k{number}'"))
 
 
 def peak_mb(process):
-    """The most memory that a process has held, in MB."""
+    """The peak memory of a process, in MB."""
     status = Path(f"/proc/{process.pid}/status").read_text()
     return int(re.search(r"VmHWM:\s+(\d+) kB", status)[1]) * 1024 / 1e6
 
 
-# Guards against bounds on each connection that together pass the limit, at which the platform kills the gateway.
+# Guards against limits on each connection whose sum exceeds the memory limit, at which the platform kills the gateway.
 @pytest.mark.parametrize("octets", [128 << 10, 8 << 10, 256], ids=["large", "middle", "small"])
-def test_many_clients_that_send_much_at_once_stay_within_the_memory_limit(tmp_path, octets):
+def test_many_clients_sending_large_requests_stay_within_the_memory_limit(tmp_path, octets):
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listening:
         threading.Thread(target=hanging_server, args=(listening,), daemon=True).start()
         entry = {**ENTRY, "hostPort": f"127.0.0.1:{listening.getsockname()[1]}"}
@@ -68,11 +68,11 @@
                     got += far.recv(1000)
                 far.setblocking(False)
             for number, far in enumerate(clients):
-                send_all_that_is_taken(far, number, octets)
+                send_until_blocked(far, number, octets)
             late = socket.create_connection(("127.0.0.1", port), timeout=30)
             clients.append(late)
             late.sendall(START + query(""))
-            assert late.recv(1000)  # all that came before has been looked at
+            assert late.recv(1000)  # everything sent before has been read
             assert peak_mb(process) < MEMORY_MB
         finally:
             process.kill()
@@ -81,21 +81,21 @@
                 far.close()
 
 
-def send_all_that_is_taken(far, number, octets):
-    """Write queries until the system takes no more of them, half a megabyte at most."""
+def send_until_blocked(far, number, octets):
+    """Sends queries until the system accepts no more of them, half a megabyte at most."""
     rest = b"".join(write(f"{number}-{turn}", octets) for turn in range(max(4, (512 << 10) // (octets + 200))))
     try:
         while rest:
             rest = rest[far.send(rest) :]
     except OSError:
-        pass  # the gateway reads no more of it, or has closed
+        pass  # the gateway has paused reading or closed the connection
 
 
 STEP = st.tuples(st.integers(0, 5), st.integers(0, 60), st.integers(0, 60), st.booleans())
 
 
 @given(st.lists(STEP, max_size=60))
-def test_what_fits_stays_within_the_limit_and_who_waits_goes_on_in_order(steps):
+def test_reservations_stay_within_the_limit_and_waiting_connections_are_listed(steps):
     budget, occupied = MemoryBudget(100), {}
     for number, size, more, leaves in steps:
         if leaves:
@@ -103,14 +103,14 @@
             occupied.pop(number, None)
         else:
             before = budget.used - occupied.get(number, 0)
-            fits = budget.take(number, size, size + more)
+            fits = budget.reserve(number, size, size + more)
             assert fits == (size + more == 0 or before + size + more <= budget.limit)
             occupied[number] = size + more if fits else size
             assert (number in budget.waiting()) == (not fits and budget.used < budget.limit)
         assert budget.used == sum(occupied.values())
 
 
-def test_a_client_whose_message_does_not_fit_is_read_again_once_others_are_answered():
+def test_a_client_without_memory_budget_is_read_again_once_others_are_answered():
     world = World()
     world.factory._memory = MemoryBudget(12_000)
     first, transport = world.connect()
@@ -119,7 +119,7 @@
     large = query(WRITE.replace("9f03", "9f" * 1000).replace("7f3a", "another"))
     other.dataReceived(large[:100])
     assert second.producerState == "paused" and ("client_memory_bound", {"limit": 12_000}) in world.log.lines
-    for at in range(8):  # an answer may bring the next one out
+    for at in range(8):  # an answer may release the next request
         world.backend.out[at][1].attempt_done(Reply("ok", b"x"))
     assert second.producerState == "producing" and transport.value().count(READY) == 8
     other.dataReceived(large[100:])
--- a/tests/platform/test_pipeline.py
+++ b/tests/platform/test_pipeline.py
@@ -1,4 +1,4 @@
-"""Commands of one connection that are worked on together: the state machine by itself, and before a gateway."""
+"""Commands of one connection that are processed in parallel: the state machine alone, and with a gateway."""
 
 import pytest
 from hypothesis import given
@@ -15,23 +15,23 @@
 
 
 def read(number, key="k", limit=480, kind="lookup"):
-    """A read of that key, with the client's own number and time limit in ms."""
+    """A read of ``key``, with the client's id and a time limit in ms."""
     return READ.replace("a1", number).replace("7f3a", key).replace("480", str(limit)).replace("lookup", kind)
 
 
 def write(number, key="k", limit=900):
-    """A write of that key."""
+    """A write of ``key``."""
     return WRITE.replace("a2", number).replace("'7f3a'", f"'{key}'").replace("900", str(limit))
 
 
 def operation(text, now=0):
-    """A statement as the session hands it to its pipeline."""
+    """A statement as the session adds it to its pipeline."""
     statement = read_statement(text, KINDS)
     return Operation(statement, now + statement.time_limit)
 
 
 def opened(pipeline, more=True):
-    """Hand over all that may be now; the clients' numbers of it."""
+    """Dispatches all commands that may be now; returns their ids."""
     numbers = []
     while (command := pipeline.next(more)) is not None:
         numbers.append(command.operation.statement.id)
@@ -39,7 +39,7 @@
 
 
 def command(pipeline, number):
-    """The command with that number."""
+    """The command with this id."""
     return next(each for each in pipeline if each.operation and each.operation.statement.id == number)
 
 
@@ -54,7 +54,7 @@
     ],
     ids=["session read", "read of a class without sessions", "write", "write behind a read", "reads"],
 )
-def test_what_uses_a_row_waits_for_an_earlier_write_of_it_and_for_nothing_else(texts, first, second):
+def test_a_command_waits_only_for_earlier_conflicting_commands_on_its_row(texts, first, second):
     pipeline = Pipeline()
     for text in texts:
         pipeline.add(operation(text), len(text), 0)
@@ -63,26 +63,26 @@
     assert opened(pipeline) == second
 
 
-def test_the_same_key_in_another_group_is_another_row():
+def test_the_same_key_in_another_group_is_a_different_row():
     pipeline = Pipeline()
     pipeline.add(operation(write("w")), 1, 0)
     pipeline.add(operation(read("r").replace("cluster=2", "cluster=3")), 1, 0)
     assert opened(pipeline) == ["w", "r"]
 
 
-def test_a_command_is_due_before_the_deadline_of_every_one_behind_it():
+def test_a_command_is_due_before_the_deadline_of_every_later_one():
     pipeline = Pipeline()
     pipeline.add(operation(read("slow", limit=3000)), 1, 0)
     pipeline.add(operation(read("middle", limit=2000)), 1, 0)
     assert command(pipeline, "slow").operation.expires == 2000 * MS - ORDER_MARGIN
-    hurried = pipeline.add(operation(read("short", limit=100)), 1, 0)
-    assert [each.operation.statement.id for each in hurried] == ["middle", "slow"]
-    assert {each.operation.expires for each in hurried} == {100 * MS - ORDER_MARGIN}
+    expedited = pipeline.add(operation(read("short", limit=100)), 1, 0)
+    assert [each.operation.statement.id for each in expedited] == ["middle", "slow"]
+    assert {each.operation.expires for each in expedited} == {100 * MS - ORDER_MARGIN}
     assert pipeline.add(operation(read("long", limit=9000)), 1, 0) == []
     assert command(pipeline, "short").operation.expires == 100 * MS
 
 
-def test_answers_that_wait_bound_what_is_handed_over_but_never_the_first():
+def test_held_answers_limit_dispatch_except_for_the_first_unanswered_command():
     pipeline = Pipeline()
     for number in range(5):
         pipeline.add(operation(read(f"r{number}", f"k{number}")), 1, 0)
@@ -96,12 +96,12 @@
     assert pipeline.next(True) is not None
 
 
-def test_a_command_is_answered_once():
+def test_a_command_is_answered_only_once():
     pipeline = Pipeline()
     pipeline.add(operation(READ), 1, 0)
     first = pipeline.next(True)
     pipeline.answered(first, b"x")
-    with pytest.raises(ValueError, match="has its answer"):
+    with pytest.raises(ValueError, match="already answered"):
         pipeline.answered(first, b"y")
 
 
@@ -114,9 +114,9 @@
 
 
 @given(st.lists(STEPS, max_size=60))
-def test_whatever_comes_the_invariants_hold(steps):
+def test_invariants_hold_for_any_sequence_of_steps(steps):
     pipeline, now, number, written, added = Pipeline(), 0, 0, b"", []
-    deadlines, over = {}, set()  # by number; those that were as good as over when they were read
+    deadlines, over = {}, set()  # by id; ids whose time was practically over when read
     for step in steps:
         now += MS
         if step[0] == "add":
@@ -157,17 +157,17 @@
 
 
 def answer(world, number, payload=None):
-    """The server answers the request with the client's own number."""
+    """The server answers the request with this id."""
     receiver = next(r for held, r in world.backend.out if held.statement.id == number)
     receiver.attempt_done(Reply("ok", payload or number.encode()))
 
 
 def sent(world):
-    """The clients' own numbers of what was sent to servers, in order."""
+    """Ids of the requests sent to servers, in order."""
     return [held.statement.id for held, _ in world.backend.out]
 
 
-def test_the_first_of_ten_is_slow_and_the_answers_of_the_others_wait_for_it():
+def test_answers_wait_for_a_slow_first_command():
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(b"".join(query(read(f"r{n}", f"k{n}")) for n in range(10)))
@@ -181,7 +181,7 @@
     assert transport.value() == b"".join(b"r%d" % n + READY for n in range(10))
 
 
-def test_what_stands_behind_a_slow_one_has_its_answer_before_its_own_time_is_up():
+def test_a_command_behind_a_slow_one_is_answered_before_its_own_deadline():
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(query(read("slow", limit=1400)))
@@ -190,11 +190,11 @@
     answer(world, "quick")
     assert transport.value() == b""
     world.clock.advance(0.2 - ORDER_MARGIN / SECOND)  # the slow one is due
-    world.clock.advance(0)  # the sockets are looked at once more
+    world.clock.advance(0)  # the sockets are read once more
     assert b"C53300\0" in transport.value() and transport.value().endswith(b"quick" + READY)
 
 
-def test_a_write_that_may_have_run_is_failed_not_refused_when_it_is_due_earlier():
+def test_an_unfinished_write_with_a_shortened_deadline_fails_and_is_not_refused():
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(query(write("slow", limit=2900)) + query(read("quick", "other", limit=200)))
@@ -205,7 +205,7 @@
     assert world.gateway.counts["failed"] == 1
 
 
-def test_the_time_of_a_command_counts_from_its_last_octet_not_from_when_it_is_handed_over():
+def test_a_time_limit_counts_from_the_last_octet_not_from_dispatch():
     world = World(replicas=4)
     made, _ = world.connect()
     made.dataReceived(query(write("w", limit=2000)) + query(read("r", kind="status", limit=2000)))
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("answered", [(), (5,), range(1, 9)], ids=["none", "one", "all but the first"])
-def test_the_last_of_ten_has_the_shortest_time_and_is_answered_or_refused_in_it(answered):
+def test_a_last_command_with_the_shortest_time_limit_is_answered_or_refused_in_time(answered):
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(b"".join(query(read(f"r{n}", f"k{n}", limit=1400)) for n in range(9)))
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("end", ["closed", "Terminate", "found gone"])
-def test_what_the_client_has_left_is_withdrawn_whole(end):
+def test_all_commands_of_a_client_that_left_are_withdrawn(end):
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(b"".join(query(read(f"r{n}", f"k{n}")) for n in range(20)))
@@ -245,7 +245,7 @@
     elif end == "Terminate":
         made.dataReceived(TERMINATE)
     else:
-        made._session.left = True
+        made._session.client_left = True
         answer(world, "r0")
     assert world.gateway.unanswered == 0 and not world.factory.open_ids and transport.value() == b""
     assert world.gateway.counts["left"] == MAX_OPEN - (end == "found gone")
@@ -255,7 +255,7 @@
 
 
 @pytest.mark.parametrize("behind", [0, 3, MAX_OPEN, 20])
-def test_a_stop_answers_everything_that_was_read_in_order(behind):
+def test_stop_answers_everything_that_was_read_in_order(behind):
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(b"".join(query(read(f"r{n}", f"k{n}", limit=1400)) for n in range(1 + behind)))
@@ -269,7 +269,7 @@
     assert transport.disconnecting
 
 
-def test_a_bad_statement_is_answered_in_its_turn_and_nothing_behind_it_is_served():
+def test_an_invalid_statement_is_answered_in_order_and_ends_the_connection():
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(query(read("r0")) + query("SELECT 1") + query(read("r1")))
@@ -279,7 +279,7 @@
     assert transport.disconnecting and sent(world) == ["r0"]
 
 
-def test_two_commands_with_one_number_are_an_error_where_the_second_stands():
+def test_a_reused_id_is_rejected_in_the_order_of_the_second_command():
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(query(read("same", "k0")) + query(read("same", "k1")))
@@ -288,7 +288,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 7, 64])
-def test_commands_and_answers_in_pieces_keep_their_order(piece):
+def test_commands_split_into_pieces_are_answered_in_order(piece):
     world = World(replicas=4)
     made, transport = world.connect()
     octets = query(read("a", "k0")) + query("") + query(write("b")) + query(STATUS.replace("7f3a", "k")) + query("")
@@ -303,21 +303,21 @@
     assert transport.value() == b"a" + READY + empty + b"b" + READY + b"a3" + READY + empty
 
 
-def test_beyond_the_first_request_of_each_connection_half_of_the_server_connections_bound_what_is_open():
+def test_further_requests_of_a_connection_are_limited_to_half_of_the_server_connections():
     world = World(connections=40, replicas=4)
     made, _ = world.connect()
     other, _ = world.connect()
-    for_servers = world.factory._descriptors.for_servers(world.factory.held)
+    max_servers = world.factory._descriptors.max_servers(world.factory.open_descriptors)
     for connection, name in ((made, "a"), (other, "b")):
         connection.dataReceived(b"".join(query(read(f"{name}{n}", f"{name}{n}")) for n in range(20)))
-    assert world.gateway.unanswered == min(2 * MAX_OPEN, for_servers // 2 + for_servers % 2)
+    assert world.gateway.unanswered == min(2 * MAX_OPEN, max_servers // 2 + max_servers % 2)
     third, _ = world.connect()
     third.dataReceived(query(read("c0", "c0")) + query(read("c1", "c1")))
     assert "c0" in sent(world)
 
 
 @pytest.mark.parametrize("limit", [0, 5])
-def test_one_whose_time_is_over_is_refused_in_its_turn_and_takes_nobody_along(limit):
+def test_an_expired_command_is_refused_in_order_without_ending_others(limit):
     world = World(replicas=4)
     made, transport = world.connect()
     made.dataReceived(query(read("a", "k0")) + query(read("over", "k1", limit)) + query(read("b", "k2")))
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -1,4 +1,4 @@
-"""The program: start, reload, stop, and what it imports."""
+"""The program: start, reload, stop, and the modules that it imports."""
 
 import json
 import os
@@ -30,14 +30,14 @@
     serving,
 )
 from yardbank.gateway.api import SECOND
-from yardbank.platform.client import EMPTY
+from yardbank.platform.client import EMPTY_QUERY_ANSWER
 from yardbank.platform.config import (
     needs_restart,
     read_config,
 )
 
 
-def test_the_service_listens_where_it_is_told_and_follows_discovery_by_reload(tmp_path):
+def test_the_service_listens_as_configured_and_a_reload_moves_discovery(tmp_path):
     made, reactor, log, file = service(tmp_path)
     (port, factory, _, address) = reactor.tcpServers[0]
     view = next(facts for event, facts in log.lines if event == "view")
@@ -57,7 +57,7 @@
     assert ("list_applied", {"servers": 0, "changed": 1, "gone": ["s-1"]}) in log.lines
 
 
-def test_a_new_seed_is_no_change_and_other_settings_need_a_restart():
+def test_a_new_seed_needs_no_restart_but_other_settings_do():
     held = read_config(orjson.dumps(CONFIG))
     assert needs_restart(held, read_config(orjson.dumps({**CONFIG, "seed": "1"}))) == []
     other = {**CONFIG, "settings": {**ENV, "zone": "b"}, "limits": {"sockets": 512}}
@@ -67,7 +67,7 @@
 SLOW = [{**kind, "aim": SECOND, "hard_limit": 2 * SECOND} for kind in ENV["services"]]
 
 
-def test_reports_are_read_by_the_settings_names_and_what_is_spoilt_in_them_is_one_line(tmp_path):
+def test_load_reports_use_the_configured_fields_and_invalid_ones_are_logged_once(tmp_path):
     settings = {**ENV, "services": SLOW, "reporting": {"names": ["util", "x0"], "via": "piggyback"}}
     made, reactor, log, _ = service(tmp_path, settings=settings)
     client, transport = made.factory.buildProtocol(None), StringTransport()
@@ -78,20 +78,20 @@
     host, port, factory, _, _ = reactor.tcpClients[-1]
     server, wire = factory.buildProtocol(None), StringTransport()
     wire.setTcpNoDelay = lambda on: None
-    wire.socket, far = socket.socketpair()  # a connection is looked at before it is used: it is there, and silent
+    wire.socket, far = socket.socketpair()  # a connection is checked before it is used: it must be open and silent
     wire.socket.setblocking(False)
     server.makeConnection(wire)
     assert (host, port) == ("127.0.0.1", 6432)
     server.dataReceived(AUTHENTICATED)
     server.dataReceived(row(tag="INSERT 0 1") + parameter("gauges", "x0=1,util=61") + READY)
-    assert transport.value().endswith(row(tag="INSERT 0 1") + READY)  # the answer stands
+    assert transport.value().endswith(row(tag="INSERT 0 1") + READY)  # the answer is passed on
     spoilt = [facts for event, facts in log.lines if event == "server_answer_spoilt"]
     assert spoilt == [{"server": "s-1", "problem": "load report in gauges: util", "spoilt": 1}]
     far.close()
     wire.socket.close()
 
 
-def test_a_class_that_no_statement_can_name_is_one_line_at_the_start_and_the_others_are_served(tmp_path):
+def test_a_class_that_no_statement_can_name_is_logged_and_the_others_are_served(tmp_path):
     odd = {**SLOW[0], "name": "look,up"}
     domain = {**ENV["domain"], "class_read": ["lag_bound", "mutate", "eventual"]}
     made, _, log, _ = service(tmp_path, settings={**ENV, "services": [*SLOW, odd], "domain": domain})
@@ -102,16 +102,16 @@
     }
 
 
-def test_a_stop_serves_on_for_a_moment_and_ends_when_the_last_client_has_its_last_word(tmp_path):
+def test_stop_serves_for_a_moment_and_exits_when_the_last_client_is_gone(tmp_path):
     made, reactor, _, _ = service(tmp_path)
     client, transport = made.factory.buildProtocol(None), StringTransport()
     transport.setTcpNoDelay = lambda on: None
     client.makeConnection(transport)
     client.dataReceived(START)
     made.stop()
-    made.stop()  # twice is once
+    made.stop()  # a second stop has no effect
     client.dataReceived(query(""))
-    assert transport.value().endswith(EMPTY) and not transport.disconnecting
+    assert transport.value().endswith(EMPTY_QUERY_ANSWER) and not transport.disconnecting
     reactor.advance(0.7)
     assert transport.disconnecting and not reactor.stops
     client.connectionLost()
@@ -120,7 +120,7 @@
     assert reactor.stops == 1
 
 
-def test_a_client_that_takes_no_last_word_does_not_keep_the_program(tmp_path):
+def test_a_client_that_does_not_close_does_not_keep_the_program_running(tmp_path):
     made, reactor, _, _ = service(tmp_path)
     client, transport = made.factory.buildProtocol(None), StringTransport()
     transport.setTcpNoDelay = lambda on: None
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("taken", [True, False], ids=["the address is taken", "no configuration"])
-def test_the_program_ends_with_one_plain_error(tmp_path, taken):
+def test_a_failed_start_prints_one_plain_error(tmp_path, taken):
     with socket.create_server(("127.0.0.1", 0)) as busy:
         file = tmp_path / "config.json"
         file.write_bytes(orjson.dumps({**CONFIG, "listen": f"127.0.0.1:{busy.getsockname()[1]}"}))
@@ -148,13 +148,13 @@
 
 
 def agent():
-    """Discovery's agent on a port of its own."""
+    """Discovery's agent on its own port."""
     server = socket.create_server(("127.0.0.1", 0))
     server.settimeout(30)
     return server, server.getsockname()[1]
 
 
-def test_an_indented_list_a_reset_and_a_move_on_real_sockets(tmp_path):
+def test_an_indented_list_a_reset_and_a_move_over_real_sockets(tmp_path):
     (first, port), (second, other) = agent(), agent()
     process, _, _, file = serving(tmp_path, port)
     try:
@@ -171,13 +171,13 @@
                 applied = json.loads(next(line for line in process.stderr if b"list_applied" in line))
                 assert applied["servers"] == 3
                 watch.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                watch.close()  # a reset
+                watch.close()  # causes a reset
         file.write_bytes(orjson.dumps({**CONFIG, "discovery": f"127.0.0.1:{other}"}))
         process.send_signal(signal.SIGHUP)
         moved, _ = second.accept()
         moved.settimeout(30)
         assert b"index=50 " in moved.recv(1000)
-        with pytest.raises(ConnectionResetError):  # the old one is let go
+        with pytest.raises(ConnectionResetError):  # the old watch is aborted
             watch.recv(10)
         listing["generation"], listing["instances"] = 51, listing["instances"][:1]
         moved.sendall(HEAD + chunk(orjson.dumps(listing)))
--- a/tests/platform/test_race_client_end.py
+++ b/tests/platform/test_race_client_end.py
@@ -1,4 +1,4 @@
-"""Crossings of a client's requests and its end, on real TCP sockets whose reactor turns only when told."""
+"""Races of a client's requests with its disconnect, on TCP sockets whose reactor turns only when told."""
 
 import select
 
@@ -18,12 +18,12 @@
     made.close()
 
 
-ENDS = ["closed", "half closed", "reset"]
+DISCONNECTS = ["closed", "half closed", "reset"]
 
 
-@pytest.mark.parametrize("unread", [False, True], ids=["nothing unread", "octets before the end"])
-@pytest.mark.parametrize("how", ENDS)
-def test_a_client_is_not_there_once_the_system_knows_its_end(wire, how, unread):
+@pytest.mark.parametrize("unread", [False, True], ids=["nothing unread", "unread data"])
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_a_client_is_not_present_once_the_system_knows_its_disconnect(wire, how, unread):
     far, near = wire.client()
     assert near.present()
     if unread:
@@ -38,11 +38,11 @@
     assert not wire.backend.out and len(wire.factory.admission) == 0
 
 
-def test_without_poll_or_a_socket_a_client_counts_as_there(wire, monkeypatch):
+def test_without_poll_or_a_socket_a_client_counts_as_present(wire, monkeypatch):
     far, near = wire.client()
     monkeypatch.delattr(select, "poll")
     far.sendall(b"Q")
-    wire.until(lambda: near.unread() or near.owes())
+    wire.until(lambda: near.unread() or near.has_unfinished_request())
     assert near.present()
     monkeypatch.undo()
     held = World()
@@ -50,9 +50,9 @@
     assert made.present()
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("queued", [40, 3 * client.MAX_QUEUED])
-def test_requests_queued_behind_one_are_not_sent_on_once_the_client_has_gone(wire, how, queued):
+def test_queued_requests_are_not_sent_after_the_client_disconnects(wire, how, queued):
     far, near = wire.client()
     pipelined = b"".join(query(READ.replace("a1", f"q{n}")) for n in range(queued))
     far.sendall(pipelined)
@@ -60,14 +60,14 @@
     assert len(wire.backend.out) == MAX_OPEN
     go(far, how)
     arrives(near, GONE)
-    wire.backend.out[0][1].attempt_done(Reply("ok", b"first"))  # the reactor has had no turn since the end came
+    wire.backend.out[0][1].attempt_done(Reply("ok", b"first"))  # no reactor turn since the disconnect
     assert len(wire.backend.out) == MAX_OPEN
     wire.until(lambda: near.transport.disconnected)
     assert len(wire.backend.out) == MAX_OPEN and wire.gateway.unanswered == 0 and not wire.factory.open_ids
 
 
-@pytest.mark.parametrize("how", ENDS)
-def test_the_end_of_a_client_with_requests_queued_is_read_while_one_is_open(wire, how):
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_a_disconnect_is_noticed_while_a_request_is_open_and_others_are_queued(wire, how):
     far, near = wire.client()
     far.sendall(b"".join(query(READ.replace("a1", f"q{n}")) for n in range(100)))
     wire.until(lambda: len(near._session.pipeline) == 100)
@@ -76,10 +76,10 @@
     assert wire.gateway.unanswered == 0
 
 
-@pytest.mark.parametrize("how", ENDS)
-def test_nothing_is_sent_on_for_a_client_that_did_not_read_and_goes(wire, how):
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_nothing_is_sent_for_a_client_that_does_not_read_and_disconnects(wire, how):
     far, near = wire.client()
-    near.pauseProducing()  # as the transport says when it holds too much
+    near.pauseProducing()  # called by the transport when too much is unsent
     far.sendall(query(READ) + query(WRITE))
     wire.until(lambda: len(near._session.pipeline) == 2)
     go(far, how)
@@ -90,11 +90,11 @@
     assert not wire.backend.out
 
 
-@pytest.mark.parametrize("how", ENDS)
-def test_a_client_that_is_not_read_and_goes_is_read_to_its_end_once_the_gateway_asks(wire, how):
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_a_presence_check_resumes_reading_of_a_paused_client_that_disconnected(wire, how):
     far, near = wire.client()
     far.sendall(b"".join(query(READ.replace("a1", f"q{n}")) for n in range(3 * client.MAX_QUEUED)))
-    wire.until(lambda: near._paused)
+    wire.until(lambda: near._reading_paused)
     go(far, how)
     arrives(near, GONE)
     assert not near.present()
@@ -102,10 +102,10 @@
     assert wire.gateway.counts["left"] == MAX_OPEN and wire.gateway.unanswered == 0
 
 
-def test_a_client_that_says_that_it_leaves_takes_its_open_request_back(wire):
+def test_terminate_withdraws_the_open_request(wire):
     far, near = wire.client()
     far.sendall(query(READ) + query(WRITE) + b"X\0\0\0\4")
-    wire.until(lambda: near.ending)
+    wire.until(lambda: near.is_closing)
     assert wire.gateway.unanswered == 0 and not wire.factory.open_ids and len(wire.backend.out) == 0
     far, near = wire.client()
     far.sendall(query(READ))
@@ -115,7 +115,7 @@
     assert wire.gateway.unanswered == 0 and not wire.factory.open_ids
 
 
-def test_what_waits_on_one_connection_is_bounded_by_count_and_by_octets(wire):
+def test_the_queue_of_one_connection_is_limited_by_count_and_by_octets(wire):
     far, near = wire.client()
     far.setblocking(False)
     large = WRITE.replace("9f03", "9f" * (60 << 10))
@@ -126,9 +126,9 @@
         except BlockingIOError:
             pass
         wire.reactor.iterate(0)
-        if near._paused:
+        if near._reading_paused:
             break
     assert near.transport not in wire.reactor.getReaders() and unsent
     assert len(near._session.pipeline) < client.MAX_QUEUED
-    assert near._session.pipeline.unanswered_octets < client.MAX_QUEUED_OCTETS + client.MAX_MESSAGE
+    assert near._session.pipeline.unanswered_octets < client.MAX_QUEUED_OCTETS + client.MAX_MESSAGE_OCTETS
     assert [event for event, _ in wire.log.lines].count("client_queue_bound") == 1
--- a/tests/platform/test_race_descriptors.py
+++ b/tests/platform/test_race_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors run short under the real program: idle clients fill them while discovery is down."""
+"""Descriptors run short in the real program: idle clients fill them while discovery is down."""
 
 import os
 import resource
@@ -21,7 +21,7 @@
 )
 
 
-# Times that a busy machine keeps: the test is about descriptors, and every request has to be answered.
+# Time limits that even a busy machine meets: the test is about descriptors, and every request must be answered.
 LONG_READ = READ.replace("cluster=2", "cluster=3").replace("d=480", "d=30000")
 SERVICES = [
     {"name": "lookup", "aim": 15_000 * MS, "hard_limit": 30_000 * MS, "effect": "pure"},
@@ -30,7 +30,7 @@
 
 
 def run(tmp_path, sockets, discovery, known, allowed=None):
-    """The program, with as many descriptors as its configuration says, or as the system allows, and no more."""
+    """Starts the program with ``allowed`` descriptors, or as many as its configuration says."""
     port = free_port()
     (tmp_path / "config.json").write_bytes(
         orjson.dumps(
@@ -57,8 +57,8 @@
     return process, port, lines
 
 
-def a_word(far):
-    """Up to ReadyForQuery, or to the end, which may be a reset where a word had come whole before."""
+def receive_answer(far):
+    """Receives up to ReadyForQuery or the end, which may be a reset after a complete message."""
     got = b""
     try:
         while not got.endswith(READY) and (more := far.recv(1 << 16)):
@@ -69,7 +69,7 @@
 
 
 def serve(server, together):
-    """A server that answers once ``together`` statements have come, on as many connections."""
+    """A server that answers once ``together`` statements have arrived, each on its own connection."""
 
     def answer(held):
         held.settimeout(30)
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("down", ["silent", "refuses"])
 @pytest.mark.parametrize("sockets", [64, 96, 256])
-def test_idle_clients_that_fill_the_descriptors_keep_nobody_from_being_heard(tmp_path, sockets, down):
+def test_idle_clients_that_fill_the_descriptors_block_neither_requests_nor_discovery(tmp_path, sockets, down):
     discovery = socket.create_server(("127.0.0.1", free_port()), backlog=512)
     server = socket.create_server(("127.0.0.1", 0), backlog=512)
     address = discovery.getsockname()
@@ -100,28 +100,28 @@
         discovery.close()
     asked = sockets // 8
     entry = {**ENTRY, "hostPort": f"127.0.0.1:{server.getsockname()[1]}"}
-    entries = [{**entry, "instanceId": f"s-{number}"} for number in range(4 * asked)]  # so that none is overloaded
+    entries = [{**entry, "instanceId": f"s-{number}"} for number in range(4 * asked)]  # none is overloaded
     known = {"generation": 41, "reset": True, "instances": entries}
     process, port, lines = run(tmp_path, sockets, address[1], known)
     threading.Thread(target=serve, args=(server, threading.Barrier(asked, timeout=30)), daemon=True).start()
     clients = []
     try:
-        for _ in range(2 * sockets):  # all connect in one burst, then each gets its word
+        for _ in range(2 * sockets):  # all connect in one burst, then each gets an answer
             clients.append(socket.create_connection(("127.0.0.1", port), timeout=30))
         kept = []
         for far in clients:
             far.sendall(START + query(""))
         for far in clients:
-            word = a_word(far)
-            assert word.endswith(READY) or b"C53300\0" in word, word
-            kept += [far] if word.endswith(READY) else []
+            answer = receive_answer(far)
+            assert answer.endswith(READY) or b"C53300\0" in answer, answer
+            kept += [far] if answer.endswith(READY) else []
         assert len(kept) >= sockets // 3
-        watches = [discovery.accept()[0] for _ in range(9)] if down == "silent" else []  # as many as stay open at once
+        watches = [discovery.accept()[0] for _ in range(9)] if down == "silent" else []  # open in parallel
         busy = [far for far in kept if not readable(far)][:asked]
         for number, far in enumerate(busy):
             far.sendall(query(LONG_READ.replace("a1", f"q{number}")))
-        for far in busy:  # each was on a connection of its own to the server at the same time
-            assert b"SELECT 1" in a_word(far)
+        for far in busy:  # all were open at once, each on its own server connection
+            assert b"SELECT 1" in receive_answer(far)
         if down == "refuses":
             discovery = socket.create_server(address, backlog=512)
             watches = [discovery.accept()[0]]
@@ -130,15 +130,15 @@
             try:
                 watch.sendall(HEAD + chunk(orjson.dumps(listing) + b"\n"))
             except OSError:
-                pass  # it was given up, or another was heard first
+                pass  # it was given up, or another one was used
         for line in process.stderr:
             lines.append(line)
-            if b'"list_applied"' in line:  # the known one was applied before the program listened
+            if b'"list_applied"' in line:  # the known list was applied before the program listened
                 break
         late = socket.create_connection(("127.0.0.1", port), timeout=30)
         clients.append(late)
         late.sendall(START + query(""))
-        assert a_word(late)
+        assert receive_answer(late)
         process.terminate()
         lines += process.stderr.readlines()
         assert process.wait(30) == 0
@@ -148,14 +148,14 @@
         for each in (*clients, discovery, server):
             each.close()
     text = b"".join(lines)
-    for never in (b"Traceback", b"Too many open files", b"EMFILE", b"Could not accept"):
-        assert never not in text, text.decode()
+    for text_never_logged in (b"Traceback", b"Too many open files", b"EMFILE", b"Could not accept"):
+        assert text_never_logged not in text, text.decode()
     assert len(lines) < 200
     assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] > sockets
 
 
-# Guards against a configuration that counts on more descriptors than the system gives: clients then met resets.
-def test_where_the_system_allows_fewer_descriptors_than_the_configuration_its_number_holds(tmp_path):
+# Guards against a configuration that counts on more descriptors than the system allows: clients were then reset.
+def test_a_lower_system_limit_on_descriptors_overrides_the_configuration(tmp_path):
     allowed = 96
     with socket.create_server(("127.0.0.1", free_port())) as discovery:
         known = {"generation": 41, "reset": True, "instances": []}
@@ -166,7 +166,7 @@
                 clients.append(socket.create_connection(("127.0.0.1", port), timeout=30))
             for far in clients:
                 far.sendall(START + query(""))
-            words = [a_word(far) for far in clients]
+            answers = [receive_answer(far) for far in clients]
             process.terminate()
             lines += process.stderr.readlines()
             assert process.wait(30) == 0
@@ -175,13 +175,13 @@
             process.wait()
             for each in clients:
                 each.close()
-    assert all(word.endswith(READY) or b"C53300\0" in word for word in words)
+    assert all(answer.endswith(READY) or b"C53300\0" in answer for answer in answers)
     text = b"".join(lines)
     assert b"Too many open files" not in text and b"Could not accept" not in text and b"Traceback" not in text
     assert b'"descriptors_bound"' in text
 
 
-def test_fewer_descriptors_than_the_program_needs_are_one_plain_error(tmp_path):
+def test_too_few_descriptors_are_one_plain_error(tmp_path):
     known = {"generation": 41, "reset": True, "instances": []}
     process, _, lines = run(tmp_path, 1024, 9, known, allowed=48)
     assert process.wait(30) == 2
--- a/tests/platform/test_race_kill.py
+++ b/tests/platform/test_race_kill.py
@@ -1,35 +1,36 @@
-"""The end that the platform sets: what is owed has its answer before SIGKILL, however late its own deadline is."""
+"""The platform's kill after a stop: every open request is answered before SIGKILL, however late its own deadline is."""
 
 import signal
 
 import pytest
 
-from tests.platform.test_race_program import asked, fleet, until  # noqa: F401 - a fixture
+from tests.platform.test_race_program import fleet, read_query, receive_until  # noqa: F401 - a fixture
 from tests.support.platform import AUTHENTICATED, ENV, READ, READY, START, StringTransport, query, service
 from yardbank.gateway.api import MS, SECOND
-from yardbank.platform.stop_schedule import HELD_UP, SERVE_ON, StopSchedule
+from yardbank.platform.stop_schedule import MAX_STALL, SERVE_AFTER_SIGNAL, StopSchedule
 
-LONGEST, AFTER = 3 * SECOND, 700 * MS  # of the platform's page: SIGKILL comes no sooner than both together
+# By the platform's documentation, SIGKILL comes no sooner than the sum of both.
+MAX_GRACE, KILL_AFTER = 3 * SECOND, 700 * MS
 
 
 @pytest.mark.parametrize("deadline", [SECOND // 5, SECOND, 3 * SECOND, 4382 * MS, 600 * SECOND])
-def test_all_is_answered_before_the_earliest_kill(tmp_path, deadline):
+def test_the_stop_schedule_ends_before_the_earliest_kill(tmp_path, deadline):
     services = [{**kind, "aim": SECOND // 10, "hard_limit": deadline} for kind in ENV["services"]]
     made, *_ = service(tmp_path, settings={**ENV, "services": services})
-    assert SERVE_ON + made.gateway.limits.stop_grace < min(deadline, LONGEST) + AFTER
+    assert SERVE_AFTER_SIGNAL + made.gateway.limits.stop_grace < min(deadline, MAX_GRACE) + KILL_AFTER
     schedule = StopSchedule.of(deadline)
-    assert schedule.answered_by + HELD_UP < min(deadline, LONGEST) + AFTER
-    assert schedule.drain_at <= schedule.answered_by < schedule.gone_by < min(deadline, LONGEST) + AFTER
+    assert schedule.answered_by + MAX_STALL < min(deadline, MAX_GRACE) + KILL_AFTER
+    assert schedule.drain_at <= schedule.answered_by < schedule.exit_by < min(deadline, MAX_GRACE) + KILL_AFTER
 
 
 def short_service(tmp_path):
-    """A gateway whose longest deadline is 0.2 s, so that SIGKILL may come 0.9 s after SIGTERM, and a client of it."""
+    """A gateway whose longest deadline is 0.2 s, so that SIGKILL may come 0.9 s after SIGTERM."""
     services = [{**kind, "aim": SECOND // 10, "hard_limit": SECOND // 5} for kind in ENV["services"]]
     made, reactor, log, _ = service(tmp_path, settings={**ENV, "services": services})
     return made, reactor, log
 
 
-def resting_client(made):
+def idle_client(made):
     protocol, transport = made.factory.buildProtocol(None), StringTransport()
     transport.setTcpNoDelay = lambda on: None
     protocol.makeConnection(transport)
@@ -38,28 +39,28 @@
     return protocol, transport
 
 
-# Guards against a process that is still there at the earliest kill, as clients that rest do not end their connections.
-@pytest.mark.parametrize("held_up", [0, 0.15], ids=["in time", "held up"])
-def test_a_process_with_resting_clients_is_gone_before_the_earliest_kill(tmp_path, held_up):
+# Guards against a process that still runs at the earliest kill because idle clients do not close their connections.
+@pytest.mark.parametrize("stall", [0, 0.15], ids=["in time", "stalled"])
+def test_a_process_with_idle_clients_exits_before_the_earliest_kill(tmp_path, stall):
     made, reactor, _ = short_service(tmp_path)
-    crowd = [resting_client(made) for _ in range(30)]
-    made.signalled(signal.SIGTERM, {})
+    clients = [idle_client(made) for _ in range(30)]
+    made.handle_signal(signal.SIGTERM, {})
     reactor.advance(0.59)
-    reactor.advance(0.01 + held_up)
+    reactor.advance(0.01 + stall)
     for _ in range(10):
         reactor.advance(0.02)
         if reactor.stops:
             break
-    assert reactor.stops == 1 and reactor.seconds() < 0.9 and all(far.disconnecting for _, far in crowd)
+    assert reactor.stops == 1 and reactor.seconds() < 0.9 and all(far.disconnecting for _, far in clients)
 
 
-# Guards against a stop that counts its grace from its own late begin: SIGKILL found the request unanswered.
-def test_a_request_that_a_held_up_process_reads_late_has_its_answer_before_the_earliest_kill(tmp_path):
+# Guards against a stop whose grace period counts from its own late start: SIGKILL came before the request was answered.
+def test_a_request_read_late_after_a_stall_is_answered_before_the_earliest_kill(tmp_path):
     made, reactor, _ = short_service(tmp_path)
-    protocol, transport = resting_client(made)
-    made.signalled(signal.SIGTERM, {})
+    protocol, transport = idle_client(made)
+    made.handle_signal(signal.SIGTERM, {})
     reactor.advance(0.59)
-    reactor.rightNow += 0.15  # held up: sockets are looked at first, then the timers that are due
+    reactor.rightNow += 0.15  # a stall: sockets are read first, then due timers run
     protocol.dataReceived(query(READ.replace("cluster=2", "cluster=3")))
     assert made.gateway.unanswered == 1
     while reactor.seconds() < 0.8:
@@ -68,12 +69,12 @@
 
 
 @pytest.mark.parametrize("fleet", [600], indirect=True)
-def test_a_request_at_a_server_that_hangs_has_its_word_though_its_deadline_is_minutes_away(fleet):  # noqa: F811
+def test_stop_refuses_a_request_at_a_hanging_server_long_before_its_deadline(fleet):  # noqa: F811
     client = fleet.client()
-    client.sendall(asked("owed", 500_000))
-    server = fleet.opening(0)
+    client.sendall(read_query("owed", 500_000))
+    server = fleet.accept_opening(0)
     server.sendall(AUTHENTICATED)
     assert b"SELECT" in server.recv(1000)
     fleet.process.send_signal(signal.SIGTERM)
-    assert b"C53300\0" in until(client, READY)  # a read: to try again is harmless
+    assert b"C53300\0" in receive_until(client, READY)  # a read, so a retry is safe
     assert fleet.process.wait(60) == 0
--- a/tests/platform/test_race_program.py
+++ b/tests/platform/test_race_program.py
@@ -1,4 +1,4 @@
-"""Crossings of an attempt on its way out, at the sockets of the real program; servers and discovery do as told."""
+"""Races around a request being sent, at the program's sockets; the test plays clients, servers and discovery."""
 
 import fcntl
 import json
@@ -13,27 +13,27 @@
 import pytest
 
 from tests.support.platform import AUTHENTICATED, ENTRY, ENV, HEAD, READ, READY, START, chunk, query, row, serving
-from yardbank.platform.client import EMPTY
+from yardbank.platform.client import EMPTY_QUERY_ANSWER
 
-TCP_FIN_WAIT1 = 4  # of Linux: an end was sent that the other side has not acknowledged
+TCP_FIN_WAIT1 = 4  # Linux: a FIN was sent that the peer has not acknowledged
 
 
-def asked(number, limit_ms=20_000):
-    """A read of its own number, with time enough for a slow machine."""
+def read_query(number, limit_ms=20_000):
+    """A read with its own id, and a time limit long enough for a slow machine."""
     return query(
         READ.replace("id=a1", f"id={number}").replace("d=480", f"d={limit_ms}").replace("cluster=2", "cluster=3")
     )
 
 
 def settings(aim):
-    """One class of reads, with an aim and a deadline (s); a connection may take as long as it likes."""
+    """One class of reads with the given objective and deadline (s); connecting may take any time."""
     service = {"name": "lookup", "aim": aim * 10**9, "hard_limit": aim * 10**9, "effect": "pure", "late_worth": 1.0}
     ceilings = {"max_attempts": 4, "connect_timeout": 60 * 10**9, "idle_close": 600 * 10**9}
     return {**ENV, "domain": {**ENV["domain"], "class_read": ["eventual"]}, "services": [service], "ceilings": ceilings}
 
 
 class Fleet:
-    """The program, a client, two servers that speak when told, and discovery; all octets are the test's."""
+    """The program, a client, two servers and discovery; the test sends everything that they send."""
 
     def __init__(self, tmp_path, aim=20):
         self.listening = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
@@ -50,13 +50,13 @@
         return {**ENTRY, "instanceId": f"s-{server}", "hostPort": f"127.0.0.1:{self.ports[server]}", **change}
 
     def accept(self, server):
-        """The program's connection to one of the listening sockets."""
+        """Accepts the program's connection to one of the listening sockets."""
         made, _ = self.listening[server].accept()
         made.settimeout(60)
         return made
 
-    def opening(self, server):
-        """A connection of the program's to a server that has said nothing yet."""
+    def accept_opening(self, server):
+        """Accepts a server connection that has received the startup message and answered nothing."""
         made = self.accept(server)
         assert b"backend" in made.recv(1000)
         return made
@@ -64,26 +64,26 @@
     def client(self):
         made = socket.create_connection(("127.0.0.1", self.port), timeout=60)
         made.sendall(START + query(""))
-        assert until(made, EMPTY)
+        assert receive_until(made, EMPTY_QUERY_ANSWER)
         return made
 
-    def tell(self, *instances):
-        """Discovery tells what has changed."""
+    def send_list(self, *instances):
+        """Sends a change of the server list."""
         told = {"generation": 42, "reset": False, "instances": instances}
         self.watch.sendall(HEAD + chunk(orjson.dumps(told) + b"\n"))
 
-    def hears_the_list(self):
-        """The program has taken it."""
+    def wait_for_list(self):
+        """Waits until the program has applied the list."""
         return json.loads(next(line for line in self.process.stderr if b"list_applied" in line))
 
-    def stand_still(self):
-        """Stop the process, with nothing that its sockets brought before still to be looked at."""
+    def suspend(self):
+        """Suspends the process once everything received before has been handled."""
         self.bystander.sendall(query(""))
-        assert until(self.bystander, EMPTY)
+        assert receive_until(self.bystander, EMPTY_QUERY_ANSWER)
         self.process.send_signal(signal.SIGSTOP)
         assert os.WIFSTOPPED(os.waitpid(self.process.pid, os.WUNTRACED)[1])
 
-    def go_on(self):
+    def resume(self):
         self.process.send_signal(signal.SIGCONT)
 
 
@@ -100,8 +100,8 @@
             each.close()
 
 
-def until(end, last):
-    """What comes up to some last octets."""
+def receive_until(end, last):
+    """Receives up to the octets ``last``."""
     got = b""
     while not got.endswith(last):
         more = end.recv(1 << 16)
@@ -110,22 +110,22 @@
     return got
 
 
-def arrived(end):
-    """Wait until the system at the other end has all that was sent, and the end if there was one."""
+def wait_delivered(end):
+    """Waits until the peer's system has received everything that was sent, including a FIN."""
     while fcntl.ioctl(end, termios.TIOCOUTQ, bytes(4)) != bytes(4):
         pass
 
 
-def leave(client):
-    """The client's end has arrived when this returns."""
+def disconnect(client):
+    """Closes a client; its FIN has arrived on return."""
     client.shutdown(socket.SHUT_WR)
     while client.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_FIN_WAIT1:
         pass
     client.close()
 
 
-def silent(end):
-    """Whether nothing but an end has come."""
+def received_nothing(end):
+    """Whether nothing but an end of stream was received."""
     end.setblocking(False)
     try:
         return end.recv(1000) == b""
@@ -134,93 +134,93 @@
 
 
 @pytest.mark.parametrize(
-    "stopped", ["", "server last", "server first"], ids=["heard first", "the server last", "the server first"]
+    "stopped", ["", "server last", "server first"], ids=["not suspended", "server last", "server first"]
 )
-def test_a_client_that_leaves_while_a_connection_opens_has_nothing_sent(fleet, stopped):
+def test_nothing_is_sent_for_a_client_that_disconnects_while_a_server_connection_opens(fleet, stopped):
     client = fleet.client()
-    client.sendall(asked("gone"))
-    server = fleet.opening(0)
+    client.sendall(read_query("gone"))
+    server = fleet.accept_opening(0)
     other = fleet.client()
     if stopped:
-        fleet.stand_still()
+        fleet.suspend()
     if stopped == "server first":
         server.sendall(AUTHENTICATED)
-        arrived(server)
-    leave(client)
+        wait_delivered(server)
+    disconnect(client)
     if not stopped:
-        other.sendall(query(""))  # its answer comes after the end was read, which was there before
-        assert until(other, EMPTY)
+        other.sendall(query(""))  # answered after the disconnect was read, which had arrived before
+        assert receive_until(other, EMPTY_QUERY_ANSWER)
     if stopped != "server first":
         server.sendall(AUTHENTICATED)
-        arrived(server)
+        wait_delivered(server)
     if stopped:
-        fleet.go_on()
-    other.sendall(asked("stays"))
-    first = server.recv(1000)  # the connection serves others
+        fleet.resume()
+    other.sendall(read_query("stays"))
+    first = server.recv(1000)  # the connection is used for others
     assert b"id=stays" in first and b"id=gone" not in first
     server.sendall(row() + READY)
-    assert until(other, row() + READY)
+    assert receive_until(other, row() + READY)
 
 
 @pytest.mark.parametrize(
-    "stopped", ["", "server last", "server first"], ids=["heard first", "the server last", "the server first"]
+    "stopped", ["", "server last", "server first"], ids=["not suspended", "server last", "server first"]
 )
 @pytest.mark.parametrize("turn", ["drains", "gone", "moved"])
-def test_what_waits_for_a_server_that_turns_while_a_connection_to_it_opens_goes_elsewhere(fleet, turn, stopped):
+def test_a_request_goes_elsewhere_if_its_server_drains_leaves_or_moves_while_connecting(fleet, turn, stopped):
     client = fleet.client()
-    client.sendall(asked("a1"))
-    old = fleet.opening(0)
+    client.sendall(read_query("a1"))
+    old = fleet.accept_opening(0)
     if stopped:
-        fleet.stand_still()
+        fleet.suspend()
     if stopped == "server first":
         old.sendall(AUTHENTICATED)
-        arrived(old)
+        wait_delivered(old)
     if turn == "moved":
-        fleet.tell(fleet.entry(0, hostPort=f"127.0.0.1:{fleet.ports[1]}"))
+        fleet.send_list(fleet.entry(0, hostPort=f"127.0.0.1:{fleet.ports[1]}"))
     else:
-        fleet.tell(
+        fleet.send_list(
             fleet.entry(0, lifecycle="Terminating" if turn == "drains" else "Gone"), fleet.entry(1, part="replica")
         )
     if not stopped:
-        assert fleet.hears_the_list()["changed"] == (1 if turn == "moved" else 2)
-    arrived(fleet.watch)
+        assert fleet.wait_for_list()["changed"] == (1 if turn == "moved" else 2)
+    wait_delivered(fleet.watch)
     if stopped != "server first":
         old.sendall(AUTHENTICATED)
-        arrived(old)
+        wait_delivered(old)
     if stopped:
-        fleet.go_on()
-    new = fleet.opening(1)
+        fleet.resume()
+    new = fleet.accept_opening(1)
     new.sendall(AUTHENTICATED)
     assert b"id=a1" in new.recv(1000)
     new.sendall(row() + READY)
-    assert until(client, row() + READY) and silent(old)
+    assert receive_until(client, row() + READY) and received_nothing(old)
 
 
-def test_an_answer_with_a_reset_right_behind_it_is_the_answer(fleet):
+def test_an_answer_followed_by_a_reset_is_delivered(fleet):
     client = fleet.client()
-    client.sendall(asked("a1"))
-    server = fleet.opening(0)
+    client.sendall(read_query("a1"))
+    server = fleet.accept_opening(0)
     server.sendall(AUTHENTICATED)
     assert b"id=a1" in server.recv(1000)
-    fleet.stand_still()
+    fleet.suspend()
     server.sendall(row() + READY)
-    arrived(server)
+    wait_delivered(server)
     server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     server.close()
-    fleet.go_on()
-    assert until(client, row() + READY)
+    fleet.resume()
+    assert receive_until(client, row() + READY)
 
 
 @pytest.mark.parametrize("fleet", [2], indirect=True)
-def test_an_answer_that_came_while_the_process_stood_still_beats_its_deadline(fleet):
+def test_an_answer_that_arrived_during_a_stall_is_read_before_the_deadline_fires(fleet):
     client = fleet.client()
-    client.sendall(asked("a1", 2000))
-    server = fleet.opening(0)
+    client.sendall(read_query("a1", 2000))
+    server = fleet.accept_opening(0)
     server.sendall(AUTHENTICATED)
     assert b"id=a1" in server.recv(1000)
-    fleet.stand_still()
+    fleet.suspend()
     server.sendall(row() + READY)
-    arrived(server)
-    time.sleep(2.1)  # the time limit passes; were it shorter, the answer would be the same
-    fleet.go_on()
+    wait_delivered(server)
+    time.sleep(2.1)  # the time limit passes; with a shorter sleep the answer would be the same
+    fleet.resume()
     assert client.recv(1 << 16) == row() + READY
--- a/tests/platform/test_race_writes.py
+++ b/tests/platform/test_race_writes.py
@@ -1,4 +1,4 @@
-"""Crossings of a statement's write and the end of its connection, on real sockets."""
+"""Races of a statement being written with the end of its connection, on real sockets."""
 
 import socket
 import struct
@@ -20,8 +20,8 @@
 from yardbank.platform.statement import read_statement
 
 
-class Turns:
-    """A reactor that runs no turn by itself: what is buffered stays so until the test writes it."""
+class IdleReactor:
+    """A reactor that never turns: buffered data stays until the test writes it."""
 
     def __init__(self):
         self.readers, self.writers = set(), set()
@@ -33,29 +33,29 @@
 
 
 class Server:
-    """A connection of the program's own over TCP, with Twisted's transport; ``far`` is the server's end."""
+    """A server connection of the program over TCP with Twisted's transport; ``far`` is the server's end."""
 
     def __init__(self, ready=lambda made: None, lost=lambda reason: None):
         with socket.create_server(("127.0.0.1", 0)) as listening:
             near = socket.create_connection(listening.getsockname())
             self.far, _ = listening.accept()
         near.setblocking(False)
-        self.reactor = Turns()
+        self.reactor = IdleReactor()
         self.connection = ServerConnection(lambda: 0, ready, lost)
         self.transport = TcpConnection(near, self.connection, self.reactor)
         self.transport.connected = True
         self.transport.getPeer = self.transport.getHost = lambda: None
         self.connection.makeConnection(self.transport)
-        self.transport.doWrite()  # the words of start
+        self.transport.doWrite()  # the startup message
         assert b"backend" in self.far.recv(1000)
 
-    def up(self):
-        """It has taken the connection."""
+    def accept_startup(self):
+        """The server accepts the startup."""
         self.connection.dataReceived(AUTHENTICATED)
         return self
 
     def reset(self):
-        """The server's reset lies in the socket before anything is read from it."""
+        """The server's reset is in the socket before anything is read from it."""
         self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.far.close()
 
@@ -64,23 +64,23 @@
     return Operation(read_statement(WRITE, KINDS), 400 * MS)
 
 
-def test_a_statement_has_left_when_its_write_returns():
-    server, asked = Server().up(), operation()
+def test_a_statement_is_written_when_submit_returns():
+    server, asked = Server().accept_startup(), operation()
     server.connection.submit(asked, None)
     server.far.settimeout(30)
     assert asked.sent and b"INSERT" in server.far.recv(1000) and not server.reactor.writers
 
 
-def test_a_statement_of_which_the_system_took_nothing_was_not_sent():
-    server, asked = Server().up(), operation()
+def test_a_statement_of_which_nothing_was_written_does_not_count_as_sent():
+    server, asked = Server().accept_startup(), operation()
     server.reset()
     with pytest.raises(NotSentError):
         server.connection.submit(asked, None)
     assert not asked.sent and not server.connection.fit() and not server.reactor.writers
 
 
-def test_what_the_system_takes_in_part_was_sent_and_the_rest_follows_in_order():
-    server, asked = Server().up(), operation()
+def test_a_partly_written_statement_counts_as_sent_and_the_rest_stays_buffered():
+    server, asked = Server().accept_startup(), operation()
     write, taken = server.transport.writeSomeData, []
     server.transport.writeSomeData = lambda data: taken.append(write(data[:10])) or taken[-1]
     server.connection.submit(asked, None)
@@ -90,20 +90,20 @@
     assert isinstance(server.transport.doWrite(), ConnectionLost) and asked.sent
 
 
-def test_what_follows_a_rest_goes_behind_it():
-    server = Server().up()
+def test_data_after_a_partial_write_is_queued_behind_the_rest():
+    server = Server().accept_startup()
     write = server.transport.writeSomeData
     server.transport.writeSomeData = lambda data: write(data[:10])
     server.connection.submit(operation(), None)
     server.transport.writeSomeData = write
-    server.connection._put(b"next")
+    server.connection._write_now(b"next")
     server.far.settimeout(30)
     assert server.far.recv(1000)[1:].startswith(b"\0\0\0") and server.reactor.writers
     server.transport.doWrite()
     assert server.far.recv(1000).endswith(b"next")
 
 
-def test_a_transport_without_writes_of_its_own_is_written_through():
+def test_a_transport_without_direct_writes_is_supported():
     made, transport = ServerConnection(lambda: 0, lambda made: None, lambda reason: None), StringTransport()
     asked = operation()
     transport.setTcpNoDelay = lambda on: None
@@ -114,7 +114,7 @@
 
 
 class Servers:
-    """Opens connections over sockets, that come up when the test says so."""
+    """Opens connections over sockets that are established when the test says so."""
 
     def __init__(self):
         self.made = []
@@ -124,7 +124,7 @@
         return self.made[-1].transport.abortConnection
 
 
-def test_a_connection_that_ends_right_behind_its_welcome_is_written_nothing():
+def test_nothing_is_written_to_a_connection_that_ends_right_after_its_startup():
     clock, servers, ends = Clock(), Servers(), []
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
     link = ServerLink(
@@ -137,12 +137,12 @@
     )
     asked = operation()
     link.submit(Attempt(asked, now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
-    servers.made[0].far.shutdown(socket.SHUT_WR)  # in good order: a write would succeed
-    servers.made[0].up()
+    servers.made[0].far.shutdown(socket.SHUT_WR)  # an orderly close: a write would succeed
+    servers.made[0].accept_startup()
     assert ends == ["connect_failed"] and not asked.sent and link.connections == 0
 
 
-def test_an_unsafe_request_of_which_nothing_was_taken_never_ran_and_its_connection_is_let_go():
+def test_an_unsafe_request_of_which_nothing_was_written_never_ran_and_its_connection_is_closed():
     clock, servers, ends = Clock(), Servers(), []
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
     link = ServerLink(
@@ -159,21 +159,21 @@
         ends.append((status, link.connections))
 
     link.submit(Attempt(asked, now(), lambda *a: None, ended), SECOND)
-    servers.made[0].reset()  # behind the welcome, and unread
-    servers.made[0].connection.fit = lambda: True  # as if it came between the look and the write
-    servers.made[0].up()
+    servers.made[0].reset()  # after the startup, and unread
+    servers.made[0].connection.fit = lambda: True  # as if the reset arrived between the check and the write
+    servers.made[0].accept_startup()
     assert ends == [("connect_failed", 0)] and not asked.sent
     link.submit(Attempt(asked, now(), lambda *a: None, ended), SECOND)
-    servers.made[1].up()
+    servers.made[1].accept_startup()
     assert asked.sent and len(ends) == 1 and b"INSERT" in servers.made[1].far.recv(1000)
     servers.made[1].reset()
     servers.made[1].connection.connectionLost()
     assert [status for status, _ in ends] == ["connect_failed", "reset"] and link.connections == 0
 
 
-def test_the_rest_of_a_statement_that_is_given_up_is_never_written_and_a_late_answer_is_nobodys():
+def test_the_rest_of_an_abandoned_statement_is_not_written_and_a_late_answer_is_ignored():
     told = []
-    server, asked = Server(lost=lambda reason: told.append("lost")).up(), operation()
+    server, asked = Server(lost=lambda reason: told.append("lost")).accept_startup(), operation()
     write = server.transport.writeSomeData
     server.transport.writeSomeData = lambda data: write(data[:10])
     receiver = SimpleNamespace(attempt_done=told.append, attempt_lost=told.append)
@@ -181,6 +181,6 @@
     server.connection.abandon(number)
     assert not server.connection.fit() and told == []
     server.connection.dataReceived(row(tag="INSERT 0 1") + READY)
-    server.connection.close()  # as its place is given back
+    server.connection.close()  # as when the gateway releases it
     assert told == ["lost"] and not server.reactor.writers and not server.reactor.readers
     assert len(server.far.recv(1000)) == 10 and asked.sent
--- a/tests/platform/test_server_connections.py
+++ b/tests/platform/test_server_connections.py
@@ -1,4 +1,4 @@
-"""A connection to a server over a real pair of sockets."""
+"""A connection to a server over a real socket pair."""
 
 import socket
 
@@ -12,7 +12,7 @@
 
 
 class Pair:
-    """A server connection over a real socket pair, so that what waits unread can be looked at."""
+    """A server connection over a socket pair, so that unread data can be checked."""
 
     def __init__(self):
         self.events = []
@@ -42,7 +42,7 @@
         self.connection.submit(Operation(read_statement(statement, KINDS), 400 * MS), self)
 
 
-def test_a_connection_is_fit_while_it_is_idle_and_silent():
+def test_a_connection_is_usable_while_it_is_idle_and_silent():
     pair = Pair()
     assert pair.events == ["ready"] and pair.connection.fit()
     pair.submit()
@@ -53,13 +53,13 @@
     assert not pair.connection.fit()
 
 
-def test_a_connection_that_the_server_closed_is_not_fit():
+def test_a_connection_that_the_server_closed_is_not_usable():
     pair = Pair()
     pair.far.close()
     assert not pair.connection.fit()
 
 
-def test_a_second_copy_behind_an_answer_never_meets_the_next_request():
+def test_a_duplicated_answer_is_never_given_to_the_next_request():
     pair = Pair()
     pair.submit()
     pair.connection.dataReceived(row() + READY + row())
@@ -68,12 +68,12 @@
     assert len(pair.events) == 3
 
 
-def test_an_abandoned_attempt_takes_its_connection_along_and_spoilt_ones_may_have_run():
+def test_an_abandoned_attempt_closes_its_connection_and_an_invalid_answer_may_have_run():
     pair = Pair()
     pair.submit()
     pair.connection.abandon(0)
     pair.connection.dataReceived(row() + READY)
-    assert pair.events[1:] == [] and not pair.connection.fit()  # given up is not lost
+    assert pair.events[1:] == [] and not pair.connection.fit()  # abandoned is not lost
     pair.connection.close()
     assert pair.events[1:] == ["lost"] and pair.transport.disconnecting
     pair = Pair()
@@ -86,7 +86,7 @@
     assert pair.events[1:] == ["lost", "attempt lost"]
 
 
-def test_a_probe_that_is_answered_without_a_readable_report_still_shows_life():
+def test_a_probe_answered_without_a_readable_report_succeeds():
     pair, got = Pair(), []
     pair.connection.probe(got.append)
     pair.connection.dataReceived(row(b"x0=5,x1=1", "SHOW") + READY)
@@ -97,11 +97,11 @@
     assert got[0].primary and got[1].marks == {} and got[2] is None
 
 
-def test_what_servers_send_spoilt_is_one_line_a_second_with_their_count():
+def test_invalid_server_output_is_logged_at_most_once_a_second_with_a_count():
     reactor, log, now = MemoryReactorClock(), Log(), [0]
     backend = PlatformBackend(reactor, lambda: now[0], ("util",), log)
 
-    def spoil(at, gauges):
+    def receive_report(at, gauges):
         now[0] = at
         backend.connect(ServerSpec("s-1", "2", "a", "h", 1), lambda _: None, lambda _: None)
         server, wire = reactor.tcpClients[-1][2].buildProtocol(None), StringTransport()
@@ -111,10 +111,10 @@
         server.submit(Operation(read_statement(READ, KINDS), at + 400 * MS), Pair())
         server.dataReceived(row() + parameter("gauges", gauges) + READY)
 
-    spoil(0, "utilization=0.5")  # a field that the settings do not name is nobody's
-    spoil(1, "util=nan")
-    spoil(SECOND, "util=soon")
-    spoil(SECOND + 1, "util")
+    receive_report(0, "utilization=0.5")  # a field that the settings do not name is ignored
+    receive_report(1, "util=nan")
+    receive_report(SECOND, "util=soon")
+    receive_report(SECOND + 1, "util")
     assert log.lines == [
         ("server_answer_spoilt", {"server": "s-1", "problem": "load report in gauges: util", "spoilt": number})
         for number in (1, 3)
--- a/tests/platform/test_server_links.py
+++ b/tests/platform/test_server_links.py
@@ -1,4 +1,4 @@
-"""Ways to servers: what is given up, opened again, or gives way."""
+"""Links to servers: attempts that end, connections that are reopened or closed."""
 
 import socket
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 
 class Servers(Backend):
-    """Connections of the real kind over string transports; the test plays the servers' part."""
+    """Real server connections over string transports; the test plays the servers."""
 
     def __init__(self, now):
         self.now, self.connections = now, []
@@ -39,7 +39,7 @@
         return transport.abortConnection
 
 
-def one_link():
+def open_link():
     clock = Clock()
     servers = Servers(lambda: int(clock.seconds() * SECOND))
     link = ServerLink(
@@ -54,12 +54,12 @@
 
 
 @pytest.mark.parametrize(("end", "status"), [("cancel", "cancelled"), ("time", "timeout"), ("loss", "reset")])
-def test_an_attempt_that_is_given_up_says_so_and_its_connection_is_never_used_again(end, status):
-    clock, servers, link = one_link()
+def test_the_connection_of_an_ended_attempt_is_not_reused(end, status):
+    clock, servers, link = open_link()
     ends, operation = [], Operation(read_statement(READ, KINDS), 400 * MS)
 
     def ended(how, reply, reason):
-        ends.append(how)  # the next one is sent from where this one ends
+        ends.append(how)  # the next attempt is sent from this callback
         link.submit(Attempt(operation, servers.now(), lambda *a: None, lambda *a: ends.append(a[0])), 800 * MS)
 
     attempt = Attempt(operation, servers.now(), lambda *a: None, ended)
@@ -71,13 +71,13 @@
     else:
         servers.connections[0][0].connectionLost()
     assert ends == [status] and len(servers.connections) == 2 and servers.connections[0][1].disconnecting
-    servers.connections[0][0].dataReceived(row() + READY)  # late
+    servers.connections[0][0].dataReceived(row() + READY)  # a late answer
     servers.connections[1][0].dataReceived(row() + READY)
     assert ends == [status, "ok"] and link.connections == 1
 
 
-def test_a_connection_that_went_bad_while_idle_is_let_go_before_a_request_is_written():
-    _, servers, link = one_link()
+def test_a_connection_that_broke_while_idle_is_replaced_before_a_request_is_written():
+    _, servers, link = open_link()
     ends, operation = [], Operation(read_statement(WRITE, KINDS), 400 * MS)
     for turn in range(3):
         link.submit(Attempt(operation, servers.now(), lambda *a: None, lambda *a: ends.append(a[0])), 300 * MS)
@@ -91,7 +91,7 @@
     assert ends == ["ok"] * 3 and link.connections == 1
 
 
-def test_at_the_bound_of_server_connections_the_idlest_of_all_gives_way():
+def test_at_the_server_connection_limit_the_longest_idle_one_is_closed():
     clock, bound = Clock(), 2
     servers = Servers(lambda: int(clock.seconds() * SECOND))
     gateway = Gateway(
@@ -122,11 +122,11 @@
     take("2")
     assert gateway.server_connections == 2 and len(servers.connections) == 3 and got == ["served"] * 2
     bound = 1
-    take("1")  # both are in use: the module hears of no connection
+    take("1")  # both are in use: the decision module gets no connection
     assert len(servers.connections) == 3 and gateway.unanswered == 2 and got[2:] == ["refused"]
 
 
-class Doors:
+class ManualBackend:
     """A backend whose connections open, break or are refused when the test says so."""
 
     def __init__(self):
@@ -137,37 +137,42 @@
         return lambda: None
 
 
-def opening():
+def connecting_link():
     clock, ends = Clock(), []
-    doors = Doors()
+    backend = ManualBackend()
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
     link = ServerLink(
-        ServerSpec("p", "2", "a", "h", 1, True), doors, Limits(multiplex=1), Deadlines(now, clock.callLater), now, Log()
+        ServerSpec("p", "2", "a", "h", 1, True),
+        backend,
+        Limits(multiplex=1),
+        Deadlines(now, clock.callLater),
+        now,
+        Log(),
     )
     link.submit(Attempt("x", now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
-    return clock, ends, doors, link
+    return clock, ends, backend, link
 
 
-def test_a_connection_that_breaks_while_opening_is_opened_once_more_and_its_attempt_goes_out():
-    _, ends, doors, link = opening()
-    doors.tries[0][1](BROKE_OPENING)
+def test_a_connection_that_breaks_while_opening_is_opened_again_for_the_same_attempt():
+    _, ends, backend, link = connecting_link()
+    backend.tries[0][1](BROKE_OPENING)
     sent = []
     connection = SimpleNamespace(submit=lambda operation, receiver: sent.append(receiver) or 0, fit=lambda: True)
-    doors.tries[1][0](connection)
+    backend.tries[1][0](connection)
     assert not ends and len(sent) == 1 and link.connections == 1
     sent[0].attempt_done(Reply("ok"))
-    assert ends == ["ok"] and len(doors.tries) == 2
+    assert ends == ["ok"] and len(backend.tries) == 2
 
 
 @pytest.mark.parametrize("reasons", [["refused"], [BROKE_OPENING, BROKE_OPENING], [BROKE_OPENING, "refused"]])
-def test_what_is_refused_or_breaks_twice_is_no_connection(reasons):
-    _, ends, doors, link = opening()
+def test_a_connect_that_is_refused_or_breaks_twice_fails(reasons):
+    _, ends, backend, link = connecting_link()
     for reason in reasons:
-        doors.tries[-1][1](reason)
-    assert ends == ["connect_failed"] and len(doors.tries) == len(reasons) and link.connections == 0
+        backend.tries[-1][1](reason)
+    assert ends == ["connect_failed"] and len(backend.tries) == len(reasons) and link.connections == 0
 
 
-class ShutDoors(Doors):
+class FailingBackend(ManualBackend):
     """A backend that loses each connection, or raises, before its ``connect`` returns."""
 
     def __init__(self, reason):
@@ -182,34 +187,40 @@
         return lambda: None
 
 
-# Guards against an attempt that waits for its deadline on a connection which was lost before anybody waited for it.
+# Guards against an attempt that waits until its deadline on a connection that was lost before the attempt was
+# registered with it.
 @pytest.mark.parametrize(("reason", "tries"), [("refused", 1), (BROKE_OPENING, 2), (None, 1)])
-def test_an_attempt_or_probe_whose_connection_is_lost_while_it_is_opened_hears_of_it_at_once(reason, tries):
+def test_attempts_and_probes_fail_at_once_if_their_connection_is_lost_while_opening(reason, tries):
     clock, ends, probed = Clock(), [], []
-    doors = ShutDoors(reason)
+    backend = FailingBackend(reason)
     now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
     link = ServerLink(
-        ServerSpec("p", "2", "a", "h", 1, True), doors, Limits(multiplex=1), Deadlines(now, clock.callLater), now, Log()
+        ServerSpec("p", "2", "a", "h", 1, True),
+        backend,
+        Limits(multiplex=1),
+        Deadlines(now, clock.callLater),
+        now,
+        Log(),
     )
     link.submit(Attempt("x", now(), lambda *a: None, lambda *a: ends.append(a[0])), SECOND)
-    assert ends == ["connect_failed"] and len(doors.tries) == tries and link.connections == 0
+    assert ends == ["connect_failed"] and len(backend.tries) == tries and link.connections == 0
     link.probe(lambda position, sent_at, status: probed.append(status))
-    assert probed == ["connect_failed"] and len(doors.tries) == 2 * tries
+    assert probed == ["connect_failed"] and len(backend.tries) == 2 * tries
     clock.advance(2)
     assert ends == probed == ["connect_failed"]
 
 
-def test_a_second_opening_has_only_what_is_left_of_the_time():
-    clock, ends, doors, _ = opening()
+def test_a_second_connect_has_only_the_remaining_time():
+    clock, ends, backend, _ = connecting_link()
     clock.advance(0.2)
-    doors.tries[0][1](BROKE_OPENING)
+    backend.tries[0][1](BROKE_OPENING)
     clock.advance(0.04)
     assert not ends
     clock.advance(0.02)
-    assert ends == ["connect_failed"] and len(doors.tries) == 2
+    assert ends == ["connect_failed"] and len(backend.tries) == 2
 
 
-def test_a_connection_that_ends_before_it_is_open_broke_unless_the_server_said_why():
+def test_a_connection_that_ends_while_opening_is_reported_as_broken_unless_the_server_gave_a_reason():
     for told, reason in (
         (b"", BROKE_OPENING),
         (pg.error("53300", "too many").encode(), "the server refused: 53300 too many"),
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -1,4 +1,4 @@
-"""Both ends of connections as state machines without I/O."""
+"""Client and server sessions: both ends of connections as state machines without I/O."""
 
 import pytest
 from hypothesis import given
@@ -11,18 +11,18 @@
 from yardbank.pg import messages as pg
 from yardbank.pg.wire import Frame, int16, int32, text, value
 from yardbank.platform.admission import State
-from yardbank.platform.client import EMPTY, MAX_MESSAGE, ClientSession
+from yardbank.platform.client import EMPTY_QUERY_ANSWER, MAX_MESSAGE_OCTETS, ClientSession
 from yardbank.platform.report import read_report
 from yardbank.platform.server import ServerSession
 from yardbank.platform.statement import Operation, read_statement
 
 
-def test_a_first_query_may_come_with_the_startup_and_queries_take_turns():
+def test_a_query_may_follow_the_startup_at_once_and_queries_are_answered_in_order():
     session = ClientSession(KINDS, set())
     assert session.state() is State.NEW
     received = session.receive(START + query("") + query(READ), 7 * MS)
-    assert received.output.startswith(b"R") and received.output.endswith(b"Z\0\0\0\5I") and not received.hurried
-    assert session.state() is State.BUSY and session.pipeline.take_answers() == EMPTY
+    assert received.output.startswith(b"R") and received.output.endswith(b"Z\0\0\0\5I") and not received.expedited
+    assert session.state() is State.BUSY and session.pipeline.take_answers() == EMPTY_QUERY_ANSWER
     command = session.pipeline.next(True)
     assert command.operation == Operation(read_statement(READ, KINDS), 487 * MS)
     assert session.pipeline.next(True) is None and session.state() is State.BUSY
@@ -44,41 +44,41 @@
         b"Q" + int32(8) + b"abcd",
         b"Q" + int32(8) + b"\xff\xfea\0",
         pg.encode_client(pg.Parse("", "SELECT 1")).encode(),
-        b"Q" + int32(MAX_MESSAGE + 100),
+        b"Q" + int32(MAX_MESSAGE_OCTETS + 100),
     ],
 )
-def test_noise_after_a_good_query_is_answered_in_its_turn(noise):
+def test_invalid_input_after_a_valid_query_is_answered_in_order(noise):
     session = ClientSession(KINDS, set())
     session.receive(START + query(READ) + noise, 0)
     command = session.pipeline.next(True)
-    assert session.pipeline.next(True) is None and session.pipeline.last_word() is None
+    assert session.pipeline.next(True) is None and session.pipeline.closing_command() is None
     session.answered(command, b"x")
     assert session.pipeline.take_answers() == b"x"
-    last = session.pipeline.last_word()
-    assert last.last and last.answer.startswith(b"E") and session.pipeline.take_answers() == b""
+    last = session.pipeline.closing_command()
+    assert last.close_reason and last.answer.startswith(b"E") and session.pipeline.take_answers() == b""
 
 
-def test_a_client_that_says_it_leaves_is_done():
+def test_nothing_is_taken_after_a_terminate_message():
     held = set()
     session = ClientSession(KINDS, held)
     session.receive(START + query(READ) + pg.encode_client(pg.TERMINATE).encode(), 0)
-    assert session.left and held == {"a1"}
+    assert session.client_left and held == {"a1"}
     (command,) = session.leave()
     assert command.operation.statement.id == "a1" and not held
     assert session.pipeline.next(True) is None and session.receive(query(READ), 0).output == b"" and not held
 
 
-def opened():
+def open_session():
     session = ServerSession()
     assert session.take_output().endswith(b"\0\0")
     assert session.receive(AUTHENTICATED) is None and session.open
-    session.ask(READ)
+    session.start_statement(READ)
     return session
 
 
 @given(st.data())
-def test_an_answer_is_read_in_any_split_with_what_it_tells(data):
-    session = opened()
+def test_an_answer_and_its_parameters_are_parsed_in_any_split(data):
+    session = open_session()
     stream = row() + parameter("part", "replica") + parameter("caught_up_to", "1767225600123") + READY
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
     replies = [session.receive(stream[a:b]) for a, b in zip([0, *cuts], [*cuts, len(stream)], strict=True)]
@@ -92,22 +92,22 @@
     ("state", "status"),
     [("25006", "miss"), ("72000", "miss"), ("53300", "full"), ("XX000", "error"), ("08P01", "error")],
 )
-def test_errors_by_their_code(state, status):
-    session = opened()
+def test_error_codes_map_to_reply_statuses(state, status):
+    session = open_session()
     reply = session.receive(pg.error(state, "no").encode() + parameter("part", "master") + READY)
     assert (reply.status, reply.payload, reply.role) == (status, None, Role.PRIMARY)
-    session.ask(READ)
+    session.start_statement(READ)
     assert session.receive(pg.error(state, "no").encode()) is None
-    assert session.ended().status == status  # no ReadyForQuery after the last word
+    assert session.ended().status == status  # no ReadyForQuery after a final message
 
 
-def test_an_error_of_the_statement_itself_is_the_answer():
-    session, fault = opened(), pg.error("42601", "bad request").encode()
+def test_a_statement_error_is_passed_on_as_the_answer():
+    session, fault = open_session(), pg.error("42601", "bad request").encode()
     reply = session.receive(fault + READY)
     assert (reply.status, reply.payload) == ("ok", fault) and not session.broken
 
 
-SPOILT = [
+INVALID_ANSWERS = [
     b"\xff" * 40,
     b"D" + int32(3 << 29) + b"xx",
     row()[:-12] + b"C\0\0\0\x09ab",
@@ -126,35 +126,35 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_a_spoilt_answer_is_no_answer_and_spoils_the_connection(spoilt):
-    session = opened()
-    assert session.receive(spoilt) is None
+@pytest.mark.parametrize("invalid", INVALID_ANSWERS)
+def test_an_invalid_answer_is_dropped_and_makes_the_connection_unusable(invalid):
+    session = open_session()
+    assert session.receive(invalid) is None
     assert session.broken and session.ended() is None
     with pytest.raises(ValueError):
-        session.ask(READ)
+        session.start_statement(READ)
 
 
 @pytest.mark.parametrize("surplus", [row() + READY, b"\0noise", b"D", parameter("part", "master")])
-def test_a_good_answer_stands_and_what_is_behind_it_ends_the_connection(surplus):
-    session = opened()
+def test_data_after_a_valid_answer_keeps_the_answer_and_ends_the_connection(surplus):
+    session = open_session()
     reply = session.receive(row() + READY + surplus)
     assert reply.status == "ok" and session.broken
 
 
-def test_gauges_are_exact_or_nothing():
+def test_load_reports_are_parsed_exactly_or_rejected():
     report = read_report("inflight=7,x0=1767225600.123,x1=1,util=0.61").position
     assert dict(report.marks) == {"clock": (1767225600_123_000_000,)} and report.primary is True
     assert read_report("util=0.61").position == ProbeResult({})
     for broken in ("", "x0", "x0=", "x0=soon", "x0=1,x0=2", "=3", "x0=-4", "x0=1e12", "x0=nan"):
-        assert read_report(broken).position is None and read_report(broken).spoilt
+        assert read_report(broken).position is None and read_report(broken).invalid
 
 
 CLOCK = 1767225600_123_000_000
 
 
 @pytest.mark.parametrize(
-    ("text", "marks", "primary", "load", "spoilt"),
+    ("text", "marks", "primary", "load", "invalid"),
     [
         ("x0=1767225600.123,x1=1,utilization=0.61", CLOCK, True, 0.61, ()),
         ("utilization=1.07 , x1=0.0, x0=1767225600.123", CLOCK, False, 1.07, ()),
@@ -168,20 +168,20 @@
         ("x0=1767225600.123,x1=1,utilization=6.1e-05", CLOCK, True, 6.1e-05, ()),
         ("x0=1767225600.123,x1=1,utilization", CLOCK, True, None, ("utilization",)),
         ("x0=1767225600.123,x1=0.5,utilization=0.5", CLOCK, None, 0.5, ("x1",)),
-        ("x0=soon,x1=1,utilization=0.5", None, None, 0.5, ("x0",)),  # a role without its time is none
+        ("x0=soon,x1=1,utilization=0.5", None, None, 0.5, ("x0",)),  # a role without its time is not used
         ("x0=1,x1=1,utilization=0.5,x0=2", None, None, 0.5, ("x0",)),
         ("x0=1767225600.123,\0\xff,x1=1", CLOCK, True, None, ("\0\xff",)),
         ("x1=1", None, True, None, ()),
         ("throughput=3,utilization=0.25", None, None, 0.25, ()),
     ],
 )
-def test_a_spoilt_field_of_a_load_report_spoils_no_more_than_it_must(text, marks, primary, load, spoilt):
+def test_an_invalid_load_report_field_leaves_the_other_fields_valid(text, marks, primary, load, invalid):
     report = read_report(text)
     assert report.position == ProbeResult({"clock": (marks,)} if marks else {}, primary, load)
-    assert report.spoilt == spoilt
+    assert report.invalid == invalid
 
 
-def test_a_load_report_is_read_by_the_fields_that_the_settings_name():
+def test_a_load_report_uses_only_the_configured_fields():
     full = "x0=1767225600.123,x1=1,utilization=0.61,util=0.33,outstanding=7"
     for fields, position in (
         (("x0", "x1", "utilization"), ProbeResult({"clock": (CLOCK,)}, True, 0.61)),
@@ -195,23 +195,23 @@
     assert read_report("," * 5000).position is None
 
 
-def test_a_session_reads_reports_by_the_settings_and_tells_what_is_spoilt():
+def test_a_session_uses_the_configured_report_fields_and_reports_invalid_ones():
     told = []
     session = ServerSession(("x0", "util"), told.append)
     session.receive(AUTHENTICATED)
     for gauges, load in (("x0=2,util=0.5,utilization=0.9", 0.5), ("x0=2,util=nan", None), ("x0=2", None)):
-        session.ask(READ)
+        session.start_statement(READ)
         reply = session.receive(row() + parameter("gauges", gauges) + READY)
         assert reply.status == "ok" and reply.report == ProbeResult({"clock": (2 * SECOND,)}, None, load)
-    session.ask("SHOW gauges", probe=True)
+    session.start_statement("SHOW gauges", probe=True)
     assert session.receive(row(b"util=0.4,x0=\xff", "SHOW") + READY).report == ProbeResult({}, None, 0.4)
-    session.ask(READ)
+    session.start_statement(READ)
     assert session.receive(b"\xff" * 40) is None
     assert told[:2] == ["load report in gauges: util", "load report in the row: x0"]
     assert len(told) == 3 and told[2] == session.broken
 
 
-def test_positions_are_times_and_nothing_is_kept_of_servers_that_left():
+def test_positions_are_times_and_dropped_servers_are_forgotten():
     positions = ClockPositions()
     positions.listed(1, 0, True, 0)
     assert positions.committed(1, ("clock", (77,)), 5) == 77 and positions.reference(1) is None
--- a/tests/platform/test_statements.py
+++ b/tests/platform/test_statements.py
@@ -1,4 +1,4 @@
-"""The platform's statements: one strict form each, and the time limit."""
+"""Parsing of the platform's statements, one strict form each, and their time limit."""
 
 import tracemalloc
 from dataclasses import replace
@@ -9,10 +9,16 @@
 
 from tests.support.platform import COMMIT, KINDS, LOOKUP, READ, WRITE
 from yardbank.gateway.api import MS
-from yardbank.platform.statement import MAX_VALUE, StatementError, out_of_reach, read_statement, since_write
+from yardbank.platform.statement import (
+    MAX_VALUE_OCTETS,
+    StatementError,
+    read_statement,
+    since_write,
+    unreachable_classes,
+)
 
 
-def test_a_read_and_a_write_are_understood():
+def test_a_read_and_a_write_are_parsed():
     read = read_statement(READ, KINDS)
     assert (read.id, read.request_class, read.group, read.key, read.time_limit, read.write) == (
         "a1",
@@ -26,17 +32,17 @@
     assert (write.id, write.request_class, write.key, write.write) == ("a2", COMMIT, "7f3a", True)
 
 
-def test_only_the_time_limit_is_changed_on_the_way():
+def test_only_the_time_limit_is_changed_in_the_sent_statement():
     statement = read_statement(READ.replace("id=a1,c", "k=9,id=a1,r=1,c"), KINDS)
     assert statement.text(123 * MS + 7) == READ.replace("id=a1,c", "k=9,id=a1,r=1,c").replace("d=480", "d=123")
     assert "d=1," in statement.text(-5)
 
 
-def test_the_last_commit_is_an_age_and_zero_stays_a_commit():
+def test_the_last_commit_becomes_an_age_that_is_never_zero():
     statement = read_statement(READ.replace("cluster=2", "cluster=2,after=1000"), KINDS)
     assert since_write(statement, 1250 * MS) == 250 * MS
     assert since_write(statement, 1000 * MS) == 1
-    assert since_write(statement, 990 * MS) == -10 * MS  # commits are rounded up
+    assert since_write(statement, 990 * MS) == -10 * MS  # commit times are rounded up
     assert since_write(read_statement(READ, KINDS), 5) is None
 
 
@@ -66,13 +72,13 @@
         ("d=480", "d=٤٨٠"),
     ],
 )
-def test_what_is_not_of_the_form_is_an_error_naming_it(change):
+def test_a_statement_of_another_form_is_an_error(change):
     with pytest.raises(StatementError) as problem:
         read_statement(READ.replace(*change), KINDS)
     assert str(problem.value)
 
 
-def test_a_write_in_a_class_of_reads_and_too_large_or_odd_values_are_errors():
+def test_writes_in_a_read_class_and_invalid_values_are_errors():
     for broken in (
         WRITE.replace("c=commit", "c=lookup"),
         WRITE.replace("9f03", "9f0"),
@@ -95,14 +101,14 @@
 @example("x" * 128)
 @example("x" * 129)
 @settings(derandomize=True, database=None)
-def test_a_class_is_named_as_in_the_settings_or_told_to_be_out_of_reach(name):
+def test_every_class_name_is_parsed_or_reported_as_unreachable(name):
     kind = replace(LOOKUP, name=name)
     kinds = {**KINDS, name: kind}
     forms = (
         READ.replace("c=lookup", f"c={name}"),
         READ.replace("c=lookup,", "").replace("cluster=2", f"cluster=2,c={name}"),
     )
-    if out_of_reach([kind]):
+    if unreachable_classes([kind]):
         assert any(mark in name for mark in (",", "*/")) or len(name) > 128 or name[-1] == " " or not name.isprintable()
         return
     for form in forms:
@@ -110,7 +116,7 @@
         assert statement.request_class is kind and statement.text(statement.time_limit) == form
 
 
-def test_a_fault_names_the_field_or_the_part():
+def test_a_statement_error_names_the_field_or_the_part():
     for old, new, name in (
         ("id=a1", "id=a 1", "the comment is not"),
         ("cluster=2", "cluster=2,,x=1", "the comment is not"),
@@ -133,7 +139,7 @@
 
 
 @given(st.text(max_size=200))
-def test_any_text_is_read_or_refused(noise):
+def test_any_text_is_parsed_unchanged_or_rejected(noise):
     for candidate in (noise, READ.replace("7f3a", noise), READ.replace("a1", noise)):
         try:
             statement = read_statement(candidate, KINDS)
@@ -142,8 +148,8 @@
         assert statement.text(statement.time_limit) == candidate
 
 
-def test_the_longest_value_is_read_in_little_more_memory_than_it_has_itself():
-    text = WRITE.replace("9f03", "9f" * MAX_VALUE)
+def test_parsing_the_longest_value_uses_little_extra_memory():
+    text = WRITE.replace("9f03", "9f" * MAX_VALUE_OCTETS)
     tracemalloc.start()
     try:
         read_statement(text, KINDS)
@@ -154,6 +160,6 @@
 
 
 @pytest.mark.parametrize("digits", ["9", "9f0", "9g"])
-def test_a_value_is_pairs_of_hexadecimal_digits(digits):
+def test_a_value_must_be_pairs_of_hexadecimal_digits(digits):
     with pytest.raises(StatementError, match="neither the read nor the write"):
         read_statement(WRITE.replace("9f03", digits), KINDS)
--- a/tests/support/drawn_platform_play.py
+++ b/tests/support/drawn_platform_play.py
@@ -210,7 +210,7 @@
         if not out:
             return
         made = out[which % len(out)]
-        asked = made._session._asked
+        asked = made._session._pending
         at = self.reactor.seconds() - behind / 1000
         told = parameter("part", ("master", "replica")[part % 2]) + parameter("caught_up_to", str(int(at * 1000)))
         report = f"x1={1 - part % 2},x0={at:.3f},utilization={load / 100}"
--- a/yardbank/platform/__init__.py
+++ b/yardbank/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' platform: one more entry and exit of the gateway, started by ``python -m yardbank.platform``.
+"""Gateway front end and back end for the operators' platform, started by ``python -m yardbank.platform``.
 
-It starts light: nothing here loads the LDAP front, the settings language, stores or solvers.
+It starts light: nothing here loads the LDAP front end, the settings language, stores or solvers.
 """
--- a/yardbank/platform/__main__.py
+++ b/yardbank/platform/__main__.py
@@ -1,11 +1,11 @@
-"""``python -m yardbank.platform``: one gateway on the platform, told by its environment."""
+"""``python -m yardbank.platform``: runs one gateway on the platform, configured by its environment."""
 
 import sys
 
 from yardbank.platform.signals import Signals
 
 signals = Signals()
-signals.install()  # before all that takes time to load
+signals.install()  # before any slow import
 
 from yardbank.platform.service import main  # noqa: E402
 
--- a/yardbank/platform/admission.py
+++ b/yardbank/platform/admission.py
@@ -1,8 +1,9 @@
-"""Which client connections are kept, and which give way. No I/O; times in ns, passed in.
+"""Decides which client connections are kept and which are closed. No I/O; times in ns, passed in.
 
-Descriptors are few, and some clients connect by the hundreds and say nothing. A connection that owes its first words,
-or has sent half a message, has little time to go on; one that idles may be closed after a while, and gives way early
-where descriptors are short. One with an open request is never closed here.
+Descriptors are scarce, and some clients open hundreds of connections and send nothing. A connection that has not yet
+completed its startup message, or has sent half a message, is closed after a short timeout. An idle connection is
+closed after a longer timeout, or earlier when descriptors run short. A connection with an open request is never closed
+here.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 from enum import Enum
 
 from yardbank.gateway.api import MS, SECOND
-from yardbank.platform.watch_state import MOST
+from yardbank.platform.watch_state import MAX_OPEN_WATCHES
 
-CLOSING = 4  # the least of connections of clients that may be in their end, besides those that are served
-# standard streams 3, epoll 1, wakers 2, the port 1, Twisted's reserve 1, watches of discovery ``watch_state.MOST`` and
-# the dropped ones of the same turn 1, the configuration when it is read anew 1, an accepted connection to be turned
-# away 1
-OWN = 11 + MOST
+MIN_CLOSING = 4  # client connections that may be closing besides those that are served, at least
+# Standard streams 3, epoll 1, wakers 2, listening port 1, Twisted's reserve 1, discovery watches
+# ``MAX_OPEN_WATCHES`` and those aborted in the same reactor turn 1, the configuration file while it is reloaded 1, an
+# accepted connection that is to be turned away 1.
+RESERVED_DESCRIPTORS = 11 + MAX_OPEN_WATCHES
 
 
 class State(Enum):
-    """What a client connection is about."""
+    """State of a client connection."""
 
     NEW = "owes its first words"
     PARTIAL = "has sent half a message"
@@ -33,13 +34,13 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionLimits:
-    """Bounds of one gateway's client connections."""
+    """Time limits for the client connections of one gateway."""
 
-    words: int = 2 * SECOND  # NEW or PARTIAL for no longer
-    stuck: int = 3 * SECOND
-    idle: int = 10 * SECOND
-    idle_least: int = 2 * SECOND  # an idle one may be closed from then on
-    new_least: int = 250 * MS  # a new one that has said nothing gives way from then on, where room is short
+    message_timeout: int = 2 * SECOND  # longest time in NEW or PARTIAL
+    blocked_timeout: int = 3 * SECOND  # longest time in STUCK
+    idle_timeout: int = 10 * SECOND  # longest time in IDLE
+    idle_min_age: int = 2 * SECOND  # idle connections may be evicted from this age on
+    new_min_age: int = 250 * MS  # connections that have sent nothing may be evicted from this age on
 
     def __post_init__(self) -> None:
         for name in self.__slots__:
@@ -49,42 +50,46 @@
 
 @dataclass(slots=True, frozen=True)
 class Descriptors:
-    """How clients and servers share the descriptors of one process; together they never hold more than ``both``.
+    """Shares the file descriptors of one process between clients and servers.
 
-    Clients with requests hold at most a third of all, and each open request about one server connection; the rest is
-    taken by whoever needs it. The process's own, discovery's and those of a moment are set aside.
+    Together they never hold more than ``total``.
+
+    Clients with requests hold at most a third of all descriptors, and each open request uses about one server
+    connection; the rest goes to whichever side needs it. Descriptors for the process itself, for discovery and for
+    short-lived uses are set aside.
     """
 
-    both: int
-    servers_least: int
-    closing: int = CLOSING
+    total: int
+    min_servers: int
+    closing: int = MIN_CLOSING
 
     @classmethod
     def of(cls, sockets: int) -> Descriptors:
-        """The shares of a process that may hold so many."""
-        closing = max(CLOSING, sockets // 32)
-        both = sockets - OWN - closing
-        return cls(both, max(both // 4, sockets // 5), closing)
+        """Returns the shares for a process that may hold ``sockets`` descriptors."""
+        closing = max(MIN_CLOSING, sockets // 32)
+        total = sockets - RESERVED_DESCRIPTORS - closing
+        return cls(total, max(total // 4, sockets // 5), closing)
 
-    def for_clients(self, servers: int) -> int:
-        """How many connections clients may hold, while servers hold so many."""
-        return self.both - max(self.servers_least, servers)
+    def max_clients(self, servers: int) -> int:
+        """Returns how many connections clients may hold while servers hold ``servers``."""
+        return self.total - max(self.min_servers, servers)
 
-    def for_servers(self, clients: int) -> int:
-        """How many connections to servers there may be, while clients hold so many."""
-        return max(self.servers_least, self.both - clients)
+    def max_servers(self, clients: int) -> int:
+        """Returns how many server connections may be open while clients hold ``clients``."""
+        return max(self.min_servers, self.total - clients)
 
 
-def may_pipeline(open_requests: int, for_servers: int) -> bool:
+def may_pipeline(open_requests: int, max_servers: int) -> bool:
     """Whether a connection may have a further request open besides its first one.
 
-    Each open request takes about one connection to a server. Half of those is kept for connections' first requests.
+    Each open request takes about one server connection. Half of those are kept for the first request of each
+    client connection.
     """
-    return 2 * open_requests < for_servers
+    return 2 * open_requests < max_servers
 
 
 class Admission:
-    """The client connections of one gateway, by the owner's numbers."""
+    """The client connections of one gateway, by the numbers that the caller gives them."""
 
     def __init__(self, limits: AdmissionLimits) -> None:
         self.limits = limits
@@ -95,31 +100,34 @@
         return len(self._state)
 
     def count(self, state: State) -> int:
-        """How many connections are in one state."""
+        """Returns how many connections are in a state."""
         return len(self._since[state])
 
-    def arrived(self, number: int, now: int, most: int) -> int | None:
-        """A client has connected, ``most`` may be. Which one has to go: None: none; its own number: turn it away."""
-        way = None
-        if len(self._state) >= most:
-            way = self._least_needed(now)
-            if way is None:
+    def connected(self, number: int, now: int, limit: int) -> int | None:
+        """Adds a connection; at most ``limit`` are kept.
+
+        Returns the connection that must be closed: None for none, the new connection's own number if it is refused.
+        """
+        evicted = None
+        if len(self._state) >= limit:
+            evicted = self._eviction_candidate(now)
+            if evicted is None:
                 return number
-            self.left(way)
+            self.remove(evicted)
         self._state[number] = State.NEW
         self._since[State.NEW][number] = now
-        return way
+        return evicted
 
-    def _least_needed(self, now: int) -> int | None:
-        for state, least in ((State.NEW, self.limits.new_least), (State.IDLE, self.limits.idle_least)):
+    def _eviction_candidate(self, now: int) -> int | None:
+        for state, min_age in ((State.NEW, self.limits.new_min_age), (State.IDLE, self.limits.idle_min_age)):
             for number, since in self._since[state].items():
-                if now - since >= least:
+                if now - since >= min_age:
                     return number
-                break  # the oldest comes first
+                break  # connections are ordered by age, oldest first
         return None
 
-    def became(self, number: int, state: State, now: int) -> None:
-        """What a connection is about now; its time runs from when that began."""
+    def set_state(self, number: int, state: State, now: int) -> None:
+        """Sets the state of a connection; its timeout runs from the change of state."""
         old = self._state.get(number)
         if old is None or old is state:
             return
@@ -127,33 +135,33 @@
         self._state[number] = state
         self._since[state][number] = now
 
-    def served(self, number: int, now: int) -> None:
-        """An idle connection had a request that was answered at once: its time runs anew."""
+    def touch(self, number: int, now: int) -> None:
+        """Restarts the idle timeout of a connection whose request was answered at once."""
         if self._state.get(number) is State.IDLE:
             self._since[State.IDLE][number] = now
             self._since[State.IDLE].move_to_end(number)
 
-    def left(self, number: int) -> None:
-        """A connection is gone."""
+    def remove(self, number: int) -> None:
+        """Removes a closed connection."""
         state = self._state.pop(number, None)
         if state is not None:
             del self._since[state][number]
 
-    def overdue(self, now: int) -> list[tuple[int, State]]:
-        """Connections whose time is up, and what they were about."""
+    def timed_out(self, now: int) -> list[tuple[int, State]]:
+        """Returns the connections whose timeout has passed, with their states."""
         found: list[tuple[int, State]] = []
-        for state, most in (
-            (State.NEW, self.limits.words),
-            (State.PARTIAL, self.limits.words),
-            (State.STUCK, self.limits.stuck),
-            (State.IDLE, self.limits.idle),
+        for state, timeout in (
+            (State.NEW, self.limits.message_timeout),
+            (State.PARTIAL, self.limits.message_timeout),
+            (State.STUCK, self.limits.blocked_timeout),
+            (State.IDLE, self.limits.idle_timeout),
         ):
             for number, since in self._since[state].items():
-                if now - since < most:
+                if now - since < timeout:
                     break
                 found.append((number, state))
         return found
 
     def closable(self) -> list[int]:
-        """Connections without an open request: a gateway that stops may close them."""
+        """Returns the connections without an open request, which a stopping gateway may close."""
         return [number for number, state in self._state.items() if state is not State.BUSY]
--- a/yardbank/platform/backend.py
+++ b/yardbank/platform/backend.py
@@ -1,4 +1,4 @@
-"""The gateway's side towards the platform's database servers: thin Twisted around ``ServerSession``."""
+"""Connections to the platform's database servers: Twisted protocol around ``ServerSession``."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from yardbank.platform.server import PROBE, ServerSession
 from yardbank.platform.statement import Operation
 
-LOG_EVERY = SECOND  # of what a server can cause at will
+LOG_INTERVAL = SECOND  # between log lines that a server can cause at will
 
 
 class ServerConnection(Protocol):
-    """One connection; a ``gateway.api.Connection``. Reports its end through ``lost``, once, whoever ends it."""
+    """One connection; a ``gateway.api.Connection``. Calls ``lost`` once at its end, whichever side closes it."""
 
     transport: Any  # Twisted's stubs name no methods of a TCP transport
 
@@ -44,101 +44,101 @@
         self._lost = lost
         self._session = session or ServerSession()
         self._receiver: Receiver | None = None
-        self._probed: Callable[[ProbeResult | None], None] | None = None
-        self._over = self._spent = False
-        self._backlog = False  # the transport holds octets back: what follows has to go through it
+        self._probe_done: Callable[[ProbeResult | None], None] | None = None
+        self._is_closed = self._unusable = False
+        self._has_backlog = False  # the transport has unsent octets: further output must be queued behind them
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Say who we are."""
+        """Sends the startup message."""
         self.transport.setTcpNoDelay(True)
         self.transport.write(self._session.take_output())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Answers, in any split."""
-        if self._over or self._spent:
+        """Receives answers, split at any octet."""
+        if self._is_closed or self._unusable:
             return
         session, was_open = self._session, self._session.open
         reply = session.receive(data)
         if session.open and not was_open and not session.broken:
             self._ready(self)
         if reply is not None:
-            self._answered(reply)
-        if session.broken and not self._over:
-            self._spent = True
-            if session.busy:  # the server is there and has answered, if with nonsense: it may have run
-                self._answered(Reply("error", reason=f"spoilt answer: {session.broken}"))
-            self._end(session.broken)
-
-    def _answered(self, reply: Reply) -> None:
+            self._deliver(reply)
+        if session.broken and not self._is_closed:
+            self._unusable = True
+            if session.busy:  # the server is there and has sent an invalid answer: the statement may have run
+                self._deliver(Reply("error", reason=f"spoilt answer: {session.broken}"))
+            self._close(session.broken)
+
+    def _deliver(self, reply: Reply) -> None:
         receiver, self._receiver = self._receiver, None
-        probed, self._probed = self._probed, None
+        probe_done, self._probe_done = self._probe_done, None
         if receiver is not None:
             receiver.attempt_done(reply)
-        elif probed is not None:
-            probed((reply.report or ProbeResult({})) if reply.status == "ok" else None)
+        elif probe_done is not None:
+            probe_done((reply.report or ProbeResult({})) if reply.status == "ok" else None)
 
-    def _end(self, reason: str) -> None:
-        """Cut it: nothing that still comes may be taken for an answer."""
-        if self._over:
+    def _close(self, reason: str) -> None:
+        """Aborts the connection, so that nothing received later can be taken for an answer."""
+        if self._is_closed:
             return
-        self._over = True
+        self._is_closed = True
         if not self._session.open and not self._session.broken:
             reason = BROKE_OPENING
         if (reply := self._session.ended()) is not None:
-            self._answered(reply)
+            self._deliver(reply)
         receiver, self._receiver = self._receiver, None
-        probed, self._probed = self._probed, None
+        probe_done, self._probe_done = self._probe_done, None
         self._lost(reason)
         if receiver is not None:
             receiver.attempt_lost(reason)
-        if probed is not None:
-            probed(None)
+        if probe_done is not None:
+            probe_done(None)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008, N802
-        """What is out is lost with it."""
-        self._end(reason.getErrorMessage())
+        """Whatever was pending is lost with the connection."""
+        self._close(reason.getErrorMessage())
 
     # gateway.api.Connection
 
     def submit(self, operation: Operation, receiver: Receiver) -> int:
-        """Send one statement; raises ``NotSentError`` where the connection broke and no octet of it was taken."""
+        """Sends one statement; raises ``NotSentError`` if the connection broke before any octet of it was written."""
         statement = operation.statement
-        self._put(self._session.ask(statement.text(operation.expires - self._now()), statement.write))
+        self._write_now(self._session.start_statement(statement.text(operation.expires - self._now()), statement.write))
         operation.sent = True
         self._receiver = receiver
         return 0
 
-    def _put(self, octets: bytes) -> None:
-        """Write at once: a transport's own write waits for the next turn, and breaks unseen until then."""
+    def _write_now(self, octets: bytes) -> None:
+        """Writes at once: the transport's own write waits for the next reactor turn and hides a failure until then."""
         write_some = getattr(self.transport, "writeSomeData", None)
-        if write_some is not None and not self._backlog:
-            taken = write_some(octets)
-            if not isinstance(taken, int):  # the reason why the connection is gone
-                self._spent = True
-                raise NotSentError(f"nothing could be written: {taken}")
-            octets = octets[taken:]
-            self._backlog = bool(octets)
+        if write_some is not None and not self._has_backlog:
+            written = write_some(octets)
+            if not isinstance(written, int):  # the reason why the connection is gone
+                self._unusable = True
+                raise NotSentError(f"nothing could be written: {written}")
+            octets = octets[written:]
+            self._has_backlog = bool(octets)
         if octets:
             self.transport.write(octets)
 
     def abandon(self, number: int) -> None:
-        """Stop waiting: the connection is spent, and is closed when its place is given back.
+        """Stops waiting: the connection is unusable from now on and is closed when the gateway releases it.
 
-        That is how the server learns of it. The end is not reported from here: the attempt was given up, not lost.
+        The close also tells the server. ``lost`` is not called here, as the attempt was abandoned, not lost.
         """
         self._receiver = None
-        self._spent = True
+        self._unusable = True
 
     def probe(self, done: Callable[[ProbeResult | None], None]) -> int:
-        """Ask for the load report."""
-        self.transport.write(self._session.ask(PROBE, probe=True))
-        self._probed = done
+        """Requests the load report."""
+        self.transport.write(self._session.start_statement(PROBE, probe=True))
+        self._probe_done = done
         return 0
 
     def fit(self) -> bool:
-        """Whether it is idle and silent: the server may have closed it, or sent more than it was asked for."""
-        if self._over or self._spent or self._session.busy or self._session.broken:
+        """Whether the connection is idle and silent: the server may have closed it or sent unrequested data."""
+        if self._is_closed or self._unusable or self._session.busy or self._session.broken:
             return False
         try:
             self.transport.socket.recv(1, socket.MSG_PEEK)
@@ -146,18 +146,17 @@
             return True
         except (OSError, AttributeError):
             return False
-        return False  # an end or unasked octets: both make it useless
+        return False  # closed, or unrequested data: unusable either way
 
     def close(self) -> None:
-        """Close it; nothing is out."""
-        self._end("closed")
+        """Closes the connection; nothing is pending."""
+        self._close("closed")
 
 
 class PlatformBackend:
-    """Reaches the platform's servers; a ``gateway.api.Backend``.
+    """Connects to the platform's servers; a ``gateway.api.Backend``.
 
-    ``fields``: what load reports hold, as the settings name it. ``log``: told of what servers send spoilt, at most
-    once a second.
+    ``fields``: contents of load reports by the settings. ``log``: gets invalid server output, at most once a second.
     """
 
     def __init__(
@@ -167,30 +166,30 @@
         self._now = now
         self._fields = fields
         self._log = log
-        self._spoilt = 0
-        self._spoilt_logged_at = -LOG_EVERY
+        self._invalid_count = 0
+        self._invalid_logged_at = -LOG_INTERVAL
 
     def connect(
         self, server: ServerSpec, ready: Callable[[Connection], None], lost: Callable[[str], None]
     ) -> Callable[[], None]:
-        """Open a connection; see ``gateway.api.Backend``."""
+        """Opens a connection; see ``gateway.api.Backend``."""
 
-        def spoilt(what: str) -> None:
-            self._answer_spoilt(server.name, what)
+        def report_invalid(what: str) -> None:
+            self._log_invalid(server.name, what)
 
-        # The session is made with its connection and goes with it: what the dialler holds lives on until the
-        # collector's next sweep, as Twisted's connector and transport point at each other.
-        def made(once: Callable[[str], None]) -> ServerConnection:
-            return ServerConnection(self._now, ready, once, ServerSession(self._fields, spoilt))
+        # The session is created together with its connection, so that both are freed together: objects that the dialler
+        # holds live until the next garbage collection, because Twisted's connector and transport refer to each other.
+        def build(lost_once: Callable[[str], None]) -> ServerConnection:
+            return ServerConnection(self._now, ready, lost_once, ServerSession(self._fields, report_invalid))
 
-        return dial(self._reactor, server, made, lost)
+        return dial(self._reactor, server, build, lost)
 
-    def _answer_spoilt(self, server: str, what: str) -> None:
-        self._spoilt += 1
-        if self._log is not None and (now := self._now()) - self._spoilt_logged_at >= LOG_EVERY:
-            self._spoilt_logged_at = now
-            self._log.warning("server_answer_spoilt", server=server, problem=what[:200], spoilt=self._spoilt)
+    def _log_invalid(self, server: str, what: str) -> None:
+        self._invalid_count += 1
+        if self._log is not None and (now := self._now()) - self._invalid_logged_at >= LOG_INTERVAL:
+            self._invalid_logged_at = now
+            self._log.warning("server_answer_spoilt", server=server, problem=what[:200], spoilt=self._invalid_count)
 
     def describe(self, operation: Operation) -> str:
-        """The class and what it is about."""
+        """Names the request class and the key."""
         return f"{operation.statement.request_class.name} {operation.statement.key}"
--- a/yardbank/platform/closing.py
+++ b/yardbank/platform/closing.py
@@ -1,8 +1,8 @@
-"""The end of a client's connection as a state machine without I/O: a lingering close.
+"""State machine without I/O for a lingering close of a client connection.
 
-A close over unread octets resets the connection, and takes what was written last along. So the gateway ends its
-sending first, once nothing is unread and all is written; then it reads on, answering nothing, until the client ends
-too, or has sent or waited too much.
+Closing a socket that holds unread data resets the connection, and the client loses what was written last. The gateway
+therefore shuts down only its sending side, once nothing is unread and everything is written. It then reads and discards
+until the client closes too, or until a time or size limit is reached.
 """
 
 from __future__ import annotations
@@ -11,85 +11,85 @@
 
 from yardbank.gateway.api import MS
 
-LINGER = 500 * MS  # from the end of the gateway's sending until the client's
-MOST_OCTETS = 256 << 10  # that are read and dropped meanwhile: a request of the greatest length, and what follows it
+LINGER_TIMEOUT = 500 * MS  # from the shutdown of the gateway's sending side until the client's end
+MAX_DISCARDED_OCTETS = 256 << 10  # a request of the greatest length and what follows it
 
 
 class Stage(Enum):
-    """How far the end is."""
+    """Stage of the close."""
 
     OPEN = "requests are read and answered"
-    DRAINING = "it is to end as soon as what is written is out, unless a request comes first"
-    SAYING = "the last word is under way; what is read is dropped"
-    LINGERING = "the gateway's sending has ended; what is read is dropped, until the client ends"
+    DRAINING = "closes once everything is written, unless a request arrives first"
+    SENDING_FINAL = "the final message is being written; received data is discarded"
+    LINGERING = "the sending side is shut down; received data is discarded until the client closes"
     CLOSED = "nothing is read or written"
 
 
 class Event(Enum):
-    """What happens to it."""
-
-    ASKED = "it owes nothing and may end"
-    WORD = "it is to end with a last word"
-    OCTETS = "the client sends, or has sent what is unread"
-    WRITTEN = "all that was written is out, and nothing is unread"
-    SURPLUS = "the client sends more than is dropped"
-    TIME = "it has waited long enough"
-    REJECTED = "the client sent nonsense: nothing of it is waited for"
-    CUT = "it is to end at once"
-    LOST = "the connection is gone"
-
-
-class Step(Enum):
-    """What is to be done at the socket."""
-
-    NOTHING = "nothing"
-    FLUSH = "say when all is written: Event.WRITTEN"
-    SHUT = "end the sending"
-    CLOSE = "close once all is written"
+    """Input of the state machine."""
+
+    CLOSE_REQUESTED = "the connection has no unanswered request and may close"
+    FINAL_MESSAGE = "close after a final message"
+    DATA_RECEIVED = "the client has sent data, read or unread"
+    ALL_WRITTEN = "everything is written and nothing is unread"
+    DISCARD_LIMIT_REACHED = "the client has sent more than may be discarded"
+    TIMEOUT = "the close has taken too long"
+    REJECTED = "the client broke the protocol: close without waiting for further data"
+    ABORTED = "close at once"
+    CONNECTION_LOST = "the connection is lost"
+
+
+class Action(Enum):
+    """What the caller does to the socket."""
+
+    NONE = "nothing"
+    FLUSH = "report Event.ALL_WRITTEN once everything is written"
+    SHUTDOWN_WRITE = "shut down the sending side"
+    CLOSE = "close once everything is written"
     RESET = "close at once"
 
 
-_OPEN, _DRAINING, _SAYING, _LINGERING, _CLOSED = Stage
-TABLE: dict[tuple[Stage, Event], tuple[Stage, Step]] = {
-    (_OPEN, Event.ASKED): (_DRAINING, Step.FLUSH),
-    (_OPEN, Event.WORD): (_SAYING, Step.FLUSH),
-    (_DRAINING, Event.OCTETS): (_OPEN, Step.NOTHING),
-    (_DRAINING, Event.WORD): (_SAYING, Step.FLUSH),
-    (_DRAINING, Event.WRITTEN): (_LINGERING, Step.SHUT),
-    (_DRAINING, Event.TIME): (_CLOSED, Step.RESET),
-    (_SAYING, Event.WRITTEN): (_LINGERING, Step.SHUT),
-    (_SAYING, Event.SURPLUS): (_CLOSED, Step.RESET),
-    (_SAYING, Event.TIME): (_CLOSED, Step.RESET),
-    (_LINGERING, Event.SURPLUS): (_CLOSED, Step.RESET),
-    (_LINGERING, Event.TIME): (_CLOSED, Step.CLOSE),
+_OPEN, _DRAINING, _SENDING_FINAL, _LINGERING, _CLOSED = Stage
+TABLE: dict[tuple[Stage, Event], tuple[Stage, Action]] = {
+    (_OPEN, Event.CLOSE_REQUESTED): (_DRAINING, Action.FLUSH),
+    (_OPEN, Event.FINAL_MESSAGE): (_SENDING_FINAL, Action.FLUSH),
+    (_DRAINING, Event.DATA_RECEIVED): (_OPEN, Action.NONE),
+    (_DRAINING, Event.FINAL_MESSAGE): (_SENDING_FINAL, Action.FLUSH),
+    (_DRAINING, Event.ALL_WRITTEN): (_LINGERING, Action.SHUTDOWN_WRITE),
+    (_DRAINING, Event.TIMEOUT): (_CLOSED, Action.RESET),
+    (_SENDING_FINAL, Event.ALL_WRITTEN): (_LINGERING, Action.SHUTDOWN_WRITE),
+    (_SENDING_FINAL, Event.DISCARD_LIMIT_REACHED): (_CLOSED, Action.RESET),
+    (_SENDING_FINAL, Event.TIMEOUT): (_CLOSED, Action.RESET),
+    (_LINGERING, Event.DISCARD_LIMIT_REACHED): (_CLOSED, Action.RESET),
+    (_LINGERING, Event.TIMEOUT): (_CLOSED, Action.CLOSE),
 }
 for _stage in Stage:
     if _stage is not _CLOSED:
-        TABLE[_stage, Event.CUT] = _CLOSED, Step.RESET
-        TABLE[_stage, Event.REJECTED] = _CLOSED, Step.CLOSE
-        TABLE[_stage, Event.LOST] = _CLOSED, Step.NOTHING
+        TABLE[_stage, Event.ABORTED] = _CLOSED, Action.RESET
+        TABLE[_stage, Event.REJECTED] = _CLOSED, Action.CLOSE
+        TABLE[_stage, Event.CONNECTION_LOST] = _CLOSED, Action.NONE
 
 
-class Closing:
-    """How far the end of one connection is; every event may come at every stage."""
+class LingeringClose:
+    """Tracks the close of one connection; every event is allowed at every stage."""
 
-    __slots__ = ("_dropped", "stage")
+    __slots__ = ("_discarded", "stage")
 
     def __init__(self) -> None:
         self.stage = Stage.OPEN
-        self._dropped = 0
+        self._discarded = 0
 
     @property
-    def serves(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether requests are still read."""
         return self.stage is Stage.OPEN or self.stage is Stage.DRAINING
 
-    def on(self, event: Event) -> Step:
-        """What is to be done; an event that the table does not name changes nothing."""
-        self.stage, step = TABLE.get((self.stage, event), (self.stage, Step.NOTHING))
-        return step
+    def on_event(self, event: Event) -> Action:
+        """Applies an event and returns the action to take; an event that is not in the table changes nothing."""
+        self.stage, action = TABLE.get((self.stage, event), (self.stage, Action.NONE))
+        return action
 
-    def drop(self, size: int) -> Step:
-        """The client sends so many octets that are not read any more."""
-        self._dropped += size
-        return self.on(Event.SURPLUS) if self._dropped > MOST_OCTETS else Step.NOTHING
+    def discard(self, size: int) -> Action:
+        """Counts received octets that are discarded."""
+        self._discarded += size
+        return self.on_event(Event.DISCARD_LIMIT_REACHED) if self._discarded > MAX_DISCARDED_OCTETS else Action.NONE
--- a/yardbank/platform/config.py
+++ b/yardbank/platform/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway: its environment and one JSON file. No I/O but the reading of that file."""
+"""Configuration of a gateway on the platform: its environment and one JSON file, whose reading is the only I/O."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from yardbank.platform.listing import Listing, ListingError, describe_fault, parse_listing, read_port
 from yardbank.wire import WireError, read_settings
 
-MAX_SECONDS_BETWEEN = 30  # an idle connection's end, where the settings do not say
+DEFAULT_IDLE_CLOSE_S = 30  # limit for idle connections, in seconds, if the settings give none
 
 
-LEAST_SOCKETS = 64
+MIN_SOCKETS = 64
 
 
 class PlatformError(Exception):
-    """The platform told something that makes no sense; the text names the variable or the field."""
+    """The platform's configuration is invalid; the text names the variable or the field."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlatformConfig:
-    """All that one gateway is told."""
+    """Complete configuration of one gateway."""
 
     name: str
     listen: Address
@@ -44,7 +44,7 @@
     known: Listing
     sockets: int  # descriptors that the process may hold
     memory_mb: int
-    idle_close: int  # servers close connections that were idle for so long (ns)
+    idle_close: int  # servers close connections after this idle time (ns)
 
 
 _NULL = msgspec.Raw(b"null")
@@ -59,8 +59,8 @@
     idle_close: int | None = None
 
 
-class _Settings(msgspec.Struct):
-    """Of the decision module's settings what the platform's side needs as well."""
+class _PlatformSettings(msgspec.Struct):
+    """Fields of the decision module's settings that the platform side needs too."""
 
     ceilings: _Ceilings | None = None
 
@@ -81,7 +81,7 @@
 
 
 def read_address(text: str, name: str) -> Address:
-    """``host:port``. Raises ``PlatformError`` naming what it was read for."""
+    """Parses ``host:port``. Raises ``PlatformError`` naming the field."""
     address = read_port(text)
     if address is None:
         raise PlatformError(f"{name}: {text[:100]!r} is not host:port")
@@ -89,43 +89,43 @@
 
 
 def read_config(document: bytes) -> PlatformConfig:
-    """The configuration file's text. Raises ``PlatformError`` naming the field."""
+    """Parses the configuration file. Raises ``PlatformError`` naming the field."""
     try:
-        told = _read_document(document)
+        parsed = _read_document(document)
     except msgspec.ValidationError as problem:
         raise PlatformError(describe_fault(problem)) from None
     except msgspec.DecodeError as problem:
         raise PlatformError(f"not JSON: {problem}") from None
     try:
-        own = msgspec.convert(told.settings, _Settings)
+        platform_settings = msgspec.convert(parsed.settings, _PlatformSettings)
     except msgspec.ValidationError as problem:
         raise PlatformError(describe_fault(problem, "settings")) from None
-    limits, ceilings = told.limits or _Limits(), own.ceilings or _Ceilings()
+    limits, ceilings = parsed.limits or _Limits(), platform_settings.ceilings or _Ceilings()
     try:
-        seed = int(told.seed, 16)
+        seed = int(parsed.seed, 16)
     except ValueError:
-        raise PlatformError(f"seed: {told.seed[:40]!r} is not hexadecimal") from None
+        raise PlatformError(f"seed: {parsed.seed[:40]!r} is not hexadecimal") from None
     sockets = 1024 if limits.sockets is None else limits.sockets
-    if sockets < LEAST_SOCKETS:
+    if sockets < MIN_SOCKETS:
         raise PlatformError(f"limits.sockets: {sockets} is too few")
     memory = 128 if limits.memory_mb is None else limits.memory_mb
     if not 1 <= memory < MAX_DURATION:
-        raise PlatformError(f"limits.memory_mb: {memory!r} is no size")
-    idle_close = ceilings.idle_close or MAX_SECONDS_BETWEEN * 10**9
+        raise PlatformError(f"limits.memory_mb: {memory!r} is not a valid size")
+    idle_close = ceilings.idle_close or DEFAULT_IDLE_CLOSE_S * 10**9
     if not 0 < idle_close < MAX_DURATION:
-        raise PlatformError(f"settings.ceilings.idle_close: {idle_close} must not be negative, nor 146 years")
+        raise PlatformError(f"settings.ceilings.idle_close: {idle_close} must be between 0 and 146 years")
     try:
-        known = Listing(0, True, {}) if bytes(told.known) == bytes(_NULL) else parse_listing(told.known)
+        known = Listing(0, True, {}) if bytes(parsed.known) == bytes(_NULL) else parse_listing(parsed.known)
     except ListingError as problem:
         raise PlatformError(f"known: {problem}") from None
     try:
-        settings = read_settings(seed, told.settings)
+        settings = read_settings(seed, parsed.settings)
     except (WireError, ValueError) as problem:
         raise PlatformError(f"settings: {problem}") from None
     return PlatformConfig(
-        name=told.name or "",
-        listen=read_address(told.listen, "listen"),
-        discovery=read_address(told.discovery, "discovery"),
+        name=parsed.name or "",
+        listen=read_address(parsed.listen, "listen"),
+        discovery=read_address(parsed.discovery, "discovery"),
         settings=settings,
         known=known,
         sockets=sockets,
@@ -135,19 +135,19 @@
 
 
 def usable_sockets(configured: int, allowed: int | None) -> int:
-    """How many descriptors the process may hold where the system allows so many (None: any number).
+    """Returns how many descriptors the process may hold; ``allowed``: by the system (None: any number).
 
     Raises ``PlatformError`` if they are too few.
     """
     if allowed is None or allowed >= configured:
         return configured
-    if allowed < LEAST_SOCKETS:
-        raise PlatformError(f"limits.sockets: the system allows {allowed}, {LEAST_SOCKETS} are needed at least")
+    if allowed < MIN_SOCKETS:
+        raise PlatformError(f"limits.sockets: the system allows {allowed}, {MIN_SOCKETS} are needed at least")
     return allowed
 
 
 def load_config(environment: Mapping[str, str]) -> PlatformConfig:
-    """What the environment names. Raises ``PlatformError`` naming the variable, or the file and its field."""
+    """Loads the file that the environment names. Raises ``PlatformError`` naming the variable, or file and field."""
     if not (name := environment.get("NODE_CONFIG")):
         raise PlatformError("NODE_CONFIG is not set")
     try:
@@ -160,16 +160,16 @@
         raise PlatformError(f"{name}: {problem}") from None
 
 
-def needs_restart(held: PlatformConfig, told: PlatformConfig) -> list[str]:
-    """Fields of a new configuration that differ and cannot change in service; the seed is new with each file."""
+def needs_restart(current: PlatformConfig, new: PlatformConfig) -> list[str]:
+    """Returns the changed fields that need a restart; the seed differs in each file and is not compared."""
     pairs = {
-        "listen": (held.listen, told.listen),
-        "limits.sockets": (held.sockets, told.sockets),
-        "settings": (replace(held.settings, seed=0), replace(told.settings, seed=0)),
+        "listen": (current.listen, new.listen),
+        "limits.sockets": (current.sockets, new.sockets),
+        "settings": (replace(current.settings, seed=0), replace(new.settings, seed=0)),
     }
     return [name for name, (before, after) in pairs.items() if before != after]
 
 
 def specs(listing: Listing) -> list[ServerSpec]:
-    """The servers of a whole list."""
+    """Returns the servers of a complete list."""
     return [spec for spec in listing.entries.values() if spec is not None]
--- a/yardbank/platform/connection.py
+++ b/yardbank/platform/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: thin Twisted around ``ClientSession``."""
+"""Twisted protocol of one client connection, around ``ClientSession``."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from yardbank.platform.admission import State
 from yardbank.platform.client import ClientSession
 from yardbank.platform.closing import Event
-from yardbank.platform.lingering import Lingering
+from yardbank.platform.lingering import LingeringProtocol
 from yardbank.platform.pipeline import Command
 from yardbank.platform.statement import Operation, since_write
 
 if TYPE_CHECKING:
     from yardbank.platform.front import ClientFactory
 
-READ_SIZE = 16 << 10  # octets taken from a client at a time
-STOPPING = "the gateway is stopping"
+READ_SIZE = 16 << 10  # octets read from a client at a time
+STOPPING_REASON = "the gateway is stopping"
 
 
-class _Answer:
-    """The sink of one request: its answer goes to the command that asked."""
+class _AnswerSink:
+    """Receives the result of one request and passes it to the command that asked."""
 
     __slots__ = ("_command", "_connection", "_operation")
 
@@ -37,205 +37,205 @@
         self._operation = operation
 
     def part(self, payload: Any) -> None:
-        """Answers are gathered whole before they go anywhere."""
+        """Ignored: answers are passed on only when they are complete."""
 
     def served(self, payload: bytes) -> None:
-        self._connection.answer(self._command, client.served(payload))
+        self._connection.answer(self._command, client.encode_result(payload))
 
     def refused(self, retry_after: int, reason: str) -> None:
-        self._connection.answer(self._command, client.refused(retry_after // MS, reason))
+        self._connection.answer(self._command, client.encode_refusal(retry_after // MS, reason))
 
     def failed(self, reason: str) -> None:
-        """It may have run; if it never went out, it cannot have, and that is what is said."""
+        """The request may have run. If it was never sent it cannot have run, and the client is told so."""
         if self._operation.sent:
-            self._connection.answer(self._command, client.failed(reason))
+            self._connection.answer(self._command, client.encode_failure(reason))
             return
         factory = self._connection.factory
         factory.counts["failed_unsent"] += 1
-        self._connection.answer(self._command, client.refused(factory.come_again, reason))
+        self._connection.answer(self._command, client.encode_refusal(factory.retry_after_ms, reason))
 
 
 @implementer(IPushProducer)
-class ClientConnection(Lingering):
-    """One client's connection."""
+class ClientConnection(LingeringProtocol):
+    """One client connection."""
 
     def __init__(self, factory: ClientFactory, number: int) -> None:
         super().__init__()
         self.factory = factory
         self.number = number
         self._session = ClientSession(factory.request_classes, factory.open_ids)
-        self._advancing = self._stuck = self._paused = False
-        self._spoken = False  # something was answered: a request that crosses the end after that is sent again
+        self._advancing = self._writing_paused = self._reading_paused = False
+        self._has_answered = False  # a client that was answered before sends a request again if the close overtakes it
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Let it in, or another one go for it."""
+        """Registers the connection, which may be refused or take the place of another one."""
         self.transport.setTcpNoDelay(True)
         self.transport.bufferSize = READ_SIZE
         self.transport.registerProducer(self, True)
-        self.factory.arrived(self)
+        self.factory.client_connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Queries, in any split."""
-        if not self._closing.serves:
-            self._do(self._closing.drop(len(data)))
-            self._lingers()
+        """Receives queries, split at any octet."""
+        if not self._closing.accepts_requests:
+            self._perform(self._closing.discard(len(data)))
+            self._on_lingering()
             return
-        self._closing.on(Event.OCTETS)
+        self._closing.on_event(Event.DATA_RECEIVED)
         received = self._session.receive(data, self.factory.gateway.now())
         if received.output:
             self.transport.write(received.output)
-        if self._session.left:
+        if self._session.client_left:
             self._withdraw()
-        for command in received.hurried:
+        for command in received.expedited:
             if command.request is not None and command.operation is not None:
                 self.factory.gateway.shorten(command.request, command.operation.expires)
         self._advance()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008, N802
-        """The client has gone: nothing is owed to it any more."""
-        self._closing.on(Event.LOST)
-        self.factory.left(self)
+        """The client has disconnected: its open requests are withdrawn."""
+        self._closing.on_event(Event.CONNECTION_LOST)
+        self.factory.connection_lost(self)
         self._withdraw()
 
     def _withdraw(self) -> None:
-        """Take back all that the client waits for."""
+        """Withdraws everything that the client waits for."""
         for command in self._session.leave():
             if command.request is not None:
                 self.factory.gateway.leave(command.request)
 
     def present(self) -> bool:
-        """Whether the client is still there: not once its end has come, read or not."""
-        if not self._closing.serves or self._session.left:
+        """Whether the client is still connected; its disconnect counts even while it is unread in the socket."""
+        if not self._closing.accepts_requests or self._session.client_left:
             return False
         if presence.present(self.transport):
             return True
-        self._session.left = True
-        self._read_on()  # up to its end, which tells that the connection is lost
+        self._session.client_left = True
+        self._resume_reading()  # read up to the client's end, so that ``connectionLost`` is called
         return False
 
     def answer(self, command: Command, octets: bytes) -> None:
-        """The one final answer of a command; it is written in its turn."""
+        """Takes the one final answer of a command; it is written when its turn comes."""
         self._session.answered(command, octets)
         self._advance()
 
-    def owes(self) -> bool:
-        """Whether the client has asked, or is asking, for what it has not got, by what was read of it."""
+    def has_unfinished_request(self) -> bool:
+        """Whether the client has sent a request, or part of one, that is not answered; counts only what was read."""
         return self._session.state() in (State.BUSY, State.PARTIAL)
 
-    def let_go(self, reason: str) -> None:
-        """Close it unless octets of the client are unread: those are served first.
+    def close_if_nothing_unread(self, reason: str) -> None:
+        """Closes the connection unless unread data has arrived, which is served first.
 
-        With a word to a client whose request the end may cross and that would not send it again.
+        A final message goes to a client whose request may cross the close and who would not send it again.
         """
-        if self._spoken and self._session.state() is not State.PARTIAL:
-            self.close(b"")  # looks for unread octets right before the sending ends
+        if self._has_answered and self._session.state() is not State.PARTIAL:
+            self.close(b"")  # checks for unread data right before the sending side is shut down
         elif not self.unread():
-            self._turn_away(reason)
+            self._close_with_final_message(reason)
 
-    def _turn_away(self, reason: str) -> None:
-        """Close it with the message that what may be on its way never ran."""
-        self.close(client.turned_away(self.factory.come_again, reason))
+    def _close_with_final_message(self, reason: str) -> None:
+        """Closes with a message that says that requests still on their way never ran."""
+        self.close(client.encode_nothing_ran(self.factory.retry_after_ms, reason))
 
     def reject(self, reason: str, last: bytes) -> None:
-        """The client sent what cannot be served: it is told so, and nothing of it is waited for."""
-        self.factory.rejected(reason)
+        """Closes with an error after input that cannot be served, without waiting for further input."""
+        self.factory.client_rejected(reason)
         self.close(last, Event.REJECTED)
 
-    def _lingers(self) -> None:
-        self.factory.lingers(self)
+    def _on_lingering(self) -> None:
+        self.factory.connection_lingering(self)
 
     def service_ended(self, unread: bool) -> None:
-        """Nothing of the client is served any more: count it if its request was read, or found unread, in vain."""
-        swallowed = not self._spoken or self.owes() or unread
-        if swallowed and not self._told_last and not self._session.left:
+        """Counts a connection whose request was read, or found unread, and will not be answered."""
+        lost_request = not self._has_answered or self.has_unfinished_request() or unread
+        if lost_request and not self._final_message_sent and not self._session.client_left:
             self.factory.counts["closed_unanswered"] += 1
-        self.factory.closes(self)
-        self._read_on()
+        self.factory.connection_closing(self)
+        self._resume_reading()
 
     def _advance(self) -> None:
-        """Write what is answered and hand over what is next; an answer that comes at once comes back here."""
-        if self._advancing or not self._closing.serves:
+        """Writes finished answers and dispatches the next commands; called again by answers that come at once."""
+        if self._advancing or not self._closing.accepts_requests:
             return
         self._advancing = True
         try:
-            while self._closing.serves and self._step():
+            while self._closing.accepts_requests and self._process_next():
                 pass
         finally:
             self._advancing = False
-        if not self._closing.serves:
+        if not self._closing.accepts_requests:
             return
-        self.factory.became(self, State.STUCK if self._stuck else self._session.state())
-        if self._session.left:
+        self.factory.connection_state_changed(self, State.STUCK if self._writing_paused else self._session.state())
+        if self._session.client_left:
             self._withdraw()
             self.close(b"")
             return
-        if self.factory.stopping and not self._stuck:
-            self._end_if_stopping()
-        if self._closing.serves:
+        if self.factory.stopping and not self._writing_paused:
+            self._close_if_stopping()
+        if self._closing.accepts_requests:
             self._regulate_reading()
 
-    def _end_if_stopping(self) -> None:
-        """Close it where it owes nothing; in the last round half a request is not waited for either."""
+    def _close_if_stopping(self) -> None:
+        """Closes the connection if nothing is unanswered, or half a request is while all connections are closed."""
         state = self._session.state()
         if state is State.IDLE:
-            self.let_go(STOPPING)
-        elif state is State.PARTIAL and self.factory.in_last_round:
-            self._turn_away(STOPPING)
-
-    def asked_meanwhile(self) -> None:
-        """The client has asked again before the end: it is served, or in the last round told the end as its answer."""
-        if self.factory.in_last_round:
-            self._turn_away(STOPPING)
+            self.close_if_nothing_unread(STOPPING_REASON)
+        elif state is State.PARTIAL and self.factory.is_closing_all:
+            self._close_with_final_message(STOPPING_REASON)
+
+    def data_before_close(self) -> None:
+        """Serves a request that arrived before the close, or refuses it while all connections are closed."""
+        if self.factory.is_closing_all:
+            self._close_with_final_message(STOPPING_REASON)
         else:
-            super().asked_meanwhile()
+            super().data_before_close()
 
     def _regulate_reading(self) -> None:
-        """Stop reading where too much waits, here or in all; go on where little does.
+        """Pauses reading when too much is queued, on this connection or in total, and resumes it when little is.
 
-        An end that waits has to hear of octets, so a connection that owes nothing is always read.
+        A close that waits must notice incoming data, so a connection without unanswered requests is always read.
         """
-        fits = self.factory.occupies(self.number, self._session.occupied, self._session.wanted)
-        if self._session.full and not self._paused:
-            self.factory.queue_bound(len(self._session.pipeline))
-        if self._session.full or not fits:
-            self._stop_reading()
-        elif self._session.roomy:
-            self._read_on()
+        fits = self.factory.reserve_memory(self.number, self._session.occupied_octets, self._session.wanted_octets)
+        if self._session.is_full and not self._reading_paused:
+            self.factory.queue_limit_reached(len(self._session.pipeline))
+        if self._session.is_full or not fits:
+            self._pause_reading()
+        elif self._session.may_resume:
+            self._resume_reading()
 
     def memory_freed(self) -> None:
-        """It waited for memory, and there is some."""
-        if self._closing.serves:
+        """Reads on after waiting for memory."""
+        if self._closing.accepts_requests:
             self._regulate_reading()
 
-    def _stop_reading(self) -> None:
-        if not self._paused:
-            self._paused = True
+    def _pause_reading(self) -> None:
+        if not self._reading_paused:
+            self._reading_paused = True
             self.transport.pauseProducing()
 
-    def _step(self) -> bool:
-        """One step with the commands; whether there was one."""
+    def _process_next(self) -> bool:
+        """Takes one step with the queued commands. Returns whether there was one."""
         pipeline = self._session.pipeline
-        if self._session.left:
+        if self._session.client_left:
             return False
         if answers := pipeline.take_answers():
-            self._spoken = True
+            self._has_answered = True
             self.transport.write(answers)
             return True
-        if (last := pipeline.last_word()) is not None:
-            self.reject(last.last, last.answer)
+        if (last := pipeline.closing_command()) is not None:
+            self.reject(last.close_reason, last.answer)
             return False
-        if self._stuck or (command := pipeline.next(self.factory.has_room_for_more())) is None:
+        if self._writing_paused or (command := pipeline.next(self.factory.may_open_more())) is None:
             return False
-        self._hand_over(command)
+        self._dispatch(command)
         return True
 
-    def _read_on(self) -> None:
-        if self._paused:
-            self._paused = False
+    def _resume_reading(self) -> None:
+        if self._reading_paused:
+            self._reading_paused = False
             self.transport.resumeProducing()
 
-    def _hand_over(self, command: Command) -> None:
-        """Hand a command over to the gateway, unless its client has gone meanwhile."""
+    def _dispatch(self, command: Command) -> None:
+        """Passes a command to the gateway, unless its client has disconnected meanwhile."""
         operation, gateway = command.operation, self.factory.gateway
         if operation is None or not self.present():
             self._withdraw()
@@ -245,7 +245,7 @@
             class_name=request_class.name,
             group=statement.group,
             operation=operation,
-            sink=_Answer(self, command, operation),
+            sink=_AnswerSink(self, command, operation),
             session=statement.key if request_class.read in ("session", "write") else None,
             since_write=since_write(statement, gateway.now()),
             expires=operation.expires,
@@ -256,13 +256,13 @@
     # IPushProducer, for answers that the client does not read
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Too much is unsent: nothing more is taken up."""
-        self._stuck = True
+        """Too much is unsent: no further commands are dispatched."""
+        self._writing_paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """It reads again."""
-        self._stuck = False
+        """The client reads again."""
+        self._writing_paused = False
         self._advance()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The connection is lost; ``connectionLost`` says so."""
+        """Nothing to do: ``connectionLost`` follows."""
--- a/yardbank/platform/discovery.py
+++ b/yardbank/platform/discovery.py
@@ -1,4 +1,4 @@
-"""One watch of discovery's list: what is asked, and what its answer brings, as it comes. No I/O; HTTP by h11."""
+"""One HTTP watch of discovery's list: the request, and the lists parsed from the response as it arrives. No I/O."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from yardbank.platform.json_stream import StreamParser, Token
 from yardbank.platform.listing import Listing, parse_listing
 
-MAX_HEAD = 16 << 10  # of the head of an answer, of a chunk, of trailers; data are passed on as they come
+MAX_HEAD_OCTETS = 16 << 10  # for the response head, a chunk header and trailers; data is passed on as it arrives
 
 
 class HttpError(ValueError):
-    """The answer is no HTTP that is understood."""
+    """The response is not valid or not successful HTTP."""
 
 
 class Watch:
-    """One watch. ``answered``: the head of its answer is there; ``done``: the answer has ended."""
+    """One watch. ``head_received``: the head of the response has arrived; ``done``: the response has ended."""
 
     def __init__(self, host: str, generation: int) -> None:
-        self._http = h11.Connection(h11.CLIENT, MAX_HEAD)
+        self._http = h11.Connection(h11.CLIENT, MAX_HEAD_OCTETS)
         self._parser = StreamParser()
-        self.answered = self.done = False
-        asked = h11.Request(
+        self.head_received = self.done = False
+        http_request = h11.Request(
             method="GET",
             target=f"/discovery/hosts?stream=1&index={generation}",
             headers=[("Host", host), ("Accept", "application/json"), ("User-Agent", "yardbank")],
         )
-        self.request = (self._http.send(asked) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
+        self.request = (self._http.send(http_request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
 
     @property
-    def waiting(self) -> int:
-        """Octets of a list under way."""
-        return self._parser.waiting
+    def buffered_octets(self) -> int:
+        """Octets of an incomplete list."""
+        return self._parser.buffered_octets
 
     def receive(self, data: bytes) -> Iterator[Listing | Token]:
-        """Lists as they are whole, and signs of life between them, from octets in any split.
+        """Takes octets, split anywhere; yields lists as they are complete, and signs of activity between them.
 
-        Raises ``ValueError``: the watch is of no further use, and what had come whole before stands.
+        Raises ``ValueError`` when the watch is unusable; lists that were yielded before remain valid.
         """
         for part in self._body(data):
             for found in self._parser.feed(part):
@@ -56,7 +56,7 @@
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
                         raise HttpError(f"status {event.status_code}")
-                    self.answered = True
+                    self.head_received = True
                 elif isinstance(event, h11.Data):
                     yield bytes(event.data)
                 elif not isinstance(event, h11.InformationalResponse):
