--- a/yardbank/platform/front.py
+++ b/yardbank/platform/front.py
@@ -1,4 +1,4 @@
-"""The platform's clients, all of them: which connections stay is ``Admission``'s."""
+"""Twisted factory of all client connections; ``Admission`` decides which of them are kept."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from yardbank.interface import RequestClass
 from yardbank.platform import client
 from yardbank.platform.admission import Admission, Descriptors, State, may_pipeline
-from yardbank.platform.closing import LINGER
-from yardbank.platform.connection import STOPPING, ClientConnection
+from yardbank.platform.closing import LINGER_TIMEOUT
+from yardbank.platform.connection import STOPPING_REASON, ClientConnection
 from yardbank.platform.memory_budget import MemoryBudget
 
-COME_AGAIN = 250 * MS  # told to a connection for which there is no room
-LOG_EVERY = 1000 * MS  # of what clients can cause at will
+FULL_RETRY_AFTER = 250 * MS  # sent to a connection that is turned away
+LOG_INTERVAL = 1000 * MS  # between log lines of one event that clients can cause at will
 
 
 class ClientFactory(Factory):
@@ -42,77 +42,83 @@
         self._descriptors = descriptors
         self._memory = memory
         self._is_resuming = False
-        self.come_again = min(gateway.settings.max_retry_after, COME_AGAIN) // MS
+        self.retry_after_ms = min(gateway.settings.max_retry_after, FULL_RETRY_AFTER) // MS
         self.open_ids: set[str] = set()
         self.stopping = False
-        self.in_last_round = False  # all that was taken is answered; each connection is read once more at most
+        self.is_closing_all = False  # everything taken is answered; each connection is read at most once more
         self.counts = dict.fromkeys(
             ("arrived", "rejected", "turned_away", "timed_out", "failed_unsent", "closed_unanswered"), 0
         )
         self._connections: dict[int, ClientConnection] = {}
-        self._closing: dict[int, int] = {}  # connections that are being closed, the oldest first: since when
+        self._closing_since: dict[int, int] = {}  # when the close of each connection began, oldest first
         self._numbers = count()
         self._cancel_sweep: Callable[[], None] | None = None
-        self._said_at: dict[str, int] = {}  # by event: when it was last logged
-        self._emptied: Callable[[], None] | None = None
-        self._when_room: Callable[[], None] | None = None
+        self._logged_at: dict[str, int] = {}  # when each event was last logged
+        self._on_empty: Callable[[], None] | None = None
+        self._call_when_capacity: Callable[[], None] | None = None
 
     @property
-    def held(self) -> int:
-        """Connections that hold a descriptor, those that are being closed among them."""
-        return len(self.admission) + len(self._closing)
-
-    def room(self) -> int:
-        """How many connections may be accepted now; where there is none, the oldest that are being closed make way."""
-        room = self._descriptors.for_clients(self.gateway.server_connections) + self._descriptors.closing - self.held
-        if room > 0 or not self._closing:
-            return max(1, room)
-        for number in list(self._closing):
-            self._connections[number].make_way()
+    def open_descriptors(self) -> int:
+        """Connections that hold a descriptor, including those that are closing."""
+        return len(self.admission) + len(self._closing_since)
+
+    def accept_capacity(self) -> int:
+        """Returns how many connections may be accepted now; at 0, the oldest closing connections free theirs."""
+        capacity = (
+            self._descriptors.max_clients(self.gateway.server_connections)
+            + self._descriptors.closing
+            - self.open_descriptors
+        )
+        if capacity > 0 or not self._closing_since:
+            return max(1, capacity)
+        for number in list(self._closing_since):
+            self._connections[number].release_descriptor()
         return 0
 
-    def when_room(self, call: Callable[[], None]) -> None:
-        """``call`` once a connection has left: until then nothing is accepted."""
-        self._when_room = call
+    def call_when_capacity(self, call: Callable[[], None]) -> None:
+        """Calls ``call`` once a connection is lost; until then nothing is accepted."""
+        self._call_when_capacity = call
 
     def buildProtocol(self, addr: Any) -> ClientConnection:  # noqa: N802
-        """Make the protocol of a connection that was accepted."""
+        """Builds the protocol of an accepted connection."""
         return ClientConnection(self, next(self._numbers))
 
-    def arrived(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+    def client_connected(self, connection: ClientConnection) -> None:
+        """Registers a new connection, which may be refused or take the place of an idle one."""
         self.counts["arrived"] += 1
         now = self.gateway.now()
-        most = self._descriptors.for_clients(self.gateway.server_connections)
-        way = self.admission.arrived(connection.number, now, most)
-        if way is not None:
+        limit = self._descriptors.max_clients(self.gateway.server_connections)
+        evicted = self.admission.connected(connection.number, now, limit)
+        if evicted is not None:
             self.counts["turned_away"] += 1
-            self._warn("client_connections_bound", bound=most)
+            self._warn("client_connections_bound", bound=limit)
         self._connections[connection.number] = connection
         if self._cancel_sweep is None:
-            self._arm()
-        if way == connection.number:
-            connection.close(client.full(self.come_again, "too many connections"))
+            self._schedule_sweep()
+        if evicted == connection.number:
+            connection.close(client.encode_no_capacity(self.retry_after_ms, "too many connections"))
             return
-        if way is not None:
-            self._connections[way].close(client.full(self.come_again, "too many connections: this one was not in use"))
+        if evicted is not None:
+            self._connections[evicted].close(
+                client.encode_no_capacity(self.retry_after_ms, "too many connections: this one was not in use")
+            )
 
-    def has_room_for_more(self) -> bool:
+    def may_open_more(self) -> bool:
         """Whether a connection may have more than one request open now."""
-        for_servers = self._descriptors.for_servers(self.held)
-        return not self._memory.is_full and may_pipeline(self.gateway.unanswered, for_servers)
+        max_servers = self._descriptors.max_servers(self.open_descriptors)
+        return not self._memory.is_full and may_pipeline(self.gateway.unanswered, max_servers)
 
-    def became(self, connection: ClientConnection, state: State) -> None:
-        """What a connection is about now."""
+    def connection_state_changed(self, connection: ClientConnection, state: State) -> None:
+        """Tells admission the state of a connection."""
         now = self.gateway.now()
-        self.admission.became(connection.number, state, now)
+        self.admission.set_state(connection.number, state, now)
         if state is State.IDLE:
-            self.admission.served(connection.number, now)
+            self.admission.touch(connection.number, now)
 
-    def occupies(self, number: int, occupied: int, wanted: int) -> bool:
-        """What a connection occupies of memory, and wants; whether that fits with what all others do."""
+    def reserve_memory(self, number: int, occupied: int, wanted: int) -> bool:
+        """Reserves memory for a connection. Returns whether it fits the budget of all connections."""
         used = self._memory.used
-        fits = self._memory.take(number, occupied, wanted)
+        fits = self._memory.reserve(number, occupied, wanted)
         if not fits:
             self._warn("client_memory_bound", limit=self._memory.limit)
         if self._memory.used < used:
@@ -120,7 +126,7 @@
         return fits
 
     def _resume_waiting(self) -> None:
-        """Octets are free: connections that wait for them go on."""
+        """Resumes connections that wait for memory."""
         if self._is_resuming:
             return
         self._is_resuming = True
@@ -134,92 +140,93 @@
         self._memory.release(number)
         self._resume_waiting()
 
-    def closes(self, connection: ClientConnection) -> None:
-        """Nothing of a connection is served any more; it holds its descriptor until it has left."""
-        self.admission.left(connection.number)
+    def connection_closing(self, connection: ClientConnection) -> None:
+        """No more requests of the connection are served; it holds its descriptor until it is lost."""
+        self.admission.remove(connection.number)
         self._release_memory(connection.number)
-        self._closing.setdefault(connection.number, self.gateway.now())
+        self._closing_since.setdefault(connection.number, self.gateway.now())
 
-    def lingers(self, connection: ClientConnection) -> None:
-        """All that is left of a connection is to wait for its client's end."""
-        if self._when_room is not None:
-            connection.make_way()
+    def connection_lingering(self, connection: ClientConnection) -> None:
+        """The connection only waits for its client to close."""
+        if self._call_when_capacity is not None:
+            connection.release_descriptor()
 
-    def left(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
-        self.admission.left(connection.number)
-        self._closing.pop(connection.number, None)
+    def connection_lost(self, connection: ClientConnection) -> None:
+        """Forgets a lost connection."""
+        self.admission.remove(connection.number)
+        self._closing_since.pop(connection.number, None)
         self._connections.pop(connection.number, None)
         self._release_memory(connection.number)
-        when_room, self._when_room = self._when_room, None
-        if when_room is not None:
-            when_room()
-        if self._emptied is not None and not self._connections:
-            self._emptied()
-
-    def rejected(self, reason: str) -> None:
-        """A client sent what cannot be served."""
+        call_when_capacity, self._call_when_capacity = self._call_when_capacity, None
+        if call_when_capacity is not None:
+            call_when_capacity()
+        if self._on_empty is not None and not self._connections:
+            self._on_empty()
+
+    def client_rejected(self, reason: str) -> None:
+        """Counts a client that sent what cannot be served."""
         self.counts["rejected"] += 1
         self._warn("client_rejected", reason=reason[:200], rejected=self.counts["rejected"])
 
-    def queue_bound(self, waiting: int) -> None:
-        """So many queries wait on one connection that it is not read any more for now."""
+    def queue_limit_reached(self, waiting: int) -> None:
+        """Logs that so many queries wait on one connection that reading from it is paused."""
         self._warn("client_queue_bound", waiting=waiting)
 
     def _warn(self, event: str, **facts: Any) -> None:
-        """The first of each event in a second; the view has the counts."""
+        """Logs the first occurrence of each event in a second; the ``view`` event has the counts."""
         now = self.gateway.now()
-        if now - self._said_at.get(event, now - LOG_EVERY) >= LOG_EVERY:
-            self._said_at[event] = now
+        if now - self._logged_at.get(event, now - LOG_INTERVAL) >= LOG_INTERVAL:
+            self._logged_at[event] = now
             self._log.warning(event, **facts)
 
-    def _arm(self) -> None:
+    def _schedule_sweep(self) -> None:
         self._cancel_sweep = self.gateway.call_at(self.gateway.now() + 250 * MS, self._sweep)
 
     def _sweep(self) -> None:
-        """One timer for all connections, and none while there are none."""
+        """Closes connections whose time is up. One timer serves all connections; none runs while there are none."""
         self._cancel_sweep = None
         now = self.gateway.now()
-        for number, state in self.admission.overdue(now):
+        for number, state in self.admission.timed_out(now):
             connection, reason = self._connections[number], f"the connection {state.value}"
             if state is State.IDLE:
-                if connection.ending:
-                    connection.overdue()
-                else:  # if it has just asked, it stays and is served
-                    connection.let_go(reason)
+                if connection.is_closing:
+                    connection.close_timed_out()
+                else:  # if it has just sent a request, it stays open and is served
+                    connection.close_if_nothing_unread(reason)
                 continue
             self.counts["timed_out"] += 1
-            if state is State.STUCK or connection.ending:
-                connection.cut()
+            if state is State.STUCK or connection.is_closing:
+                connection.abort()
             else:
-                connection.close(client.turned_away(self.come_again, reason))
-        for number in [number for number, since in self._closing.items() if now - since >= LINGER]:
-            self._connections[number].overdue()
+                connection.close(client.encode_nothing_ran(self.retry_after_ms, reason))
+        for number in [number for number, since in self._closing_since.items() if now - since >= LINGER_TIMEOUT]:
+            self._connections[number].close_timed_out()
         if self._connections:
-            self._arm()
+            self._schedule_sweep()
 
     def close_idle(self) -> None:
-        """The gateway stops: whatever owes its client nothing is closed, the others once they are answered."""
+        """Stops: closes connections without unanswered requests; the others close once they are answered."""
         self.stopping = True
         for number in self.admission.closable():
-            if (connection := self._connections.get(number)) and not connection.owes():
-                connection.let_go(STOPPING)
+            if (connection := self._connections.get(number)) and not connection.has_unfinished_request():
+                connection.close_if_nothing_unread(STOPPING_REASON)
 
-    def close_all(self, emptied: Callable[[], None]) -> None:
-        """All that was taken is answered; ``emptied`` is called when the last connection is gone.
+    def close_all(self, on_empty: Callable[[], None]) -> None:
+        """Closes all connections, after every request was answered. ``on_empty`` is called when the last one is lost.
 
-        One that has just been written to stays: what it brings is refused, and what comes behind that is told the end.
+        A connection that has just been written to stays open: a request that it still sends is refused, and
+        anything after that is answered with the final message.
         """
-        self._emptied = emptied
+        self._on_empty = on_empty
         if not self._connections:
-            emptied()
+            on_empty()
         for connection in list(self._connections.values()):
-            if not connection.ending:
-                connection.let_go(STOPPING)
-        self.in_last_round = True
+            if not connection.is_closing:
+                connection.close_if_nothing_unread(STOPPING_REASON)
+        self.is_closing_all = True
 
-    def cut_all(self) -> None:
-        """Nothing is waited for any longer."""
+    def abort_all(self) -> None:
+        """Closes everything at once."""
         for connection in list(self._connections.values()):
-            connection.overdue()
-            connection.cut()
+            connection.close_timed_out()
+            connection.abort()
--- a/yardbank/platform/lingering.py
+++ b/yardbank/platform/lingering.py
@@ -1,4 +1,4 @@
-"""Thin Twisted around ``closing.Closing``: what a connection's end does at its transport."""
+"""Twisted protocol that closes its transport as ``closing.LingeringClose`` says."""
 
 from __future__ import annotations
 
@@ -7,98 +7,98 @@
 from twisted.internet.protocol import Protocol
 
 from yardbank.gateway import presence
-from yardbank.platform.closing import Closing, Event, Stage, Step
+from yardbank.platform.closing import Action, Event, LingeringClose, Stage
 
 
-class Lingering(Protocol):
-    """A connection that ends by a lingering close. It is in use while ``_closing.serves``."""
+class LingeringProtocol(Protocol):
+    """A connection that ends with a lingering close. It serves requests while ``_closing.accepts_requests``."""
 
     transport: Any
 
     def __init__(self) -> None:
-        self._closing = Closing()
-        self._told_last = False  # it had its last word
+        self._closing = LingeringClose()
+        self._final_message_sent = False
         self._service_ended = False
 
     def unread(self) -> bool:
-        """Whether octets of the client wait in the socket: closing it would swallow them."""
+        """Whether data of the client is unread in the socket; closing now would discard it."""
         return presence.unread(self.transport)
 
-    def close(self, last: bytes, how: Event = Event.WORD) -> None:
-        """End it, with a last word if there is one; without one, a request that comes first is still served."""
-        if not self._closing.serves:
+    def close(self, last: bytes, how: Event = Event.FINAL_MESSAGE) -> None:
+        """Starts the close, with ``last`` as final message; without one, a request that comes first is served."""
+        if not self._closing.accepts_requests:
             return
         if last:
             self.transport.write(last)
-            self._told_last = True
-        self._do(self._closing.on(how if last else Event.ASKED))
+            self._final_message_sent = True
+        self._perform(self._closing.on_event(how if last else Event.CLOSE_REQUESTED))
 
-    def overdue(self) -> None:
-        """Its end has taken long enough."""
-        self._do(self._closing.on(Event.TIME))
+    def close_timed_out(self) -> None:
+        """Ends a close that has taken too long."""
+        self._perform(self._closing.on_event(Event.TIMEOUT))
 
-    def make_way(self) -> None:
-        """Its descriptor is wanted: close it early, if all it can do is wait for the other end's end."""
+    def release_descriptor(self) -> None:
+        """Closes early to free the descriptor, if all that is left is to wait for the client to close."""
         if self._closing.stage is Stage.LINGERING and not self.unread():
-            self.overdue()
+            self.close_timed_out()
 
-    def cut(self) -> None:
-        """Close at once."""
-        self._do(self._closing.on(Event.CUT))
+    def abort(self) -> None:
+        """Closes at once."""
+        self._perform(self._closing.on_event(Event.ABORTED))
 
     @property
-    def ending(self) -> bool:
-        """Whether its end is under way."""
+    def is_closing(self) -> bool:
+        """Whether the close has started."""
         return self._closing.stage is not Stage.OPEN
 
-    def written(self) -> None:
-        """All that was written is out: an end that waited for it goes on, unless the client has asked meanwhile."""
-        self._go_on(Event.WRITTEN)
+    def all_written(self) -> None:
+        """Called when everything is written: a close that waited for it continues, unless a request has arrived."""
+        self._continue_close(Event.ALL_WRITTEN)
 
-    def _go_on(self, event: Event) -> None:
-        """Go on with an end that waited, unless the client has asked meanwhile: the one look that decides it."""
+    def _continue_close(self, event: Event) -> None:
+        """Continues a waiting close unless data has arrived; the socket is checked once, here, for that decision."""
         if self._closing.stage is Stage.DRAINING and self.unread():
-            self.asked_meanwhile()
+            self.data_before_close()
             return
-        self._do(self._closing.on(event))
+        self._perform(self._closing.on_event(event))
 
-    def asked_meanwhile(self) -> None:
-        """Octets of the client were found before the end: the connection stays and they are read."""
-        self._closing.on(Event.OCTETS)
+    def data_before_close(self) -> None:
+        """Called when data of the client is found before the close: the connection stays open and the data is read."""
+        self._closing.on_event(Event.DATA_RECEIVED)
 
-    def _do(self, step: Step) -> None:
-        if step is Step.FLUSH:
+    def _perform(self, action: Action) -> None:
+        if action is Action.FLUSH:
             self._flush()
-        elif step is Step.SHUT:
-            self.transport.end_sending()  # right behind the look: what comes from here on crosses the end
+        elif action is Action.SHUTDOWN_WRITE:
+            self.transport.shutdown_write()  # right after the check for unread data: later data is not served
             self._end_service(unread=False)
-            self._lingers()
-        elif step is Step.RESET:
+            self._on_lingering()
+        elif action is Action.RESET:
             self._end_service(unread=self.unread())
             self.transport.abortConnection()
-        elif step is Step.CLOSE:
+        elif action is Action.CLOSE:
             self._end_service(unread=self.unread())
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
     def _flush(self) -> None:
-        """Go on at once if nothing is unsent; else the transport says when all is written."""
-        if self._closing.stage is Stage.SAYING:
+        """Continues at once if nothing is unsent; otherwise the transport calls ``all_written``."""
+        if self._closing.stage is Stage.SENDING_FINAL:
             self._end_service(unread=False)
         unsent = getattr(self.transport, "unsent", None)
-        if unsent is None:  # a transport that cannot end its sending alone
-            self._go_on(Event.REJECTED)
+        if unsent is None:  # a transport that cannot shut down its sending side alone
+            self._continue_close(Event.REJECTED)
         elif not unsent:
-            self._go_on(Event.WRITTEN)
+            self._continue_close(Event.ALL_WRITTEN)
 
     def _end_service(self, unread: bool) -> None:
-        """From here on nothing of the client is served; ``unread``: whether octets of it were found in the socket."""
+        """Marks the end of service; ``unread``: whether data of the client was found in the socket."""
         if not self._service_ended:
             self._service_ended = True
             self.service_ended(unread)
 
     def service_ended(self, unread: bool) -> None:
-        """Told once, when nothing of the client is served any more; see ``_end_service``."""
+        """Called once, when no more requests of the client are served; see ``_end_service``."""
 
-    def _lingers(self) -> None:
-        """The sending has ended, or more of what came after that was read."""
+    def _on_lingering(self) -> None:
+        """Called when the sending side is shut down, and after each read that follows."""
--- a/yardbank/platform/listening.py
+++ b/yardbank/platform/listening.py
@@ -1,4 +1,4 @@
-"""Twisted's listening port for clients: accepts no more at a time than there is room for, and says what is unsent."""
+"""Twisted listening port for clients: limits how many connections it accepts and reports when everything is written."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class ClientTransport(Server):
-    """One accepted connection; its protocol's ``written`` is called whenever all that was written is out."""
+    """One accepted connection; calls its protocol's ``all_written`` whenever nothing is left unsent."""
 
     unsent = False
 
     def startWriting(self) -> None:  # noqa: N802
-        """Something is unsent."""
+        """Notes that data is unsent."""
         self.unsent = True
         super().startWriting()
 
     def stopWriting(self) -> None:  # noqa: N802
-        """All is written, or the connection ends."""
+        """Called when all data is written or the connection ends."""
         super().stopWriting()
         if self.unsent and self.connected:
             self.unsent = False
-            self.protocol.written()
+            self.protocol.all_written()
 
-    def end_sending(self) -> None:
-        """End the sending side in this very turn; nothing may be unsent."""
+    def shutdown_write(self) -> None:
+        """Shuts down the sending side within this reactor turn; nothing may be unsent."""
         try:
             self.socket.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # the other end is gone: reading will tell
+            pass  # the client is gone: the next read reports it
 
 
 class ClientPort(Port):
-    """Its factory's ``room`` says how many connections may be accepted now, ``when_room`` tells when to go on."""
+    """Accepts as many connections as its factory's ``accept_capacity`` allows; resumes by ``call_when_capacity``."""
 
     transport = ClientTransport
     factory: Any
@@ -46,37 +46,37 @@
         super().__init__(port, factory, BACKLOG, interface, reactor)
 
     def doRead(self) -> None:  # noqa: N802
-        """Accept, but only as many as there are descriptors for."""
-        if (most := min(self.numberAccepts, self.factory.room())) > 0:
-            self.numberAccepts = most
+        """Accepts no more connections than there are descriptors for."""
+        if (limit := min(self.numberAccepts, self.factory.accept_capacity())) > 0:
+            self.numberAccepts = limit
             super().doRead()
         else:
-            self.stopReading()  # who waits would wake the reactor again and again
-            self.factory.when_room(self._go_on)
+            self.stopReading()  # a waiting connection would wake the reactor again and again
+            self.factory.call_when_capacity(self._resume_accepting)
 
-    def _go_on(self) -> None:
+    def _resume_accepting(self) -> None:
         if self.connected and not self.disconnecting:
             self.startReading()
 
     def accept_waiting(self) -> bool:
-        """Accept all that have connected, as far as there is room now; whether some still wait."""
+        """Accepts all waiting connections as far as there is capacity. Returns whether some still wait."""
         for _ in range(BACKLOG):
             before = self.sessionno
             self.doRead()
             if self.sessionno == before:
                 break
-        look = select.poll()
-        look.register(self.socket, select.POLLIN)
-        return bool(look.poll(0))
+        poller = select.poll()
+        poller.register(self.socket, select.POLLIN)
+        return bool(poller.poll(0))
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Closing the port resets whoever waits to be accepted: they are, in the very turn."""
+        """Accepts waiting connections in the same turn first, as closing the port would reset them."""
         self.accept_waiting()
         super().connectionLost(reason)
 
 
 def listen(reactor: Any, host: str, port: int, factory: Any) -> Any:
-    """Listen for clients. Raises ``CannotListenError``."""
+    """Listens for clients. Raises ``CannotListenError``."""
     made = ClientPort(port, factory, host, reactor)
     made.startListening()
     return made
--- a/yardbank/platform/listing.py
+++ b/yardbank/platform/listing.py
@@ -1,7 +1,6 @@
-"""Discovery's lists of servers, from JSON to the gateway's terms. No I/O.
+"""Parses discovery's lists of servers. No I/O.
 
-Fields are checked by their types as they are read; unknown ones are skipped. An entry that is gone needs no more than
-its name: whatever else it holds is not looked at.
+Field types are checked while decoding; unknown fields are skipped. For an entry that is gone only the name is read.
 """
 
 from __future__ import annotations
@@ -18,33 +17,33 @@
 
 STATES = {"Ready": "ready", "Terminating": "draining"}
 MAX_ENTRIES = 10_000
-_AT = re.compile(r"(?P<fault>.*?)(?: - at `\$(?P<path>.*)`)?\Z", re.DOTALL)
+_FAULT_AND_PATH = re.compile(r"(?P<fault>.*?)(?: - at `\$(?P<path>.*)`)?\Z", re.DOTALL)
 _MISSING = re.compile(r"Object missing required field `(.*)`\Z")
 
 
 class ListingError(ValueError):
-    """What discovery sent is no list; the text names the entry and the field."""
+    """Discovery sent an invalid list; the text names the entry and the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """A list, whole (``reset``) or what changed; None stands for a server that is gone."""
+    """A complete list (``reset``) or a set of changes; None stands for a removed server."""
 
     generation: int
     reset: bool
     entries: Mapping[str, ServerSpec | None]
 
 
-def joined(lists: Sequence[Listing]) -> Listing:
-    """Lists that came one after the other as one: no decision falls between what was there at the same instant."""
-    whole = max((at for at, listing in enumerate(lists) if listing.reset), default=0)
+def merge_listings(lists: Sequence[Listing]) -> Listing:
+    """Merges consecutive lists into one, so that no decision is made between lists that arrived together."""
+    last_reset = max((at for at, listing in enumerate(lists) if listing.reset), default=0)
     entries: dict[str, ServerSpec | None] = {}
-    for listing in lists[whole:]:
+    for listing in lists[last_reset:]:
         entries.update(listing.entries)
-    return Listing(lists[-1].generation, lists[whole].reset, entries)
+    return Listing(lists[-1].generation, lists[last_reset].reset, entries)
 
 
-class _Gone(msgspec.Struct, rename="camel"):
+class _GoneEntry(msgspec.Struct, rename="camel"):
     instance_id: str
     lifecycle: Literal["Gone"]
 
@@ -56,25 +55,25 @@
     zone: str = ""
     cell: int = 0
     part: Any = None
-    started_at_ms: Any = None  # these two: a number, or whatever is as good as nothing
+    started_at_ms: Any = None  # these two: a number, or any falsy value for none
     weight: Any = None
 
 
-class _List(msgspec.Struct):
+class _Message(msgspec.Struct):
     instances: list[msgspec.Raw]
     generation: int = 0
     reset: bool = True
 
 
-_read_list = msgspec.json.Decoder(_List).decode
+_read_message = msgspec.json.Decoder(_Message).decode
 _read_entry = msgspec.json.Decoder(_Entry).decode
-_read_gone = msgspec.json.Decoder(_Gone).decode
+_read_gone = msgspec.json.Decoder(_GoneEntry).decode
 
 
 def describe_fault(problem: msgspec.ValidationError, within: str = "") -> str:
-    """A fault in a document, with its field named first."""
-    found = _AT.match(str(problem))
-    assert found is not None  # it matches anything
+    """Describes a validation error, with the field first."""
+    found = _FAULT_AND_PATH.match(str(problem))
+    assert found is not None  # the pattern matches any text
     path, fault = within + (found["path"] or ""), found["fault"]
     if missing := _MISSING.match(fault):
         path, fault = f"{path}.{missing[1]}", "missing"
@@ -83,64 +82,64 @@
 
 
 def read_port(address: str) -> tuple[str, int] | None:
-    """``host:port``; None if it is none."""
+    """Parses ``host:port``; None if it is invalid."""
     host, _, port = address.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or len(port) > 99:
         return None
     return (host, int(port)) if 0 < int(port) < 1 << 16 else None
 
 
-def _number(told: Any, name: str, where: str) -> float:
-    """A number, 0 for whatever is as good as nothing; finite."""
-    if not told:
+def _parse_number(value: Any, name: str, path: str) -> float:
+    """Checks a number, which must be finite; any falsy value counts as 0."""
+    if not value:
         return 0
     try:
-        if isinstance(told, bool) or not isinstance(told, int | float) or not math.isfinite(told):
-            raise ListingError(f"{where}.{name}: {told!r}"[:200])
+        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+            raise ListingError(f"{path}.{name}: {value!r}"[:200])
     except OverflowError:
-        raise ListingError(f"{where}.{name}: too large") from None
-    return told
+        raise ListingError(f"{path}.{name}: too large") from None
+    return value
 
 
-def _entry(raw: msgspec.Raw, where: str) -> tuple[str, ServerSpec | None]:
+def _parse_entry(raw: msgspec.Raw, path: str) -> tuple[str, ServerSpec | None]:
     try:
-        told = _read_entry(raw)
+        entry = _read_entry(raw)
     except msgspec.ValidationError as problem:
         try:
             name, spec = _read_gone(raw).instance_id, None
         except msgspec.ValidationError as other:
             fault = problem if "lifecycle" in str(other) else other
-            raise ListingError(describe_fault(fault, where)) from None
+            raise ListingError(describe_fault(fault, path)) from None
     else:
-        name, spec = told.instance_id, _spec(told, where)
+        name, spec = entry.instance_id, _build_spec(entry, path)
     if not name:
-        raise ListingError(f"{where}.instanceId: {name!r}")
+        raise ListingError(f"{path}.instanceId: {name!r}")
     return name, spec
 
 
-def _spec(told: _Entry, where: str) -> ServerSpec:
-    address = read_port(told.host_port)
+def _build_spec(entry: _Entry, path: str) -> ServerSpec:
+    address = read_port(entry.host_port)
     if address is None:
-        raise ListingError(f"{where}.hostPort: {told.host_port[:100]!r}")
-    started = _number(told.started_at_ms, "startedAtMs", where)
+        raise ListingError(f"{path}.hostPort: {entry.host_port[:100]!r}")
+    started = _parse_number(entry.started_at_ms, "startedAtMs", path)
     if started < 0:
-        raise ListingError(f"{where}.startedAtMs: {started!r}")
-    _number(told.weight, "weight", where)
-    # The weight is the machine's size as registered. The decision module's shares are the operator's wish among
-    # equals, and the bench's adapter gives it none: the same is done here, so that both decide alike.
-    name, state, primary = told.instance_id, STATES[told.lifecycle], told.part == "master"
-    return ServerSpec(name, str(told.cell), told.zone, *address, primary, state, started / 1000)
+        raise ListingError(f"{path}.startedAtMs: {started!r}")
+    _parse_number(entry.weight, "weight", path)
+    # The weight is the machine's registered size. The decision module's shares say how the operator wants to divide
+    # load among equals, and the benchmark's adapter sets none. No share is set here either, so that both decide alike.
+    name, state, primary = entry.instance_id, STATES[entry.lifecycle], entry.part == "master"
+    return ServerSpec(name, str(entry.cell), entry.zone, *address, primary, state, started / 1000)
 
 
 def parse_listing(document: bytes | msgspec.Raw) -> Listing:
-    """One message of discovery's. Raises ``ListingError``; nothing of a list with a fault is taken."""
+    """Parses one message from discovery. Raises ``ListingError``; a list with an invalid entry is rejected whole."""
     try:
-        told = _read_list(document)
-        if len(told.instances) > MAX_ENTRIES:
+        message = _read_message(document)
+        if len(message.instances) > MAX_ENTRIES:
             raise ListingError(f"instances: more than {MAX_ENTRIES}")
         entries: dict[str, ServerSpec | None] = {}
-        for at, raw in enumerate(told.instances):
-            name, spec = _entry(raw, f"instances[{at}]")
+        for at, raw in enumerate(message.instances):
+            name, spec = _parse_entry(raw, f"instances[{at}]")
             if name in entries:
                 raise ListingError(f"instances[{at}]: {name!r} is listed twice")
             entries[name] = spec
@@ -148,4 +147,4 @@
         raise ListingError(describe_fault(problem)) from None
     except msgspec.DecodeError as problem:
         raise ListingError(f"not JSON: {problem}") from None
-    return Listing(told.generation, told.reset, entries)
+    return Listing(message.generation, message.reset, entries)
--- a/yardbank/platform/memory_budget.py
+++ b/yardbank/platform/memory_budget.py
@@ -1,8 +1,8 @@
-"""How many octets all clients of one gateway may occupy together. No I/O.
+"""Limits the memory that all clients of one gateway occupy together. No I/O.
 
-Bounds on each connection do not bound their sum, and the platform kills a process that passes its memory limit. A
-connection whose next message does not fit waits, and is not read, until others have freed octets; those that wait go
-on in their order.
+Limits on each connection do not limit their sum, and the platform kills a process that exceeds its memory limit. A
+connection whose next message does not fit is not read until others have freed memory; waiting connections resume in
+order.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from collections.abc import Iterator
 
 MEGABYTE = 10**6
-OWN_MEMORY = 46 * MEGABYTE  # of the process, with its connections and without what clients send
-LEAST_BUDGET = 4 * MEGABYTE
-SHARE = 0.6  # of what is left; the rest is for answers, lists and what the allocator does not give back
+BASE_MEMORY = 46 * MEGABYTE  # of the process and its connections, without data from clients
+MIN_BUDGET = 4 * MEGABYTE
+CLIENT_SHARE = 0.6  # of the remaining memory; the rest is for answers, lists and memory that the allocator keeps
 
 
 class MemoryBudget:
-    """What each client connection occupies, by the owner's numbers, and which ones wait.
+    """Memory that each client connection occupies, by the caller's numbers, and the connections that wait for memory.
 
-    Invariant: a connection waits only while it occupies something that a time limit frees, or others do.
+    Invariant: a connection waits only while it, or others, occupy memory that a time limit will free.
     """
 
     def __init__(self, limit: int) -> None:
-        """``limit``: octets of all together."""
+        """``limit``: octets of all connections together."""
         self.limit = limit
         self.used = 0
         self._occupied: dict[int, int] = {}
@@ -31,19 +31,20 @@
 
     @classmethod
     def of(cls, memory_mb: int) -> MemoryBudget:
-        """The budget of a process with such a memory limit."""
-        left = memory_mb * MEGABYTE - OWN_MEMORY
-        return cls(max(LEAST_BUDGET, int(left * SHARE)))
+        """Returns the budget for a process with this memory limit."""
+        available = memory_mb * MEGABYTE - BASE_MEMORY
+        return cls(max(MIN_BUDGET, int(available * CLIENT_SHARE)))
 
     @property
     def is_full(self) -> bool:
         """Whether nothing more fits."""
         return self.used >= self.limit
 
-    def take(self, number: int, occupied: int, wanted: int) -> bool:
-        """A connection occupies so many octets now and wants so many with the message that it is sending.
+    def reserve(self, number: int, occupied: int, wanted: int) -> bool:
+        """Reserves ``wanted`` octets for a connection that occupies ``occupied`` of them so far.
 
-        Whether they fit: then they are its own. If they do not, it waits.
+        ``wanted`` includes the rest of the message being received. Returns whether it fits; otherwise the connection
+        keeps what it occupies and waits.
         """
         fits = wanted == 0 or self.used - self._occupied.get(number, 0) + wanted <= self.limit
         self._set(number, wanted if fits else occupied)
@@ -54,12 +55,12 @@
         return fits
 
     def release(self, number: int) -> None:
-        """A connection occupies nothing any more."""
+        """Frees everything that a connection occupies."""
         self._set(number, 0)
         self._waiting.pop(number, None)
 
     def waiting(self) -> Iterator[int]:
-        """Those that wait, in their order, as long as anything is free."""
+        """Yields waiting connections in order, as long as memory is free."""
         for number in list(self._waiting):
             if self.is_full:
                 return
--- a/yardbank/platform/server.py
+++ b/yardbank/platform/server.py
@@ -1,7 +1,7 @@
-"""One connection to a database server of the platform as a state machine without I/O: one statement at a time.
+"""State machine without I/O for one connection to a database server of the platform: one statement at a time.
 
-An answer is passed on only when it is whole and of the one form that it can have. Whatever else comes, or comes when
-nothing was asked, makes the connection useless: what follows could be taken for the next request's answer.
+An answer is passed on only when it is complete and well-formed. Anything else, or data without a pending statement,
+makes the connection unusable: what follows could be taken for the answer to the next request.
 """
 
 from __future__ import annotations
@@ -14,61 +14,61 @@
 from yardbank.pg import messages as pg
 from yardbank.pg.state import Answer, Broken, ClientEnd, Idle, Opened
 from yardbank.pg.wire import Frame, Reader, WireError
-from yardbank.platform.report import ORIGIN, UNSAID, nanoseconds, read_report
+from yardbank.platform.report import DEFAULT_FIELDS, ORIGIN, parse_nanoseconds, read_report
 
-MAX_MESSAGE = 1 << 20  # answers of several hundred KiB were seen; what is said to be longer is taken for spoilt
-MAX_STATUS = 64  # parameters told along with one answer
-MISSES = frozenset(("25006", "72000"))
-FULL = "53300"
-DEFINITE = frozenset(("22", "23", "42"))  # classes of errors that a statement has by itself: no server says otherwise
+MAX_MESSAGE_OCTETS = 1 << 20  # answers of several hundred KiB were seen; a longer announced length counts as corrupt
+MAX_PARAMETERS = 64  # parameters sent along with one answer
+MISS_STATES = frozenset(("25006", "72000"))
+FULL_STATE = "53300"
+STATEMENT_ERROR_CLASSES = frozenset(("22", "23", "42"))  # caused by the statement: every server would answer the same
 ROLES = {"master": Role.PRIMARY, "replica": Role.REPLICA}
 PROBE = "SHOW gauges"
 
 
 @dataclass(slots=True)
-class _Asked:
-    """What is out, and what has come of its answer."""
+class _PendingStatement:
+    """A statement that was sent and the part of its answer received so far."""
 
-    tag: bytes  # of the CommandComplete that is due
+    tag: bytes  # of the expected CommandComplete
     probe: bool
     frames: list[Frame] = field(default_factory=list)
-    told: dict[str, str] = field(default_factory=dict)
+    parameters: dict[str, str] = field(default_factory=dict)
     fault: pg.Fault | None = None
-    error: bytes = b""  # the fault as it came
+    error: bytes = b""  # the fault as received
 
 
 class ServerSession:
-    """What one connection is about. Output is taken by ``take_output``; ``receive`` brings at most one reply."""
+    """Tracks one connection. ``take_output`` returns data to write; ``receive`` completes at most one reply."""
 
     def __init__(
-        self, fields: Collection[str] | None = None, spoilt: Callable[[str], None] = lambda what: None
+        self, fields: Collection[str] | None = None, report_invalid: Callable[[str], None] = lambda what: None
     ) -> None:
-        """``fields``: what load reports hold, as the settings say (None: not said); ``spoilt``: told of faults."""
-        self._fields = UNSAID if fields is None else fields
-        self._spoilt = spoilt
-        self._end = ClientEnd("backend", "store", "", "", MAX_MESSAGE)
-        self._asked: _Asked | None = None
+        """``fields``: contents of load reports (None: not set); ``report_invalid``: called with what was invalid."""
+        self._fields = DEFAULT_FIELDS if fields is None else fields
+        self._report_invalid = report_invalid
+        self._end = ClientEnd("backend", "store", "", "", MAX_MESSAGE_OCTETS)
+        self._pending: _PendingStatement | None = None
         self.open = False
-        self.broken = ""  # why it is of no further use
+        self.broken = ""  # why the connection is unusable
 
     @property
     def busy(self) -> bool:
-        """Whether a statement is out."""
-        return self._asked is not None
+        """Whether a statement is pending."""
+        return self._pending is not None
 
     def take_output(self) -> bytes:
-        """What is to be written now."""
+        """Returns the data to write now."""
         return self._end.take_output()
 
-    def ask(self, text: str, write: bool = False, probe: bool = False) -> bytes:
-        """Send one statement: the octets to be written. Raises ``ValueError`` if one is out."""
-        if self._asked is not None or not self.open or self.broken:
+    def start_statement(self, text: str, write: bool = False, probe: bool = False) -> bytes:
+        """Returns the octets that send one statement. Raises ``ValueError`` if the connection is not idle."""
+        if self._pending is not None or not self.open or self.broken:
             raise ValueError("the connection takes nothing now")
-        self._asked = _Asked(b"INSERT 0 1" if write else b"SHOW" if probe else b"SELECT 1", probe)
+        self._pending = _PendingStatement(b"INSERT 0 1" if write else b"SHOW" if probe else b"SELECT 1", probe)
         return pg.encode_client(pg.Query(text)).encode()
 
     def receive(self, data: bytes) -> Reply | None:
-        """Take octets in any split; the reply that they complete. Afterwards ``broken`` says if this was the last."""
+        """Takes octets, split anywhere, and returns the reply they complete. Sets ``broken`` after the last one."""
         reply: Reply | None = None
         try:
             for event in self._end.receive(data):
@@ -77,92 +77,92 @@
                 elif isinstance(event, Broken):
                     self.broken = self.broken or event.reason
                     break
-                elif self._asked is None:
+                elif self._pending is None:
                     raise WireError("more than was asked for")
                 elif isinstance(event, Idle):
-                    reply = self._whole(self._asked)
-                    self._asked = None
+                    reply = self._complete(self._pending)
+                    self._pending = None
                 elif isinstance(event, Answer):
-                    self._frame(event.frame, self._asked)
+                    self._take_frame(event.frame, self._pending)
         except WireError as problem:
             self.broken = self.broken or str(problem)
         if reply is not None and self._end.waiting:
             self.broken = self.broken or "more than was asked for"
-        if self.broken and self.open:  # else it was turned away, in good form
-            self._spoilt(self.broken)
+        if self.broken and self.open:  # otherwise the server refused the connection in a well-formed message
+            self._report_invalid(self.broken)
         return reply
 
     def ended(self) -> Reply | None:
-        """The connection is gone: an error that had come whole is an answer all the same."""
-        asked, self._asked = self._asked, None
-        if asked is None or asked.fault is None or self.broken:
+        """The connection is lost: an error that was received completely still counts as the answer."""
+        pending, self._pending = self._pending, None
+        if pending is None or pending.fault is None or self.broken:
             return None
-        return self._reply(asked)
+        return self._build_reply(pending)
 
-    def _frame(self, frame: Frame, asked: _Asked) -> None:
-        """One message of an answer, in the only order there is."""
+    def _take_frame(self, frame: Frame, pending: _PendingStatement) -> None:
+        """Takes one message of an answer; they must come in order."""
         kind = chr(frame.type)
         if kind == "S":
-            name, held = pg.read_parameter(frame)
-            asked.told[name] = held
-            if len(asked.told) > MAX_STATUS:
-                raise WireError(f"more than {MAX_STATUS} parameters")
+            name, value = pg.read_parameter(frame)
+            pending.parameters[name] = value
+            if len(pending.parameters) > MAX_PARAMETERS:
+                raise WireError(f"more than {MAX_PARAMETERS} parameters")
         elif kind == "N":
             pg.read_fault(frame)
-        elif asked.fault is not None:
+        elif pending.fault is not None:
             raise WireError(f"message {kind!r} after an error")
         elif kind == "E":
-            asked.fault = pg.read_fault(frame)
-            asked.error = frame.encode()
+            pending.fault = pg.read_fault(frame)
+            pending.error = frame.encode()
         else:
-            _check_result(frame, asked)
-            asked.frames.append(frame)
+            _check_result(frame, pending)
+            pending.frames.append(frame)
 
-    def _whole(self, asked: _Asked) -> Reply:
-        if asked.fault is None and len(asked.frames) < 3:
+    def _complete(self, pending: _PendingStatement) -> Reply:
+        if pending.fault is None and len(pending.frames) < 3:
             raise WireError("an answer without its row")
-        return self._reply(asked)
+        return self._build_reply(pending)
 
-    def _reply(self, asked: _Asked) -> Reply:
-        role = ROLES.get(asked.told.get("part", ""), Role.UNKNOWN)
+    def _build_reply(self, pending: _PendingStatement) -> Reply:
+        role = ROLES.get(pending.parameters.get("part", ""), Role.UNKNOWN)
         commit = report = None
-        if (at := nanoseconds(asked.told.get("caught_up_to", ""), MS)) is not None:
+        if (at := parse_nanoseconds(pending.parameters.get("caught_up_to", ""), MS)) is not None:
             commit = ORIGIN, (at,)
-        if "gauges" in asked.told:
-            report = self._report("gauges", asked.told["gauges"])
-        if asked.fault is not None:
-            state = asked.fault.state
-            if state[:2] in DEFINITE and not asked.probe:
-                return Reply("ok", asked.error, role, None, state, report)
-            status = "miss" if state in MISSES else "full" if state == FULL else "error"
-            told = dict(asked.fault.fields).get("M", "")
-            return Reply(status, None, role, commit, f"{state} {told}"[:60], report)
-        if asked.probe:
-            (column,) = pg.read_row(asked.frames[1])
-            report = self._report("the row", (column or b"").decode("ascii", "replace"))
+        if "gauges" in pending.parameters:
+            report = self._read_report("gauges", pending.parameters["gauges"])
+        if pending.fault is not None:
+            state = pending.fault.state
+            if state[:2] in STATEMENT_ERROR_CLASSES and not pending.probe:
+                return Reply("ok", pending.error, role, None, state, report)
+            status = "miss" if state in MISS_STATES else "full" if state == FULL_STATE else "error"
+            message = dict(pending.fault.fields).get("M", "")
+            return Reply(status, None, role, commit, f"{state} {message}"[:60], report)
+        if pending.probe:
+            (column,) = pg.read_row(pending.frames[1])
+            report = self._read_report("the row", (column or b"").decode("ascii", "replace"))
             return Reply("ok", None, role, None, "", report)
-        return Reply("ok", b"".join(frame.encode() for frame in asked.frames), role, commit, "", report)
+        return Reply("ok", b"".join(frame.encode() for frame in pending.frames), role, commit, "", report)
 
-    def _report(self, where: str, text: str) -> ProbeResult | None:
-        """A load report; what is spoilt in it is told."""
+    def _read_report(self, where: str, text: str) -> ProbeResult | None:
+        """Reads a load report and reports its invalid fields."""
         report = read_report(text, self._fields)
-        if report.spoilt:
-            self._spoilt(f"load report in {where}: {', '.join(report.spoilt)}"[:200])
+        if report.invalid:
+            self._report_invalid(f"load report in {where}: {', '.join(report.invalid)}"[:200])
         return report.position
 
 
-def _check_result(frame: Frame, asked: _Asked) -> None:
-    """Check that a message is the one that is due of a result of one row with one column. Raises ``WireError``."""
+def _check_result(frame: Frame, pending: _PendingStatement) -> None:
+    """Checks that a message is the next one in a result of one row with one column. Raises ``WireError``."""
     kind = chr(frame.type)
-    due = "TDC"[len(asked.frames) : len(asked.frames) + 1]
-    if kind != due:
-        raise WireError(f"message {kind!r} where {due or 'the end'!r} is due")
+    expected = "TDC"[len(pending.frames) : len(pending.frames) + 1]
+    if kind != expected:
+        raise WireError(f"message {kind!r} where {expected or 'the end'!r} is due")
     if kind == "T":
         _check_description(frame)
     elif kind == "D":
         if len(pg.read_row(frame)) != 1:
             raise WireError("DataRow: not one column")
-    elif frame.body != asked.tag + b"\0" and not asked.probe:
+    elif frame.body != pending.tag + b"\0" and not pending.probe:
         raise WireError(f"CommandComplete {frame.body[:20]!r}")
 
 
--- a/yardbank/platform/service.py
+++ b/yardbank/platform/service.py
@@ -1,4 +1,4 @@
-"""The program on the platform: puts the parts together, minds signals, decides nothing."""
+"""The program on the platform: wires the parts together and handles signals; makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from yardbank.platform.listing import Listing
 from yardbank.platform.memory_budget import MemoryBudget
 from yardbank.platform.signals import Signals
-from yardbank.platform.statement import out_of_reach
-from yardbank.platform.stop_schedule import LONGEST_GRACE, StopSchedule
+from yardbank.platform.statement import unreachable_classes
+from yardbank.platform.stop_schedule import MAX_GRACE, StopSchedule
 from yardbank.platform.watch import Watcher
 
-LAST_TURNS = 256  # of the reactor, for those who wait to be accepted when the port is to be closed
-VIEW_EVERY = 5 * SECOND
+MAX_DRAIN_TURNS = 256  # reactor turns in which waiting connections are still accepted before the port closes
+VIEW_INTERVAL = 5 * SECOND
 
 
 def wall_seconds() -> Any:
-    """The clock that every machine of the platform reads, in seconds since 1970, which never steps."""
+    """Returns the platform's wall clock: seconds since 1970, the same on every machine, that never jumps."""
     offset = time.time() - time.monotonic()
     return lambda: time.monotonic() + offset
 
@@ -63,18 +63,18 @@
         longest_deadline = max(each.deadline for each in settings.classes)
         self._stop_schedule = StopSchedule.of(longest_deadline)
         limits = Limits(
-            max_open=descriptors.for_clients(0),
-            connections=descriptors.both,
+            max_open=descriptors.max_clients(0),
+            connections=descriptors.total,
             multiplex=1,
             connect_timeout=settings.connect_timeout,
             probe_timeout=settings.connect_timeout,
             idle_close=config.idle_close * 3 // 4,
-            stop_grace=min(LONGEST_GRACE, longest_deadline),
+            stop_grace=min(MAX_GRACE, longest_deadline),
         )
         seconds = wall_seconds()
         backend = PlatformBackend(reactor, lambda: self.gateway.now(), settings.report_fields, log)
-        for name in out_of_reach(settings.classes):
-            log.warning("class_out_of_reach", request_class=name, note="no statement's comment can hold its name")
+        for name in unreachable_classes(settings.classes):
+            log.warning("class_out_of_reach", request_class=name, note="no statement comment can contain its name")
         self.gateway = Gateway(
             settings,
             backend,
@@ -83,7 +83,7 @@
             seconds=seconds,
             log=log,
             positions=ClockPositions(),
-            connections_bound=lambda: descriptors.for_servers(self.factory.held),
+            connections_bound=lambda: descriptors.max_servers(self.factory.open_descriptors),
             before_send=lambda: self.watcher.catch_up(),
         )
         self.admission = Admission(AdmissionLimits())
@@ -95,19 +95,19 @@
             log,
             MemoryBudget.of(config.memory_mb),
         )
-        self.watcher = Watcher(config.discovery, config.known.generation, self._listed, reactor, log)
+        self.watcher = Watcher(config.discovery, config.known.generation, self._apply_listing, reactor, log)
         self._port: Any = None
-        self._last: Any = None
-        self._ended = self._watch_over = False
+        self._end_timer: Any = None
+        self._has_ended = self._watching_ended = False
         self._stop_asked_at = 0.0  # s, on the reactor's clock
 
     def start(self) -> None:
-        """Take the list that is known, listen, watch discovery."""
+        """Applies the known list, listens for clients and watches discovery."""
         self.gateway.apply_list(specs(self.config.known), self.config.known.generation)
         listen = self.config.listen
         self._port = self._listen(self._reactor, listen.host, listen.port, self.factory)
         self.watcher.start()
-        self._view()
+        self._log_view()
         classes = {
             each.name: (each.latency_objective // MS, each.deadline // MS) for each in self.config.settings.classes
         }
@@ -115,31 +115,31 @@
             "listening", address=listen.host, port=listen.port, gateway=self.config.name, aim_deadline_ms=classes
         )
 
-    def _listed(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         if listing.reset:
             self.gateway.apply_list(specs(listing), listing.generation)
         else:
             self.gateway.apply_changes(listing.entries, listing.generation)
 
-    def _view(self) -> None:
-        """What the gateway makes of things, for comparison with what crosses the sockets."""
+    def _log_view(self) -> None:
+        """Logs the gateway's own figures, for comparison with the traffic on its sockets."""
         clients = {state.name.lower(): count for state in State if (count := self.admission.count(state))}
         self.log.info("view", **self.gateway.view(), clients=clients, **self.factory.counts)
-        self.gateway.call_at(self.gateway.now() + VIEW_EVERY, self._view)
+        self.gateway.call_at(self.gateway.now() + VIEW_INTERVAL, self._log_view)
 
-    def signalled(self, number: int, environment: Mapping[str, str]) -> None:
-        """SIGHUP brings a new configuration, SIGTERM and SIGINT the end; again is once."""
+    def handle_signal(self, number: int, environment: Mapping[str, str]) -> None:
+        """Reloads on SIGHUP, stops on SIGTERM and SIGINT; a repeated stop has no effect."""
         if number == signal.SIGHUP:
             self.reload(environment)
         else:
             self.stop()
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Take a new configuration: discovery's address changes in service, the rest with a restart.
+        """Reads the configuration again: a new discovery address applies at once, everything else after a restart.
 
-        While the gateway stops, discovery is followed as long as it is watched; then nothing is begun any more.
+        While the gateway stops, a new address applies as long as discovery is watched; after that it is ignored.
         """
-        if self._watch_over:
+        if self._watching_ended:
             self.log.info("reload_ignored", note="the gateway is ending")
             return
         try:
@@ -153,48 +153,48 @@
         self.log.info("reloaded", discovery=f"{config.discovery.host}:{config.discovery.port}")
 
     def stop(self) -> None:
-        """Serve on for a moment, as clients still come; then take nothing new and answer what was taken."""
+        """Serves for a moment longer, as clients still connect; then takes nothing new and answers what was taken."""
         if not self.factory.stopping and self._port is not None:
             self.log.info("stop_asked", owed=self.gateway.unanswered)
             port, self._port = self._port, None
             self._stop_asked_at = self._reactor.seconds()
-            self._reactor.callLater(self._stop_schedule.drain_at / SECOND, self._look_first, self._drain, port)
+            self._reactor.callLater(self._stop_schedule.drain_at / SECOND, self._after_socket_reads, self._drain, port)
 
     def _since_stop_asked(self) -> int:
         return int((self._reactor.seconds() - self._stop_asked_at) * SECOND)
 
-    def _look_first(self, then: Callable[..., None], *arguments: Any) -> None:
-        """Sockets are looked at between two rounds of timers: what came while the process was busy is taken first."""
+    def _after_socket_reads(self, then: Callable[..., None], *arguments: Any) -> None:
+        """Calls ``then`` after the reactor has read its sockets, so that data from a stall is taken first."""
         self._reactor.callLater(0, then, *arguments)
 
-    def _drain(self, port: Any, turns: int = LAST_TURNS) -> None:
+    def _drain(self, port: Any, turns_left: int = MAX_DRAIN_TURNS) -> None:
         self.factory.close_idle()
-        if port.accept_waiting() and turns > 0:  # there was no room for some: there is when others have gone
-            self._look_first(self._drain, port, turns - 1)
+        if port.accept_waiting() and turns_left > 0:  # there was no capacity for some; there is once others have closed
+            self._after_socket_reads(self._drain, port, turns_left - 1)
             return
         port.stopListening()
         grace = self._stop_schedule.grace(self._since_stop_asked())
-        self.gateway.stop(grace).addCallback(lambda _: self._look_first(self._stopped))
+        self.gateway.stop(grace).addCallback(lambda _: self._after_socket_reads(self._close_clients))
 
-    def _stopped(self) -> None:
-        self._watch_over = True
+    def _close_clients(self) -> None:
+        self._watching_ended = True
         self.watcher.stop()
-        last_words = self._stop_schedule.last_words(self._since_stop_asked())
-        self._last = self._reactor.callLater(last_words / SECOND, self._end)
+        close_time = self._stop_schedule.close_time(self._since_stop_asked())
+        self._end_timer = self._reactor.callLater(close_time / SECOND, self._end)
         self.factory.close_all(self._end)
 
     def _end(self) -> None:
-        """Every last word is written, or has had its time."""
-        if self._last is not None and self._last.active():
-            self._last.cancel()
-        if not self._ended:
-            self._ended = True
-            self.factory.cut_all()
+        """Ends the program once all final messages are written or their time is over."""
+        if self._end_timer is not None and self._end_timer.active():
+            self._end_timer.cancel()
+        if not self._has_ended:
+            self._has_ended = True
+            self.factory.abort_all()
             self.log.info("ended", **self.factory.counts)
             self._reactor.callLater(0, self._reactor.stop)
 
 
-def _log() -> Any:
+def _configure_log() -> Any:
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -215,18 +215,18 @@
 
 
 def main(signals: Signals) -> int:
-    """Serve until told to stop; the exit code. Signals that came meanwhile are carried out once it serves."""
-    log = _log()
+    """Serves until told to stop and returns the exit code. Signals during startup are handled once it serves."""
+    log = _configure_log()
     try:
         config = load_config(os.environ)
     except PlatformError as problem:
         print(f"yardbank: {problem}", file=sys.stderr)
         return 2
-    from twisted.internet import reactor as installed
+    from twisted.internet import reactor as installed_reactor
     from twisted.internet.error import CannotListenError
 
-    reactor: Any = installed
-    reactor.seconds = time.monotonic  # timers must not move when the wall clock is set
+    reactor: Any = installed_reactor
+    reactor.seconds = time.monotonic  # timers must not shift when the wall clock is set
     try:
         service = Service(config, reactor, log, allowed_descriptors=_allowed_descriptors())
         service.start()
@@ -236,10 +236,11 @@
     except CannotListenError as problem:
         print(f"yardbank: NODE_LISTEN: {problem}", file=sys.stderr)
         return 2
-    signals.hand_over(lambda number: reactor.callFromThread(service.signalled, number, os.environ))
+    signals.set_handler(lambda number: reactor.callFromThread(service.handle_signal, number, os.environ))
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 20)  # requests are short-lived: a sweep at each 700 objects costs a tenth
+    # Requests are short-lived: collecting after each 700 objects, the default, costs a tenth of the performance.
+    gc.set_threshold(20_000, 20, 20)
     reactor.run(installSignalHandlers=False)
     signals.ignore()
     return 0
--- a/yardbank/platform/signals.py
+++ b/yardbank/platform/signals.py
@@ -1,7 +1,7 @@
-"""Signals from the first moment of the process on: what comes before the program can act is kept for it.
+"""Queues signals from the start of the process until the program can handle them.
 
-By default SIGTERM, SIGINT and SIGHUP end a process. This module imports nothing heavy, so that it is in place before
-anything else is loaded.
+By default SIGTERM, SIGINT and SIGHUP end a process. This module imports nothing heavy, so that the handlers are in
+place before anything else is loaded.
 """
 
 from __future__ import annotations
@@ -9,35 +9,35 @@
 import signal
 from collections.abc import Callable
 
-NUMBERS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 class Signals:
-    """Keeps each kind of signal that has come until ``hand_over``."""
+    """Queues each kind of signal once until ``set_handler`` is called."""
 
     def __init__(self) -> None:
-        self._kept: list[int] = []
-        self._act: Callable[[int], None] = self._keep
+        self._pending: list[int] = []
+        self._handler: Callable[[int], None] = self._queue
 
     def install(self) -> None:
-        """Take all three; to be called in the main thread."""
-        for number in NUMBERS:
-            signal.signal(number, lambda number, frame: self._act(number))
+        """Installs handlers for all signals in ``HANDLED_SIGNALS``; must be called in the main thread."""
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, lambda number, frame: self._handler(number))
 
     def ignore(self) -> None:
-        """All is done: from now on none of them changes how the process ends.
+        """Ignores the signals from now on, so that none of them changes the exit code.
 
-        The interpreter's own end puts the system's default back in place of a function, and that would kill it.
+        At exit the interpreter replaces Python handlers with the system's default, which would kill the process.
         """
-        for number in NUMBERS:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
-    def _keep(self, number: int) -> None:
-        if number not in self._kept:  # again is once
-            self._kept.append(number)
+    def _queue(self, number: int) -> None:
+        if number not in self._pending:  # a repeated signal is queued once
+            self._pending.append(number)
 
-    def hand_over(self, act: Callable[[int], None]) -> None:
-        """From now on ``act`` gets each number, in a signal handler; first those that were kept, in their order."""
-        self._act = act
-        while self._kept:
-            act(self._kept.pop(0))
+    def set_handler(self, handler: Callable[[int], None]) -> None:
+        """Passes each signal number to ``handler``, in a signal handler; queued ones first, in order."""
+        self._handler = handler
+        while self._pending:
+            handler(self._pending.pop(0))
--- a/yardbank/platform/watch.py
+++ b/yardbank/platform/watch.py
@@ -1,6 +1,6 @@
-"""Thin Twisted around ``discovery.Watch`` and ``watch_state.WatchStateMachine``.
+"""Twisted client that watches discovery, driven by ``discovery.Watch`` and ``watch_state.WatchStateMachine``.
 
-It connects, hands lists on, and ends what is given up.
+It connects, passes lists on, and aborts watches that are given up.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from yardbank.platform.config import Address
 from yardbank.platform.discovery import Watch
 from yardbank.platform.json_stream import Token
-from yardbank.platform.listing import Listing, joined
-from yardbank.platform.watch_state import SILENCE, Steps, WatchStateMachine
+from yardbank.platform.listing import Listing, merge_listings
+from yardbank.platform.watch_state import SILENCE_TIMEOUT, Actions, WatchStateMachine
 
-LOG_EVERY = SECOND  # of what discovery can cause at will
-READ_SIZE, MAX_READS = 64 << 10, 16  # octets at a time, and how many times in a row
+LOG_INTERVAL = SECOND  # between log lines of one event that discovery can cause at will
+READ_SIZE, MAX_READS = 64 << 10, 16  # octets at a time; reads in a row
 
 
-class _Watching(Protocol):
+class _WatchProtocol(Protocol):
     transport: Any
     connector: Any = None
 
@@ -32,127 +32,131 @@
         self._watcher = watcher
         self.number = number
         self.watch = watch
-        self.dropped = False
+        self.aborted = False
 
     def connectionMade(self) -> None:  # noqa: N802
         self.transport.write(self.watch.request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.dropped:
+        if self.aborted:
             return
-        self._watcher.heard(self, data)
-        if self.watch.done and not self.dropped:
+        self._watcher.data_received(self, data)
+        if self.watch.done and not self.aborted:
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008, N802
-        if not self.dropped:
+        if not self.aborted:
             self._watcher.ended(self, reason.getErrorMessage())
 
-    def unread(self) -> bytes:
-        """Octets that lie in the socket; none also if it has ended, which is for the reactor to see."""
-        held = getattr(self.transport, "socket", None)
-        if held is None or self.dropped or self.watch.done:
+    def read_pending(self) -> bytes:
+        """Reads data waiting in the socket; none also if the connection has ended, which is left to the reactor."""
+        sock = getattr(self.transport, "socket", None)
+        if sock is None or self.aborted or self.watch.done:
             return b""
         try:
-            if not held.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
+            if not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return b""
-            return bytes(held.recv(READ_SIZE))
-        except OSError:  # nothing there, or a reset
+            return bytes(sock.recv(READ_SIZE))
+        except OSError:  # no data, or a reset
             return b""
 
-    def drop(self) -> None:
-        """What it still brings is of no interest."""
-        self.dropped = True
+    def abort(self) -> None:
+        """Closes the connection and ignores what it still receives."""
+        self.aborted = True
         if self.transport is not None:
             self.transport.abortConnection()
         elif self.connector is not None:
             self.connector.disconnect()
 
 
-class _Factory(ClientFactory):
+class _WatchFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, made: _Watching) -> None:
-        self._made = made
+    def __init__(self, protocol: _WatchProtocol) -> None:
+        self._protocol = protocol
 
-    def buildProtocol(self, addr: Any) -> _Watching:  # noqa: N802
-        return self._made
+    def buildProtocol(self, addr: Any) -> _WatchProtocol:  # noqa: N802
+        return self._protocol
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        self._made.connectionLost(reason)
+        self._protocol.connectionLost(reason)
 
 
 class Watcher:
-    """Keeps a watch; ``take`` gets each list as it comes and raises ``ValueError`` on one it cannot use."""
+    """Keeps a watch open. ``apply`` gets each list as it arrives and raises ``ValueError`` on an unusable one."""
 
     def __init__(
-        self, address: Address, generation: int, take: Callable[[Listing], None], reactor: Any, log: Any
+        self, address: Address, generation: int, apply: Callable[[Listing], None], reactor: Any, log: Any
     ) -> None:
         self.address = address
         self.generation = generation
-        self._take = take
+        self._apply = apply
         self._reactor = reactor
         self._log = log
         self._state_machine = WatchStateMachine()
-        self._open: dict[int, _Watching] = {}
+        self._open: dict[int, _WatchProtocol] = {}
         self._reading = False
-        self._holes = False  # a list was lost on its way: another of its generation may be held
-        self._timer: Any = None  # due at ``_due_at`` or before: a tick too early does nothing
+        self._needs_full_list = False  # a list was lost: the one held may lack changes of its generation
+        self._timer: Any = None  # due at ``_due_at`` or earlier; an early tick does nothing
         self._due_at = 0
-        self._said: dict[str, tuple[int, int]] = {}  # by event: when it was last logged, and how many were not since
+        self._logged: dict[str, tuple[int, int]] = {}  # by event: when it was last logged, lines suppressed since
 
     def start(self) -> None:
-        """Connect."""
-        self._do(self._state_machine.begin(self._now()))
+        """Starts watching."""
+        self._perform(self._state_machine.start(self._now()))
 
     def move(self, address: Address) -> None:
-        """Discovery is elsewhere from now on; the list held stays until the new address tells another.
+        """Discovery has a new address; the current list stays in force until the new address sends one.
 
-        While nobody watches (before the start, after the stop) the address is only noted.
+        While not watching (before ``start`` and after ``stop``) the address is only stored.
         """
         if address != self.address:
             self.address = address
-            self._do(self._state_machine.move(self._now()))
+            self._perform(self._state_machine.move(self._now()))
 
     def stop(self) -> None:
-        """Watch no more."""
-        self._do(self._state_machine.stop())
+        """Stops watching."""
+        self._perform(self._state_machine.stop())
 
     def _now(self) -> int:
         return int(self._reactor.seconds() * SECOND)
 
-    def _do(self, steps: Steps) -> None:
-        for number in steps.drop:
-            watching = self._open.pop(number)
-            if number in steps.silent:
-                address, waiting = f"{self.address.host}:{self.address.port}", watching.watch.waiting
-                self._say(self._log.warning, "discovery_silent", address=address, waiting=waiting)
-            self._lost(watching)
-            watching.drop()
-        if steps.begin is not None:
-            self._begin(steps.begin)
-        self._arm()
-
-    def _begin(self, number: int) -> None:
+    def _perform(self, actions: Actions) -> None:
+        for number in actions.abort:
+            connection = self._open.pop(number)
+            if number in actions.timed_out:
+                address, buffered = f"{self.address.host}:{self.address.port}", connection.watch.buffered_octets
+                self._log_limited(self._log.warning, "discovery_silent", address=address, waiting=buffered)
+            self._note_incomplete(connection)
+            connection.abort()
+        if actions.connect is not None:
+            self._connect(actions.connect)
+        self._schedule_tick()
+
+    def _connect(self, number: int) -> None:
         host, port = self.address.host, self.address.port
-        made = _Watching(self, number, Watch(f"{host}:{port}", 0 if self._holes else self.generation))
-        self._open[number] = made
+        connection = _WatchProtocol(
+            self, number, Watch(f"{host}:{port}", 0 if self._needs_full_list else self.generation)
+        )
+        self._open[number] = connection
         try:
-            made.connector = self._reactor.connectTCP(host, port, _Factory(made), timeout=2 * SILENCE / 1e9)
-        except Exception as problem:  # noqa: BLE001  # no descriptor, say: a dial that failed, and the next comes after its pause
-            self.ended(made, f"no dial: {problem!r}")
-
-    def _say(self, say: Callable[..., None], event: str, **facts: Any) -> None:
-        """At most one line a second of each event, which tells how many were left out."""
+            connection.connector = self._reactor.connectTCP(
+                host, port, _WatchFactory(connection), timeout=2 * SILENCE_TIMEOUT / 1e9
+            )
+        except Exception as problem:  # noqa: BLE001  # e.g. no descriptor: a failed watch, retried after its delay
+            self.ended(connection, f"cannot connect: {problem!r}")
+
+    def _log_limited(self, log: Callable[..., None], event: str, **facts: Any) -> None:
+        """Logs at most one line a second for each event, with the number of lines suppressed."""
         now = self._now()
-        at, left_out = self._said.get(event, (now - LOG_EVERY, 0))
-        if now - at < LOG_EVERY:
-            self._said[event] = at, left_out + 1
+        at, left_out = self._logged.get(event, (now - LOG_INTERVAL, 0))
+        if now - at < LOG_INTERVAL:
+            self._logged[event] = at, left_out + 1
             return
-        say(event, **facts, left_out=left_out)
-        self._said[event] = now, 0
+        log(event, **facts, left_out=left_out)
+        self._logged[event] = now, 0
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         at = self._state_machine.next_at()
         if self._timer is not None:
             if at is not None and self._due_at <= at:
@@ -161,102 +165,105 @@
             self._timer = None
         if at is not None:
             self._due_at = at
-            self._timer = self._reactor.callLater(max(0, at - self._now()) / 1e9, self._due)
+            self._timer = self._reactor.callLater(max(0, at - self._now()) / 1e9, self._tick_after_reading)
 
-    def _due(self) -> None:
-        """Look once more at what has come while the process was busy, and only then hold silence against anybody."""
+    def _tick_after_reading(self) -> None:
+        """Lets the reactor read sockets once more before silence is judged: the process may have been busy."""
         self._timer = self._reactor.callLater(0, self._tick)
 
     def _tick(self) -> None:
-        """A turn reads one piece of each socket: the rest of a long list is read before it counts as silence."""
+        """Reads all pending data before silence is judged: a reactor turn reads only one piece of a long list."""
         self._timer = None
         self.catch_up()
-        self._do(self._state_machine.tick(self._now()))
+        self._perform(self._state_machine.tick(self._now()))
 
-    def _lost(self, watching: _Watching) -> None:
-        if watching.watch.waiting:
-            self._holes = True
+    def _note_incomplete(self, connection: _WatchProtocol) -> None:
+        if connection.watch.buffered_octets:
+            self._needs_full_list = True
 
     def catch_up(self) -> None:
-        """Take in now what lies unread, as if the reactor had looked; for whoever is about to count on the list.
+        """Applies unread lists now, as if the reactor had read them; for callers that are about to rely on the list.
 
-        One system call if there is nothing. Within the taking of a list it does nothing: ``take`` is not entered twice.
+        Costs one system call if there is nothing to read. Does nothing while a list is applied, so ``apply`` is not
+        reentered.
         """
         if not self._reading:
-            for watching in tuple(self._open.values()):
-                if data := watching.unread():
-                    watching.dataReceived(data)
+            for connection in tuple(self._open.values()):
+                if data := connection.read_pending():
+                    connection.dataReceived(data)
 
-    def heard(self, watching: _Watching, data: bytes) -> None:
-        """Octets of a watch that is gone by, or may be; what lies in the socket behind them is taken along."""
-        was_answered = watching.watch.answered
+    def data_received(self, connection: _WatchProtocol, data: bytes) -> None:
+        """Takes octets of an open watch, and reads what else waits in its socket."""
+        had_head = connection.watch.head_received
         lists: list[Listing] = []
         self._reading = True
         try:
-            problem = self._read(watching, data, lists)
-            problem = self._apply(lists) or problem
+            problem = self._read(connection, data, lists)
+            problem = self._apply_lists(lists) or problem
         finally:
             self._reading = False
         if problem is not None:
-            self._rejected(watching, problem)
-        elif watching.watch.answered and not was_answered:
-            self._do(self._state_machine.answered(watching.number, self._now()))
+            self._reject(connection, problem)
+        elif connection.watch.head_received and not had_head:
+            self._perform(self._state_machine.head_received(connection.number, self._now()))
 
-    def _read(self, watching: _Watching, data: bytes, lists: list[Listing]) -> ValueError | None:
-        """Add the lists that octets bring to ``lists``. Returns why the watch is of no further use, if it is not."""
+    def _read(self, connection: _WatchProtocol, data: bytes, lists: list[Listing]) -> ValueError | None:
+        """Appends the lists in the octets to ``lists``. Returns why the watch is unusable, or None."""
         try:
             for _ in range(MAX_READS):
-                for found in watching.watch.receive(data):
-                    is_begun = found is Token.BEGUN
-                    self._do(self._state_machine.lived(watching.number, self._now(), begun=is_begun))
+                for found in connection.watch.receive(data):
+                    is_list_start = found is Token.VALUE_STARTED
+                    self._perform(
+                        self._state_machine.activity(connection.number, self._now(), list_started=is_list_start)
+                    )
                     if isinstance(found, Listing):
                         lists.append(found)
-                data = watching.unread()
+                data = connection.read_pending()
                 if not data:
                     break
-        except ValueError as spoilt:
-            return spoilt
-        except Exception as fault:  # noqa: BLE001  # border: an error of the program ends this watch, nothing else
+        except ValueError as problem:
+            return problem
+        except Exception as fault:  # noqa: BLE001  # a bug in the program ends this watch and nothing else
             return self._program_error(fault, "read")
         return None
 
-    def _program_error(self, fault: Exception, done: str) -> ValueError:
+    def _program_error(self, fault: Exception, attempted: str) -> ValueError:
         self._log.error("list_error", error=repr(fault), exc_info=True)
-        return ValueError(f"it could not be {done}")
+        return ValueError(f"internal error: the list could not be {attempted}")
 
-    def _apply(self, lists: list[Listing]) -> ValueError | None:
-        """Hand lists on. Returns why they could not be applied, if so."""
+    def _apply_lists(self, lists: list[Listing]) -> ValueError | None:
+        """Applies lists. Returns why they could not be applied, or None."""
         if not lists:
             return None
         try:
-            self._told(joined(lists))
-        except ValueError as spoilt:
-            return spoilt
-        except Exception as fault:  # noqa: BLE001  # border: nor may it end the send that looked
+            self._apply_listing(merge_listings(lists))
+        except ValueError as problem:
+            return problem
+        except Exception as fault:  # noqa: BLE001  # nor may a bug end the send that called ``catch_up``
             return self._program_error(fault, "applied")
         return None
 
-    def _rejected(self, watching: _Watching, problem: Exception) -> None:
-        self._holes = True
-        self._say(self._log.error, "discovery_list_rejected", problem=str(problem)[:300])
-        watching.drop()
-        self.ended(watching, "what it brought is no list")
+    def _reject(self, connection: _WatchProtocol, problem: Exception) -> None:
+        self._needs_full_list = True
+        self._log_limited(self._log.error, "discovery_list_rejected", problem=str(problem)[:300])
+        connection.abort()
+        self.ended(connection, "invalid list")
 
-    def _told(self, listing: Listing) -> None:
-        if not listing.reset and listing.generation < self.generation:  # changes of another past than the list held
-            raise ValueError(f"generation: {listing.generation} after {self.generation}, and not the whole list")
-        self._take(listing)
+    def _apply_listing(self, listing: Listing) -> None:
+        if not listing.reset and listing.generation < self.generation:  # changes to a list other than the one held
+            raise ValueError(f"generation: {listing.generation} is older than {self.generation} in a partial list")
+        self._apply(listing)
         if listing.generation != self.generation:
-            self._state_machine.news()
+            self._state_machine.list_changed()
         self.generation = listing.generation
-        self._holes = self._holes and not listing.reset
+        self._needs_full_list = self._needs_full_list and not listing.reset
 
-    def ended(self, watching: _Watching, reason: str) -> None:
-        """A watch is over: try again after a pause."""
-        if self._open.pop(watching.number, None) is None:
+    def ended(self, connection: _WatchProtocol, reason: str) -> None:
+        """A watch has ended: the next one is opened after a delay."""
+        if self._open.pop(connection.number, None) is None:
             return
-        self._lost(watching)
-        pause = self._state_machine.ended(watching.number, self._now())
-        if pause is not None:
-            self._say(self._log.info, "discovery_watch_ended", reason=reason, again_ms=pause // MS)
-        self._arm()
+        self._note_incomplete(connection)
+        delay = self._state_machine.ended(connection.number, self._now())
+        if delay is not None:
+            self._log_limited(self._log.info, "discovery_watch_ended", reason=reason, again_ms=delay // MS)
+        self._schedule_tick()
--- a/yardbank/platform/watch_state.py
+++ b/yardbank/platform/watch_state.py
@@ -1,11 +1,12 @@
-"""When to begin a watch, which one to go by, and when one is given up. No I/O; times in ns, passed in.
+"""Decides when discovery watches are opened, used and given up. No I/O; times in ns, passed in.
 
-A watch brings a line each 2 s. One clock stands for all kinds of silence: a connection that never comes up, an answer
-that never begins, one that stops, one whose list never ends. Whoever says nothing for ``SILENCE`` is given up, and a
-new one is begun at once.
+A watch receives a line every 2 s. One timeout covers every kind of silence: a connection that is not established, a
+response that does not start, one that stops, a list that does not end. A watch that is silent for ``SILENCE_TIMEOUT``
+is given up, and a new one is opened at once.
 
-Until the first has spoken, further ones are begun beside it: discovery that was away is heard within ``BESIDE`` of
-its return, also if it had taken connections that it then forgot. The first that speaks is gone by, the others end.
+Until the first watch responds, further ones are opened in parallel. So discovery is heard within ``PARALLEL_DELAY`` of
+its return after an outage, even if it had accepted connections and forgotten them. The first watch that responds is
+used, the others are closed.
 """
 
 from __future__ import annotations
@@ -15,62 +16,74 @@
 
 from yardbank.gateway.api import MS, SECOND
 
-SILENCE = 3 * SECOND
-BESIDE = 300 * MS  # until another is begun beside those that have said nothing
-MOST = 12  # that are open at a time: SILENCE holds ten
-FIRST_PAUSE, LONGEST_PAUSE = 50 * MS, 200 * MS  # drains may have a grace of half a second from when they are told
+SILENCE_TIMEOUT = 3 * SECOND
+PARALLEL_DELAY = 300 * MS  # until another watch is opened in parallel to those that have not responded
+MAX_OPEN_WATCHES = 12  # open at a time; ten are opened within SILENCE_TIMEOUT
+# A draining server may have a grace period of only half a second from the time its drain is announced.
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = 50 * MS, 200 * MS
 
 
 class Phase(Enum):
-    """What discovery's watch is about."""
+    """Phase of watching discovery."""
 
-    STOPPED = "nobody watches"
-    PAUSING = "the last one has ended; the next is begun after a pause"
-    ASKING = "some are begun, none has spoken"
-    HEARING = "one has spoken and is gone by"
+    STOPPED = "no watch is wanted"
+    BACKOFF = "the last watch has ended; the next is opened after a delay"
+    CONNECTING = "watches are open, none has responded"
+    STREAMING = "one watch has responded and is used"
 
 
 class Event(Enum):
-    """What can happen to it."""
+    """Input of the state machine."""
 
-    BEGIN = "watch from now on"
-    MOVE = "discovery is elsewhere from now on"
-    STOP = "watch no more"
+    START = "start watching"
+    MOVE = "discovery has a new address"
+    STOP = "stop watching"
     TICK = "time has passed"
-    ANSWERED = "the head of an answer is there"
-    LIVED = "a watch has shown life"
-    NEWS = "a list was new"
-    ENDED = "a watch has ended by itself"
+    HEAD_RECEIVED = "a response head was received"
+    ACTIVITY = "a watch has shown activity"
+    LIST_CHANGED = "a list differed from the last one"
+    ENDED = "a watch was closed by the other side or failed"
 
 
-def _row(phase: Phase, **led: set[Phase]) -> dict[Event, set[Phase]]:
-    return {event: led.get(event.name, {phase}) for event in Event}
+def _row(phase: Phase, **following: set[Phase]) -> dict[Event, set[Phase]]:
+    return {event: following.get(event.name, {phase}) for event in Event}
 
 
-_STOPPED, _PAUSING, _ASKING, _HEARING = ({phase} for phase in Phase)
-# Every event is legal in every phase: the phases that may follow. What is not named leaves the phase as it is.
+_STOPPED, _BACKOFF, _CONNECTING, _STREAMING = ({phase} for phase in Phase)
+# The phases that may follow each event. Every event is allowed in every phase; one that is not named keeps the phase.
 TABLE = {
-    Phase.STOPPED: _row(Phase.STOPPED, BEGIN=_ASKING),
-    Phase.PAUSING: _row(Phase.PAUSING, BEGIN=_ASKING, MOVE=_ASKING, STOP=_STOPPED, TICK=_PAUSING | _ASKING),
-    Phase.ASKING: _row(
-        Phase.ASKING, STOP=_STOPPED, ANSWERED=_ASKING | _HEARING, LIVED=_ASKING | _HEARING, ENDED=_ASKING | _PAUSING
+    Phase.STOPPED: _row(Phase.STOPPED, START=_CONNECTING),
+    Phase.BACKOFF: _row(
+        Phase.BACKOFF, START=_CONNECTING, MOVE=_CONNECTING, STOP=_STOPPED, TICK=_BACKOFF | _CONNECTING
     ),
-    Phase.HEARING: _row(
-        Phase.HEARING, BEGIN=_ASKING, MOVE=_ASKING, STOP=_STOPPED, TICK=_HEARING | _ASKING, ENDED=_HEARING | _PAUSING
+    Phase.CONNECTING: _row(
+        Phase.CONNECTING,
+        STOP=_STOPPED,
+        HEAD_RECEIVED=_CONNECTING | _STREAMING,
+        ACTIVITY=_CONNECTING | _STREAMING,
+        ENDED=_CONNECTING | _BACKOFF,
+    ),
+    Phase.STREAMING: _row(
+        Phase.STREAMING,
+        START=_CONNECTING,
+        MOVE=_CONNECTING,
+        STOP=_STOPPED,
+        TICK=_STREAMING | _CONNECTING,
+        ENDED=_STREAMING | _BACKOFF,
     ),
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Steps:
-    """What is to be done: watches to be dropped, those of them that were silent, and one to be begun (or None)."""
+class Actions:
+    """What the caller must do: watches to abort, those of them that were silent, and one to open (or None)."""
 
-    drop: tuple[int, ...] = ()
-    silent: tuple[int, ...] = ()
-    begin: int | None = None
+    abort: tuple[int, ...] = ()
+    timed_out: tuple[int, ...] = ()
+    connect: int | None = None
 
 
-NOTHING = Steps()
+NO_ACTIONS = Actions()
 
 
 class WatchStateMachine:
@@ -78,91 +91,99 @@
 
     def __init__(self) -> None:
         self.phase = Phase.STOPPED
-        self._last = 0
-        self._since: dict[int, int] = {}  # open watches: when each began, or spoke last
-        self._next = 0  # when the next is due, unless one is heard
-        self._pause = FIRST_PAUSE
-        self._doubt = False  # one has fallen silent: the head of an answer is no proof that lists will follow
+        self._last_number = 0
+        self._active_at: dict[int, int] = {}  # open watches: when each was opened or last active
+        self._next_connect_at = 0  # when the next is opened, unless one responds
+        self._retry_delay = MIN_RETRY_DELAY
+        self._distrusts_starts = False  # a watch fell silent: the start of a response does not prove that lists follow
 
     def next_at(self) -> int | None:
-        """When ``tick`` is due; None: never."""
+        """Returns when ``tick`` is due; None: never."""
         if self.phase is Phase.STOPPED:
             return None
-        silent = min(self._since.values(), default=1 << 63) + SILENCE
-        if self.phase is Phase.HEARING or (self.phase is Phase.ASKING and len(self._since) >= MOST):
-            return silent
-        return min(self._next, silent)
-
-    def begin(self, now: int) -> Steps:
-        """Watch from now on; whatever was open is dropped."""
-        drop, self._since = tuple(self._since), {}
-        self._pause = FIRST_PAUSE
-        self._doubt = False
-        return Steps(drop=drop, begin=self._another(now))
-
-    def move(self, now: int) -> Steps:
-        """Discovery is elsewhere from now on; whoever has stopped does not begin again for that."""
-        return NOTHING if self.phase is Phase.STOPPED else self.begin(now)
-
-    def stop(self) -> Steps:
-        """Watch no more."""
-        drop, self._since = tuple(self._since), {}
+        silence_at = min(self._active_at.values(), default=1 << 63) + SILENCE_TIMEOUT
+        if self.phase is Phase.STREAMING or (
+            self.phase is Phase.CONNECTING and len(self._active_at) >= MAX_OPEN_WATCHES
+        ):
+            return silence_at
+        return min(self._next_connect_at, silence_at)
+
+    def start(self, now: int) -> Actions:
+        """Starts watching; open watches are aborted."""
+        abort, self._active_at = tuple(self._active_at), {}
+        self._retry_delay = MIN_RETRY_DELAY
+        self._distrusts_starts = False
+        return Actions(abort=abort, connect=self._connect_another(now))
+
+    def move(self, now: int) -> Actions:
+        """Discovery has a new address: restarts watching, unless it is stopped."""
+        return NO_ACTIONS if self.phase is Phase.STOPPED else self.start(now)
+
+    def stop(self) -> Actions:
+        """Stops watching."""
+        abort, self._active_at = tuple(self._active_at), {}
         self.phase = Phase.STOPPED
-        return Steps(drop=drop)
+        return Actions(abort=abort)
 
-    def tick(self, now: int) -> Steps:
-        """Time has passed."""
+    def tick(self, now: int) -> Actions:
+        """Handles the passage of time."""
         if self.phase is Phase.STOPPED:
-            return NOTHING
-        silent = tuple(number for number, since in self._since.items() if now - since >= SILENCE)
-        for number in silent:
-            del self._since[number]
-        if silent:
-            self._doubt = True
-        lost = self.phase is Phase.HEARING and not self._since
-        due = self.phase is not Phase.HEARING and now >= self._next and len(self._since) < MOST
-        return Steps(drop=silent, silent=silent, begin=self._another(now) if lost or due else None)
-
-    def answered(self, number: int, now: int) -> Steps:
-        """The head of an answer is there."""
-        return NOTHING if self._doubt else self._spoke(number, now)
-
-    def lived(self, number: int, now: int, begun: bool = False) -> Steps:
-        """A list, or white space between two; ``begun``: the first octet of a list.
-
-        Once a watch has fallen silent the beginning of a list is no proof that it will end: others are begun beside
-        it until one is whole, so that two watches that stop one after the other cost no more than one.
+            return NO_ACTIONS
+        timed_out = tuple(number for number, since in self._active_at.items() if now - since >= SILENCE_TIMEOUT)
+        for number in timed_out:
+            del self._active_at[number]
+        if timed_out:
+            self._distrusts_starts = True
+        lost = self.phase is Phase.STREAMING and not self._active_at
+        due = (
+            self.phase is not Phase.STREAMING
+            and now >= self._next_connect_at
+            and len(self._active_at) < MAX_OPEN_WATCHES
+        )
+        return Actions(
+            abort=timed_out, timed_out=timed_out, connect=self._connect_another(now) if lost or due else None
+        )
+
+    def head_received(self, number: int, now: int) -> Actions:
+        """A response head was received."""
+        return NO_ACTIONS if self._distrusts_starts else self._select(number, now)
+
+    def activity(self, number: int, now: int, list_started: bool = False) -> Actions:
+        """A list or whitespace between lists was received; ``list_started``: the first octet of a list.
+
+        Once a watch has fallen silent, the start of a list does not prove that it will end. Others are then opened in
+        parallel until a list is complete, so that two watches that stop in succession take no longer than one.
         """
-        if begun and self._doubt:
-            return NOTHING
-        if number in self._since:
-            self._doubt = False
-        return self._spoke(number, now)
+        if list_started and self._distrusts_starts:
+            return NO_ACTIONS
+        if number in self._active_at:
+            self._distrusts_starts = False
+        return self._select(number, now)
 
-    def news(self) -> None:
-        """A list was new: should this watch end, the next is begun soon."""
-        self._pause = FIRST_PAUSE
+    def list_changed(self) -> None:
+        """A list differed from the last one: if this watch ends, the next is opened soon."""
+        self._retry_delay = MIN_RETRY_DELAY
 
     def ended(self, number: int, now: int) -> int | None:
-        """A watch has ended by itself; the pause before the next (ns), if it was the last."""
-        if self._since.pop(number, None) is None or self._since:
+        """A watch has ended on its own. Returns the delay before the next (ns) if it was the last."""
+        if self._active_at.pop(number, None) is None or self._active_at:
             return None
-        pause, self._pause = self._pause, min(2 * self._pause, LONGEST_PAUSE)
-        self.phase = Phase.PAUSING
-        self._next = now + pause
-        return pause
-
-    def _spoke(self, number: int, now: int) -> Steps:
-        if number not in self._since:
-            return NOTHING
-        drop = tuple(other for other in self._since if other != number)
-        self.phase = Phase.HEARING
-        self._since = {number: now}
-        return Steps(drop=drop)
-
-    def _another(self, now: int) -> int:
-        self._last += 1
-        self.phase = Phase.ASKING
-        self._next = now + BESIDE
-        self._since[self._last] = now
-        return self._last
+        delay, self._retry_delay = self._retry_delay, min(2 * self._retry_delay, MAX_RETRY_DELAY)
+        self.phase = Phase.BACKOFF
+        self._next_connect_at = now + delay
+        return delay
+
+    def _select(self, number: int, now: int) -> Actions:
+        if number not in self._active_at:
+            return NO_ACTIONS
+        abort = tuple(other for other in self._active_at if other != number)
+        self.phase = Phase.STREAMING
+        self._active_at = {number: now}
+        return Actions(abort=abort)
+
+    def _connect_another(self, now: int) -> int:
+        self._last_number += 1
+        self.phase = Phase.CONNECTING
+        self._next_connect_at = now + PARALLEL_DELAY
+        self._active_at[self._last_number] = now
+        return self._last_number
