--- a/tests/platform/test_broken_settings.py
+++ b/tests/platform/test_broken_settings.py
@@ -87,16 +87,16 @@
 )
 
 
-def paths(told, where=()):
+def paths(value, where=()):
     if where:
         yield where
-    for name, held in told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ():
+    for name, held in value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ():
         yield from paths(held, (*where, name))
 
 
-def with_octets(where, octets, told=FULL):
+def with_octets(where, octets, template=FULL):
     """The document with other octets in one place."""
-    document = copy.deepcopy(told)
+    document = copy.deepcopy(template)
     place = document
     for name in where[:-1]:
         place = place[name]
@@ -179,8 +179,8 @@
             for octets, name in BAD.values():
                 file.write_bytes(octets)
                 process.send_signal(signal.SIGHUP)
-                told = json.loads(next(line for line in process.stderr if b'"reload' in line))
-                assert told["event"] == "reload_rejected" and name in told["problem"] and str(file) in told["problem"]
+                entry = json.loads(next(line for line in process.stderr if b'"reload' in line))
+                assert entry["event"] == "reload_rejected" and name in entry["problem"] and str(file) in entry["problem"]
                 with socket.create_connection(("127.0.0.1", port), 30) as client:
                     client.sendall(START + query(""))
                     got = b""
--- a/tests/platform/test_json_stream.py
+++ b/tests/platform/test_json_stream.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         b"[",
         b"x",
@@ -61,10 +61,10 @@
         b'{"a":' * (MAX_DEPTH + 1),
     ],
 )
-def test_invalid_input_is_reported_at_once_and_earlier_objects_are_kept(spoilt):
+def test_invalid_input_is_reported_at_once_and_earlier_objects_are_kept(invalid):
     parser, got = StreamParser(), []
     with pytest.raises(SplitError):
-        for found in parser.feed(b'{"b":1}' + spoilt):
+        for found in parser.feed(b'{"b":1}' + invalid):
             got.append(found)
     assert got[1] == b'{"b":1}'
 
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -47,8 +47,8 @@
     file.write_bytes(b"{")
     made.reload({"NODE_CONFIG": str(file)})
     assert log.lines[-1][0] == "reload_rejected" and len(reactor.tcpClients) == 1
-    told = {**CONFIG, "discovery": "127.0.0.9:8501", "seed": "77", "listen": "127.0.0.4:7000"}
-    file.write_bytes(orjson.dumps(told))
+    changed = {**CONFIG, "discovery": "127.0.0.9:8501", "seed": "77", "listen": "127.0.0.4:7000"}
+    file.write_bytes(orjson.dumps(changed))
     made.reload({"NODE_CONFIG": str(file)})
     assert [facts["field"] for event, facts in log.lines if event == "reload_partial"] == ["listen"]
     assert reactor.tcpClients[1][:2] == ("127.0.0.9", 8501)
@@ -85,8 +85,8 @@
     server.dataReceived(AUTHENTICATED)
     server.dataReceived(row(tag="INSERT 0 1") + parameter("gauges", "x0=1,util=61") + READY)
     assert transport.value().endswith(row(tag="INSERT 0 1") + READY)  # the answer is passed on
-    spoilt = [facts for event, facts in log.lines if event == "server_answer_spoilt"]
-    assert spoilt == [{"server": "s-1", "problem": "load report in gauges: util", "spoilt": 1}]
+    invalid_reports = [facts for event, facts in log.lines if event == "server_answer_spoilt"]
+    assert invalid_reports == [{"server": "s-1", "problem": "load report in gauges: util", "spoilt": 1}]
     far.close()
     wire.socket.close()
 
@@ -95,8 +95,8 @@
     odd = {**SLOW[0], "name": "look,up"}
     domain = {**ENV["domain"], "class_read": ["lag_bound", "mutate", "eventual"]}
     made, _, log, _ = service(tmp_path, settings={**ENV, "services": [*SLOW, odd], "domain": domain})
-    told = [facts for event, facts in log.lines if event == "class_out_of_reach"]
-    assert [facts["request_class"] for facts in told] == ["look,up"] and set(made.factory.request_classes) > {
+    logged = [facts for event, facts in log.lines if event == "class_out_of_reach"]
+    assert [facts["request_class"] for facts in logged] == ["look,up"] and set(made.factory.request_classes) > {
         "lookup",
         "commit",
     }
@@ -162,8 +162,8 @@
         for index in (b"index=41 ", b"index=50 "):
             watch, _ = first.accept()
             watch.settimeout(30)
-            asked = watch.recv(1000)
-            assert asked.startswith(b"GET /discovery/hosts?stream=1&") and index in asked
+            request = watch.recv(1000)
+            assert request.startswith(b"GET /discovery/hosts?stream=1&") and index in request
             indented = chunk(json.dumps(listing, indent=1).replace("\n", "\r\n").encode())
             watch.sendall(HEAD + chunk(b"\n") + indented[:99])
             watch.sendall(indented[99:])
--- a/tests/platform/test_race_program.py
+++ b/tests/platform/test_race_program.py
@@ -69,8 +69,8 @@
 
     def send_list(self, *instances):
         """Sends a change of the server list."""
-        told = {"generation": 42, "reset": False, "instances": instances}
-        self.watch.sendall(HEAD + chunk(orjson.dumps(told) + b"\n"))
+        listing = {"generation": 42, "reset": False, "instances": instances}
+        self.watch.sendall(HEAD + chunk(orjson.dumps(listing) + b"\n"))
 
     def wait_for_list(self):
         """Waits until the program has applied the list."""
--- a/tests/platform/test_race_signals.py
+++ b/tests/platform/test_race_signals.py
@@ -109,11 +109,11 @@
 
 
 def test_the_decision_module_is_loaded_on_first_use():
-    told = (
+    script = (
         "import sys, yardbank; assert 'yardbank.policy' not in sys.modules; from yardbank import Router, Settings;"
         "assert Router.__module__.startswith('yardbank.') and Settings.__name__ == 'Settings'"
     )
-    subprocess.run([sys.executable, "-c", told], check=True, timeout=60)
+    subprocess.run([sys.executable, "-c", script], check=True, timeout=60)
     with pytest.raises(ImportError):
         from yardbank import nothing_of_the_kind  # noqa: F401
 
@@ -131,14 +131,14 @@
     assert reactor.tcpClients[-1][:2] == ("127.0.0.9", 8501)
     made.handle_signal(TERM, environment)
     reactor.advance(0.7)
-    begun = len(reactor.tcpClients)
+    connects = len(reactor.tcpClients)
     move(8502)
     made.watcher.stop()
-    assert len(reactor.tcpClients) == begun and ("reload_ignored", {"note": "the gateway is ending"}) in log.lines
+    assert len(reactor.tcpClients) == connects and ("reload_ignored", {"note": "the gateway is ending"}) in log.lines
     reactor.advance(5)
-    assert len(reactor.tcpClients) == begun and reactor.stops == 1
+    assert len(reactor.tcpClients) == connects and reactor.stops == 1
     move(8503)
-    assert len(reactor.tcpClients) == begun
+    assert len(reactor.tcpClients) == connects
 
 
 def receive_answers(far, count):
--- a/tests/platform/test_race_writes.py
+++ b/tests/platform/test_race_writes.py
@@ -172,15 +172,15 @@
 
 
 def test_the_rest_of_an_abandoned_statement_is_not_written_and_a_late_answer_is_ignored():
-    told = []
-    server, asked = Server(lost=lambda reason: told.append("lost")).accept_startup(), operation()
+    events = []
+    server, asked = Server(lost=lambda reason: events.append("lost")).accept_startup(), operation()
     write = server.transport.writeSomeData
     server.transport.writeSomeData = lambda data: write(data[:10])
-    receiver = SimpleNamespace(attempt_done=told.append, attempt_lost=told.append)
+    receiver = SimpleNamespace(attempt_done=events.append, attempt_lost=events.append)
     number = server.connection.submit(asked, receiver)
     server.connection.abandon(number)
-    assert not server.connection.fit() and told == []
+    assert not server.connection.fit() and events == []
     server.connection.dataReceived(row(tag="INSERT 0 1") + READY)
     server.connection.close()  # as when the gateway releases it
-    assert told == ["lost"] and not server.reactor.writers and not server.reactor.readers
+    assert events == ["lost"] and not server.reactor.writers and not server.reactor.readers
     assert len(server.far.recv(1000)) == 10 and asked.sent
--- a/tests/platform/test_server_links.py
+++ b/tests/platform/test_server_links.py
@@ -221,7 +221,7 @@
 
 
 def test_a_connection_that_ends_while_opening_is_reported_as_broken_unless_the_server_gave_a_reason():
-    for told, reason in (
+    for octets, reason in (
         (b"", BROKE_OPENING),
         (pg.error("53300", "too many").encode(), "the server refused: 53300 too many"),
     ):
@@ -230,7 +230,7 @@
         transport = StringTransport()
         transport.setTcpNoDelay = lambda on: None
         connection.makeConnection(transport)
-        if told:
-            connection.dataReceived(told)
+        if octets:
+            connection.dataReceived(octets)
         connection.connectionLost()
         assert lost == [reason]
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -196,8 +196,8 @@
 
 
 def test_a_session_uses_the_configured_report_fields_and_reports_invalid_ones():
-    told = []
-    session = ServerSession(("x0", "util"), told.append)
+    problems = []
+    session = ServerSession(("x0", "util"), problems.append)
     session.receive(AUTHENTICATED)
     for gauges, load in (("x0=2,util=0.5,utilization=0.9", 0.5), ("x0=2,util=nan", None), ("x0=2", None)):
         session.start_statement(READ)
@@ -207,8 +207,8 @@
     assert session.receive(row(b"util=0.4,x0=\xff", "SHOW") + READY).report == ProbeResult({}, None, 0.4)
     session.start_statement(READ)
     assert session.receive(b"\xff" * 40) is None
-    assert told[:2] == ["load report in gauges: util", "load report in the row: x0"]
-    assert len(told) == 3 and told[2] == session.broken
+    assert problems[:2] == ["load report in gauges: util", "load report in the row: x0"]
+    assert len(problems) == 3 and problems[2] == session.broken
 
 
 def test_positions_are_times_and_dropped_servers_are_forgotten():
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize("drip", [b" ", b"[", b"x"], ids=["white space", "brackets", "text"])
 def test_octets_that_complete_no_list_do_not_extend_the_silence_timeout(drip):
     reactor, _, got, log = open_watcher()
-    begun = b'{"a":"' if drip == b"x" else b'{"a":'
+    list_start = b'{"a":"' if drip == b"x" else b'{"a":'
     made, transport = reactor.accept(0, HEAD + chunk(b"\n"))
     reactor.pass_time(1)
-    made.dataReceived(chunk(begun))
+    made.dataReceived(chunk(list_start))
     for _ in range(28):
         reactor.pass_time(0.1)
         made.dataReceived(chunk(drip))
@@ -133,7 +133,7 @@
         transport.disconnecting
         and reactor.connects == [0, 4]
         and log.lines
-        == [("discovery_silent", {"address": "127.0.0.9:8500", "waiting": len(begun) + 28, "left_out": 0})]
+        == [("discovery_silent", {"address": "127.0.0.9:8500", "waiting": len(list_start) + 28, "left_out": 0})]
     )
     _, transport = reactor.accept(1, HEAD + chunk(LINE))
     assert b"index=0 " in transport.value() and len(got) == 1  # a list was lost: the full list is requested
--- a/yardbank/platform/json_stream.py
+++ b/yardbank/platform/json_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of octets into JSON objects: each is complete at its last octet, whatever whitespace is in it. No I/O.
+"""Splits a stream of octets into JSON objects, each complete at its last octet despite any whitespace in it. No I/O.
 
 Every octet is scanned once, however the stream is split: between two pieces the parser keeps the open brackets and
 whether it is in a string or an escape.
