--- a/tests/platform/test_broken_settings.py
+++ b/tests/platform/test_broken_settings.py
@@ -180,7 +180,9 @@
                 file.write_bytes(octets)
                 process.send_signal(signal.SIGHUP)
                 entry = json.loads(next(line for line in process.stderr if b'"reload' in line))
-                assert entry["event"] == "reload_rejected" and name in entry["problem"] and str(file) in entry["problem"]
+                assert (
+                    entry["event"] == "reload_rejected" and name in entry["problem"] and str(file) in entry["problem"]
+                )
                 with socket.create_connection(("127.0.0.1", port), 30) as client:
                     client.sendall(START + query(""))
                     got = b""
--- a/tests/platform/test_notification_deadline.py
+++ b/tests/platform/test_notification_deadline.py
@@ -98,7 +98,7 @@
 
 # Random fault schedules
 
-KINDS = ("well", "hangs", "refuses", "head only", "half a list", "reset in a list", "white space", "ends", "no list")
+FAULTS = ("well", "hangs", "refuses", "head only", "half a list", "reset in a list", "white space", "ends", "no list")
 
 
 class Discovery:
@@ -108,18 +108,18 @@
         self.draw = random.Random(seed)
         self.reactor, self.had = Network(), []  # when (s) discovery had each version, and its number
         self.version, self.fault, self.until = 41, "well", 0.0
-        self.watches, self.served, self.got = {}, 0, []
+        self.watches, self.handled, self.got = {}, 0, []
         self.watcher = Watcher(Address("127.0.0.9", 8500), 41, self.got.append, self.reactor, NoLog())
         self.watcher.start()
 
-    def whole(self):
+    def full_list(self):
         entry = {**ENTRY, "instanceId": f"s-{self.version}"}
         return orjson.dumps({"generation": self.version, "reset": True, "instances": [entry]}) + b"\n"
 
     def handle_connections(self):
         """Handles new connections as the active fault says."""
-        while self.served < len(self.reactor.connects):
-            number, self.served = self.served, self.served + 1
+        while self.handled < len(self.reactor.connects):
+            number, self.handled = self.handled, self.handled + 1
             if self.fault == "hangs":
                 continue
             if self.fault == "refuses":
@@ -127,15 +127,15 @@
                 continue
             made, transport = self.reactor.accept(number)
             if self.fault == "well":
-                made.dataReceived(HEAD + chunk(self.whole()))
+                made.dataReceived(HEAD + chunk(self.full_list()))
                 self.watches[number] = made, transport
             elif self.fault == "no list":
                 made.dataReceived(HEAD + chunk(b'{"generation":"x","instances":[]}'))
             else:
-                cut = len(self.whole()) // 2
+                cut = len(self.full_list()) // 2
                 made.dataReceived(HEAD)
                 if self.fault in ("half a list", "reset in a list"):
-                    made.dataReceived(chunk(self.whole())[:cut])
+                    made.dataReceived(chunk(self.full_list())[:cut])
                 if self.fault in ("reset in a list", "ends"):
                     made.connectionLost()
 
@@ -143,9 +143,9 @@
         """A new version, sent at once to working watches."""
         self.version += 1
         self.had.append((self.reactor.seconds(), self.version))
-        self.say(chunk(self.whole()))
+        self.send(chunk(self.full_list()))
 
-    def say(self, octets):
+    def send(self, octets):
         if self.fault == "well":
             for number, (made, transport) in list(self.watches.items()):
                 if transport.disconnecting:
@@ -155,7 +155,7 @@
 
     def start_fault(self):
         """Starts a fault: open watches fall silent or end."""
-        self.fault = self.draw.choice(KINDS)
+        self.fault = self.draw.choice(FAULTS)
         for made, transport in self.watches.values() if self.fault in ("ends", "reset in a list") else ():
             if not transport.disconnecting:
                 made.connectionLost()
@@ -191,7 +191,7 @@
                 agent.fault, reachable_since = "well", now
             next_fault = now + draw.uniform(0.1, 9)
         if now >= next_line:
-            agent.say(chunk(b"\n"))
+            agent.send(chunk(b"\n"))
             next_line = now + 2
         if agent.fault == "well":
             worst = max(worst, agent.delay(reachable_since))
--- a/tests/platform/test_pipeline.py
+++ b/tests/platform/test_pipeline.py
@@ -30,7 +30,7 @@
     return Operation(statement, now + statement.time_limit)
 
 
-def opened(pipeline, more=True):
+def dispatch_all(pipeline, more=True):
     """Dispatches all commands that may be now; returns their ids."""
     numbers = []
     while (command := pipeline.next(more)) is not None:
@@ -58,16 +58,16 @@
     pipeline = Pipeline()
     for text in texts:
         pipeline.add(operation(text), len(text), 0)
-    assert opened(pipeline) == first
+    assert dispatch_all(pipeline) == first
     pipeline.answered(command(pipeline, first[0]), b"done")
-    assert opened(pipeline) == second
+    assert dispatch_all(pipeline) == second
 
 
 def test_the_same_key_in_another_group_is_a_different_row():
     pipeline = Pipeline()
     pipeline.add(operation(write("w")), 1, 0)
     pipeline.add(operation(read("r").replace("cluster=2", "cluster=3")), 1, 0)
-    assert opened(pipeline) == ["w", "r"]
+    assert dispatch_all(pipeline) == ["w", "r"]
 
 
 def test_a_command_is_due_before_the_deadline_of_every_later_one():
--- a/tests/platform/test_race_program.py
+++ b/tests/platform/test_race_program.py
@@ -51,9 +51,9 @@
 
     def accept(self, server):
         """Accepts the program's connection to one of the listening sockets."""
-        made, _ = self.listening[server].accept()
-        made.settimeout(60)
-        return made
+        sock, _ = self.listening[server].accept()
+        sock.settimeout(60)
+        return sock
 
     def accept_opening(self, server):
         """Accepts a server connection that has received the startup message and answered nothing."""
--- a/yardbank/platform/watch.py
+++ b/yardbank/platform/watch.py
@@ -135,25 +135,25 @@
 
     def _connect(self, number: int) -> None:
         host, port = self.address.host, self.address.port
-        connection = _WatchProtocol(
+        protocol = _WatchProtocol(
             self, number, Watch(f"{host}:{port}", 0 if self._needs_full_list else self.generation)
         )
-        self._open[number] = connection
+        self._open[number] = protocol
         try:
-            connection.connector = self._reactor.connectTCP(
-                host, port, _WatchFactory(connection), timeout=2 * SILENCE_TIMEOUT / 1e9
+            protocol.connector = self._reactor.connectTCP(
+                host, port, _WatchFactory(protocol), timeout=2 * SILENCE_TIMEOUT / 1e9
             )
         except Exception as problem:  # noqa: BLE001  # e.g. no descriptor: a failed watch, retried after its delay
-            self.ended(connection, f"cannot connect: {problem!r}")
+            self.ended(protocol, f"cannot connect: {problem!r}")
 
-    def _log_limited(self, log: Callable[..., None], event: str, **facts: Any) -> None:
+    def _log_limited(self, log_method: Callable[..., None], event: str, **facts: Any) -> None:
         """Logs at most one line a second for each event, with the number of lines suppressed."""
         now = self._now()
         at, left_out = self._logged.get(event, (now - LOG_INTERVAL, 0))
         if now - at < LOG_INTERVAL:
             self._logged[event] = at, left_out + 1
             return
-        log(event, **facts, left_out=left_out)
+        log_method(event, **facts, left_out=left_out)
         self._logged[event] = now, 0
 
     def _schedule_tick(self) -> None:
@@ -221,8 +221,8 @@
                 data = connection.read_pending()
                 if not data:
                     break
-        except ValueError as problem:
-            return problem
+        except ValueError as error:
+            return error
         except Exception as fault:  # noqa: BLE001  # a bug in the program ends this watch and nothing else
             return self._program_error(fault, "read")
         return None
@@ -237,8 +237,8 @@
             return None
         try:
             self._apply_listing(merge_listings(lists))
-        except ValueError as problem:
-            return problem
+        except ValueError as error:
+            return error
         except Exception as fault:  # noqa: BLE001  # nor may a bug end the send that called ``catch_up``
             return self._program_error(fault, "applied")
         return None
--- a/yardbank/platform/watch_state.py
+++ b/yardbank/platform/watch_state.py
@@ -53,9 +53,7 @@
 # The phases that may follow each event. Every event is allowed in every phase; one that is not named keeps the phase.
 TABLE = {
     Phase.STOPPED: _row(Phase.STOPPED, START=_CONNECTING),
-    Phase.BACKOFF: _row(
-        Phase.BACKOFF, START=_CONNECTING, MOVE=_CONNECTING, STOP=_STOPPED, TICK=_BACKOFF | _CONNECTING
-    ),
+    Phase.BACKOFF: _row(Phase.BACKOFF, START=_CONNECTING, MOVE=_CONNECTING, STOP=_STOPPED, TICK=_BACKOFF | _CONNECTING),
     Phase.CONNECTING: _row(
         Phase.CONNECTING,
         STOP=_STOPPED,
