--- a/yardbank/platform/admission.py
+++ b/yardbank/platform/admission.py
@@ -15,7 +15,7 @@
 from yardbank.gateway.api import MS, SECOND
 from yardbank.platform.watch_state import MAX_OPEN_WATCHES
 
-MIN_CLOSING = 4  # client connections that may be closing besides those that are served, at least
+MIN_CLOSING = 4  # least descriptors for closing client connections, besides those of served ones
 # Standard streams 3, epoll 1, wakers 2, listening port 1, Twisted's reserve 1, discovery watches
 # ``MAX_OPEN_WATCHES`` and those aborted in the same reactor turn 1, the configuration file while it is reloaded 1, an
 # accepted connection that is to be turned away 1.
