--- a/yardbank/cluster/rollout/__init__.py
+++ b/yardbank/cluster/rollout/__init__.py
@@ -1,5 +1,6 @@
-"""A change of settings or of the program that goes through the fleet in stages, and stops by itself when it does worse.
+"""Staged rollout of new settings or a new program over the fleet, with automatic rollback when the version does worse.
 
-Nobody leads. Each gateway works out alike who goes when, hears the figures of a few, judges for itself, and moves only
-itself. What others say is evidence: of one alone it never moves anybody, at worst it makes them wait.
+There is no coordinator. Every gateway computes the same order from the peer list, receives the figures of a few
+compared gateways, judges them itself, and changes only its own version. Reports of other gateways are evidence: a
+single gateway's report never changes another gateway's version, at worst it delays the rollout.
 """
--- a/yardbank/cluster/rollout/active_version.py
+++ b/yardbank/cluster/rollout/active_version.py
@@ -1,6 +1,7 @@
-"""Which version is in force at this gateway, as a small file says it beside the settings; written whole or not at all.
+"""The version that is active at this gateway, stored in a small file beside the settings.
 
-Supervisor and worker both go by it. A program that does not know a field keeps the rest.
+Supervisor and worker both follow it. The file is replaced atomically. Fields that this program does not know are
+ignored when the file is read.
 """
 
 from __future__ import annotations
@@ -14,64 +15,65 @@
 import msgspec
 
 FILE = "rollout-in-force.json"
-ACTIVE_VERSION_VARIABLE = "YARDBANK_IN_FORCE"  # a worker's environment: the same, as its supervisor knows it
-SETTINGS_FILE_VARIABLE = "YARDBANK_GIVEN"  # likewise: the settings file that its supervisor was given
-EXIT_FOR_RESTART = 86  # of a worker that is to be started anew, by what the file says then
+# Environment variables of a worker: the active version as JSON, and the settings file its supervisor was started with
+ACTIVE_VERSION_VARIABLE = "YARDBANK_IN_FORCE"
+SETTINGS_FILE_VARIABLE = "YARDBANK_GIVEN"
+EXIT_FOR_RESTART = 86  # exit code of a worker that asks to be restarted with the version that the file names then
 MAX_OCTETS = 1 << 16
 
 
 class Version(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a gateway runs by; where ``settings`` or ``program`` is empty, what it was started with."""
+    """What a gateway runs; if ``settings`` or ``program`` is empty, the one that it was started with."""
 
-    rollout: str = ""  # that brought it; empty: none did
+    rollout: str = ""  # id of the rollout that introduced this version; empty: none did
     mark: int = 0
-    settings: str = ""  # a file, relative to that of the settings
+    settings: str = ""  # path relative to the directory of the original settings file
     program: str = ""
-    name: str = ""  # a short hash
+    name: str = ""  # short hash
 
     def command(self, own: list[str]) -> list[str]:
-        """The program and its arguments, up to the subcommand."""
+        """The command line up to the subcommand; ``own`` is the one of the original program."""
         return shlex.split(self.program) if self.program else own
 
     def file(self, given: Path) -> Path:
-        """The settings file."""
+        """Path of the settings file; ``given`` is the original one."""
         return given.parent / self.settings if self.settings else given
 
 
 class ActiveVersion(msgspec.Struct, frozen=True, omit_defaults=True):
-    """``now`` is in force; ``before`` is gone back to. Equal: nothing is under way."""
+    """``now`` is active; ``before`` is the rollback target. If they are equal, no change is in progress."""
 
     now: Version = Version()
     before: Version = Version()
-    restarts: int = 0  # of the process since ``now`` came into force
-    changed: float = 0.0  # when ``now`` came into force, seconds since 1970
-    fell: str = ""  # why the last one was left by itself; its rollout:
+    restarts: int = 0  # of the process since ``now`` became active
+    changed: float = 0.0  # when ``now`` became active, seconds since 1970
+    fell: str = ""  # why the previous version was rolled back without an order of its rollout
     fell_from: str = ""
 
     def gone_over(self, to: Version, wall: float = 0.0) -> ActiveVersion:
-        """Another version, with the way back."""
+        """Activates ``to``, with the current version as rollback target."""
         return ActiveVersion(to, self.now, changed=wall)
 
     def gone_back(self, why: str = "") -> ActiveVersion:
-        """The one before; ``why``: not as a rollout wanted it, but by itself."""
+        """Rolls back; ``why``: the reason if the supervisor did it on a dead worker, empty on the rollout's order."""
         return ActiveVersion(self.before, self.before, fell=why, fell_from=self.now.rollout if why else "")
 
     def kept(self) -> ActiveVersion:
-        """There is no way back any more."""
+        """Commits the current version: it can no longer be rolled back."""
         return ActiveVersion(self.now, self.now, self.restarts, self.changed)
 
     def restarted(self) -> ActiveVersion:
-        """The process died, and is started again."""
+        """Counts a restart of the process after it died."""
         return msgspec.structs.replace(self, restarts=self.restarts + 1)
 
     @property
     def young(self) -> bool:
-        """Whether it may still go back."""
+        """Whether the current version is not committed yet."""
         return self.now != self.before
 
 
 def decoded(data: bytes | str) -> ActiveVersion:
-    """Raises ``ValueError``."""
+    """Parses the content of the file. Raises ``ValueError``."""
     if len(data) > MAX_OCTETS:
         raise ValueError(f"{len(data)} octets, {MAX_OCTETS} allowed")
     try:
@@ -81,15 +83,15 @@
 
 
 def encoded(active_version: ActiveVersion) -> str:
-    """As it stands in the file."""
+    """The JSON that the file holds."""
     return msgspec.json.encode(active_version).decode()
 
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """How this process was started: what is in force, the settings file given at first, whether it is supervised.
+    """How this process was started: the active version, the original settings file, whether a supervisor runs it.
 
-    ``leave`` ends the process in good order, for its supervisor to start it anew; None: nobody would.
+    ``leave`` shuts the process down gracefully so that the supervisor restarts it; None: there is no supervisor.
     """
 
     active_version: ActiveVersion
@@ -99,7 +101,7 @@
 
 
 def of_worker(environment: Mapping[str, str], file: Path) -> Started:
-    """Of a process that serves ``file``. Raises ``ValueError``."""
+    """For a process that serves ``file``. Raises ``ValueError``."""
     if ACTIVE_VERSION_VARIABLE in environment:
         return Started(
             decoded(environment[ACTIVE_VERSION_VARIABLE]),
@@ -110,9 +112,9 @@
 
 
 def read(folder: Path) -> ActiveVersion:
-    """What is in force by the file; without one what the gateway was started with.
+    """Reads the active version; without a file, the version that the gateway was started with.
 
-    Raises ``ValueError`` naming the file if it cannot be used: to guess would be to choose a version.
+    Raises ``ValueError`` with the path if the file cannot be used, since any fallback would pick a version by guess.
     """
     path = folder / FILE
     try:
@@ -127,7 +129,7 @@
 
 
 def write(folder: Path, active_version: ActiveVersion) -> None:
-    """Raises ``OSError``; then what was in force still is."""
+    """Replaces the file atomically. Raises ``OSError``; then the former content stays."""
     part = folder / (FILE + ".part")
     with part.open("w", encoding="utf-8") as file:
         file.write(encoded(active_version) + "\n")
--- a/yardbank/cluster/rollout/actuator.py
+++ b/yardbank/cluster/rollout/actuator.py
@@ -1,4 +1,4 @@
-"""Carries out what the rollout's part decides: files watched and read, settings changed, the process ended. Thin."""
+"""I/O side of ``RolloutPart``: watches the files, applies settings, ends the process."""
 
 from __future__ import annotations
 
@@ -26,26 +26,27 @@
 from yardbank.config.checked import Shape, read_text
 from yardbank.server_list.watcher import Watcher
 
-LOOK_EVERY = 0.2  # seconds
+LOOK_EVERY = 0.2  # between two looks for orders and for files that did not exist yet
 
 
 def name_of(file: Path, program: str) -> str:
-    """The short name of a version. Raises ``ConfigError``."""
+    """Short hash of a version's settings and program. Raises ``ConfigError``."""
     return version_of(read_text(file) + program)
 
 
 def sound(config: Config, file: Path) -> None:
-    """Raises ``ConfigError`` for settings by which a gateway could not be called back."""
+    """Raises ``ConfigError`` for settings without the blocks that a gateway needs to be rolled back."""
     for name, block in (("peers", config.peers), ("rollout", config.rollout)):
         if block is None:
             raise ConfigError([f"{file}:1: {name}: no such block: the gateway could not be called back"])
 
 
 class Actuator:
-    """One gateway's. ``given``: the settings file it was started with; ``active_version``: in force as it starts.
+    """Executes the orders of one gateway's rollout part.
 
-    ``reload`` takes other settings in service, or raises ``ValueError`` and changes nothing; ``leave`` ends the process
-    so that its supervisor starts it anew; None: there is no supervisor.
+    ``given``: the settings file the process was started with; ``active_version``: the version active at that time.
+    ``reload`` applies new settings without a restart, or raises ``ValueError`` and changes nothing. ``leave`` shuts the
+    process down so that its supervisor restarts it; None: there is no supervisor.
     """
 
     def __init__(
@@ -67,14 +68,14 @@
         self._reactor, self._now, self._wall, self._log = reactor, now, wall, log
         self._prompt, self._reload, self._leave = prompt, reload, leave
         file = given.parent / block.file
-        # Not there yet, which is nothing wrong
+        # Files that do not exist yet; that is no error
         self._absent: dict[Path, Shape[Any]] = {file: SHAPE, command_file(file): COMMANDS}
         self._watchers: list[Watcher] = []
         self._timer: Any = None
         self._left = False
 
     def start(self) -> None:
-        """Begin."""
+        """Logs a rollback made by the supervisor, and starts to poll."""
         if not self._active_version.now.rollout and self._active_version.fell:
             self._log.warning(
                 "rollout",
@@ -87,7 +88,7 @@
         self._look()
 
     def stop(self) -> None:
-        """No more."""
+        """Stops the watchers and the timer."""
         for watcher in self._watchers:
             watcher.stop()
         if self._timer is not None and self._timer.active():
@@ -119,14 +120,14 @@
             try:
                 name = self._name(action.change) if action.change is not None else ""
             except ConfigError as problem:
-                for fault in problem.faults:  # the last good one serves on
+                for fault in problem.faults:  # the last valid request stays in effect
                     self._log.error("rollout_rejected", fault=fault)
                 return
             self._part.asked(self._now(), action.change, name)
         self._prompt()
 
     def _name(self, change: Change) -> str:
-        now = self._active_version.now  # what the change does not name stays as an earlier one has left it
+        now = self._active_version.now  # what the change does not name stays as an earlier rollout has set it
         version = Version(settings=change.settings or now.settings, program=change.program or now.program)
         file = version.file(self._given)
         sound(load(file), file)
@@ -143,11 +144,11 @@
 
     def _commit(self) -> None:
         committed = self._active_version.kept()
-        if self._write(committed):  # else a start may still go back: it says so
+        if self._write(committed):  # otherwise a restart may still roll back, and logs that it did
             self._active_version = committed
 
     def _change_to(self, version: Version, active: ActiveVersion, order: Activate | RollBack) -> None:
-        """Bring a version into force: in service where that can be, else by a start of the process."""
+        """Activates a version: without a restart where possible, otherwise by a restart of the process."""
         try:
             config = self._load(version, order)
         except ConfigError as error:
@@ -167,7 +168,7 @@
             self._stay(reason)
 
     def _load(self, version: Version, order: Activate | RollBack) -> Config:
-        """The settings of a version. Raises ``ConfigError``."""
+        """Loads the settings of a version. Raises ``ConfigError``."""
         file = version.file(self._given)
         config = load(file)
         if isinstance(order, Activate) and name_of(file, version.program) != version.name:
@@ -175,7 +176,7 @@
         return config
 
     def _reload_in_service(self, version: Version, config: Config) -> str | None:
-        """Take the settings in service; None, or why that cannot be."""
+        """Applies settings without a restart; returns None, or why that is impossible."""
         if version.program != self._active_version.now.program:
             return "another program"
         try:
@@ -185,7 +186,7 @@
         return None
 
     def _stay(self, reason: str) -> None:
-        """Nothing has changed: the process has to start again, and may not."""
+        """Restores the file: the change needs a restart, and none is possible or allowed now."""
         self._write(self._active_version)
         if self._leave is None:
             self._fail(f"nobody starts it anew; {reason}")
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -1,4 +1,4 @@
-"""What one gateway tells of itself: its figures at each beat, its place, whether it says stop. No I/O; times in ns."""
+"""Writes this gateway's own record: its figures at each beat, its phase, its stop verdict. No I/O; times in ns."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 SECOND = 1_000_000_000
-SLOW = 3  # of ``MembershipView.slowness``: from here on this gateway's view and figures are not gone by
+SLOW = 3  # value of ``MembershipView.slowness`` from which this gateway's view and figures are not trusted
 LEAST_BEAT = 3 * SECOND
-ROUNDS = 3  # in which a stop is told at once; afterwards it rides on each letter
-PACE = 5  # records that one gateway passes on in a second
+ROUNDS = 3  # ticks in which a stop is sent at once; afterwards each message carries it anyway
+PACE = 5  # records that one gateway relays in a second
 
 
 class Announcer:
     """Writes this gateway's record.
 
-    Figures are read at beats, which all enter at nearly the same time though no clock is compared: by one's own, or on
-    hearing that two others have entered a later one.
+    Figures are read at numbered intervals ("beats") that start at nearly the same time on all gateways although no
+    clocks are compared: a gateway enters the next beat when its own interval ends, or when two others report a later one.
     """
 
     def __init__(self, membership_view: MembershipView, record_log: RecordLog, options: Options) -> None:
         self._membership_view, self._record_log, self._options = membership_view, record_log, options
-        self.told = GatewayRecord(membership_view.name, 1, 1)  # last
+        self.told = GatewayRecord(membership_view.name, 1, 1)  # the newest one
         self.beat = 0
-        self.left_out: tuple[str, ...] = ()  # classes that a record has no room for
-        self._at = 0  # of the next beat
+        self.left_out: tuple[str, ...] = ()  # classes that did not fit into the record
+        self._at = 0  # start of the next beat
         self._number = 0
-        self._rounds = 0  # of telling at once that this gateway says stop, still to go
+        self._rounds = 0  # ticks left in which a stop is sent at once
         self._figures = Metrics()
         self._cells: tuple[Cell, ...] = ()
 
     def enter(self, now: int, order: StagePlan, stage: int) -> bool:
-        """Enter the next beat if it is time; whether there are figures to be told of it."""
+        """Enters the next beat if it is time; returns whether there are figures to send for it."""
         heard = self._record_log.second_beat()
         if now < self._at and heard <= self.beat:
             return False
@@ -53,11 +53,11 @@
         return bool(self._cells)
 
     def forget(self) -> None:
-        """The figures are not of where this gateway is now."""
+        """Drops figures that were read in another phase than the current one."""
         self._cells, self.left_out = (), ()
 
     def tell(self, state_machine: RolloutStateMachine, beat: bool) -> list[Message]:
-        """Write the record anew, if it says something else; letters with it, if others should know at once."""
+        """Writes a new record if anything changed; returns messages if others should have it at once."""
         change, name = state_machine.change, self._membership_view.name
         stop = state_machine.stopped(change.id) if change is not None else ""
         said = GatewayRecord(
@@ -69,7 +69,7 @@
             state_machine.phase,
             state_machine.running,
             stop[:MAX_WHY],
-            self.beat if self._cells else self.told.beat,  # who is not compared says nothing new at each beat
+            self.beat if self._cells else self.told.beat,  # a gateway that is not compared has nothing new at each beat
             int(self._membership_view.slowness() >= SLOW),
             state_machine.restarts,
             self._figures.memory >> 20 if self._cells else self.told.memory,
--- a/yardbank/cluster/rollout/canary_analysis.py
+++ b/yardbank/cluster/rollout/canary_analysis.py
@@ -1,4 +1,4 @@
-"""The evidence of one stage: windows of pairs, taken from records, and what they show so far. No I/O."""
+"""Statistical evidence of one stage: compares pairs of gateways, window by window, by their records. No I/O."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from yardbank.cluster.rollout.sequential_test import Floats
 from yardbank.cluster.rollout.stage_plan import Pair, StagePlan
 
-LEAST_P99 = 100  # requests of a window, of each side, for its p99 to say anything
-SWOLLEN = 3  # windows one after another with too much memory
+LEAST_P99 = 100  # in a window, on each side, for its p99 to be compared
+SWOLLEN = 3  # consecutive windows with too much memory that count against the new version
 Past = Callable[[str], Mapping[int, GatewayRecord]]
 Key = TypeVar("Key")
-What = tuple[str, str]  # what is compared, of which class
+What = tuple[str, str]  # metric, class key
 
 
 @dataclass(slots=True)
 class _Course:
-    """One pair so far."""
+    """State of the comparison of one pair."""
 
     new: GatewayRecord | None = None  # at the end of the last window
     old: GatewayRecord | None = None
@@ -36,7 +36,7 @@
 
 
 class CanaryAnalysis:
-    """One stage's; begun anew with each, with its part of the chance of a false stop."""
+    """Analysis of one stage. Each stage starts a new one with its share of the false-stop probability."""
 
     def __init__(self, change: Change, order: StagePlan, stage: int) -> None:
         self.change, self.stage = change, stage
@@ -45,21 +45,21 @@
         self._courses = {pair: _Course() for pair in self.pairs}
         self._worse: dict[tuple[Pair, What], Floats] = {}
         self._sound: dict[tuple[Pair, What], Floats] = {}
-        self._before: dict[tuple[Pair, What], tuple[int, int]] = {}  # bad ones and all, of past windows
-        self._spread: dict[str, tuple[float, int]] = {}  # of the p99 of a class: sum of differences, and windows
+        self._before: dict[tuple[Pair, What], tuple[int, int]] = {}  # bad requests and all requests of past windows
+        self._spread: dict[str, tuple[float, int]] = {}  # by class: sum of absolute log ratios of p99, and their number
         self.classes: set[str] = set()
-        self.apart: set[str] = set()  # classes that only one side has, or promises otherwise: not compared
-        self.altered: set[str] = set()  # classes that both have and promise otherwise: never shown to be well
-        self.evidence = self.soundness = 0.0  # logarithms
+        self.apart: set[str] = set()  # classes that are not compared: only one side has them, or with other targets
+        self.altered: set[str] = set()  # classes both sides have, with other targets: prevent a pass
+        self.evidence = self.soundness = 0.0  # logarithms of e-values: that it is worse, that it is not
         self.why = ""
 
     @property
     def windows(self) -> int:
-        """How many have been compared."""
+        """Number of windows compared so far."""
         return sum(course.windows for course in self._courses.values())
 
     def relisted(self, order: StagePlan) -> None:
-        """The list has changed: what was seen stays, and the chance of a false stop is not used twice."""
+        """Adopts a new peer list; evidence is kept, so that the false-stop probability is not spent twice."""
         seen = [pair for pair in self.pairs if self._courses[pair].windows]
         self.pairs = tuple(dict.fromkeys([*seen, *order.pairs(self.stage)]))
         self._members = order.upto(self.stage)
@@ -67,13 +67,13 @@
             self._courses.setdefault(pair, _Course())
 
     def look(self, past: Past) -> None:
-        """Take in what is known by now."""
+        """Processes the records that have arrived; ``past`` returns a gateway's last records by beat."""
         fresh = [pair for pair in self.pairs if self._window(pair, past(pair.new), past(pair.old))]
         if fresh:
             self._weigh()
 
     def _window(self, pair: Pair, new: Mapping[int, GatewayRecord], old: Mapping[int, GatewayRecord]) -> bool:
-        """One more window of a pair, up to the last beat that both have told."""
+        """Closes a window of a pair at the last beat that both have reported; returns whether it was compared."""
         beats = [
             beat
             for beat in new.keys() & old.keys()
@@ -94,7 +94,7 @@
         if not same_course(before[0], course.new) or not same_course(before[1], course.old):
             return False
         if course.new.slow or course.old.slow:
-            return False  # whose fault it is cannot be told: waiting, never "well"
+            return False  # the version need not be the cause; this delays a verdict and never counts as a pass
         self._compare(pair, before[0], before[1], last == before[0].beat + 1)
         course.windows += 1
         swollen = course.old.memory and course.new.memory > self.change.memory * course.old.memory
@@ -138,7 +138,7 @@
 
     @property
     def _shown(self) -> str:
-        """Of which it must be shown that it is not worse: the others are parts of it, where it is asked for."""
+        """The metric that a pass must be shown for: the first configured one; "served" includes the others."""
         return next(metric for metric in SHARES if metric in self.change.worse)
 
     def _tail(self, pair: Pair, name: str, new: int, old: int) -> None:
@@ -167,7 +167,7 @@
         table = np.stack([[self._worse.get((pair, what), none) for what in whats] for pair in self.pairs])
         found = float(judge.stop_evidence(table, [pair.zone for pair in self.pairs], groups))
         most = max(MAX_CELLS * len(self.change.worse), len(whats))  # those not seen yet count as one each
-        rest = math.log(most - len(whats) + 1e-9)
+        rest = math.log(most - len(whats) + 1e-9)  # comparisons not seen yet count with an e-value of 1
         self.evidence = float(np.logaddexp(found + math.log(len(whats)), rest)) - math.log(most)
         totals = table.sum(axis=0).max(axis=-1)
         metric, name = whats[int(totals.argmax())]
@@ -179,11 +179,11 @@
     # Verdicts
 
     def worse(self) -> str:
-        """What of its requests says that it does worse; empty: nothing."""
+        """Metric and class by which the new version does worse; empty: none."""
         return self.why if self.evidence >= math.log(len(self.change.stages) / self.change.false_stop) else ""
 
     def broken(self, said: Mapping[str, GatewayRecord]) -> str:
-        """Which two of its processes end, or swell, while the old ones do not; empty: fewer."""
+        """Why the new version's processes fail: two restart or use too much memory, old ones do not; empty: fewer do."""
         if "restarts" in self.change.worse and len(down := self._down(said)) >= 2:
             return f"restarts of {', '.join(sorted(down)[:2])}"[:40]
         if "memory" in self.change.worse:
@@ -193,7 +193,7 @@
         return ""
 
     def _down(self, said: Mapping[str, GatewayRecord]) -> list[str]:
-        """New ones that end though the old one that each is compared with does not; others, if no such old one does."""
+        """Failing gateways whose old partner is stable; those without one count only if all old partners are stable."""
         bad = {name for name in self._members if name in said and self._broken(said[name])}
         old = {pair.new: said.get(pair.old) for pair in self.pairs}
         sound = {
@@ -207,14 +207,14 @@
         return said.phase == Phase.FELL or said.restarts >= self.change.restarts
 
     def well(self) -> bool:
-        """Whether it is shown that it is not worse by the stated amount, by most of the pairs."""
+        """Whether more than half of the pairs were compared and show that the version is not worse by ``worse_by``."""
         if self.altered:
             return False
         heard = sum(course.windows > 0 for course in self._courses.values())
         return heard >= 2 and 2 * heard > len(self.pairs) and self.soundness >= math.log(1 / self.change.false_pass)
 
     def lacking(self) -> str:
-        """What there is not enough of yet."""
+        """The evidence so far, for the log."""
         heard = sum(course.windows > 0 for course in self._courses.values())
         found = f"{heard} of {len(self.pairs)} pairs heard, {self.windows} windows, evidence {self.soundness:.1f}"
         return found + (f", promised otherwise: {', '.join(sorted(self.altered))}" if self.altered else "")
@@ -225,7 +225,7 @@
 
 
 def _gained(before: GatewayRecord, after: GatewayRecord) -> dict[str, Cell]:
-    """What came to each class between two records of one course; what runs backwards is no figure."""
+    """Differences of each class's counters between two comparable records; classes whose counters fell are left out."""
     old = {cell.name: cell for cell in before.cells}
     found: dict[str, Cell] = {}
     for cell in after.cells:
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -1,12 +1,13 @@
-"""What a rollout is asked for by: a watched file, and a second one with the operator's commands. No I/O.
+"""The rollout file and the operator's command file: schema, validation, change detection. No I/O.
 
     rollout "2026-12-a" {
       settings = "new.hcl"
       stages   = [0.02, 0.1, 0.5, 1]
     }
 
-Beside it, as FILE.word: ``stop "2026-12-a" {}`` or ``withdraw "2026-12-a" {}``. Either is taken whole or not at all; a
-text that cannot be used is given ``patience``, and the last good one serves on.
+The command file is FILE.word beside it: ``stop "2026-12-a" {}`` or ``withdraw "2026-12-a" {}``. Each file is accepted
+whole or not at all. An invalid text may still be being written: it is reported only after ``patience``, and the last
+valid one stays in effect.
 """
 
 from __future__ import annotations
@@ -26,32 +27,33 @@
 from yardbank.config.checked import Checked, ConfigError, Faults, Shape, check_text
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,31}$"
-SHARES = ("served", "refused", "failed", "late")  # of requests, judged by class
-FILE = r"^([A-Za-z0-9][A-Za-z0-9._-]{0,99})?$"  # in the same folder: what it names lies where it did
+SHARES = ("served", "refused", "failed", "late")  # shares of requests, compared by class
+# A file in the same directory, so that relative paths in it resolve as in the original settings
+FILE = r"^([A-Za-z0-9][A-Za-z0-9._-]{0,99})?$"
 METRICS = (*SHARES, "p99", "restarts", "memory")
 SECOND = 1_000_000_000
 MAX_STAGES = 16
 
 
 class Change(Model):
-    """One rollout as it is asked for; times in nanoseconds."""
+    """One requested rollout; times in nanoseconds."""
 
     id: Annotated[str, Field(pattern=NAME)]
-    settings: Annotated[str, Field(pattern=FILE)] = ""  # a file beside that of the settings
-    program: str = ""  # a command in place of this program's
+    settings: Annotated[str, Field(pattern=FILE)] = ""  # a file beside the original settings file
+    program: str = ""  # a command that replaces this program's
     stages: tuple[float, ...] = (0.02, 0.1, 0.5, 1.0)
-    hold: Duration = 60 * SECOND  # a stage lasts at least so long once it is through
-    settle: Duration = 10 * SECOND  # so long after it is back a gateway's figures do not count yet
+    hold: Duration = 60 * SECOND  # least duration of a stage after all its gateways have changed
+    settle: Duration = 10 * SECOND  # a gateway's figures do not count for so long after its change
     most_at_once: Annotated[int, Field(ge=1, le=64, strict=True)] = 1
-    outage: Duration = 30 * SECOND  # one that changes is back and settled within this, or it is no planned one
-    longest: Duration = 1800 * SECOND  # to wait for evidence in one stage
+    outage: Duration = 30 * SECOND  # a change with restart is expected to take no longer, settling included
+    longest: Duration = 1800 * SECOND  # a stage without progress is undecided after this
     worse: StringTuple = METRICS
-    worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.02  # of the requests of a class
+    worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.02  # least difference, as a share of a class's requests
     false_stop: Annotated[float, Field(gt=0, le=0.5)] = 0.05
     false_pass: Annotated[float, Field(gt=0, le=0.5)] = 0.05
-    p99: Annotated[float, Field(gt=1, le=100)] = 1.5  # times the old one's
-    memory: Annotated[float, Field(gt=1, le=100)] = 1.5  # times the old one's
-    restarts: Annotated[int, Field(ge=1, le=100, strict=True)] = 2  # of one gateway
+    p99: Annotated[float, Field(gt=1, le=100)] = 1.5  # limit, as a multiple of the old version's
+    memory: Annotated[float, Field(gt=1, le=100)] = 1.5  # limit, as a multiple of the old version's
+    restarts: Annotated[int, Field(ge=1, le=100, strict=True)] = 2  # limit for one gateway
 
     @field_validator("stages")
     @classmethod
@@ -92,21 +94,21 @@
         return self
 
     def mark(self) -> int:
-        """This very request as a number: equal where two gateways were asked for the same."""
+        """A hash of the request: equal on two gateways if they were asked for the same."""
         return self.number
 
     @cached_property
     def number(self) -> int:
-        """The same; worked out once."""
+        """The same, computed once."""
         return xxhash.xxh3_64_intdigest(self.kept().encode())
 
     def kept(self) -> str:
-        """As JSON: only what the file says, so that programs with more or other defaults have the same mark."""
+        """JSON of the keys that the file sets, without defaults: programs with other defaults agree on the hash."""
         return json.dumps(self.model_dump(mode="json", exclude_unset=True), sort_keys=True)
 
     @classmethod
     def of(cls, kept: str) -> Change:
-        """What ``kept`` said, perhaps in another program. Raises ``ValueError``."""
+        """Restores a request, perhaps written by another version of the program. Raises ``ValueError``."""
         found = json.loads(kept)
         if not isinstance(found, dict) or not isinstance(found.get("id"), str):
             raise ValueError("no rollout")  # noqa: TRY004  # a fault of the file
@@ -119,7 +121,7 @@
 
 
 class Named(Model):
-    """A rollout that is meant."""
+    """A reference to a rollout."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -127,13 +129,13 @@
 
 
 class ChangeFile(Model):
-    """A whole file; without a block nothing is asked for."""
+    """Content of the rollout file; without a block no rollout is requested."""
 
     rollout: tuple[Change, ...] = ()
 
 
 class OperatorCommandFile(Model):
-    """The operator's commands on rollouts; what is not named goes on."""
+    """Content of the command file; rollouts that it does not name continue."""
 
     stop: tuple[Named, ...] = Field(default=(), max_length=64)
     withdraw: tuple[Named, ...] = Field(default=(), max_length=64)
@@ -153,14 +155,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Asked:
-    """This is asked for from now on; None: nothing."""
+    """The request now in effect; None: there is none."""
 
     change: Change | None
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorCommand:
-    """Rollouts that an operator stops, and those that he takes back."""
+    """Ids of rollouts that the operator stops, and of those that the operator withdraws."""
 
     stop: tuple[str, ...]
     withdraw: tuple[str, ...]
@@ -168,7 +170,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """It cannot be used; the last good one stays in force."""
+    """The file is invalid; the last valid one stays in effect."""
 
     faults: tuple[str, ...]
 
@@ -182,7 +184,7 @@
 
 
 class Watching:
-    """Which version of one file is in force; ``membership.watcher.Watched``."""
+    """Tracks the last valid content of one file; implements ``server_list.watcher.Watched``."""
 
     def __init__(self, shape: Shape[Any], patience: int = 2 * SECOND) -> None:
         """``shape``: ``SHAPE`` or ``COMMANDS``."""
@@ -193,7 +195,7 @@
         self._last: Asked | OperatorCommand | None = None
 
     def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Asked | OperatorCommand | Reject]:
-        """The file holds this now."""
+        """Takes the content that was read; returns what changed."""
         name, data = next(iter(texts.items()), ("rollout", b""))
         if data != self._text:
             self._text, self._since, self._waiting = data, now, None
@@ -211,16 +213,16 @@
         return []
 
     def due(self) -> int | None:
-        """When it is to be looked at again; None: when the file changes."""
+        """When to read the file again although it has not changed; None: not at all."""
         return self._since + self._patience if self._waiting is not None else None
 
     def force(self) -> list[Asked | OperatorCommand | Reject]:
-        """Nothing is held back here."""
+        """Required by the watcher; nothing is held back here."""
         return []
 
 
 def taken(data: bytes, name: str, shape: Shape[Checked]) -> Asked | OperatorCommand:
-    """What a file says. Raises ``ConfigError``."""
+    """Parses and validates a file. Raises ``ConfigError``."""
     try:
         file = check_text(data.decode(), name, shape)
     except UnicodeDecodeError as problem:
@@ -230,10 +232,10 @@
 
 
 def command_file(file: Path) -> Path:
-    """Where the operator's commands on rollouts stand: beside what asks for them."""
+    """Path of the operator's command file, beside the rollout file."""
     return file.with_name(file.name + ".word")
 
 
 def version_of(text: str) -> str:
-    """A short name for settings (their text) or a program (its command)."""
+    """Short hash of settings (their text) or of a program (its command)."""
     return xxhash.xxh3_64_hexdigest(text.encode())[:8]
--- a/yardbank/cluster/rollout/local_state.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers of rollouts over its restarts, and the values that its part is made of and hands out."""
+"""Rollout state that a gateway stores across restarts, and the value types of its rollout part."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from yardbank.cluster.rollout.metrics import Metrics
 from yardbank.cluster.rollout.phase import MOVED, TABLE, Phase
 
-MAX_STOPPED = 64  # rollouts that are remembered as stopped; the oldest are forgotten first
+MAX_STOPPED = 64  # the oldest is dropped first
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """What the part is made with."""
+    """Construction options of the rollout part."""
 
-    figures: Callable[[], Metrics] = Metrics  # this gateway's, at this time
-    active_version: ActiveVersion = field(default_factory=ActiveVersion)  # what is in force as the process starts
-    name: str = ""  # a short hash of that
-    beat: int = 0  # ns between two readings of figures; 0: by the size of the fleet
+    figures: Callable[[], Metrics] = Metrics  # reads this gateway's current figures
+    active_version: ActiveVersion = field(default_factory=ActiveVersion)  # at the start of the process
+    name: str = ""  # short hash of that version
+    beat: int = 0  # ns between two readings of the figures; 0: derived from the size of the fleet
 
 
 @dataclass(slots=True, frozen=True)
 class Transition:
-    """One thing that happened, for the log."""
+    """One event for the log."""
 
     rollout: str
     what: str
@@ -39,9 +39,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Activate:
-    """Change to this version; ``RolloutPart.up`` or ``failed`` when that is done, or a start anew.
+    """Order to activate a version, answered by ``RolloutPart.up``, ``failed`` or a restart of the process.
 
-    ``down``: it may be started anew; if it may not, and must be: ``RolloutPart.not_in_service``.
+    ``down``: a restart is allowed; if one is needed and not allowed, the answer is ``RolloutPart.not_in_service``.
     """
 
     version: Version
@@ -50,29 +50,29 @@
 
 @dataclass(slots=True, frozen=True)
 class RollBack:
-    """Change back to the version before; ``down`` as above."""
+    """Order to return to the previous version; ``down`` as in ``Activate``."""
 
     down: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """The rollout is finished: there is no way back from it any more."""
+    """Order to make the active version permanent: the rollout is finished and can no longer be rolled back."""
 
 
 class Memory(msgspec.Struct, array_like=True):
-    """What is kept. Fields that a later program adds are left aside, those that an earlier one has not are empty."""
+    """The stored state. Unknown fields of a later program are ignored; missing fields get their defaults."""
 
-    change: str = ""  # ``Change.kept``
+    change: str = ""  # the request as JSON, see ``Change.kept``
     phase: int = Phase.OLD
-    down: bool = False  # whether it has to start anew to change
-    restarts: int = 0  # that there had been when it was asked for
-    stopped: list[tuple[str, str]] = []  # rollouts, and why
-    finished: str = ""
+    down: bool = False  # whether the change needs a restart
+    restarts: int = 0  # number of restarts when the rollout was requested
+    stopped: list[tuple[str, str]] = []  # ids of rollouts, each with the reason
+    finished: str = ""  # id of the last finished rollout
 
 
 def remembered(keep: KeyValueStore) -> Memory:
-    """What was kept; what cannot be read is nothing."""
+    """Loads the stored state; unreadable data counts as none."""
     data = keep.load()
     if data is None:
         return Memory()
@@ -86,7 +86,7 @@
 
 
 def reconciled(memory: Memory, active_version: ActiveVersion) -> tuple[int, str]:
-    """Where this gateway stands as it starts, and why if it fell back: by what it remembers and what is in force."""
+    """Derives the phase at a process start from stored state and active version, and why it was rolled back."""
     try:
         change = Change.of(memory.change)
     except ValueError:
@@ -101,7 +101,7 @@
         event = "restarted" if on_new else "up"
     elif phase in MOVED:
         event = "restarted" if on_new else "crashed"
-    else:  # the file of what is in force may have outlived what is remembered
+    else:  # the file with the active version may be newer than the stored state
         event = "found" if on_new else "restarted"
     why = active_version.fell or ("did not come over" if phase == Phase.OUT else "another version is in force")
     return TABLE.get((phase, event), Phase.OLD), why if event == "crashed" else ""
--- a/yardbank/cluster/rollout/metrics.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -1,4 +1,4 @@
-"""A gateway's own figures as records carry them. No I/O; durations in nanoseconds."""
+"""A gateway's request and memory figures in the form that records carry. No I/O; durations in nanoseconds."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 
 from yardbank.cluster.rollout.record import MAX_CELLS, Cell
 
-LEAST = 100  # requests for a p99
+LEAST = 100
 
 
 @dataclass(slots=True, frozen=True)
 class ClassFigures:
-    """What came of one class's requests since the gateway's start."""
+    """Outcomes of one class's requests since the start of the gateway."""
 
     good: int = 0  # served in time
     late: int = 0
     refused: int = 0
     failed: int = 0
-    left: int = 0
-    latencies: Mapping[int, int] = field(default_factory=dict)  # upper bound (ns): how many, of those answered
+    left: int = 0  # abandoned by the client
+    latencies: Mapping[int, int] = field(default_factory=dict)  # bucket's upper bound (ns): count, of answered requests
 
     def total(self) -> int:
-        """All of them."""
+        """Number of requests with any outcome."""
         return self.good + self.late + self.refused + self.failed + self.left
 
 
 @dataclass(slots=True, frozen=True)
 class Metrics:
-    """Of one gateway: by ``class_key``, and the memory of its process in octets."""
+    """Figures of one gateway: classes by ``class_key``, resident memory of the process in octets."""
 
     classes: Mapping[str, ClassFigures] = field(default_factory=dict)
     memory: int = 0
 
 
 def class_key(name: str, promise: Iterable[object]) -> str:
-    """A class and what is promised for it: where settings change the promise, it is not the same class any more."""
+    """Name of a class with a hash of its targets: a class whose targets differ is not comparable."""
     return f"{name[:32]}:{xxhash.xxh3_64_hexdigest(repr(tuple(promise)).encode())[:4]}"
 
 
 def p99(before: Mapping[int, int], after: Mapping[int, int]) -> int:
-    """Of what came between two histograms; 0: too few."""
+    """The 99th percentile of what was added between two histograms; 0: too few samples."""
     gained = sorted((bound, count - before.get(bound, 0)) for bound, count in after.items())
     total = sum(count for _, count in gained)
     if total < LEAST or min(count for _, count in gained) < 0:
@@ -57,9 +57,9 @@
 
 
 def cells(before: Metrics, after: Metrics) -> tuple[tuple[Cell, ...], tuple[str, ...]]:
-    """A record's cells, p99 of what came since ``before``; and the classes that there is no room for.
+    """Cells of a record, with the p99 since ``before``; and the classes that did not fit.
 
-    Those with most requests are told; of equals the first by name.
+    The classes with most requests are included, ties by name.
     """
     busy: Sequence[str] = sorted(after.classes, key=lambda key: (-after.classes[key].total(), key))
     told, left_out = sorted(busy[:MAX_CELLS]), tuple(sorted(busy[MAX_CELLS:]))
@@ -72,7 +72,7 @@
 
 
 class RequestTally(Protocol):
-    """One class as the gateway counts it (``gateway.tallies.Tally``)."""
+    """Counters of one class as the gateway keeps them (``gateway.request_counters``)."""
 
     @property
     def in_time(self) -> int:
@@ -84,7 +84,7 @@
 
     @property
     def refused(self) -> int:
-        """Turned away."""
+        """Rejected."""
 
     @property
     def failed(self) -> int:
@@ -92,11 +92,11 @@
 
     @property
     def left(self) -> int:
-        """Given up by their clients."""
+        """Abandoned by their clients."""
 
     @property
     def latencies(self) -> Sequence[int]:
-        """Of what was served, by bucket."""
+        """Histogram of the latencies of served requests: count by bucket."""
 
 
 def of_gateway(
@@ -105,7 +105,7 @@
     beyond: Callable[[int], int],
     memory: int,
 ) -> Metrics:
-    """A gateway's figures; ``beyond``: the latency that ends a bucket; ``promises``: what is promised for a class."""
+    """Figures of a gateway; ``beyond``: upper bound of a latency bucket; ``promises``: the targets of each class."""
     classes = {
         class_key(name, promises[name]): ClassFigures(
             one.in_time,
@@ -122,6 +122,6 @@
 
 
 def resident(statm: str, page: int) -> int:
-    """A process's memory (octets) by what ``/proc/self/statm`` says; 0: it says nothing."""
+    """Resident memory in octets from the text of ``/proc/self/statm``; 0: unreadable. ``page``: octets of a page."""
     words = statm.split()
     return int(words[1]) * page if len(words) > 1 and words[1].isdigit() else 0
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -1,4 +1,4 @@
-"""One gateway's whole part in a rollout: what is asked, heard and judged, and what follows for this gateway. No I/O."""
+"""The rollout protocol of one gateway: requests, records of peers, verdicts, and orders to this gateway. No I/O."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class RolloutPart:
-    """See ``peers.parts.Part``.
+    """Implements ``peers.parts.Part``.
 
-    The shell calls ``asked``, ``take_command``, ``up``, ``failed``, ``orders`` and ``turns``.
+    ``Actuator`` calls ``asked``, ``take_command``, ``up``, ``not_in_service``, ``failed``, ``orders`` and ``turns``.
     """
 
     topic = "rollout"
@@ -39,7 +39,7 @@
         self._state_machine = RolloutStateMachine(leases, keep, options)
         self._stage_plan: StagePlan | None = None
         self._progress: Progress | None = None
-        self._next: tuple[Change | None, str] | None = None  # asked for, once this gateway is back
+        self._next: tuple[Change | None, str] | None = None  # the request that starts after this gateway is rolled back
         self._asked: tuple[Change | None, str] | None = None
         self._command = OperatorCommand((), ())
         self._recall = ""
@@ -49,22 +49,22 @@
         self._tick_at = 0
         self._begun = False
 
-    # What is asked
+    # Requests and commands
 
     def asked(self, now: int, change: Change | None, name: str = "") -> None:
-        """What the file asks for; ``name``: a short hash of that version. None: nothing."""
+        """Takes the request of the rollout file; ``name``: short hash of that version. None: no request."""
         self._asked = change, name
         self._resolve(now)
 
     def take_command(self, now: int, command: OperatorCommand) -> None:
-        """The operator's commands on rollouts, as they stand now."""
+        """Takes the operator's commands that are in effect now."""
         self._command = command
         self._resolve(now)
 
     def _resolve(self, now: int) -> None:
         state_machine = self._state_machine
         current = state_machine.change
-        change, name = self._asked or (current, state_machine.name)  # until the file is read, what is remembered
+        change, name = self._asked or (current, state_machine.name)  # the stored request, until the file is read
         if change is not None and change.id in self._command.withdraw:
             change = None
         if change is not None and current is not None and change.mark() == current.mark():
@@ -104,10 +104,10 @@
         else:
             self._progress.relisted(now, self._stage_plan)
 
-    # The link
+    # Interface of ``peers.parts.Part``
 
     def listed(self, now: int) -> None:
-        """The list has changed."""
+        """Adopts a new peer list."""
         self._record_log.listed(self._membership_view.zones())
         self._lay_out(now)
         if not self._begun:
@@ -115,38 +115,38 @@
             self._state_machine.begun(now)
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A letter of a peer. Raises ``DroppedError``."""
+        """Takes a message of a peer. Raises ``DroppedError``."""
         for said in self._record_log.take(sender, body):
             if said.stop:
                 self._tick_at = min(self._tick_at, now)
 
     def next_at(self) -> int | None:
-        """Each second while there is something to do."""
+        """Time of the next tick: each second during a rollout; None: no tick is needed."""
         busy = self._state_machine.change is not None or self._announcer.told.mark
         return self._tick_at if self._begun and busy else None
 
     def outgoing_messages(self) -> list[Message]:
-        """Taken off."""
+        """Returns and removes the messages to send."""
         found, self._out = self._out, []
         return found
 
     def orders(self) -> list[Activate | RollBack | Commit]:
-        """What the shell has to do; taken off."""
+        """Returns and removes the orders to execute."""
         found, self._state_machine.orders = self._state_machine.orders, []
         return found
 
     def turns(self) -> list[Transition]:
-        """What happened, for the log; taken off."""
+        """Returns and removes the events for the log."""
         found, self._state_machine.turns = self._state_machine.turns, []
         return found
 
     def up(self, now: int) -> None:
-        """The change was made without a start anew."""
+        """The change was made without a restart."""
         self._state_machine.up(now)
         self._tick_at = min(self._tick_at, now)
 
     def not_in_service(self, now: int) -> None:
-        """The change cannot be made in service, and the order did not allow a start anew."""
+        """The change needs a restart, and the order did not allow one."""
         self._state_machine.not_in_service(now)
 
     def failed(self, now: int, why: str) -> None:
@@ -157,13 +157,13 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Figures at each beat, what is judged, what follows, what is told."""
+        """Reads figures, judges the stage, moves this gateway's phase and queues messages."""
         if not self._begun or now < self._tick_at:
             return
         self._tick_at = now + SECOND
         change, state_machine = self._state_machine.change, self._state_machine
         if change is not None and self._stage_plan is not None and self._progress is not None:
-            # One that has just gone over may not know yet how far the others are: its own stage is under way at least
+            # A gateway that has just restarted may not know how far the others are: at least its own stage is running
             own = self._stage_plan.stage_of(self._membership_view.name) if state_machine.phase in MOVED else 0
             beat = self._announcer.enter(now, self._stage_plan, max(own, self._progress.open))
             told = {n: said for n, said in self._record_log.all().items() if said.mark == change.mark()}
@@ -175,7 +175,7 @@
             turn = not self._recall and not self._held and 0 < stage <= state_machine.stage
             state_machine.step(now, turn, self._recall, self._ahead(self._stage_plan, told, alive))
             if state_machine.phase not in (phase_before, Phase.DUE) and phase_before != Phase.DUE:
-                self._announcer.forget()  # figures from before are not of where it is now
+                self._announcer.forget()  # figures of the phase before
             if self._next is not None and state_machine.phase in (Phase.OLD, Phase.FELL):
                 self._adopt(now, *self._next)
             self._out += self._announcer.tell(state_machine, beat)
@@ -215,7 +215,7 @@
         self._held = held
 
     def _reason(self, progress: Progress, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
-        """Why nobody should go over now, as far as this gateway can see; empty: nothing is in the way."""
+        """Why this gateway must not change now; empty: it may."""
         for name, said in sorted(self._record_log.all().items()):
             if said.stop and said.mark == progress.change.mark() and name != self._membership_view.name:
                 return f"{name} says stop: {said.stop}"
@@ -233,7 +233,7 @@
         return progress.lacking(told, alive)
 
     def _ahead(self, order: StagePlan, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> int:
-        """Its place in the order, where few ask for a permit before it; below 0: so many that it need not yet."""
+        """Position in the order; -1 while enough gateways before this one wait for permits, so that it need not ask."""
         own, limit = (
             order.position(self._membership_view.name),
             2 * (self._state_machine.change.most_at_once if self._state_machine.change else 1),
@@ -243,7 +243,7 @@
         return own if ahead < limit else -1
 
     def changed(self) -> frozenset[str]:
-        """Gateways that have gone over in the rollout under way, as they say themselves; empty: none is."""
+        """Gateways that report to run the new version of the unfinished rollout; empty: there is none."""
         change = self._state_machine.change
         if change is None or self._state_machine.finished:
             return frozenset()
@@ -251,7 +251,7 @@
         return frozenset(name for name, said in told if said.mark == change.mark() and said.phase in MOVED)
 
     def view(self, now: int) -> dict[str, Any]:
-        """What an operator should see."""
+        """Values for the operator's view."""
         if self._progress is None:
             return {"rollout": None}
         found = rollout_view(self._state_machine, self._progress, self._record_log)
--- a/yardbank/cluster/rollout/phase.py
+++ b/yardbank/cluster/rollout/phase.py
@@ -1,6 +1,6 @@
-"""Where one gateway stands in a rollout, and the permit that it needs to be out of service. No I/O.
+"""Phases of one gateway in a rollout, and the permit that limits how many are out of service at once. No I/O.
 
-Every move stands in one table; what has no line there does not happen.
+``TABLE`` lists every transition; an event without an entry for the current phase is ignored.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Phase(IntEnum):
-    """Where a gateway stands; stored and sent under these numbers."""
+    """Phase of a gateway; the numbers are stored and sent. ``NAMES`` has the names in views and logs."""
 
     OLD = 0
     DUE = 1
@@ -28,21 +28,21 @@
 
 TABLE: dict[tuple[int, str], Phase] = {
     (Phase.OLD, "turn"): Phase.DUE,
-    (Phase.DUE, "not now"): Phase.OLD,  # held, stopped, withdrawn: the permit is given back unused
+    (Phase.DUE, "not now"): Phase.OLD,  # held, stopped or withdrawn: the unused permit is released
     (Phase.DUE, "permit"): Phase.OUT,
     (Phase.OUT, "up"): Phase.SETTLING,
-    (Phase.OUT, "not in service"): Phase.DUE,  # it has to start anew, and may not yet
-    (Phase.OUT, "failed"): Phase.FELL,  # it could not: it is on the old one still
+    (Phase.OUT, "not in service"): Phase.DUE,  # a restart is needed, and not allowed yet
+    (Phase.OUT, "failed"): Phase.FELL,  # the old version is still active
     (Phase.SETTLING, "settled"): Phase.NEW,
-    (Phase.SETTLING, "recalled"): Phase.BACK_DUE,  # one that is going over comes up first
+    (Phase.SETTLING, "recalled"): Phase.BACK_DUE,  # a gateway in phase OUT finishes its change before it is rolled back
     (Phase.NEW, "recalled"): Phase.BACK_DUE,
     (Phase.BACK_DUE, "permit"): Phase.BACK_OUT,
     (Phase.BACK_OUT, "up"): Phase.BACK_SETTLING,
     (Phase.BACK_OUT, "not in service"): Phase.BACK_DUE,
     (Phase.BACK_OUT, "failed"): Phase.BACK_DUE,
     (Phase.BACK_SETTLING, "settled"): Phase.OLD,
-    # At a start, by what is remembered and what is in force
-    (Phase.OUT, "crashed"): Phase.FELL,  # the supervisor put the old one back in force
+    # At the start of the process, by stored phase and active version
+    (Phase.OUT, "crashed"): Phase.FELL,  # the supervisor has rolled back to the old version
     (Phase.SETTLING, "crashed"): Phase.FELL,
     (Phase.NEW, "crashed"): Phase.FELL,
     (Phase.BACK_DUE, "crashed"): Phase.FELL,
@@ -64,11 +64,11 @@
 
 
 class Permit:
-    """One of ``most_at_once`` permits: a lease, and time for who had it before to be back.
+    """One of ``most_at_once`` permits: a lease, plus time for its previous holder to come back.
 
-    A lease ends by itself while its holder is down, which it is while it starts anew. So who gets one waits for
-    ``outage`` before it goes down itself: whoever went down under an earlier epoch is back by then, or is no planned
-    outage any more. What changes in service needs no such wait: it is never down.
+    The lease expires while its holder is down for the restart. A new holder therefore waits for ``outage`` before it
+    goes down: a gateway that went down under an earlier epoch is back by then, or no longer counts as a planned outage.
+    A change without a restart needs no such wait, since the gateway stays up.
     """
 
     def __init__(self, leases: Leases, rollout: str, most: int, outage: int) -> None:
@@ -81,7 +81,7 @@
         return f"permit/{self._rollout}/{number}"
 
     def seek(self, now: int, turn: int) -> None:
-        """Try to get one, after a while another; ``turn``: this gateway's place in the order."""
+        """Requests a permit; if none is granted within ``outage``, the next one. ``turn``: this gateway's position."""
         if self.number is not None and not self._epoch and now - self._asked_at >= self._outage:
             turn = self.number + 1
             self.release(now)
@@ -90,7 +90,7 @@
             self._leases.acquire(now, self._resource(self.number))
 
     def may_go(self, now: int, down: bool) -> bool:
-        """Whether it is held at this very time, and this gateway may change; ``down``: by a start anew."""
+        """Whether the permit is held now and the change may start; ``down``: by a restart."""
         epoch = self._leases.epoch(now, self._resource(self.number)) if self.number is not None else None
         if epoch is None:
             self._epoch = 0
@@ -100,7 +100,7 @@
         return not down or now - self._since >= self._outage
 
     def release(self, now: int) -> None:
-        """Not needed any more: back and settled, or never used."""
+        """Returns the permit, either after the gateway has settled or unused."""
         if self.number is not None:
             self._leases.release(now, self._resource(self.number))
         self.number, self._epoch = None, 0
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -1,4 +1,4 @@
-"""Which stage is under way, as one gateway sees it, and whether it has been judged well. No I/O; times in ns."""
+"""The current stage of a rollout as one gateway sees it, and its verdicts. No I/O; times in ns."""
 
 from __future__ import annotations
 
@@ -14,10 +14,13 @@
 
 
 class Progress:
-    """One rollout's, over one list. ``told``: newest records of those asked for the same; ``alive``: this one too."""
+    """State of one rollout.
+
+    ``told``: newest records of the gateways with the same request; ``alive``: reachable gateways, including this one.
+    """
 
     def __init__(self, now: int, change: Change, order: StagePlan, fresh: bool) -> None:
-        """``fresh``: nobody has gone yet."""
+        """``fresh``: no gateway has changed yet."""
         self.change, self.order = change, order
         self.open = 1
         self.undecided = self.finished = False
@@ -25,12 +28,12 @@
         self._begin(now, 1, fresh)
 
     def _begin(self, now: int, stage: int, seen: bool) -> None:
-        """``seen``: from its beginning.
+        """Starts a stage; ``seen``: this gateway has seen it from its beginning.
 
-        Who comes later does not judge it worse by figures: of many trials that begin at different times one or other
-        would, and the chance of a false stop is to be that of one.
+        A gateway that joins a running stage does not stop it because of request figures: tests that begin at many
+        different times would together exceed the false-stop probability, which has to hold for a single test.
         """
-        while stage < self.order.stages and not self.order.of(stage):  # a small fleet
+        while stage < self.order.stages and not self.order.of(stage):  # a stage may be empty in a small fleet
             stage += 1
         self.open, self.undecided, self._seen = stage, False, seen
         self._through_at: int | None = None
@@ -39,13 +42,13 @@
         self.events.append((STAGE, stage, f"{len(self.order.of(stage))} gateways"))
 
     def relisted(self, now: int, order: StagePlan) -> None:
-        """Another list: who has gone stays gone, and the stage that is under way stays under way."""
+        """Adopts a new peer list; changed gateways stay changed, and the current stage continues."""
         self.order = order
         self.canary_analysis.relisted(order)
         self._moved_at = now
 
     def step(self, now: int, told: Mapping[str, GatewayRecord], alive: frozenset[str], past: Past) -> None:
-        """What follows from what is known by now."""
+        """Updates the stage by the records received so far."""
         if self.finished:
             return
         self._follow(now, told)
@@ -67,7 +70,7 @@
             self.events.append((UNDECIDED, self.open, self.canary_analysis.lacking()))
 
     def _follow(self, now: int, told: Mapping[str, GatewayRecord]) -> None:
-        """Most of a later stage have gone, each by its own judgement: this gateway was away."""
+        """Skips to a later stage if most of it has changed: this gateway was cut off or down meanwhile."""
         for stage in range(self.order.stages, self.open, -1):
             members = self.order.of(stage)
             news = self._on_new(members, told)
@@ -80,7 +83,7 @@
         return sum(name in told and told[name].phase == Phase.NEW for name in names)
 
     def _through(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> bool:
-        """Whether most have gone over, and all of them that are there."""
+        """Whether most gateways of the stages so far run the new version, and all of the reachable ones."""
         members = self.order.upto(self.open)
         news = self._on_new(tuple(name for name in members if name in alive), told)
         rest = [
@@ -91,11 +94,11 @@
         return news >= min(2, len(members)) and 2 * news > len(members) and not rest
 
     def worse(self, told: Mapping[str, GatewayRecord]) -> str:
-        """Why it has to stop, by this gateway's own judgement; empty: it has not."""
+        """Why the rollout has to stop by this gateway's own judgement; empty: it has not."""
         return (self.canary_analysis.worse() if self._seen else "") or self.canary_analysis.broken(told)
 
     def lacking(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
-        """Why what is known is too little to go on by; empty: it is enough."""
+        """Why too little is known for this gateway to change; empty: it is enough."""
         size = len(self.order.names)
         if not self.order.can_be_judged:
             return "no zone has two gateways: nothing to compare with"
--- a/yardbank/cluster/rollout/record.py
+++ b/yardbank/cluster/rollout/record.py
@@ -1,7 +1,7 @@
-"""What one gateway says of itself in a rollout: where it is, what came of its requests, whether it says stop. No I/O.
+"""Records: what a gateway reports of itself in a rollout (phase, request figures, stop verdict). No I/O.
 
-A record goes from hand to hand as its owner wrote it, octet for octet, so that fields of a later program survive one
-that does not know them.
+Gateways relay each other's records octet for octet, so that fields of a later program pass through one that does not
+know them.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 
 
 class Cell(msgspec.Struct, array_like=True, frozen=True):
-    """What came of the requests of one class since the owner's start; ``p99`` (us) of the last beat; 0: too few."""
+    """Outcomes of one class's requests since the owner's start; ``p99`` (us) of the last beat; 0: too few samples."""
 
-    name: str  # of the class and of what is promised for it: another promise is another class
+    name: str  # class and hash of its targets, see ``metrics.class_key``: other targets make it another class
     good: int  # served in time
     late: int
     refused: int
     failed: int
-    left: int
+    left: int  # abandoned by the client
     p99: int = 0
 
     def counts(self) -> tuple[int, int, int, int, int]:
-        """By outcome, those served in time first."""
+        """Counts by outcome, those served in time first."""
         return self.good, self.late, self.refused, self.failed, self.left
 
 
 class GatewayRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One record; of its owner's the highest life and number counts."""
+    """One record; the one with the highest (``boot_epoch``, ``number``) is the newest of its owner."""
 
     owner: str
     boot_epoch: int
     number: int
     rollout: str = ""
-    mark: int = 0  # of the request: ``Change.mark``
-    phase: int = 0  # ``phase.NAMES``
+    mark: int = 0  # hash of the request, see ``Change.mark``
+    phase: int = 0  # see ``phase.Phase``
     version: str = ""
-    stop: str = ""  # why it says stop; empty: it does not
-    beat: int = 0  # at whose beginning the figures were read
-    slow: int = 0
-    restarts: int = 0  # of its process since this version came into force
+    stop: str = ""  # why the owner votes to stop; empty: it does not
+    beat: int = 0  # the beat whose start the figures were read at
+    slow: int = 0  # 1: the owner is slow itself
+    restarts: int = 0  # of the owner's process since this version became active
     memory: int = 0  # MiB
     cells: tuple[Cell, ...] = ()
 
@@ -57,17 +57,17 @@
 
 
 def encoded(said: GatewayRecord) -> bytes:
-    """A record's octets."""
+    """Serializes a record."""
     return _encoder.encode(said)
 
 
 def letter(records: Sequence[bytes]) -> bytes:
-    """A letter of some records."""
+    """Serializes a message of encoded records."""
     return _encoder.encode([msgspec.Raw(KIND), *(msgspec.Raw(one) for one in records)])
 
 
 def records(body: bytes) -> list[tuple[GatewayRecord, bytes]]:
-    """The records of a letter, each with its octets; none, if it is of a kind that a later program has.
+    """Parses a message into records, each with its octets; empty for a kind that only a later program knows.
 
     Raises ``DroppedError``.
     """
--- a/yardbank/cluster/rollout/record_log.py
+++ b/yardbank/cluster/rollout/record_log.py
@@ -1,7 +1,7 @@
-"""What is known of every gateway's records, and which go out to whom. No I/O.
+"""The records received from every gateway, and which are sent to whom. No I/O.
 
-A record counts when its owner told it, or two others told it octet for octet alike: what one gateway alone says of a
-third moves nothing. Only records that count are passed on, so two voices are two that know.
+A record is accepted if its owner sent it or two other gateways sent it octet for octet alike: one gateway alone cannot
+forge a record of a third. Only accepted records are relayed, so two relays are two gateways that know it.
 """
 
 from __future__ import annotations
@@ -15,24 +15,25 @@
 from yardbank.cluster.peers.parts import Message
 from yardbank.cluster.rollout.record import GatewayRecord, encoded, letter, records
 
-MAX_PENDING = 4  # records of one owner that one voice has told
-MAX_PAST = 8  # beats of one owner that are remembered
-LETTER = 900  # octets of records in one
-RATE, BURST = 450, 3000  # octets a second of records passed on
-DIRECT = 10  # peers that are told one's own record at once
-REST = 3  # records by turns in a letter that has room, so that who was cut off hears all again
+MAX_PENDING = 4  # versions of one owner's record that wait for a second sender
+MAX_PAST = 8  # records by beat kept for each owner
+LETTER = 900  # octets of records in one message
+RATE, BURST = 450, 3000  # octets a second, and octets, of relayed records
+DIRECT = 10  # peers that get this gateway's own record at once
+REST = 3  # other records, in rotation, in a message with room, so that a gateway that was cut off catches up
 
 
 @dataclass(slots=True)
 class _Kept:
     said: GatewayRecord
     raw: bytes
-    told: int = 0  # how often it was passed on
-    past: deque[GatewayRecord] = field(default_factory=lambda: deque(maxlen=MAX_PAST))  # of this life and side, by beat
+    told: int = 0  # how often it was relayed
+    # By beat; only records comparable with the newest one
+    past: deque[GatewayRecord] = field(default_factory=lambda: deque(maxlen=MAX_PAST))
 
 
 class RecordLog:
-    """Records of all gateways of the list, this one's too."""
+    """Newest records of all gateways on the peer list, including this one."""
 
     def __init__(self, name: str, random: Random) -> None:
         self.name, self._random = name, random
@@ -42,16 +43,16 @@
         self._rate = Rate(RATE, BURST)
         self._turn: list[str] = []
         self._own_told = 0
-        self.contested = 0  # records told in this gateway's name that it did not write
+        self.contested = 0  # records in this gateway's name that it did not write
 
     def listed(self, names: Iterable[str]) -> None:
-        """The gateways of the list; others are forgotten."""
+        """Adopts a peer list; records of other gateways are dropped."""
         self._names = {*names, self.name}
         self._kept = {name: kept for name, kept in self._kept.items() if name in self._names}
         self._pending = {name: found for name, found in self._pending.items() if name in self._names}
 
     def take(self, sender: str, body: bytes) -> list[GatewayRecord]:
-        """A letter came: the records that count from now on. Raises ``DroppedError``."""
+        """Takes a message; returns the records accepted by it. Raises ``DroppedError``."""
         found = []
         for said, raw in records(body):
             if said.owner not in self._names:
@@ -87,40 +88,40 @@
         if kept is not None and same_course(kept.said, said):
             made.past = kept.past
             if said.beat == kept.said.beat and made.past:
-                made.past.pop()  # the same figures, another state
+                made.past.pop()  # same figures, only the state changed
         made.past.append(said)
         self._kept[said.owner] = made
 
     def say(self, said: GatewayRecord) -> None:
-        """This gateway's own, newest record."""
+        """Stores this gateway's own new record."""
         kept = self._kept.get(self.name)
         if kept is not None and kept.said.stop != said.stop:
             self._own_told = 0
         self._put(said, encoded(said))
 
     def said(self, name: str) -> GatewayRecord | None:
-        """A gateway's newest record; None: it is not known."""
+        """A gateway's newest record; None: there is none."""
         kept = self._kept.get(name)
         return None if kept is None else kept.said
 
     def all(self) -> dict[str, GatewayRecord]:
-        """Every gateway's newest record."""
+        """Newest record of every gateway."""
         return {name: kept.said for name, kept in self._kept.items()}
 
     def past(self, name: str) -> Mapping[int, GatewayRecord]:
-        """A gateway's last records on the version that it is on, by beat."""
+        """A gateway's last records on its current version, by beat."""
         kept = self._kept.get(name)
         return {} if kept is None else {said.beat: said for said in kept.past}
 
     def second_beat(self) -> int:
-        """The second highest beat told: one gateway alone moves nobody's."""
+        """The second highest beat reported, so that one gateway alone cannot advance the others' beat."""
         beats = sorted((kept.said.beat for name, kept in self._kept.items() if name != self.name), reverse=True)
         return beats[1] if len(beats) > 1 else 0
 
-    # What goes out
+    # Messages to send
 
     def direct(self, alive: Iterable[str], urgent: bool) -> list[Message]:
-        """One's own record to some at once."""
+        """Messages with this gateway's own record to a random sample of peers."""
         kept = self._kept.get(self.name)
         peers = sorted(alive)
         if kept is None or not peers:
@@ -129,9 +130,9 @@
         return [Message(to, body, urgent) for to in self._random.sample(peers, min(DIRECT, len(peers)))]
 
     def passed_on(self, now: int, alive: Iterable[str], often: int) -> list[Message]:
-        """To one peer one's own record, news that were passed on less than ``often`` times, and others by turns.
+        """A message to one random peer: the own record, records relayed less than ``often`` times, others in rotation.
 
-        Who says stop goes first, then figures. Over the rate one's own goes alone.
+        Records with a stop vote come first, then those with figures. Above the rate limit only the own record is sent.
         """
         peers, own = sorted(alive), self._kept.get(self.name)
         if own is None or not peers:
@@ -165,7 +166,7 @@
 
 
 def same_course(one: GatewayRecord, other: GatewayRecord) -> bool:
-    """Whether figures of the two may be taken from each other: the same start of the process, on the same version."""
+    """Whether counters of two records can be subtracted: same process start, request, version and restart count."""
     return (one.boot_epoch, one.mark, one.version, one.restarts) == (
         other.boot_epoch,
         other.mark,
@@ -175,5 +176,5 @@
 
 
 def passed_on_often(size: int) -> int:
-    """How often each passes a record on, so that two voices of it reach nearly all of so many."""
+    """How often each gateway relays a record so that it reaches nearly all of ``size`` gateways through two senders."""
     return 1 if size <= 12 else 3 if size <= 60 else 5
--- a/yardbank/cluster/rollout/sequential_test.py
+++ b/yardbank/cluster/rollout/sequential_test.py
@@ -1,16 +1,16 @@
-"""Whether the new version does worse: e-processes over pairs of gateways, looked at as often as wanted. Pure.
+"""Anytime-valid test whether the new version does worse: e-processes over pairs of gateways. Pure functions.
 
-In each window a new gateway and an old one of its zone are compared: the same number of requests of each (of the one
-that had more a hypergeometric draw), ``D`` the difference of their shares. If the version makes no difference, the two
-could as well have been told the other way round, whatever befell both: so ``D`` is symmetric, and for a symmetric X
+Each window compares a new gateway with an old one of its zone on the same number of requests; the side with more is
+subsampled by a hypergeometric draw. ``D`` is the difference of their shares. If the version makes no difference, the
+two gateways are exchangeable, whatever affects both, so ``D`` is symmetric, and for a symmetric X
     E exp(bet X - bet^2 X^2 / 2) <= 1        (de la Peña, Annals of Probability 27, 1999, lemma 6.1)
-for any bet, also for one that is shifted down: g(y - c) + g(-y - c) <= 2 for c >= 0. X is D less a margin, over a
-scale that does not tell who is who. The product over windows and pairs is a test martingale's, mixed over bets; by
-Ville's inequality it passes 1/a at any time with a chance of a at most. Nothing is assumed of requests within a window:
-they may fail in bursts.
+for any bet, also if X is shifted down: g(y - c) + g(-y - c) <= 2 for c >= 0. X is ``D`` less a margin, divided by a
+scale that is the same if the two gateways are exchanged. The product over windows and pairs, mixed over bets, is a
+test supermartingale; by Ville's inequality it ever exceeds 1/a with probability at most a, so it may be checked at any
+time. Requests within a window need not be independent: they may fail in bursts.
 
-Of each product the best single gateway is left out before it is judged: one that lies moves nothing by itself, and what
-is left out only makes a verdict later.
+From each product the most favourable single gateway is left out, so that one gateway with false reports cannot cause a
+verdict; leaving it out can only delay a verdict.
 """
 
 from __future__ import annotations
@@ -23,54 +23,54 @@
 
 Floats = NDArray[np.float64]
 BETS = np.array([0.06, 0.12, 0.25, 0.5, 0.9])
-SLACK = 0.25  # of the stated amount: so much gateways may differ by themselves
+SLACK = 0.25  # share of ``by`` that gateways may differ without any change
 
 
 def drawn(random: np.random.Generator, counts: Any, number: Any) -> Any:
-    """As many requests as ``number`` out of those counted, each as likely as the other; ``counts``: by outcome."""
+    """Samples ``number`` of the counted requests without replacement; ``counts``: by outcome."""
     return random.multivariate_hypergeometric(counts, number)
 
 
 def scale(bad: Any, number: Any, bad_before: Any, number_before: Any) -> Any:
-    """A standard deviation of the difference of two shares of ``number`` each; the same if the two are exchanged."""
+    """Standard deviation of the difference of two shares of ``number`` requests each, symmetric in the two sides."""
     share = (bad + bad_before + 1) / (2 * (number + number_before) + 2)
     return np.sqrt(2 * share * (1 - share) / np.maximum(number, 1))
 
 
 def logs(x: Any) -> Floats:
-    """The logarithm of each bet's factor, along a new last axis."""
+    """Logarithm of the factor for each bet, along a new last axis."""
     staked = np.asarray(x, dtype=float)[..., None] * BETS
     return np.asarray(staked - staked * staked / 2)
 
 
 def worse(difference: Any, by: float, scale: Any) -> Floats:
-    """Evidence that the new one is worse: against the claim that it is not, but for the slack."""
+    """Evidence against the hypothesis that the new version is not worse by more than the slack."""
     return logs((difference - SLACK * by) / scale)
 
 
 def sound(difference: Any, by: float, scale: Any) -> Floats:
-    """Evidence that it is not worse by the stated amount: against the claim that it is."""
+    """Evidence against the hypothesis that the new version is worse by ``by``."""
     return logs((by - difference) / scale)
 
 
 def mean_of(exponents: Floats, axes: tuple[int, ...]) -> Floats:
-    """The logarithm of the mean of e-values, given by their logarithms."""
+    """Logarithm of the mean of e-values that are given by their logarithms."""
     most = exponents.max(axis=axes, keepdims=True)
     found = np.log(np.exp(exponents - most).mean(axis=axes, keepdims=True)) + most
     return np.asarray(found.squeeze(axis=axes))
 
 
 def without_each(pairs: Floats, groups: Sequence[Sequence[int]]) -> Floats:
-    """Sums over pairs (the axis before the last two), leaving out each group in turn; these along a new first axis."""
+    """Sums over pairs (the axis before the last two) without each group in turn, along a new first axis."""
     total = pairs.sum(axis=-3)
     return np.stack([total - pairs[..., list(group), :, :].sum(axis=-3) for group in groups])
 
 
 def stop_evidence(pairs: Floats, zones: Sequence[str], groups: Sequence[Sequence[int]]) -> Floats:
-    """The logarithm of the e-value that something got worse: of (..., pair, what, bet), by ``worse``.
+    """Logarithm of the e-value that something got worse, from ``worse`` in the shape (..., pair, what, bet).
 
-    Mixed over all zones together and each by itself, over all that is compared, and over bets. ``groups``: the pairs
-    that each gateway is part of.
+    Mixed over all zones together and each zone by itself, over everything compared, and over bets. ``groups``: the
+    pairs that each gateway is part of.
     """
     if len(groups) < 2:
         return np.zeros(pairs.shape[:-3])
@@ -83,7 +83,7 @@
 
 
 def pass_evidence(pairs: Floats, groups: Sequence[Sequence[int]]) -> Floats:
-    """The logarithm of the least e-value, over all that is compared, that it is not worse by the stated amount."""
+    """Logarithm of the smallest e-value, over everything compared, that it is not worse by the given amount."""
     if len(groups) < 2 or not pairs.shape[-2]:
         return np.zeros(pairs.shape[:-3])
     return np.asarray(mean_of(without_each(pairs, groups), (-1,)).min(axis=(0, -1)))
--- a/yardbank/cluster/rollout/stage_plan.py
+++ b/yardbank/cluster/rollout/stage_plan.py
@@ -1,8 +1,8 @@
-"""Who goes when, and who is compared with whom: worked out alike by all from the list alone. No I/O.
+"""Order of a rollout and pairs to compare, computed by every gateway from the peer list alone. No I/O.
 
-Stages are beginnings of one order of the whole list. It takes the zones by turns, by the share of each that is in it
-already, and keeps the last gateway of every zone for the last stage: until then each zone has an old one to compare
-with. Within a zone a hash of rollout and name decides, so that it is not always the same ones who go first.
+Stages are prefixes of one order of the whole list. The order interleaves the zones in proportion to their sizes and
+puts the last gateway of every zone into the last stage, so that until then each zone has an old gateway to compare
+with. Within a zone a hash of rollout and name decides, so that rollouts do not always start with the same gateways.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 import xxhash
 
-LEAST = 2  # members of a stage: one alone could neither show that the change is well nor that it is not
-PAIRS, MOST_PAIRS = 6, 24  # whose figures are told to all; more only where there are more zones
+LEAST = 2  # a single gateway could show neither that the change is well nor that it is not
+PAIRS, MOST_PAIRS = 6, 24  # compared pairs, whose figures are sent to all; above the lower bound only for more zones
 
 
 @dataclass(slots=True, frozen=True)
 class Pair:
-    """A new one and an old one of the same zone."""
+    """A gateway of the new version and one of the old version in the same zone."""
 
     zone: str
     new: str
@@ -33,7 +33,7 @@
 
 
 class StagePlan:
-    """The order of one rollout over one list."""
+    """Order and stages of one rollout for one peer list."""
 
     def __init__(self, rollout: str, zones: Mapping[str, str], stages: Sequence[float]) -> None:
         self.zones = dict(zones)
@@ -56,26 +56,26 @@
         self.can_be_judged = before_last > 0
 
     def position(self, name: str) -> int:
-        """Its place in the order; after all others: it is not on the list."""
+        """Position in the order; behind all others for a gateway that is not on the list."""
         return self._positions.get(name, len(self.names))
 
     def stage_of(self, name: str) -> int:
-        """The stage that it goes in, from 1; 0: it is not on the list."""
+        """Stage of a gateway, from 1; 0: it is not on the list."""
         position = self._positions.get(name)
         return 0 if position is None else next(stage for stage, end in enumerate(self._ends, 1) if position < end)
 
     def upto(self, stage: int) -> tuple[str, ...]:
-        """All that have gone when a stage is through; of stage 0 nobody."""
+        """All gateways that are changed when a stage is complete; none for stage 0."""
         return self.names[: self._ends[stage - 1]] if stage else ()
 
     def of(self, stage: int) -> tuple[str, ...]:
-        """Those that go in a stage; may be none of a small fleet."""
+        """Gateways that change in a stage; may be empty in a small fleet."""
         return self.names[len(self.upto(stage - 1)) : len(self.upto(stage))]
 
     def pairs(self, stage: int) -> tuple[Pair, ...]:
-        """Whose figures are compared while a stage is under way; in the last one those of the stage before it.
+        """Pairs to compare during a stage; the last stage compares those of the stage before it.
 
-        The old ones are taken from the end of the order, so that pairs last over stages.
+        Old gateways are taken from the end of the order, so that pairs stay the same over stages.
         """
         new: dict[str, list[str]] = defaultdict(list)
         old: dict[str, list[str]] = defaultdict(list)
--- a/yardbank/cluster/rollout/state_machine.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -1,6 +1,6 @@
-"""One gateway's own way through a rollout: its place and permit, what it remembers, orders to itself. No I/O.
+"""State machine of one gateway in a rollout: phase, permit, stored state and orders. No I/O.
 
-It goes over only with a permit in hand and its intention kept; it goes back the same way, by the same permits.
+It changes only while it holds a permit and after it has stored that it will; a rollback needs a permit as well.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 )
 from yardbank.cluster.rollout.phase import AWAY, NAMES, TABLE, Permit, Phase
 
-AGAIN = 10_000_000_000  # between two tries to keep what could not be kept
+AGAIN = 10_000_000_000  # wait before another attempt to store state or to make a change
 
 
 class RolloutStateMachine:
-    """The part's own state."""
+    """State of this gateway in the rollout."""
 
     def __init__(self, leases: Leases, keep: KeyValueStore, options: Options) -> None:
         self._leases, self._keep, self._options = leases, keep, options
@@ -37,11 +37,11 @@
         self.change = Change.of(self._memory.change) if self._memory.change else None
         self.orders: list[Activate | RollBack | Commit] = []
         self.turns: list[Transition] = []
-        self.name = ""  # of the version asked for
-        self.stage = 0  # that is under way
+        self.name = ""  # short hash of the requested version
+        self.stage = 0  # the current one
         self.permit: Permit | None = None
-        self.moved = False  # since this was asked last
-        self._since = 0  # in this place
+        self.moved = False  # whether the phase has changed since this was last reset
+        self._since = 0  # when the phase was entered
         self._again = self._not_before = 0
         self._unkept = False
         self._overdue = False
@@ -55,15 +55,15 @@
         return Permit(self._leases, change.id, change.most_at_once, change.outage)
 
     def begun(self, now: int) -> None:
-        """The first time that time is known."""
+        """Starts the clock of the phase: the first call with a time."""
         self._since = now
         self._remember(now)
 
-    # What is remembered
+    # Stored state
 
     @property
     def finished(self) -> bool:
-        """Whether the rollout is through, as far as this gateway is concerned."""
+        """Whether the rollout is finished for this gateway."""
         return self.change is not None and self._memory.finished == self.change.id
 
     def stopped(self, rollout: str) -> str:
@@ -71,7 +71,7 @@
         return dict(self._memory.stopped).get(rollout, "")
 
     def say(self, what: str, why: str = "") -> None:
-        """One line for the log."""
+        """Records an event for the log."""
         rollout = self.change.id if self.change is not None else ""
         self.turns.append(Transition(rollout, what, self.stage, self.name, why))
 
@@ -86,8 +86,8 @@
         return kept
 
     def stop(self, now: int, rollout: str, why: str) -> None:
-        """For good. Where it cannot be kept it is tried again, and the others tell it after a start."""
-        if self.stopped(rollout) or rollout == self._memory.finished:  # from that there is no way back
+        """Stops a rollout for good. If that cannot be stored, it is retried; after a restart the peers report the stop."""
+        if self.stopped(rollout) or rollout == self._memory.finished:  # a finished rollout is not rolled back
             return
         self._memory.stopped = [*self._memory.stopped, (rollout, why)][-MAX_STOPPED:]
         self._remember(now)
@@ -95,7 +95,7 @@
         self.turns.append(Transition(rollout, "stopped", self.stage, self.name, why))
 
     def finish(self, now: int) -> None:
-        """The whole fleet is through with it."""
+        """The whole fleet has finished the rollout."""
         if self.change is not None and not self.finished:
             self._memory.finished, self.active_version = self.change.id, self.active_version.kept()
             self._remember(now)
@@ -103,7 +103,7 @@
             self.say("finished")
 
     def adopt(self, now: int, change: Change | None, name: str) -> None:
-        """Another request, or none; only while this gateway is on what was there before."""
+        """Adopts another request, or none; only while this gateway runs the version from before it."""
         if self.permit is not None:
             self.permit.release(now)
         self.change, self.name = change, name
@@ -114,7 +114,7 @@
             bool(change is not None and change.program),
         )
         if change is not None and self.active_version.young and self.active_version.now.rollout == change.id:
-            self.phase = Phase.SETTLING  # it is in force though nothing is remembered of it
+            self.phase = Phase.SETTLING  # active although nothing is stored about it
         elif change is not None and self.active_version.fell_from == change.id:
             self.phase = Phase.FELL
         elif change is not None and self._memory.finished == change.id:
@@ -123,11 +123,11 @@
 
     @property
     def restarts(self) -> int:
-        """Of the process since it was asked for, or since the version came into force."""
+        """Restarts of the process since the request, or since the requested version became active."""
         on_new = self.change is not None and self.active_version.now.rollout == self.change.id
         return self.active_version.restarts if on_new else max(0, self.active_version.restarts - self._memory.restarts)
 
-    # Moves
+    # Transitions
 
     def _go(self, now: int, event: str, why: str = "") -> None:
         to = TABLE.get((self.phase, event))
@@ -136,11 +136,15 @@
         self.phase, self._since, self.moved, self._overdue = to, now, True, False
         if (self.phase, event) not in ((Phase.DUE, "turn"), (Phase.OLD, "not now")):
             self.say(NAMES[to].replace(" ", "_"), why)
-            if event != "permit":  # that was kept before
+            if event != "permit":  # that was stored before the order
                 self._remember(now)
 
     def step(self, now: int, turn: bool, recall: str, position: int) -> None:
-        """One step, if one is due. ``turn``: may go over; ``phase``: in the order; below 0: not to ask yet."""
+        """Makes the transitions that are due.
+
+        ``turn``: this gateway may change now; ``recall``: why it must roll back, empty: it need not; ``position``: in
+        the order, below 0: it does not request a permit yet.
+        """
         change, permit = self.change, self.permit
         if change is None or permit is None:
             return
@@ -172,14 +176,14 @@
         before, self.phase = self.phase, Phase.OUT if self.phase == Phase.DUE else Phase.BACK_OUT
         kept = self._remember(now)
         self.phase = before
-        if not kept and before == Phase.DUE:  # what is not remembered would not be found again: it stays on the old one
+        if not kept and before == Phase.DUE:  # a restart would not find a change that is not stored
             permit.release(now)
             return
         self.orders.append(Activate(self.version(), down) if before == Phase.DUE else RollBack(down))
         self._go(now, "permit")
 
     def version(self) -> Version:
-        """What is asked for."""
+        """The requested version."""
         change = self.change
         if change is None:
             return self.active_version.now
@@ -189,7 +193,7 @@
 
     @property
     def running(self) -> str:
-        """The short name of the version in force."""
+        """Short hash of the active version."""
         if self.change is not None and self.active_version.now.rollout == self.change.id:
             return self.name
         return (
@@ -199,7 +203,7 @@
         )
 
     def up(self, now: int) -> None:
-        """The change is made, in service."""
+        """The change was made without a restart."""
         self.active_version = (
             self.active_version.gone_over(self.version())
             if self.phase == Phase.OUT
@@ -208,12 +212,12 @@
         self._go(now, "up")
 
     def not_in_service(self, now: int) -> None:
-        """It has to start anew, and was not allowed to: it keeps the permit until it may."""
+        """The change needs a restart that the order did not allow: keeps the permit until it may."""
         self._memory.down = True
         self._go(now, "not in service")
 
     def failed(self, now: int, why: str) -> None:
-        """The change could not be made: what was in force still is."""
+        """The change could not be made; the active version stays."""
         if self.permit is not None:
             self.permit.release(now)
         self._not_before = now + AGAIN
--- a/yardbank/cluster/rollout/view.py
+++ b/yardbank/cluster/rollout/view.py
@@ -1,4 +1,4 @@
-"""A rollout as one gateway sees it, as plain values for an operator. No I/O."""
+"""A rollout as one gateway sees it, as plain values for the operator's view. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def rollout_view(state_machine: RolloutStateMachine, progress: Progress, record_log: RecordLog) -> dict[str, Any]:
-    """The stage, this gateway's place and those that others tell, the evidence so far and what it has to reach."""
+    """Stage, phases of all known gateways, evidence so far and the thresholds it has to reach."""
     change, analysis = progress.change, progress.canary_analysis
     places: dict[str, list[str]] = {}
     for name, said in sorted(record_log.all().items()):
