--- a/tests/state/__init__.py
+++ b/tests/state/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of state."""
+"""Tests of the durable state."""
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -1,4 +1,4 @@
-"""What outlives the process: snapshots, what may be trusted after a restart, kills at every step."""
+"""Snapshots, the store, what is trusted after a restart, and kills at every step."""
 
 import os
 import random
@@ -42,11 +42,11 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(SNAPSHOT)
-def test_a_snapshot_survives_the_way_to_bytes_and_back(snapshot):
+def test_a_snapshot_is_equal_after_encoding_and_decoding(snapshot):
     assert decode(encode(snapshot)) == snapshot
 
 
-def test_a_snapshot_damaged_anywhere_is_refused():
+def test_a_snapshot_damaged_anywhere_is_rejected():
     data = encode(PLAIN)
     for at in range(len(data)):
         with pytest.raises(SnapshotError):
@@ -56,17 +56,17 @@
                 decode(data[:at] + bytes((data[at] ^ 0x41,)) + data[at + 1 :])
 
 
-def test_formats():
+def test_a_later_format_is_rejected_and_format_1_never_counts_as_a_clean_stop():
     import xxhash
 
     with pytest.raises(SnapshotError, match=f"format {FORMAT + 1}"):
         decode(MAGIC + bytes((FORMAT + 1,)) + encode(PLAIN)[4:])
     old = msgspec.msgpack.encode({"written": 5.0, "version": 2, "digest": "x", "servers": [], "clean": True})
     found = decode(MAGIC + b"\x01" + xxhash.xxh3_64_digest(old) + old)
-    assert found == Snapshot(5.0, 2, "x", False, [])  # an old format's word is never the last one
+    assert found == Snapshot(5.0, 2, "x", False, [])  # format 1 never counts as a clean stop
 
 
-def test_what_may_be_trusted():
+def test_what_is_trusted_follows_from_how_the_last_run_ended():
     assert judge(None, 0).fresh
     after_fault = judge(None, 0, "damaged")
     assert not after_fault.fresh and after_fault.floor_now and not after_fault.use_list
@@ -76,7 +76,7 @@
     assert judge(PLAIN, 1e8).notes
 
 
-def test_snapshots_are_written_soon_and_not_too_often():
+def test_snapshots_are_written_soon_after_a_change_and_at_a_minimum_interval():
     rate = WriteRate(100)
     assert rate.due(0) is None
     rate.changed()
@@ -87,7 +87,7 @@
     assert rate.due(50) == 50 and rate.due(150) == 0
 
 
-def test_the_store(tmp_path):
+def test_a_store_locks_its_directory_and_sets_a_damaged_database_aside(tmp_path):
     place = tmp_path / "s"
     store = Store(place)
     assert store.read() is None and not store.had_owner
@@ -98,7 +98,7 @@
     store.forget()
     store.close()
     store = Store(place)
-    assert store.read() is None and store.had_owner  # somebody ran here: not fresh
+    assert store.read() is None and store.had_owner  # a gateway has run here: not a first run
     store.close()
     (place / "data.mdb").write_bytes(b"nonsense" * 1000)
     store = Store(place)
@@ -138,24 +138,24 @@
 """
 
 
-class Killed(BaseException):
-    """The process ends here."""
+class ProcessKilled(BaseException):
+    """Stands for a kill of the process at this point."""
 
 
-class Life:
-    """One run of a gateway over a folder; the log of the group outlives it."""
+class GatewayRun:
+    """One run of a gateway on a state folder; positions of the servers outlast it."""
 
-    def __init__(self, folder, clock, truth, seed=1):
-        self.clock, self.truth, self.lines = clock, truth, []
+    def __init__(self, folder, clock, positions, seed=1):
+        self.clock, self.positions, self.lines = clock, positions, []
         self.backend = FakeBackend()
         self.backend.position = lambda server: ProbeResult(
-            {"": (truth["log"] if server.name == "p" else truth[server.name],)}, server.name == "p"
+            {"": (positions["log"] if server.name == "p" else positions[server.name],)}, server.name == "p"
         )
-        made = Settings(seed, "a", 1, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
-        self.gateway = Gateway(made, self.backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds, log=self)
-        self.keeper = ServerListService(load_text(SETTINGS), self.gateway, clock, folder, 0, self, clock.seconds)
-        self.keeper.watcher._notify = False
-        self.keeper.start()
+        gateway_settings = Settings(seed, "a", 1, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
+        self.gateway = Gateway(gateway_settings, self.backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds, log=self)
+        self.list_service = ServerListService(load_text(SETTINGS), self.gateway, clock, folder, 0, self, clock.seconds)
+        self.list_service.watcher._notify = False
+        self.list_service.start()
         self.pass_time(0.05)
 
     def bind(self, **facts):
@@ -170,104 +170,104 @@
         for _ in range(round(seconds / 0.01)):
             self.clock.advance(0.01)
 
-    def ask(self, kind):
+    def send(self, kind):
         sink = Sink()
         self.gateway.take(Call(kind, "g", "op", sink, "roams"))
         return sink
 
     def write(self):
-        """A write that is answered: whatever happens later, its session must see it."""
-        sink = self.ask("write")
+        """Makes a write that is answered: every later read of its session must see it."""
+        sink = self.send("write")
         self.pass_time(0.1)
         out = self.backend.to("p")
-        self.truth["log"] += 1
-        out.answer(Reply("ok", "", Role.PRIMARY, ("", (self.truth["log"],))))
+        self.positions["log"] += 1
+        out.answer(Reply("ok", "", Role.PRIMARY, ("", (self.positions["log"],))))
         assert sink.finals == ["served"]
-        self.truth["answered"] = self.truth["log"]
+        self.positions["answered"] = self.positions["log"]
 
     def read(self):
-        """Where a session's read goes: never to a server that lacks what the session was answered."""
+        """Sends a session's read; returns the servers it went to and checks that none lacks an answered write."""
         before = len(self.backend.sent)
-        self.ask("read")
+        self.send("read")
         self.pass_time(0.3)
         sent = self.backend.sent[before:]
         for name, _ in sent:
-            has = self.truth["log"] if name == "p" else self.truth[name]
-            assert has >= self.truth["answered"], "a stale session read"
+            position = self.positions["log"] if name == "p" else self.positions[name]
+            assert position >= self.positions["answered"], "a stale session read"
         for connection in self.backend.connections:
             while connection.out:
                 connection.answer()
         return [name for name, _ in sent]
 
     def kill(self):
-        """As kill -9 does: nothing is written, the lock is gone with the process."""
+        """Ends like kill -9: writes nothing and releases the lock."""
         self.gateway.kill()
-        self.keeper.watcher.stop()
-        if self.keeper._store is not None:
-            self.keeper._store.close()
+        self.list_service.watcher.stop()
+        if self.list_service._store is not None:
+            self.list_service._store.close()
 
     def stop(self):
         self.gateway.stop()
         self.pass_time(0.05)
-        self.keeper.stop(clean=True)
+        self.list_service.stop(clean=True)
 
 
-def place(tmp_path):
+def make_place(tmp_path):
     (tmp_path / "list.hcl").write_text(render(SERVERS))
     clock = Clock()
     clock.advance(1000)
     return clock, {"log": 5, "answered": 0, "c": 5, "d": 5}
 
 
-def test_after_a_kill_no_session_reads_too_early(tmp_path):
-    clock, truth = place(tmp_path)
-    life = Life(tmp_path, clock, truth)
-    life.write()
-    life.kill()
-    life = Life(tmp_path, clock, truth)  # the copies lack the write
-    assert set(life.read()) == {"p"}
-    truth.update(c=6, d=6)
-    life.pass_time(0.3)
-    assert set(life.read()) <= {"c", "d"}  # and are used again once they have all from before the start
-    life.kill()
+def test_after_a_kill_session_reads_go_only_to_servers_with_all_earlier_writes(tmp_path):
+    clock, positions = make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
+    run.write()
+    run.kill()
+    run = GatewayRun(tmp_path, clock, positions)  # the replicas lack the write
+    assert set(run.read()) == {"p"}
+    positions.update(c=6, d=6)
+    run.pass_time(0.3)
+    assert set(run.read()) <= {"c", "d"}  # the replicas are used again once they have all writes from before the start
+    run.kill()
 
 
 @pytest.mark.parametrize("ended", ["stop", "kill"])
-def test_an_older_copy_of_the_state_is_not_taken_for_the_last_word(tmp_path, ended):
-    """A backup made after a stop in good order calls itself the last word; a later run gave tokens out beyond it."""
-    clock, truth = place(tmp_path)
-    life = Life(tmp_path, clock, truth)
-    life.write()
-    life.stop()
+def test_a_restored_older_state_is_treated_as_after_a_crash(tmp_path, ended):
+    """A backup from a clean stop is still marked as such after a later run has issued tokens beyond its positions."""
+    clock, positions = make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
+    run.write()
+    run.stop()
     data = tmp_path / "state" / "worker-0" / "data.mdb"
     backup = data.read_bytes()
-    truth.update(c=6, d=6)
-    life = Life(tmp_path, clock, truth)
-    life.write()
-    getattr(life, ended)()
+    positions.update(c=6, d=6)
+    run = GatewayRun(tmp_path, clock, positions)
+    run.write()
+    getattr(run, ended)()
     data.write_bytes(backup)
-    life = Life(tmp_path, clock, truth)
-    assert ("state", {"note": "the state is an older copy, of run 1; the last was 2"}) in life.lines
-    assert set(life.read()) == {"p"}  # the copies lack the second run's write
-    truth.update(c=7, d=7)
-    life.pass_time(0.3)
-    assert set(life.read()) <= {"c", "d"}
-    life.stop()
-    life = Life(tmp_path, clock, truth)
-    assert not [facts for event, facts in life.lines if event == "state"]  # its own last word again
-    life.kill()
-
-
-def test_the_number_of_a_run_rises_whatever_is_left():
+    run = GatewayRun(tmp_path, clock, positions)
+    assert ("state", {"note": "the state is an older copy, of run 1; the last was 2"}) in run.lines
+    assert set(run.read()) == {"p"}  # the replicas lack the second run's write
+    positions.update(c=7, d=7)
+    run.pass_time(0.3)
+    assert set(run.read()) <= {"c", "d"}
+    run.stop()
+    run = GatewayRun(tmp_path, clock, positions)
+    assert not [facts for event, facts in run.lines if event == "state"]  # its own clean stop again
+    run.kill()
+
+
+def test_the_generation_of_a_run_is_higher_than_any_known_one():
     newer = msgspec.structs.replace(PLAIN, generation=7)
     assert next_generation(None, 0) == 1 and next_generation(newer, 3) == 8 and next_generation(newer, 9) == 10
-    assert judge(newer, 1e9, apart=7).floors and not judge(newer, 1e9, apart=7).floor_now
-    older = judge(newer, 1e9, apart=8)
+    assert judge(newer, 1e9, last_generation=7).floors and not judge(newer, 1e9, last_generation=7).floor_now
+    older = judge(newer, 1e9, last_generation=8)
     assert older.floor_now and not older.floors and "older copy" in older.notes[0]
-    assert not judge(newer, 1e9, apart=0).floor_now  # the number beside it is lost: the database has its own
+    assert not judge(newer, 1e9, last_generation=0).floor_now  # owner file lost: the snapshot's own generation counts
 
 
-def test_a_store_keeps_the_number_of_the_run_apart(tmp_path):
+def test_a_store_keeps_the_generation_outside_of_the_database(tmp_path):
     store = Store(tmp_path / "s")
     assert store.apart == 0
     store.begin(12)
@@ -280,57 +280,57 @@
     assert Store(tmp_path / "s").apart == 0
 
 
-def test_after_a_stop_in_good_order_the_floor_is_exact(tmp_path):
-    clock, truth = place(tmp_path)
-    life = Life(tmp_path, clock, truth)
-    life.write()
-    life.stop()
-    truth.update(c=6, log=9)  # others wrote meanwhile; the copy has this session's write and no more
-    life = Life(tmp_path, clock, truth)
-    life.pass_time(0.2)
-    assert "c" in life.read() + life.read() + life.read()
-    life.kill()
+def test_after_a_clean_stop_the_floor_is_the_last_issued_position(tmp_path):
+    clock, positions = make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
+    run.write()
+    run.stop()
+    positions.update(c=6, log=9)  # others wrote meanwhile; the replica has this session's write and no later one
+    run = GatewayRun(tmp_path, clock, positions)
+    run.pass_time(0.2)
+    assert "c" in run.read() + run.read() + run.read()
+    run.kill()
 
 
-def test_a_fresh_gateway_has_no_floor(tmp_path):
-    clock, truth = place(tmp_path)
-    life = Life(tmp_path, clock, truth)
-    assert life.gateway._router.sessions.floors == {}
-    life.kill()
+def test_a_first_run_has_no_floors(tmp_path):
+    clock, positions = make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
+    assert run.gateway._router.sessions.floors == {}
+    run.kill()
 
 
-def test_the_last_good_list_stands_in_and_its_drains_still_bind(tmp_path):
-    clock, truth = place(tmp_path)
-    life = Life(tmp_path, clock, truth)
+def test_the_last_valid_list_is_used_after_a_restart_and_its_drains_still_apply(tmp_path):
+    clock, positions = make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
     draining = [SERVERS[0], SERVERS[1], ServerSpec("d", "g", "a", "h", 3, state="draining")]
     (tmp_path / "list.hcl").write_text(render(draining))
-    life.pass_time(1.5)
-    assert life.gateway._router.servers[3].draining
-    life.kill()
+    run.pass_time(1.5)
+    assert run.gateway._router.servers[3].draining
+    run.kill()
     (tmp_path / "list.hcl").write_text("broken {")
-    life = Life(tmp_path, clock, truth)
-    assert any(event == "list_rejected" for event, _ in life.lines)
-    names = {life.gateway._endpoints.specs[name].state for name in life.gateway._endpoints.specs}
-    assert names == {"ready", "draining"} and life.gateway.list_version == 2
+    run = GatewayRun(tmp_path, clock, positions)
+    assert any(event == "list_rejected" for event, _ in run.lines)
+    names = {run.gateway._endpoints.specs[name].state for name in run.gateway._endpoints.specs}
+    assert names == {"ready", "draining"} and run.gateway.list_version == 2
     for _ in range(10):
-        assert "d" not in life.read()
-    life.kill()
+        assert "d" not in run.read()
+    run.kill()
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_killed_at_any_step_the_next_run_breaks_no_rule(tmp_path, seed, monkeypatch):
-    """Writes, lists, stops and kills in random order; the kill strikes before, within or after a store's write."""
-    chance, (clock, truth) = random.Random(seed), place(tmp_path)
-    life = Life(tmp_path, clock, truth)
+def test_after_a_kill_at_any_step_the_next_run_serves_no_stale_or_drained_reads(tmp_path, seed, monkeypatch):
+    """Writes, lists, stops and kills in random order; a kill comes between steps, or before or after a store's write."""
+    chance, (clock, positions) = random.Random(seed), make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
     gone: set[str] = set()
     for _ in range(8):
         step = chance.choice(["write", "write", "read", "copy", "list", "kill", "kill in write", "stop"])
         if step == "write":
-            life.write()
+            run.write()
         elif step == "read":
-            assert not gone & set(life.read())
+            assert not gone & set(run.read())
         elif step == "copy":
-            truth[chance.choice("cd")] = truth["log"]
+            positions[chance.choice("cd")] = positions["log"]
         elif step == "list":
             drained = chance.choice(["", "c", "d"])
             specs = [
@@ -338,31 +338,31 @@
                 for s in SERVERS
             ]
             (tmp_path / "list.hcl").write_text(render(specs))
-            life.pass_time(1.5)
+            run.pass_time(1.5)
             gone = {drained} - {""}
         else:
             if step == "stop":
-                life.stop()
+                run.stop()
             elif step == "kill":
-                life.kill()
+                run.kill()
             else:
                 write, when = Store.write, chance.random()
 
-                def struck(store, snapshot, write=write, when=when):
+                def killed_write(store, snapshot, write=write, when=when):
                     if when < 0.5:
-                        raise Killed
+                        raise ProcessKilled
                     write(store, snapshot)
-                    raise Killed
+                    raise ProcessKilled
 
-                monkeypatch.setattr(Store, "write", struck)
-                with pytest.raises(Killed):
-                    life.keeper._write(clean=chance.random() < 0.5 and not life.gateway.unanswered)
+                monkeypatch.setattr(Store, "write", killed_write)
+                with pytest.raises(ProcessKilled):
+                    run.list_service._write(clean=chance.random() < 0.5 and not run.gateway.unanswered)
                 monkeypatch.setattr(Store, "write", write)
-                life.kill()
-            life = Life(tmp_path, clock, truth)
-            assert not gone & set(life.read())
-    life.read()
-    life.kill()
+                run.kill()
+            run = GatewayRun(tmp_path, clock, positions)
+            assert not gone & set(run.read())
+    run.read()
+    run.kill()
 
 
 WRITER = """
@@ -382,8 +382,8 @@
 """
 
 
-def test_a_real_kill_in_the_middle_of_writing_leaves_a_whole_snapshot(tmp_path):
-    """Kill -9 at random moments; what was told as written is there, whole."""
+def test_a_sigkill_during_writes_leaves_an_intact_snapshot(tmp_path):
+    """SIGKILL at random moments: the last snapshot reported as written, or a later one, is intact."""
     chance, told = random.Random(3), 0
     for _ in range(12):
         command = [sys.executable, "-c", WRITER, str(tmp_path / "s")]
@@ -398,30 +398,30 @@
         store.close()
 
 
-def test_a_store_that_cannot_be_written_never_passes_for_the_last_word(tmp_path, monkeypatch):
-    clock, truth = place(tmp_path)
-    life = Life(tmp_path, clock, truth)
-    life.write()
-    life.stop()
+def test_a_store_that_cannot_be_written_is_not_taken_for_a_clean_stop(tmp_path, monkeypatch):
+    clock, positions = make_place(tmp_path)
+    run = GatewayRun(tmp_path, clock, positions)
+    run.write()
+    run.stop()
 
-    def full(store, snapshot):
+    def fail_with_full_disk(store, snapshot):
         raise StoreError(28, "No space left on device")
 
-    monkeypatch.setattr(Store, "write", full)
-    life = Life(tmp_path, clock, truth)  # cannot mark the state as in use
-    assert any(event == "state_not_written" for event, _ in life.lines)
-    truth.update(c=6, d=6)
-    life.write()
-    life.kill()
+    monkeypatch.setattr(Store, "write", fail_with_full_disk)
+    run = GatewayRun(tmp_path, clock, positions)  # the run cannot mark the state as in use
+    assert any(event == "state_not_written" for event, _ in run.lines)
+    positions.update(c=6, d=6)
+    run.write()
+    run.kill()
     monkeypatch.undo()
-    life = Life(tmp_path, clock, truth)
-    assert set(life.read()) == {"p"}
-    life.kill()
+    run = GatewayRun(tmp_path, clock, positions)
+    assert set(run.read()) == {"p"}
+    run.kill()
 
 
-def test_a_locked_store_is_served_without(tmp_path):
-    clock, truth = place(tmp_path)
-    first, second = Life(tmp_path, clock, truth), Life(tmp_path, clock, truth)
+def test_a_gateway_with_a_locked_store_serves_without_it(tmp_path):
+    clock, positions = make_place(tmp_path)
+    first, second = GatewayRun(tmp_path, clock, positions), GatewayRun(tmp_path, clock, positions)
     assert any("held by another" in str(facts) for _, facts in second.lines)
     assert second.gateway._router.sessions.floors  # as after a crash
     second.read()
@@ -429,32 +429,32 @@
     first.kill()
 
 
-def test_a_wave_of_restarts_does_not_crowd_the_servers(tmp_path):
-    """200 gateways restart within two seconds, each with its floor: what one server sees stays under a bound."""
-    clock, truth = place(tmp_path)
-    lives, seen = [], {"probes": 0, "connections": 0}
-    made = Settings(1, "a", 200, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
+def test_many_restarts_at_once_do_not_overload_a_server(tmp_path):
+    """200 gateways restart within two seconds, each with a floor; probes and connections at one server stay bounded."""
+    clock, positions = make_place(tmp_path)
+    unused_runs, seen = [], {"probes": 0, "connections": 0}
+    gateway_settings = Settings(1, "a", 200, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
     most = {"probes": 0}
     chance = random.Random(1)
     at = sorted(chance.random() * 2 for _ in range(200))
     gateways, per_bin = [], {}
 
-    class Counted(FakeBackend):
+    class CountingBackend(FakeBackend):
         def __init__(self):
             super().__init__()
-            self.position = self.probed
+            self.position = self.count_probe
 
-        def probed(self, server):
+        def count_probe(self, server):
             slot = (server.name, int(clock.seconds() * 10))
             per_bin[slot] = per_bin.get(slot, 0) + 1
-            return ProbeResult({"": (truth["log"],)}, server.name == "p")
+            return ProbeResult({"": (positions["log"],)}, server.name == "p")
 
     now = 0.0
     for number, start in enumerate(at):
         clock.advance(start - now)
         now = start
-        backend = Counted()
-        gateway = Gateway(made, backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds)
+        backend = CountingBackend()
+        gateway = Gateway(gateway_settings, backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds)
         gateway.restarted(True, {})
         gateway.apply_list(SERVERS)
         gateways.append((gateway, backend))
@@ -467,21 +467,21 @@
     most["probes"] = max(per_bin.values())
     seen["connections"] = max(len([c for c in b.connections if c.server.name == "p"]) for _, b in gateways)
     assert most["probes"] <= 200 and seen["connections"] <= 1  # in a tenth of a second; from one gateway
-    assert len(lives) == 0 and all(g.unanswered == 0 for g, _ in gateways)
+    assert len(unused_runs) == 0 and all(g.unanswered == 0 for g, _ in gateways)
 
 
-def test_commands(tmp_path):
+def test_state_commands_show_and_verify_a_store(tmp_path):
     store = Store(tmp_path / "s")
     store.write(PLAIN)
     store.close()
-    call = lambda *words: CliRunner().invoke(main, ["state", *map(str, words)])  # noqa: E731
-    shown = call("show", tmp_path / "s")
+    invoke = lambda *words: CliRunner().invoke(main, ["state", *map(str, words)])  # noqa: E731
+    shown = invoke("show", tmp_path / "s")
     assert shown.exit_code == 0 and "version 3" in shown.output and "primary" in shown.output
-    assert call("verify", tmp_path / "s").exit_code == 0
-    assert call("verify", tmp_path / "none").exit_code == 2
+    assert invoke("verify", tmp_path / "s").exit_code == 0
+    assert invoke("verify", tmp_path / "none").exit_code == 2
     (tmp_path / "s" / "data.mdb").write_bytes(b"x" * 9000)
-    assert call("verify", tmp_path / "s").exit_code == 2
+    assert invoke("verify", tmp_path / "s").exit_code == 2
 
 
-def test_settle_times_are_durations():
+def test_settle_time_defaults_to_20_ms():
     assert load_text(SETTINGS).membership.settle == 20 * MS
--- a/yardbank/state/__init__.py
+++ b/yardbank/state/__init__.py
@@ -1,4 +1,4 @@
-"""What outlives a gateway's process, and what of it may be trusted afterwards."""
+"""Durable state of a gateway, and what of it can be trusted after a restart."""
 
 from yardbank.state.recovery import Restart, judge
 from yardbank.state.snapshot import Snapshot, SnapshotError, decode, encode
--- a/yardbank/state/snapshot.py
+++ b/yardbank/state/snapshot.py
@@ -1,4 +1,4 @@
-"""A gateway's durable state as bytes: versioned, checksummed, bounded. No I/O."""
+"""Serialization of a gateway's durable state: versioned, checksummed, of limited size. No I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class SnapshotError(ValueError):
-    """Bytes that are no usable snapshot; the text says why."""
+    """The bytes are not a usable snapshot; the message says why."""
 
 
 class ServerState(msgspec.Struct, frozen=True):
-    """One server of the last good list, and what it last told of itself."""
+    """One server of the last valid list, and the positions that it last reported."""
 
     name: str
     group: str
@@ -26,32 +26,32 @@
     port: int
     primary: bool = False
     state: str = "ready"
-    started: float = 0.0  # wall clock, seconds
+    started: float = 0.0  # start of the server, wall-clock seconds
     weight: float = 1.0
     marks: dict[str, list[int | str]] = {}  # position by origin
 
 
 class GroupState(msgspec.Struct, frozen=True):
-    """How far a group's log was known to reach: every token given out is at or before this."""
+    """Highest known positions of a group's log; every session token issued is at or before them."""
 
     name: str
     marks: dict[str, list[int | str]] = {}
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All that is kept."""
+    """The whole durable state."""
 
-    written: float  # wall clock, seconds
+    written: float  # wall-clock seconds
     version: int  # of the list
     digest: str
-    clean: bool  # written when the gateway stopped in good order: nothing came after it
+    clean: bool  # written by a clean stop: no request was served afterwards
     servers: list[ServerState]
     groups: list[GroupState] = []
-    generation: int = 0  # of the run that wrote it; 0: before these were counted
+    generation: int = 0  # of the run that wrote it; 0: written before generations existed
 
 
-class _Old(msgspec.Struct, frozen=True):
-    """Format 1: the list alone, without marks, never clean."""
+class _SnapshotFormat1(msgspec.Struct, frozen=True):
+    """Format 1: only the list, without positions; never counts as a clean stop."""
 
     written: float
     version: int
@@ -60,7 +60,7 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Magic, format, checksum, content. Raises ``SnapshotError`` if it is too large."""
+    """Serializes to magic, format, checksum and content. Raises ``SnapshotError`` if it is too large."""
     content = msgspec.msgpack.encode(snapshot)
     if len(content) > MAX_OCTETS:
         raise SnapshotError(f"{len(content)} octets, {MAX_OCTETS} allowed")
@@ -68,23 +68,23 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """Read a snapshot of this format or an older one. Raises ``SnapshotError``."""
+    """Parses a snapshot of this or an older format. Raises ``SnapshotError``."""
     if len(data) < 12 or data[:3] != MAGIC:
         raise SnapshotError("not a snapshot, or cut short")
-    form, digest, content = data[3], data[4:12], data[12:]
-    if form > FORMAT or form < 1:
-        raise SnapshotError(f"format {form}; formats 1 to {FORMAT} are read")
+    version, digest, content = data[3], data[4:12], data[12:]
+    if version > FORMAT or version < 1:
+        raise SnapshotError(f"format {version}; formats 1 to {FORMAT} are read")
     if xxhash.xxh3_64_digest(content) != digest:
         raise SnapshotError("damaged: the checksum does not match")
     try:
-        if form == 1:
-            old = msgspec.msgpack.decode(content, type=_Old)
+        if version == 1:
+            old = msgspec.msgpack.decode(content, type=_SnapshotFormat1)
             return Snapshot(old.written, old.version, old.digest, False, old.servers)
         return msgspec.msgpack.decode(content, type=Snapshot)
-    except msgspec.MsgspecError as problem:
-        raise SnapshotError(f"damaged: {problem}") from None
+    except msgspec.MsgspecError as error:
+        raise SnapshotError(f"damaged: {error}") from None
 
 
-def mark_of(value: Any) -> tuple[int | str, ...]:
-    """A mark as the timeline compares it."""
+def position_from_mark(value: Any) -> tuple[int | str, ...]:
+    """A stored position as a tuple, the form that ``timeline`` compares."""
     return tuple(value)
