--- a/tests/cluster/rollout/__init__.py
+++ b/tests/cluster/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of cluster/rollout."""
+"""Tests of staged rollouts."""
--- a/tests/cluster/rollout/test_faults.py
+++ b/tests/cluster/rollout/test_faults.py
@@ -1,10 +1,10 @@
-"""Rollouts under faults of the fleet: cuts, clocks, disks, lists that change."""
+"""Rollouts under partitions, clock drift, message loss, full disks and changes of the peer list."""
 
 from random import Random
 
 import pytest
 
-from tests.cluster.rollout.test_fleet import begun, stopped, worse
+from tests.cluster.rollout.test_fleet import all_stop_and_roll_back, degrade_new_version, start_fleet
 from tests.support.rollout_fleet import SECOND, Kind, World, change, zoned
 from yardbank.cluster.rollout.document import OperatorCommand
 from yardbank.testing.rig.network import Effect, pairs_of
@@ -16,14 +16,14 @@
     world.gossip.network.begin(name, pairs_of(sources, targets, oneway), Effect(cut="silent"))
 
 
-def moved(world, count=2, most=200):
+def wait_for_new(world, count=2, most=200):
     return world.until(lambda: sum(world.phase(name) == "new" for name in world.zones) >= count, most)
 
 
 @pytest.mark.parametrize("oneway", [False, True])
-def test_new_ones_that_are_cut_off_from_old_ones_are_waited_for(oneway):
-    world = begun(8, asked=change(hold=60 * SECOND))
-    assert moved(world)
+def test_the_rollout_waits_while_new_gateways_are_partitioned_from_old_ones(oneway):
+    world = start_fleet(8, asked=change(hold=60 * SECOND))
+    assert wait_for_new(world)
     new = sorted(world.on_new())
     cut(world, "apart", new, [name for name in world.zones if name not in new], oneway)
     world.run(150)
@@ -32,9 +32,9 @@
     assert world.until(lambda: len(world.said("finished")) == 8, 500)
 
 
-def test_a_stage_that_is_killed_whole_is_no_verdict_and_nobody_follows():
-    world = begun(8, asked=change(hold=60 * SECOND, longest=150 * SECOND))
-    assert moved(world)
+def test_a_stage_whose_gateways_are_all_killed_ends_undecided():
+    world = start_fleet(8, asked=change(hold=60 * SECOND, longest=150 * SECOND))
+    assert wait_for_new(world)
     for name in world.on_new():
         world.end(name, None)
     world.run(400)
@@ -42,8 +42,8 @@
     assert world.said("undecided")
 
 
-def test_one_that_was_cut_off_comes_back_two_stages_later_and_follows():
-    world = begun(8, asked=change(stages=(0.25, 0.5, 0.75, 1.0)))
+def test_a_gateway_partitioned_for_two_stages_catches_up():
+    world = start_fleet(8, asked=change(stages=(0.25, 0.5, 0.75, 1.0)))
     away = world.processes["g000"].part._stage_plan.of(2)[-1]
     cut(world, "away", [away], [name for name in world.zones if name != away])
     others = [name for name in world.zones if name != away]
@@ -53,12 +53,12 @@
     assert world.until(lambda: world.phase(away) == "new", 200)
 
 
-def test_one_that_was_cut_off_on_the_new_version_hears_of_the_stop_when_it_is_back():
-    world = begun(8)
-    assert moved(world)
+def test_a_partitioned_new_gateway_rolls_back_once_it_hears_of_the_stop():
+    world = start_fleet(8)
+    assert wait_for_new(world)
     away = sorted(world.on_new())[0]
     cut(world, "away", [away], [name for name in world.zones if name != away])
-    worse(world, Kind(failed=0.4))
+    degrade_new_version(world, Kind(failed=0.4))
     world.run(20)
     for name in [name for name in world.zones if name != away][:2]:
         world.processes[name].part._state_machine.stop(world.gossip.own(name), "c1", "served lookup")
@@ -71,7 +71,7 @@
     assert world.until(world.all_old, 120)
 
 
-def test_clocks_that_run_apart_and_started_apart_change_nothing():
+def test_clock_drift_and_different_clock_starts_change_no_verdict():
     world = World(zoned(8, 2))
     for number, name in enumerate(ALL):
         world.gossip.kill(name)
@@ -80,22 +80,22 @@
     world.run(15)
     world.ask(change())
     assert world.until(lambda: len(world.said("finished")) == 8, 500)
-    bad = begun(8)
+    bad = start_fleet(8)
     for number, name in enumerate(ALL):
         bad.gossip.rates[name] = 1 + 0.02 * (number % 3 - 1)
-    assert stopped(worse(bad, Kind(failed=0.2)))
+    assert all_stop_and_roll_back(degrade_new_version(bad, Kind(failed=0.2)))
 
 
-def test_loss_makes_it_slower_and_no_other_verdict():
+def test_message_loss_delays_the_rollout_and_changes_no_verdict():
     lossy = Effect(delay=0.001, lose=0.2, double=0.1, reorder=0.2)
-    world = begun(8, way=lossy)
+    world = start_fleet(8, way=lossy)
     assert world.until(lambda: len(world.said("finished")) == 8, 900)
     assert not world.said("stopped") and world.most_away <= 2
 
 
-def test_a_judge_that_is_slow_itself_does_not_go_on():
-    world = begun(8)
-    assert moved(world)
+def test_a_slow_gateway_holds_its_own_change():
+    world = start_fleet(8)
+    assert wait_for_new(world)
     following = world.processes["g000"].part._stage_plan.of(2)[0]
     for tick in range(500):
         at = world.gossip.now + tick * SECOND // 5
@@ -106,7 +106,7 @@
     assert world.until(lambda: len(world.said("finished")) == 8, 500)
 
 
-def test_a_list_that_changes_in_mid_stage():
+def test_a_peer_list_change_during_a_stage_does_not_disturb_the_rollout():
     world = World(zoned(10, 2))
     absent = ["g008", "g009"]
     for name in absent:
@@ -122,35 +122,35 @@
     listed(few)
     world.run(15)
     world.ask(change(), few)
-    assert moved(world)
+    assert wait_for_new(world)
     first = set(world.on_new())
     listed(everyone)
     for name in absent:
         world.start(name)
         world.tell(name, change())
-    gone = sorted(set(few) - first)[0]
+    last = sorted(set(few) - first)[0]
     assert world.until(lambda: len(world.said("finished")) == 10, 700)
-    assert first <= world.on_new() and gone in world.on_new() and not world.said("stopped")
+    assert first <= world.on_new() and last in world.on_new() and not world.said("stopped")
 
 
-def test_a_disk_that_is_full_as_the_verdict_is_written():
-    world = begun(8)
-    assert moved(world)
-    full = world.processes["g000"].disk
-    full.full = True
-    worse(world, Kind(failed=0.4))
-    assert stopped(world) and world.said("not_kept", "g000")
-    world.end("g000")  # it has forgotten; the others have not
+def test_a_stop_survives_a_full_disk_and_a_restart():
+    world = start_fleet(8)
+    assert wait_for_new(world)
+    disk = world.processes["g000"].disk
+    disk.full = True
+    degrade_new_version(world, Kind(failed=0.4))
+    assert all_stop_and_roll_back(world) and world.said("not_kept", "g000")
+    world.end("g000")  # its own stop is not stored: the peers report it
     world.run(40)
     assert world.phase("g000") == "old" and len(world.said("stopped", "g000")) == 2
-    full.full = False
+    disk.full = False
     world.run(15)
     world.end("g000")
-    assert "c1" in str(full.data)
+    assert "c1" in str(disk.data)
 
 
-def test_a_disk_that_is_full_before_it_goes_over_keeps_it_on_the_old_one():
-    world = begun(8)
+def test_a_full_disk_keeps_a_gateway_on_the_old_version():
+    world = start_fleet(8)
     first = world.processes["g000"].part._stage_plan.of(1)[0]
     world.processes[first].disk.full = True
     world.run(60)
@@ -159,21 +159,21 @@
     assert world.until(lambda: first in world.on_new(), 60)
 
 
-def test_a_going_back_that_fails_is_tried_again_and_words_on_others_change_nothing_here():
-    world = begun(6, down=False)
-    assert moved(world)
+def test_a_failed_rollback_is_retried_and_commands_on_other_rollouts_have_no_effect():
+    world = start_fleet(6, down=False)
+    assert wait_for_new(world)
     name = sorted(world.on_new())[0]
     carry_out, failed = world._carry_out, []
 
-    def broken(who, process, order):
+    def fail_first_rollbacks(who, process, order):
         if who == name and type(order).__name__ == "RollBack" and len(failed) < 2:
             failed.append(world.gossip.now / SECOND)
             process.part.failed(world.gossip.own(who), "no space")
         else:
             carry_out(who, process, order)
 
-    world._carry_out = broken
-    world.take_command(OperatorCommand(("c0",), ()), ["g000", "g001"])  # of another rollout
+    world._carry_out = fail_first_rollbacks
+    world.take_command(OperatorCommand(("c0",), ()), ["g000", "g001"])  # another rollout
     world.run(5)
     assert {turn.rollout for _, _, turn in world.said("stopped")} == {"c0"} and len(world.on_new()) >= 2
     world.take_command(OperatorCommand(("c1",), ()), ["g000", "g001"])
@@ -181,8 +181,8 @@
     assert len(failed) == 2 and failed[1] - failed[0] >= 10
 
 
-def test_who_has_finished_goes_back_no_more():
-    world = begun(6, down=False)
+def test_a_finished_rollout_is_not_rolled_back():
+    world = start_fleet(6, down=False)
     assert world.until(lambda: len(world.said("finished")) == 6, 400)
     world.take_command(OperatorCommand(("c1",), ()), world.zones)
     world.run(30)
@@ -190,10 +190,10 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_no_more_are_out_of_service_at_once_than_permits_whatever_is_cut(seed):
-    """Cuts that come and go each few seconds, one way and both, while all go over and are called back in the middle."""
+def test_partitions_never_let_more_gateways_go_down_at_once_than_permits(seed):
+    """Partitions start and end every few seconds, one way or both, during a rollout that is stopped half way."""
     random = Random(seed)
-    world = begun(8, seed=seed, asked=change(stages=(0.8, 1.0)))
+    world = start_fleet(8, seed=seed, asked=change(stages=(0.8, 1.0)))
     for number in range(40):
         names = random.sample(sorted(world.zones), 8)
         side = random.randrange(1, 5)
--- a/tests/cluster/rollout/test_landed_version.py
+++ b/tests/cluster/rollout/test_landed_version.py
@@ -1,4 +1,4 @@
-"""The program as it was before letters, beside this one with its parts on: real processes, datagrams both ways."""
+"""Compatibility with the program from before rollout messages: real processes of both, datagrams both ways."""
 
 import io
 import json
@@ -14,7 +14,7 @@
 from tests.support.router_world import wait_for
 from yardbank.testing.ports import free_port
 
-LANDED = "9d7b4df"  # the last commit whose gateways know nothing of letters
+LANDED = "9d7b4df"  # the last commit without messages of parts
 
 LANDED_GATEWAY = """
 import sys, time
@@ -42,7 +42,7 @@
 
 
 def landed(folder):
-    """The landed program's files, from the history of this clone."""
+    """Extracts the landed program's files from the git history."""
     packed = subprocess.run(["git", "archive", LANDED, "yardbank"], cwd=ROOT, capture_output=True, check=False)
     if packed.returncode:
         pytest.skip(f"this clone has no commit {LANDED}: the landed program is not here to be run")
@@ -51,7 +51,7 @@
     return folder
 
 
-def test_old_and_new_programs_see_each_other_alive_with_parts_on(tmp_path):
+def test_gateways_of_the_landed_and_the_current_program_see_each_other_alive(tmp_path):
     old_program = landed(tmp_path / "landed")
     names = {"g0": old_program, "g1": old_program, "g2": ROOT, "g3": ROOT, "g4": ROOT}
     ensure_reactor()
@@ -81,14 +81,14 @@
     try:
         wait_for(lambda: all(sees_all(name) for name in names), 40)
 
-        def told(name):  # the new ones' records reach each other; the old ones take no part and do no harm
+        def told(name):  # records of the current program's gateways reach each other; the landed ones ignore them
             shown = view(name).get("parts", {}).get("rollout", {})
             return sorted(one for found in (shown.get("places") or {}).values() for one in found)
 
         wait_for(lambda: all(told(name) == ["g2", "g3", "g4"] for name in ("g2", "g3", "g4")), 40)
-        assert view("g0")["dropped"].get("version", 0) > 0  # letters came there, and were left aside
+        assert view("g0")["dropped"].get("version", 0) > 0  # messages arrived there and were ignored
         assert all(sees_all(name) for name in names)
-        # A gateway of the old program goes over in the same place, with what it had kept: and back again
+        # A gateway is upgraded in place with its stored state, and downgraded again
         running["g1"].kill()
         running["g1"].wait()
         running["g1"] = start("g1", ROOT)
--- a/tests/cluster/rollout/test_processes.py
+++ b/tests/cluster/rollout/test_processes.py
@@ -1,4 +1,4 @@
-"""A rollout over real processes: supervised gateways go over by a start anew, and back when two say stop."""
+"""A rollout over real processes: supervised gateways change by a restart, and roll back after two stop commands."""
 
 import json
 import signal
@@ -22,7 +22,7 @@
 """
 
 
-def test_gateways_go_over_under_their_supervisors_and_back_when_two_say_stop(tmp_path):
+def test_supervised_gateways_change_by_restart_and_roll_back_after_two_stops(tmp_path):
     with world(start=False) as place:
         ports = {name: free_port() for name in NAMES}
         peers = "".join(
--- a/tests/daemon/__init__.py
+++ b/tests/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of daemon."""
+"""Tests of the daemon package."""
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -1,4 +1,4 @@
-"""The thin shell: workers on one port, restarts, signals; and a compressed bad day, both ways."""
+"""Worker processes, restarts, signals, slow clients, clocks with an error, and the demo with its faults compressed."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from tests.support.router_world import wait_for
 from yardbank.config import load_text
 from yardbank.daemon.clocks import Clocks
-from yardbank.daemon.restarts import Restarts
+from yardbank.daemon.restarts import RestartBackoff
 from yardbank.ldap import messages as m
 from yardbank.proxy import Proxy
 from yardbank.server_list.watcher import Watcher
@@ -30,27 +30,27 @@
     return [json.loads(line) for line in path.read_text().splitlines() if line.startswith("{")]
 
 
-def flood(slow, front, count):
-    """A client asks for much and reads nothing, through buffers as small as they can be; call in the reactor."""
+def send_without_reading(slow, front, count):
+    """A client sends many requests and reads no answers, with small socket buffers; call it in the reactor."""
     slow.client.transport.pauseProducing()
     slow.client.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     front.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     request = m.SearchRequest("ou=numbers,dc=porting", 2, m.Present("objectClass"))
-    return [[slow.client.request(request) for _ in range(count)]]  # within a list: none of them is waited for
+    return [[slow.client.request(request) for _ in range(count)]]  # nested, so that the deferreds are not waited for
 
 
-def test_restarts_wait_longer_each_time_until_one_lives_long():
-    plan = Restarts(first=0.1, most=1.0, settled=10.0)
+def test_restart_delays_grow_until_a_worker_runs_long_enough():
+    backoff = RestartBackoff(first_wait=0.1, max_wait=1.0, min_uptime=10.0)
     waits = []
     for now in range(6):
-        plan.started(now)
-        waits.append(plan.died(now + 0.5))
+        backoff.started(now)
+        waits.append(backoff.died(now + 0.5))
     assert waits == [0.0, 0.1, 0.2, 0.4, 0.8, 1.0]
-    plan.started(10)
-    assert plan.died(25) == 0.0
+    backoff.started(10)
+    assert backoff.died(25) == 0.0
 
 
-def test_workers_share_a_port_and_a_dead_one_is_started_again(tmp_path):
+def test_workers_share_a_port_and_a_dead_one_is_restarted(tmp_path):
     with world(start=False) as place:
         place.port = free_port()
         file, log = tmp_path / "g.hcl", tmp_path / "log"
@@ -76,7 +76,7 @@
             process.send_signal(signal.SIGHUP)
             wait_for(lambda: len(events("reload_rejected")) == 2)
             assert str(file) in events("reload_rejected")[0]["fault"]
-            assert Desk(place, "still").modify().code == 0  # the last good settings serve on
+            assert Desk(place, "still").modify().code == 0  # the last valid settings stay in effect
             process.send_signal(signal.SIGTERM)
             assert process.wait(20) == 0
             assert len(events("stopped")) >= 2
@@ -85,26 +85,26 @@
 
 
 # Guards against a start that fails after its sockets are open and leaves them open.
-def test_a_proxy_whose_list_cannot_be_watched_at_the_start_leaves_nothing_open(tmp_path, monkeypatch):
+def test_a_proxy_whose_list_watch_fails_at_the_start_leaves_nothing_open(tmp_path, monkeypatch):
     port = free_port()
     text = f'listener "ldap" {{\n  port = {port}\n}}\nbackend "ldap" {{\n}}\ngroup "g" {{\n  suffix = "dc=g"\n}}\n'
     text += 'class "read" {\n  effect = "safe"\n  read = "session"\n  aim = "400ms"\n  deadline = "1s"\n}\n'
     config = load_text(text + 'membership {\n  path = "list.hcl"\n}\nstate {\n  path = "state"\n}\n')
 
-    def no_watch(watcher):
+    def fail_to_watch(watcher):
         raise OSError("no watch can be had")
 
-    monkeypatch.setattr(Watcher, "start", no_watch)
+    monkeypatch.setattr(Watcher, "start", fail_to_watch)
     ensure_reactor()
     proxy = run(lambda: Proxy(config, reactor, folder=tmp_path))
     with pytest.raises(OSError, match="no watch"):
         run(proxy.start)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", port), timeout=30)
-    Store(tmp_path / "state" / "worker-0").close()  # its lock is free again
+    Store(tmp_path / "state" / "worker-0").close()  # its lock was released
 
 
-def test_settings_that_cannot_change_in_service_are_refused_whole():
+def test_a_reload_with_settings_that_need_a_restart_changes_nothing():
     from yardbank.config import load_text
 
     with world() as place:
@@ -115,13 +115,13 @@
         assert place.proxy.config is before
 
 
-def test_a_slow_reader_is_held_back_and_others_are_served():
+def test_a_slow_client_is_paused_and_others_are_served():
     with world(entries=200) as place:
         slow, other = Desk(place, "slow"), Desk(place, "other")
         front = next(iter(place.proxy._factories[0].clients))
 
-        (waiting,) = run(flood, slow, front, 300)
-        until(lambda: front._unread is not None)  # it is not read from any more
+        (waiting,) = run(send_without_reading, slow, front, 300)
+        until(lambda: front._unread is not None)  # reading from the client is paused
         assert other.modify().code == 0
         assert front._unread <= front._options.max_unread
         run(slow.client.transport.resumeProducing)
@@ -129,36 +129,36 @@
         assert len(answers) == 300 and any(len(answer.entries) == 201 for answer in answers)
 
 
-def test_a_reader_that_never_reads_is_dropped_at_the_bound():
+def test_a_client_that_never_reads_is_disconnected_at_the_bound():
     with world(entries=200, extra="") as place:
         factory = place.proxy._factories[0]
         factory.options = replace(factory.options, max_unread=20_000)
         slow, other = Desk(place, "slow"), Desk(place, "other")
         front = next(iter(factory.clients))
 
-        run(flood, slow, front, 300)
+        run(send_without_reading, slow, front, 300)
         until(lambda: front not in factory.clients)
         assert other.modify().code == 0
 
 
-def test_a_gateway_has_stopped_only_when_its_last_words_are_out():
-    """A process ends when ``stop`` fires; whatever was still to be written then would be lost."""
+def test_a_stop_completes_only_after_the_last_messages_are_written():
+    """A process exits when ``stop`` fires, and anything not written by then would be lost."""
     with world() as place:
         desks = [Desk(place, f"desk-{number}") for number in range(5)]
-        factory, fired = place.proxy._factories[0], []
-        run(lambda: place.stop_gateway().addCallback(lambda _: fired.append(len(factory.clients))))
-        assert fired == [0]
+        factory, clients_at_stop = place.proxy._factories[0], []
+        run(lambda: place.stop_gateway().addCallback(lambda _: clients_at_stop.append(len(factory.clients))))
+        assert clients_at_stop == [0]
         until(lambda: all(desk.client.gone for desk in desks))
-        assert all(desk.client.reason for desk in desks)  # the notice of disconnection came
+        assert all(desk.client.reason for desk in desks)  # the notice of disconnection arrived
 
 
-def test_a_client_that_takes_nothing_holds_a_stop_up_for_a_moment_only(monkeypatch):
+def test_a_client_that_reads_nothing_delays_a_stop_only_briefly(monkeypatch):
     monkeypatch.setattr("yardbank.ldap.front.LAST_WORDS", 0.05)
     with world(entries=200) as place:
         slow = Desk(place, "slow")
         front = next(iter(place.proxy._factories[0].clients))
 
-        run(flood, slow, front, 20)
+        run(send_without_reading, slow, front, 20)
         until(lambda: front._unread is not None)
         factory = place.proxy._factories[0]
         run(place.stop_gateway)
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("daemon", [False, True], ids=["library", "daemon"])
-def test_a_compressed_bad_day_keeps_every_rule(tmp_path, daemon):
+def test_the_demo_with_compressed_faults_keeps_every_rule(tmp_path, daemon):
     verdict = tmp_path / "verdict.json"
     command = [sys.executable, "-m", "yardbank", "demo", "--seconds", "8", "--json", str(verdict)]
     done = subprocess.run([*command, *(["--daemon"] if daemon else [])], capture_output=True, text=True, check=False)
@@ -181,7 +181,7 @@
     assert "By class" in done.stdout and "reads from copies" in done.stdout
 
 
-def test_demo_stay_says_how_to_reach_it(tmp_path):
+def test_demo_stay_writes_how_to_connect(tmp_path):
     ensure_reactor()
     reach = tmp_path / "reach.json"
     process = subprocess.Popen([sys.executable, "-m", "yardbank", "demo", "--stay", "--json", str(reach)])
@@ -194,7 +194,7 @@
         assert (found["bind_dn"], found["bind_password"]) == (DESK_DN, DESK_PASSWORD)
         change = m.ModifyRequest(found["writable_dn"], ((2, "description", (b"tried",)),))
         assert run(client.request, change).code == 0
-        for number in range(50):  # what the printed example promises, on another connection too
+        for number in range(50):  # the printed example promises this on a second connection too
             value = b"%d" % number
             change = m.ModifyRequest(found["writable_dn"], ((2, "description", (value,)),))
             assert run(client.request, change).code == 0
@@ -212,8 +212,8 @@
         process.kill()
 
 
-class Machine:
-    """A machine's clock, and a reactor on it."""
+class FakeMachine:
+    """A fake of the machine's clock and of a reactor's poll timeout."""
 
     def __init__(self):
         self.now = 50.0
@@ -228,15 +228,15 @@
         return 3.0
 
 
-def test_a_clock_that_runs_fast_sleeps_in_the_machines_seconds(monkeypatch):
-    machine = Machine()
+def test_a_fast_clock_converts_the_reactor_timeout_to_machine_seconds(monkeypatch):
+    machine = FakeMachine()
     monkeypatch.setattr("yardbank.daemon.clocks.time", machine)
-    clocks, reactor = Clocks(rate=1.5, offset=-7200.0), Machine()
+    clocks, reactor = Clocks(rate=1.5, offset=-7200.0), FakeMachine()
     clocks.set(reactor)
     machine.now += 10
     assert clocks.seconds() == reactor.seconds() == 65.0 and reactor.timeout() == 2.0
-    assert clocks.wall() == 1e9 + 65.0 - 7200.0 and clocks.odd
-    usual = Clocks()
-    usual.set(reactor)
+    assert clocks.wall() == 1e9 + 65.0 - 7200.0 and clocks.is_skewed
+    unchanged = Clocks()
+    unchanged.set(reactor)
     machine.now += 5
-    assert not usual.odd and reactor.seconds() == machine.now and usual.wall() == machine.time()
+    assert not unchanged.is_skewed and reactor.seconds() == machine.now and unchanged.wall() == machine.time()
--- a/tests/golden/test_golden_rollout.py
+++ b/tests/golden/test_golden_rollout.py
@@ -6,10 +6,10 @@
 from yardbank.cluster.peers.parts import KeyValueStore
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version, read, write
 from yardbank.cluster.rollout.document import SHAPE, Change, taken
-from yardbank.cluster.rollout.local_state import Memory, Options, remembered
+from yardbank.cluster.rollout.local_state import Memory, Options, load_memory
 from yardbank.cluster.rollout.part import RolloutPart
 from yardbank.cluster.rollout.phase import Phase
-from yardbank.cluster.rollout.record import Cell, GatewayRecord, encoded, letter, records
+from yardbank.cluster.rollout.record import Cell, GatewayRecord, decode_message, encode_message, encode_record
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
 
 DATA = load("rollout")
@@ -50,9 +50,9 @@
 def test_a_rollout_is_stored_and_numbered_as_before(octets, meaning):
     text, mark = meaning
     change = taken(text.encode(), "rollout.hcl", SHAPE).change
-    assert change.kept().encode() == octets
-    assert Change.of(octets.decode()) == change
-    assert Change.of(octets.decode()).mark() == mark
+    assert change.to_json().encode() == octets
+    assert Change.from_json(octets.decode()) == change
+    assert Change.from_json(octets.decode()).mark() == mark
 
 
 @each("rollout", "memory")
@@ -60,7 +60,7 @@
     values, (rollout, mark), stored = meaning
     storage = Mock(spec=KeyValueStore)
     storage.load.return_value = octets
-    assert remembered(storage) == memory(*values)
+    assert load_memory(storage) == memory(*values)
     RolloutStateMachine(
         Mock(), storage, Options(active_version=ActiveVersion(now=Version(rollout=rollout, mark=mark)))
     ).begun(0)
@@ -83,8 +83,8 @@
 @each("rollout", "letters")
 def test_a_letter_of_records_keeps_its_octets(octets, meaning):
     said = [record(*values) for values in meaning]
-    assert [one for one, _ in records(octets)] == said
-    assert letter([encoded(one) for one in said]) == octets
+    assert [one for one, _ in decode_message(octets)] == said
+    assert encode_message([encode_record(one) for one in said]) == octets
 
 
 def test_topic_and_places_stay_the_same():
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -150,9 +150,9 @@
 
     def at_once(self, *more):
         begin(self, *more)
-        self.open = self.order.stages
+        self.current_stage = self.plan.stages
 
-    Progress._begin, Progress.lacking = at_once, lambda self, *what: ""
+    Progress._begin, Progress.hold_reason = at_once, lambda self, *what: ""
 
 
 def deaf_to_stop():
@@ -163,7 +163,7 @@
 
     def none(self, *args):
         judge(self, *args)
-        self._recall = self._held = ""
+        self._rollback_reason = self._hold_reason = ""
 
     RolloutPart._judge = none
 
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -113,10 +113,10 @@
         """It dies; the supervisor goes by its age."""
         process = self.processes[name]
         age = (self.gossip.now - process.began_at) / SECOND
-        fell = process.active_version.young and age < self.young
+        fell = process.active_version.uncommitted and age < self.young
         self.end(
             name,
-            active_version=process.active_version.gone_back(f"{why} after {age:.0f} s")
+            active_version=process.active_version.rolled_back(f"{why} after {age:.0f} s")
             if fell
             else process.active_version.restarted(),
         )
@@ -132,7 +132,7 @@
                 continue
             self._serve(name)
             new, age = process.active_version.now.name == NEW_NAME, (now - process.began_at) / SECOND
-            for turn in process.part.turns():
+            for turn in process.part.transitions():
                 self.turns.append((now, name, turn))
             for order in process.part.orders():
                 self._carry_out(name, process, order)
@@ -145,19 +145,19 @@
     def _carry_out(self, name, process, order):
         own = self.gossip.own(name)
         if isinstance(order, Commit):
-            process.active_version = process.active_version.kept()
+            process.active_version = process.active_version.committed()
             return
         active_version = (
-            process.active_version.gone_over(order.version)
+            process.active_version.activated(order.version)
             if isinstance(order, Activate)
-            else process.active_version.gone_back()
+            else process.active_version.rolled_back()
         )
         assert isinstance(order, Activate | RollBack)
         if not self.down:
             process.active_version = active_version
-            process.part.up(own)
-        elif not order.down:
-            process.part.not_in_service(own)
+            process.part.applied(own)
+        elif not order.may_restart:
+            process.part.needs_restart(own)
         else:
             self.end(name, 2 * SECOND, active_version)
 
--- a/yardbank/cluster/rollout/active_version.py
+++ b/yardbank/cluster/rollout/active_version.py
@@ -19,7 +19,7 @@
 ACTIVE_VERSION_VARIABLE = "YARDBANK_IN_FORCE"
 SETTINGS_FILE_VARIABLE = "YARDBANK_GIVEN"
 EXIT_FOR_RESTART = 86  # exit code of a worker that asks to be restarted with the version that the file names then
-MAX_OCTETS = 1 << 16
+MAX_FILE_OCTETS = 1 << 16
 
 
 class Version(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -48,17 +48,17 @@
     restarts: int = 0  # of the process since ``now`` became active
     changed: float = 0.0  # when ``now`` became active, seconds since 1970
     fell: str = ""  # why the previous version was rolled back without an order of its rollout
-    fell_from: str = ""
+    fell_from: str = ""  # that rollout
 
-    def gone_over(self, to: Version, wall: float = 0.0) -> ActiveVersion:
+    def activated(self, to: Version, wall: float = 0.0) -> ActiveVersion:
         """Activates ``to``, with the current version as rollback target."""
         return ActiveVersion(to, self.now, changed=wall)
 
-    def gone_back(self, why: str = "") -> ActiveVersion:
+    def rolled_back(self, why: str = "") -> ActiveVersion:
         """Rolls back; ``why``: the reason if the supervisor did it on a dead worker, empty on the rollout's order."""
         return ActiveVersion(self.before, self.before, fell=why, fell_from=self.now.rollout if why else "")
 
-    def kept(self) -> ActiveVersion:
+    def committed(self) -> ActiveVersion:
         """Commits the current version: it can no longer be rolled back."""
         return ActiveVersion(self.now, self.now, self.restarts, self.changed)
 
@@ -67,19 +67,19 @@
         return msgspec.structs.replace(self, restarts=self.restarts + 1)
 
     @property
-    def young(self) -> bool:
+    def uncommitted(self) -> bool:
         """Whether the current version is not committed yet."""
         return self.now != self.before
 
 
 def decoded(data: bytes | str) -> ActiveVersion:
     """Parses the content of the file. Raises ``ValueError``."""
-    if len(data) > MAX_OCTETS:
-        raise ValueError(f"{len(data)} octets, {MAX_OCTETS} allowed")
+    if len(data) > MAX_FILE_OCTETS:
+        raise ValueError(f"{len(data)} octets, {MAX_FILE_OCTETS} allowed")
     try:
         return msgspec.json.decode(data, type=ActiveVersion)
-    except msgspec.DecodeError as problem:
-        raise ValueError(f"not what is in force: {problem}") from None
+    except msgspec.DecodeError as error:
+        raise ValueError(f"not a valid active version: {error}") from None
 
 
 def encoded(active_version: ActiveVersion) -> str:
@@ -119,20 +119,20 @@
     path = folder / FILE
     try:
         with path.open("rb") as file:
-            return decoded(file.read(MAX_OCTETS + 1))
+            return decoded(file.read(MAX_FILE_OCTETS + 1))
     except FileNotFoundError:
         return ActiveVersion()
-    except OSError as problem:
-        raise ValueError(f"{path}: {problem.strerror or problem}") from None
-    except ValueError as problem:
-        raise ValueError(f"{path}:1: {problem}") from None
+    except OSError as error:
+        raise ValueError(f"{path}: {error.strerror or error}") from None
+    except ValueError as error:
+        raise ValueError(f"{path}:1: {error}") from None
 
 
 def write(folder: Path, active_version: ActiveVersion) -> None:
     """Replaces the file atomically. Raises ``OSError``; then the former content stays."""
-    part = folder / (FILE + ".part")
-    with part.open("w", encoding="utf-8") as file:
+    partial = folder / (FILE + ".part")
+    with partial.open("w", encoding="utf-8") as file:
         file.write(encoded(active_version) + "\n")
         file.flush()
         os.fsync(file.fileno())
-    os.replace(part, folder / FILE)
+    os.replace(partial, folder / FILE)
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -26,11 +26,11 @@
 from yardbank.config.base import Duration, Model, StringTuple
 from yardbank.config.checked import Checked, ConfigError, Faults, Shape, check_text
 
-NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,31}$"
-SHARES = ("served", "refused", "failed", "late")  # shares of requests, compared by class
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,31}$"
+SHARE_METRICS = ("served", "refused", "failed", "late")  # shares of requests, compared by class
 # A file in the same directory, so that relative paths in it resolve as in the original settings
-FILE = r"^([A-Za-z0-9][A-Za-z0-9._-]{0,99})?$"
-METRICS = (*SHARES, "p99", "restarts", "memory")
+FILE_PATTERN = r"^([A-Za-z0-9][A-Za-z0-9._-]{0,99})?$"
+METRICS = (*SHARE_METRICS, "p99", "restarts", "memory")
 SECOND = 1_000_000_000
 MAX_STAGES = 16
 
@@ -38,8 +38,8 @@
 class Change(Model):
     """One requested rollout; times in nanoseconds."""
 
-    id: Annotated[str, Field(pattern=NAME)]
-    settings: Annotated[str, Field(pattern=FILE)] = ""  # a file beside the original settings file
+    id: Annotated[str, Field(pattern=NAME_PATTERN)]
+    settings: Annotated[str, Field(pattern=FILE_PATTERN)] = ""  # a file beside the original settings file
     program: str = ""  # a command that replaces this program's
     stages: tuple[float, ...] = (0.02, 0.1, 0.5, 1.0)
     hold: Duration = 60 * SECOND  # least duration of a stage after all its gateways have changed
@@ -57,40 +57,40 @@
 
     @field_validator("stages")
     @classmethod
-    def _rising(cls, value: tuple[float, ...]) -> tuple[float, ...]:
+    def _check_stages(cls, value: tuple[float, ...]) -> tuple[float, ...]:
         if not 2 <= len(value) <= MAX_STAGES:
-            raise ValueError(f"two to {MAX_STAGES} are wanted")
+            raise ValueError(f"2 to {MAX_STAGES} stages are required")
         if list(value) != sorted(set(value)) or value[0] <= 0 or value[-1] != 1:
-            raise ValueError("shares of the fleet that rise, from above 0 to 1, are wanted")
+            raise ValueError("ascending shares of the fleet, above 0 and up to 1, are required")
         return value
 
     @field_validator("worse")
     @classmethod
-    def _known(cls, value: tuple[str, ...]) -> tuple[str, ...]:
+    def _check_metrics(cls, value: tuple[str, ...]) -> tuple[str, ...]:
         for word in value:
             if word not in METRICS:
-                raise ValueError(f"'{word}' is none of {', '.join(METRICS)}")
-        if not set(value) & set(SHARES):
-            raise ValueError(f"one of {', '.join(SHARES)} is wanted")
+                raise ValueError(f"'{word}' is not one of {', '.join(METRICS)}")
+        if not set(value) & set(SHARE_METRICS):
+            raise ValueError(f"at least one of {', '.join(SHARE_METRICS)} is required")
         return tuple(sorted(set(value), key=METRICS.index))
 
     @field_validator("program")
     @classmethod
-    def _command(cls, value: str) -> str:
+    def _check_program(cls, value: str) -> str:
         try:
             shlex.split(value)
-        except ValueError as problem:
-            raise ValueError(f"no command: {problem}") from None
+        except ValueError as error:
+            raise ValueError(f"not a valid command: {error}") from None
         return value
 
     @model_validator(mode="after")
-    def _whole(self) -> Change:
+    def _check_combinations(self) -> Change:
         if bool(self.settings) == bool(self.program):
-            raise ValueError("either settings or program is wanted")
+            raise ValueError("exactly one of settings and program is required")
         if self.settle >= self.outage:
-            raise ValueError("settle is not shorter than outage")
+            raise ValueError("settle must be shorter than outage")
         if self.hold > self.longest:
-            raise ValueError("hold is longer than longest")
+            raise ValueError("hold must not be longer than longest")
         return self
 
     def mark(self) -> int:
@@ -100,18 +100,18 @@
     @cached_property
     def number(self) -> int:
         """The same, computed once."""
-        return xxhash.xxh3_64_intdigest(self.kept().encode())
+        return xxhash.xxh3_64_intdigest(self.to_json().encode())
 
-    def kept(self) -> str:
+    def to_json(self) -> str:
         """JSON of the keys that the file sets, without defaults: programs with other defaults agree on the hash."""
         return json.dumps(self.model_dump(mode="json", exclude_unset=True), sort_keys=True)
 
     @classmethod
-    def of(cls, kept: str) -> Change:
+    def from_json(cls, text: str) -> Change:
         """Restores a request, perhaps written by another version of the program. Raises ``ValueError``."""
-        found = json.loads(kept)
+        found = json.loads(text)
         if not isinstance(found, dict) or not isinstance(found.get("id"), str):
-            raise ValueError("no rollout")  # noqa: TRY004  # a fault of the file
+            raise ValueError("not a rollout request")  # noqa: TRY004  # a fault of the file
         known: dict[str, Any] = {
             key: tuple(value) if isinstance(value, list) else value
             for key, value in found.items()
@@ -120,12 +120,12 @@
         return cls.model_construct(None, **known)
 
 
-class Named(Model):
+class RolloutName(Model):
     """A reference to a rollout."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    id: Annotated[str, Field(pattern=NAME)]
+    id: Annotated[str, Field(pattern=NAME_PATTERN)]
 
 
 class ChangeFile(Model):
@@ -137,19 +137,19 @@
 class OperatorCommandFile(Model):
     """Content of the command file; rollouts that it does not name continue."""
 
-    stop: tuple[Named, ...] = Field(default=(), max_length=64)
-    withdraw: tuple[Named, ...] = Field(default=(), max_length=64)
+    stop: tuple[RolloutName, ...] = Field(default=(), max_length=64)
+    withdraw: tuple[RolloutName, ...] = Field(default=(), max_length=64)
 
 
-def _one(file: ChangeFile) -> Faults:
-    again: Faults = [
-        (("rollout", index), f'rollout "{one.id}" is a second one; one goes at a time')
+def _reject_second(file: ChangeFile) -> Faults:
+    faults: Faults = [
+        (("rollout", index), f'rollout "{one.id}" is a second rollout; only one can run at a time')
         for index, one in enumerate(file.rollout[1:], 1)
     ]
-    return again
+    return faults
 
 
-SHAPE = Shape(ChangeFile, {"rollout": "id"}, (), _one)
+SHAPE = Shape(ChangeFile, {"rollout": "id"}, (), _reject_second)
 COMMANDS = Shape(OperatorCommandFile, {"stop": "id", "withdraw": "id"}, ())
 
 
@@ -175,7 +175,7 @@
     faults: tuple[str, ...]
 
 
-def _asked(file: ChangeFile) -> Asked:
+def _request_of(file: ChangeFile) -> Asked:
     return Asked(file.rollout[0] if file.rollout else None)
 
 
@@ -183,38 +183,38 @@
     return OperatorCommand(tuple(one.id for one in file.stop), tuple(one.id for one in file.withdraw))
 
 
-class Watching:
+class WatchedFile:
     """Tracks the last valid content of one file; implements ``server_list.watcher.Watched``."""
 
     def __init__(self, shape: Shape[Any], patience: int = 2 * SECOND) -> None:
         """``shape``: ``SHAPE`` or ``COMMANDS``."""
         self._shape, self._patience = shape, patience
-        self._text: bytes | None = None
-        self._since = 0
-        self._waiting: Reject | None = None
-        self._last: Asked | OperatorCommand | None = None
+        self._content: bytes | None = None
+        self._changed_at = 0
+        self._pending_rejection: Reject | None = None
+        self._last_valid: Asked | OperatorCommand | None = None
 
     def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Asked | OperatorCommand | Reject]:
         """Takes the content that was read; returns what changed."""
         name, data = next(iter(texts.items()), ("rollout", b""))
-        if data != self._text:
-            self._text, self._since, self._waiting = data, now, None
+        if data != self._content:
+            self._content, self._changed_at, self._pending_rejection = data, now, None
             try:
                 found = taken(data, name, self._shape)
-            except ConfigError as problem:
-                self._waiting = Reject(tuple(problem.faults))
+            except ConfigError as error:
+                self._pending_rejection = Reject(tuple(error.faults))
             else:
-                if found != self._last:
-                    self._last = found
+                if found != self._last_valid:
+                    self._last_valid = found
                     return [found]
-        if self._waiting is not None and now - self._since >= self._patience:
-            rejected, self._waiting = self._waiting, None
+        if self._pending_rejection is not None and now - self._changed_at >= self._patience:
+            rejected, self._pending_rejection = self._pending_rejection, None
             return [rejected]
         return []
 
     def due(self) -> int | None:
         """When to read the file again although it has not changed; None: not at all."""
-        return self._since + self._patience if self._waiting is not None else None
+        return self._changed_at + self._patience if self._pending_rejection is not None else None
 
     def force(self) -> list[Asked | OperatorCommand | Reject]:
         """Required by the watcher; nothing is held back here."""
@@ -225,10 +225,10 @@
     """Parses and validates a file. Raises ``ConfigError``."""
     try:
         file = check_text(data.decode(), name, shape)
-    except UnicodeDecodeError as problem:
-        line = data[: problem.start].count(b"\n") + 1
+    except UnicodeDecodeError as error:
+        line = data[: error.start].count(b"\n") + 1
         raise ConfigError([f"{name}:{line}: not UTF-8"]) from None
-    return _asked(file) if isinstance(file, ChangeFile) else _command_of(file)  # type: ignore[arg-type]
+    return _request_of(file) if isinstance(file, ChangeFile) else _command_of(file)  # type: ignore[arg-type]
 
 
 def command_file(file: Path) -> Path:
@@ -236,6 +236,6 @@
     return file.with_name(file.name + ".word")
 
 
-def version_of(text: str) -> str:
+def version_hash(text: str) -> str:
     """Short hash of settings (their text) or of a program (its command)."""
     return xxhash.xxh3_64_hexdigest(text.encode())[:8]
--- a/yardbank/cluster/rollout/local_state.py
+++ b/yardbank/cluster/rollout/local_state.py
@@ -11,7 +11,7 @@
 from yardbank.cluster.rollout.active_version import ActiveVersion, Version
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.metrics import Metrics
-from yardbank.cluster.rollout.phase import MOVED, TABLE, Phase
+from yardbank.cluster.rollout.phase import CHANGED_PHASES, TRANSITIONS, Phase
 
 MAX_STOPPED = 64  # the oldest is dropped first
 
@@ -22,7 +22,7 @@
 
     figures: Callable[[], Metrics] = Metrics  # reads this gateway's current figures
     active_version: ActiveVersion = field(default_factory=ActiveVersion)  # at the start of the process
-    name: str = ""  # short hash of that version
+    version_name: str = ""  # short hash of that version
     beat: int = 0  # ns between two readings of the figures; 0: derived from the size of the fleet
 
 
@@ -39,20 +39,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Activate:
-    """Order to activate a version, answered by ``RolloutPart.up``, ``failed`` or a restart of the process.
+    """Order to activate a version, answered by ``RolloutPart.applied``, ``failed`` or a restart of the process.
 
-    ``down``: a restart is allowed; if one is needed and not allowed, the answer is ``RolloutPart.not_in_service``.
+    ``may_restart``: whether a restart is allowed; if one is needed and not allowed, the answer is
+    ``RolloutPart.needs_restart``.
     """
 
     version: Version
-    down: bool
+    may_restart: bool
 
 
 @dataclass(slots=True, frozen=True)
 class RollBack:
-    """Order to return to the previous version; ``down`` as in ``Activate``."""
+    """Order to return to the previous version; ``may_restart`` as in ``Activate``."""
 
-    down: bool
+    may_restart: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,7 +64,7 @@
 class Memory(msgspec.Struct, array_like=True):
     """The stored state. Unknown fields of a later program are ignored; missing fields get their defaults."""
 
-    change: str = ""  # the request as JSON, see ``Change.kept``
+    change: str = ""  # the request as JSON, see ``Change.to_json``
     phase: int = Phase.OLD
     down: bool = False  # whether the change needs a restart
     restarts: int = 0  # number of restarts when the rollout was requested
@@ -71,24 +72,24 @@
     finished: str = ""  # id of the last finished rollout
 
 
-def remembered(keep: KeyValueStore) -> Memory:
+def load_memory(store: KeyValueStore) -> Memory:
     """Loads the stored state; unreadable data counts as none."""
-    data = keep.load()
+    data = store.load()
     if data is None:
         return Memory()
     try:
         found = msgspec.msgpack.decode(data, type=Memory)
         if found.change:
-            Change.of(found.change)
+            Change.from_json(found.change)
     except (msgspec.DecodeError, ValueError):
         return Memory()
     return found
 
 
-def reconciled(memory: Memory, active_version: ActiveVersion) -> tuple[int, str]:
+def reconcile_phase(memory: Memory, active_version: ActiveVersion) -> tuple[int, str]:
     """Derives the phase at a process start from stored state and active version, and why it was rolled back."""
     try:
-        change = Change.of(memory.change)
+        change = Change.from_json(memory.change)
     except ValueError:
         return Phase.OLD, ""
     if memory.finished == change.id:
@@ -99,9 +100,11 @@
         event = "up" if on_new else "crashed"
     elif phase == Phase.BACK_OUT:
         event = "restarted" if on_new else "up"
-    elif phase in MOVED:
+    elif phase in CHANGED_PHASES:
         event = "restarted" if on_new else "crashed"
     else:  # the file with the active version may be newer than the stored state
         event = "found" if on_new else "restarted"
-    why = active_version.fell or ("did not come over" if phase == Phase.OUT else "another version is in force")
-    return TABLE.get((phase, event), Phase.OLD), why if event == "crashed" else ""
+    why = active_version.fell or (
+        "the new version did not start" if phase == Phase.OUT else "another version is active"
+    )
+    return TRANSITIONS.get((phase, event), Phase.OLD), why if event == "crashed" else ""
--- a/yardbank/cluster/rollout/metrics.py
+++ b/yardbank/cluster/rollout/metrics.py
@@ -10,7 +10,7 @@
 
 from yardbank.cluster.rollout.record import MAX_CELLS, Cell
 
-LEAST = 100
+MIN_P99_REQUESTS = 100
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,12 +44,12 @@
 
 def p99(before: Mapping[int, int], after: Mapping[int, int]) -> int:
     """The 99th percentile of what was added between two histograms; 0: too few samples."""
-    gained = sorted((bound, count - before.get(bound, 0)) for bound, count in after.items())
-    total = sum(count for _, count in gained)
-    if total < LEAST or min(count for _, count in gained) < 0:
+    added = sorted((bound, count - before.get(bound, 0)) for bound, count in after.items())
+    total = sum(count for _, count in added)
+    if total < MIN_P99_REQUESTS or min(count for _, count in added) < 0:
         return 0
     seen = 0
-    for bound, count in gained:
+    for bound, count in added:
         seen += count
         if seen * 100 >= total * 99:
             return bound
@@ -61,14 +61,14 @@
 
     The classes with most requests are included, ties by name.
     """
-    busy: Sequence[str] = sorted(after.classes, key=lambda key: (-after.classes[key].total(), key))
-    told, left_out = sorted(busy[:MAX_CELLS]), tuple(sorted(busy[MAX_CELLS:]))
+    ordered: Sequence[str] = sorted(after.classes, key=lambda key: (-after.classes[key].total(), key))
+    included, omitted = sorted(ordered[:MAX_CELLS]), tuple(sorted(ordered[MAX_CELLS:]))
     found = []
-    for key in told:
-        one, old = after.classes[key], before.classes.get(key, ClassFigures())
-        slow = p99(old.latencies, one.latencies) // 1000
-        found.append(Cell(key, one.good, one.late, one.refused, one.failed, one.left, slow))
-    return tuple(found), left_out
+    for key in included:
+        new, old = after.classes[key], before.classes.get(key, ClassFigures())
+        p99_us = p99(old.latencies, new.latencies) // 1000
+        found.append(Cell(key, new.good, new.late, new.refused, new.failed, new.left, p99_us))
+    return tuple(found), omitted
 
 
 class RequestTally(Protocol):
@@ -102,20 +102,20 @@
 def of_gateway(
     tallies: Mapping[str, RequestTally],
     promises: Mapping[str, Iterable[object]],
-    beyond: Callable[[int], int],
+    bucket_bound: Callable[[int], int],
     memory: int,
 ) -> Metrics:
-    """Figures of a gateway; ``beyond``: upper bound of a latency bucket; ``promises``: the targets of each class."""
+    """Figures of a gateway; ``bucket_bound``: a latency bucket's upper bound; ``promises``: targets by class."""
     classes = {
         class_key(name, promises[name]): ClassFigures(
-            one.in_time,
-            one.late,
-            one.refused,
-            one.failed,
-            one.left,
-            {beyond(index): count for index, count in enumerate(one.latencies) if count},
+            tally.in_time,
+            tally.late,
+            tally.refused,
+            tally.failed,
+            tally.left,
+            {bucket_bound(index): count for index, count in enumerate(tally.latencies) if count},
         )
-        for name, one in tallies.items()
+        for name, tally in tallies.items()
         if name in promises
     }
     return Metrics(classes, memory)
--- a/yardbank/cluster/rollout/phase.py
+++ b/yardbank/cluster/rollout/phase.py
@@ -1,6 +1,6 @@
 """Phases of one gateway in a rollout, and the permit that limits how many are out of service at once. No I/O.
 
-``TABLE`` lists every transition; an event without an entry for the current phase is ignored.
+``TRANSITIONS`` lists every transition; an event without an entry for the current phase is ignored.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 NAMES = ("old", "due", "going over", "settling", "new", "due back", "going back", "settling back", "fell back")
 
-TABLE: dict[tuple[int, str], Phase] = {
+TRANSITIONS: dict[tuple[int, str], Phase] = {
     (Phase.OLD, "turn"): Phase.DUE,
     (Phase.DUE, "not now"): Phase.OLD,  # held, stopped or withdrawn: the unused permit is released
     (Phase.DUE, "permit"): Phase.OUT,
@@ -58,9 +58,9 @@
     (Phase.BACK_SETTLING, "restarted"): Phase.BACK_SETTLING,
     (Phase.FELL, "restarted"): Phase.FELL,
 }
-MOVED = frozenset({Phase.OUT, Phase.SETTLING, Phase.NEW, Phase.BACK_DUE, Phase.BACK_OUT})
+CHANGED_PHASES = frozenset({Phase.OUT, Phase.SETTLING, Phase.NEW, Phase.BACK_DUE, Phase.BACK_OUT})
 AWAY = frozenset({Phase.OUT, Phase.SETTLING, Phase.BACK_OUT, Phase.BACK_SETTLING})  # counted against ``most_at_once``
-ASKING = frozenset({Phase.DUE, Phase.BACK_DUE})
+WAITING_PHASES = frozenset({Phase.DUE, Phase.BACK_DUE})
 
 
 class Permit:
@@ -80,7 +80,7 @@
     def _resource(self, number: int) -> str:
         return f"permit/{self._rollout}/{number}"
 
-    def seek(self, now: int, turn: int) -> None:
+    def request(self, now: int, turn: int) -> None:
         """Requests a permit; if none is granted within ``outage``, the next one. ``turn``: this gateway's position."""
         if self.number is not None and not self._epoch and now - self._asked_at >= self._outage:
             turn = self.number + 1
@@ -89,7 +89,7 @@
             self.number, self._asked_at = turn % self._most, now
             self._leases.acquire(now, self._resource(self.number))
 
-    def may_go(self, now: int, down: bool) -> bool:
+    def is_usable(self, now: int, down: bool) -> bool:
         """Whether the permit is held now and the change may start; ``down``: by a restart."""
         epoch = self._leases.epoch(now, self._resource(self.number)) if self.number is not None else None
         if epoch is None:
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from yardbank.cluster.rollout.canary_analysis import CanaryAnalysis, Past
+from yardbank.cluster.rollout.canary_analysis import CanaryAnalysis, History
 from yardbank.cluster.rollout.document import Change
 from yardbank.cluster.rollout.phase import Phase
 from yardbank.cluster.rollout.record import GatewayRecord
@@ -16,13 +16,13 @@
 class Progress:
     """State of one rollout.
 
-    ``told``: newest records of the gateways with the same request; ``alive``: reachable gateways, including this one.
+    ``records``: newest records of the gateways with the same request; ``alive``: reachable gateways with this one.
     """
 
-    def __init__(self, now: int, change: Change, order: StagePlan, fresh: bool) -> None:
+    def __init__(self, now: int, change: Change, plan: StagePlan, fresh: bool) -> None:
         """``fresh``: no gateway has changed yet."""
-        self.change, self.order = change, order
-        self.open = 1
+        self.change, self.plan = change, plan
+        self.current_stage = 1
         self.undecided = self.finished = False
         self.events: list[tuple[str, int, str]] = []  # what, stage, why
         self._begin(now, 1, fresh)
@@ -33,81 +33,83 @@
         A gateway that joins a running stage does not stop it because of request figures: tests that begin at many
         different times would together exceed the false-stop probability, which has to hold for a single test.
         """
-        while stage < self.order.stages and not self.order.of(stage):  # a stage may be empty in a small fleet
+        while stage < self.plan.stages and not self.plan.of(stage):  # a stage may be empty in a small fleet
             stage += 1
-        self.open, self.undecided, self._seen = stage, False, seen
-        self._through_at: int | None = None
-        self._news, self._moved_at = -1, now
-        self.canary_analysis = CanaryAnalysis(self.change, self.order, stage)
-        self.events.append((STAGE, stage, f"{len(self.order.of(stage))} gateways"))
+        self.current_stage, self.undecided, self._seen_from_start = stage, False, seen
+        self._complete_since: int | None = None
+        self._changed_count, self._last_progress_at = -1, now
+        self.canary_analysis = CanaryAnalysis(self.change, self.plan, stage)
+        self.events.append((STAGE, stage, f"{len(self.plan.of(stage))} gateways"))
 
-    def relisted(self, now: int, order: StagePlan) -> None:
+    def relisted(self, now: int, plan: StagePlan) -> None:
         """Adopts a new peer list; changed gateways stay changed, and the current stage continues."""
-        self.order = order
-        self.canary_analysis.relisted(order)
-        self._moved_at = now
+        self.plan = plan
+        self.canary_analysis.relisted(plan)
+        self._last_progress_at = now
 
-    def step(self, now: int, told: Mapping[str, GatewayRecord], alive: frozenset[str], past: Past) -> None:
+    def step(self, now: int, records: Mapping[str, GatewayRecord], alive: frozenset[str], history: History) -> None:
         """Updates the stage by the records received so far."""
         if self.finished:
             return
-        self._follow(now, told)
-        self.canary_analysis.look(past)
-        through = self._through(told, alive)
-        news = self._on_new(self.order.upto(self.open), told)
-        if news != self._news or through != (self._through_at is not None):
-            self._news, self._moved_at = news, now
-        self._through_at = (self._through_at or now) if through else None
-        held = self._through_at is not None and now - self._through_at >= self.change.hold
-        if held and self.open == self.order.stages:
+        self._catch_up(now, records)
+        self.canary_analysis.update(history)
+        complete = self._stage_complete(records, alive)
+        changed_count = self._count_new(self.plan.up_to(self.current_stage), records)
+        if changed_count != self._changed_count or complete != (self._complete_since is not None):
+            self._changed_count, self._last_progress_at = changed_count, now
+        self._complete_since = (self._complete_since or now) if complete else None
+        held = self._complete_since is not None and now - self._complete_since >= self.change.hold
+        if held and self.current_stage == self.plan.stages:
             self.finished = True
-            self.events.append((FINISHED, self.open, ""))
-        elif held and self.canary_analysis.well() and not self.undecided:
-            self.events.append((WELL, self.open, self.canary_analysis.lacking()))
-            self._begin(now, self.open + 1, True)
-        elif now - self._moved_at >= self.change.longest and not self.undecided:
+            self.events.append((FINISHED, self.current_stage, ""))
+        elif held and self.canary_analysis.passed() and not self.undecided:
+            self.events.append((WELL, self.current_stage, self.canary_analysis.summary()))
+            self._begin(now, self.current_stage + 1, True)
+        elif now - self._last_progress_at >= self.change.longest and not self.undecided:
             self.undecided = True
-            self.events.append((UNDECIDED, self.open, self.canary_analysis.lacking()))
+            self.events.append((UNDECIDED, self.current_stage, self.canary_analysis.summary()))
 
-    def _follow(self, now: int, told: Mapping[str, GatewayRecord]) -> None:
+    def _catch_up(self, now: int, records: Mapping[str, GatewayRecord]) -> None:
         """Skips to a later stage if most of it has changed: this gateway was cut off or down meanwhile."""
-        for stage in range(self.order.stages, self.open, -1):
-            members = self.order.of(stage)
-            news = self._on_new(members, told)
-            if news >= 2 and 2 * news > len(members):
+        for stage in range(self.plan.stages, self.current_stage, -1):
+            members = self.plan.of(stage)
+            changed_count = self._count_new(members, records)
+            if changed_count >= 2 and 2 * changed_count > len(members):
                 self._begin(now, stage, False)
                 return
 
     @staticmethod
-    def _on_new(names: tuple[str, ...], told: Mapping[str, GatewayRecord]) -> int:
-        return sum(name in told and told[name].phase == Phase.NEW for name in names)
+    def _count_new(names: tuple[str, ...], records: Mapping[str, GatewayRecord]) -> int:
+        return sum(name in records and records[name].phase == Phase.NEW for name in names)
 
-    def _through(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> bool:
+    def _stage_complete(self, records: Mapping[str, GatewayRecord], alive: frozenset[str]) -> bool:
         """Whether most gateways of the stages so far run the new version, and all of the reachable ones."""
-        members = self.order.upto(self.open)
-        news = self._on_new(tuple(name for name in members if name in alive), told)
-        rest = [
+        members = self.plan.up_to(self.current_stage)
+        changed_count = self._count_new(tuple(name for name in members if name in alive), records)
+        pending = [
             name
             for name in members
-            if name in alive and name in told and told[name].phase not in (Phase.NEW, Phase.FELL)
+            if name in alive and name in records and records[name].phase not in (Phase.NEW, Phase.FELL)
         ]
-        return news >= min(2, len(members)) and 2 * news > len(members) and not rest
+        return changed_count >= min(2, len(members)) and 2 * changed_count > len(members) and not pending
 
-    def worse(self, told: Mapping[str, GatewayRecord]) -> str:
+    def stop_reason(self, records: Mapping[str, GatewayRecord]) -> str:
         """Why the rollout has to stop by this gateway's own judgement; empty: it has not."""
-        return (self.canary_analysis.worse() if self._seen else "") or self.canary_analysis.broken(told)
+        return (
+            self.canary_analysis.worse() if self._seen_from_start else ""
+        ) or self.canary_analysis.process_failure(records)
 
-    def lacking(self, told: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
+    def hold_reason(self, records: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
         """Why too little is known for this gateway to change; empty: it is enough."""
-        size = len(self.order.names)
-        if not self.order.can_be_judged:
+        size = len(self.plan.names)
+        if not self.plan.can_be_judged:
             return "no zone has two gateways: nothing to compare with"
-        if 2 * len(alive & set(self.order.names)) <= size:
-            return f"sees {len(alive)} of {size}"
-        if 2 * sum(name in alive for name in told) <= size:
-            return f"{sum(name in alive for name in told)} of {size} are asked for it"
-        before = self.order.upto(self.open - 1)
-        here = self._on_new(tuple(name for name in before if name in alive), told)
-        if 2 * here <= len(before) and before:
-            return f"hears {here} of the {len(before)} that have gone"
+        if 2 * len(alive & set(self.plan.names)) <= size:
+            return f"sees {len(alive)} of {size} gateways"
+        if 2 * sum(name in alive for name in records) <= size:
+            return f"{sum(name in alive for name in records)} of {size} gateways have the request"
+        before = self.plan.up_to(self.current_stage - 1)
+        present = self._count_new(tuple(name for name in before if name in alive), records)
+        if 2 * present <= len(before) and before:
+            return f"hears {present} of the {len(before)} changed gateways"
         return ""
--- a/yardbank/cluster/rollout/record.py
+++ b/yardbank/cluster/rollout/record.py
@@ -50,54 +50,54 @@
     cells: tuple[Cell, ...] = ()
 
 
-_said = msgspec.msgpack.Decoder(GatewayRecord)
-_letter = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_record_decoder = msgspec.msgpack.Decoder(GatewayRecord)
+_message_decoder = msgspec.msgpack.Decoder(list[msgspec.Raw])
 _encoder = msgspec.msgpack.Encoder()
 KIND = _encoder.encode("said")
 
 
-def encoded(said: GatewayRecord) -> bytes:
+def encode_record(record: GatewayRecord) -> bytes:
     """Serializes a record."""
-    return _encoder.encode(said)
+    return _encoder.encode(record)
 
 
-def letter(records: Sequence[bytes]) -> bytes:
+def encode_message(records: Sequence[bytes]) -> bytes:
     """Serializes a message of encoded records."""
     return _encoder.encode([msgspec.Raw(KIND), *(msgspec.Raw(one) for one in records)])
 
 
-def records(body: bytes) -> list[tuple[GatewayRecord, bytes]]:
+def decode_message(body: bytes) -> list[tuple[GatewayRecord, bytes]]:
     """Parses a message into records, each with its octets; empty for a kind that only a later program knows.
 
     Raises ``DroppedError``.
     """
     try:
-        parts = _letter.decode(body)
+        parts = _message_decoder.decode(body)
         if not parts:
             raise DroppedError("shape")
         if bytes(parts[0]) != KIND:
             msgspec.msgpack.decode(parts[0], type=str)
             return []
-        found = [(_said.decode(part), bytes(part)) for part in parts[1:]]
+        found = [(_record_decoder.decode(part), bytes(part)) for part in parts[1:]]
     except (msgspec.DecodeError, UnicodeDecodeError):
         raise DroppedError("shape") from None
-    if not all(_sound(said) and len(raw) <= MAX_RECORD for said, raw in found):
+    if not all(_is_valid(record) and len(raw) <= MAX_RECORD for record, raw in found):
         raise DroppedError("shape")
     return found
 
 
-def _sound(said: GatewayRecord) -> bool:
-    words = [(said.owner, MAX_NAME), (said.rollout, MAX_NAME), (said.version, MAX_NAME), (said.stop, MAX_WHY)]
-    counts = [said.phase, said.beat, said.slow, said.restarts, said.memory]
-    counts += [number for cell in said.cells for number in (*cell.counts(), cell.p99)]
-    names = [cell.name for cell in said.cells]
+def _is_valid(record: GatewayRecord) -> bool:
+    texts = [(record.owner, MAX_NAME), (record.rollout, MAX_NAME), (record.version, MAX_NAME), (record.stop, MAX_WHY)]
+    counts = [record.phase, record.beat, record.slow, record.restarts, record.memory]
+    counts += [number for cell in record.cells for number in (*cell.counts(), cell.p99)]
+    names = [cell.name for cell in record.cells]
     return (
-        0 < said.boot_epoch <= MAX_INCARNATION
-        and 0 < said.number < MAX_COUNT
-        and 0 <= said.mark < 1 << 64
-        and all(len(word) <= most for word, most in words)
+        0 < record.boot_epoch <= MAX_INCARNATION
+        and 0 < record.number < MAX_COUNT
+        and 0 <= record.mark < 1 << 64
+        and all(len(text) <= most for text, most in texts)
         and all(0 <= count < MAX_COUNT for count in counts)
-        and len(said.cells) <= MAX_CELLS
+        and len(record.cells) <= MAX_CELLS
         and all(0 < len(name) <= MAX_NAME for name in names)
         and len(set(names)) == len(names)
     )
--- a/yardbank/cluster/rollout/sequential_test.py
+++ b/yardbank/cluster/rollout/sequential_test.py
@@ -26,7 +26,7 @@
 SLACK = 0.25  # share of ``by`` that gateways may differ without any change
 
 
-def drawn(random: np.random.Generator, counts: Any, number: Any) -> Any:
+def sample_outcomes(random: np.random.Generator, counts: Any, number: Any) -> Any:
     """Samples ``number`` of the counted requests without replacement; ``counts``: by outcome."""
     return random.multivariate_hypergeometric(counts, number)
 
@@ -37,37 +37,37 @@
     return np.sqrt(2 * share * (1 - share) / np.maximum(number, 1))
 
 
-def logs(x: Any) -> Floats:
+def bet_logs(x: Any) -> Floats:
     """Logarithm of the factor for each bet, along a new last axis."""
     staked = np.asarray(x, dtype=float)[..., None] * BETS
     return np.asarray(staked - staked * staked / 2)
 
 
-def worse(difference: Any, by: float, scale: Any) -> Floats:
+def worse_evidence(difference: Any, by: float, scale: Any) -> Floats:
     """Evidence against the hypothesis that the new version is not worse by more than the slack."""
-    return logs((difference - SLACK * by) / scale)
+    return bet_logs((difference - SLACK * by) / scale)
 
 
-def sound(difference: Any, by: float, scale: Any) -> Floats:
+def not_worse_evidence(difference: Any, by: float, scale: Any) -> Floats:
     """Evidence against the hypothesis that the new version is worse by ``by``."""
-    return logs((by - difference) / scale)
+    return bet_logs((by - difference) / scale)
 
 
-def mean_of(exponents: Floats, axes: tuple[int, ...]) -> Floats:
+def log_mean(exponents: Floats, axes: tuple[int, ...]) -> Floats:
     """Logarithm of the mean of e-values that are given by their logarithms."""
     most = exponents.max(axis=axes, keepdims=True)
     found = np.log(np.exp(exponents - most).mean(axis=axes, keepdims=True)) + most
     return np.asarray(found.squeeze(axis=axes))
 
 
-def without_each(pairs: Floats, groups: Sequence[Sequence[int]]) -> Floats:
+def leave_one_out(pairs: Floats, groups: Sequence[Sequence[int]]) -> Floats:
     """Sums over pairs (the axis before the last two) without each group in turn, along a new first axis."""
     total = pairs.sum(axis=-3)
     return np.stack([total - pairs[..., list(group), :, :].sum(axis=-3) for group in groups])
 
 
 def stop_evidence(pairs: Floats, zones: Sequence[str], groups: Sequence[Sequence[int]]) -> Floats:
-    """Logarithm of the e-value that something got worse, from ``worse`` in the shape (..., pair, what, bet).
+    """Logarithm of the e-value that something got worse, from ``worse_evidence`` in the shape (..., pair, what, bet).
 
     Mixed over all zones together and each zone by itself, over everything compared, and over bets. ``groups``: the
     pairs that each gateway is part of.
@@ -77,13 +77,13 @@
     scopes = [np.ones(len(zones), dtype=bool)]
     if len(names := sorted(set(zones))) > 1:
         scopes += [np.array([zone == name for zone in zones]) for name in names]
-    found = [without_each(pairs * mask[:, None, None], groups) for mask in scopes]  # left out, ..., what, bet
+    found = [leave_one_out(pairs * mask[:, None, None], groups) for mask in scopes]  # left out, ..., what, bet
     stacked = np.stack(found, axis=-3)  # left out, ..., scope, what, bet
-    return np.asarray(mean_of(stacked, (-3, -2, -1)).min(axis=0))
+    return np.asarray(log_mean(stacked, (-3, -2, -1)).min(axis=0))
 
 
 def pass_evidence(pairs: Floats, groups: Sequence[Sequence[int]]) -> Floats:
     """Logarithm of the smallest e-value, over everything compared, that it is not worse by the given amount."""
     if len(groups) < 2 or not pairs.shape[-2]:
         return np.zeros(pairs.shape[:-3])
-    return np.asarray(mean_of(without_each(pairs, groups), (-1,)).min(axis=(0, -1)))
+    return np.asarray(log_mean(leave_one_out(pairs, groups), (-1,)).min(axis=(0, -1)))
--- a/yardbank/cluster/rollout/stage_plan.py
+++ b/yardbank/cluster/rollout/stage_plan.py
@@ -15,8 +15,8 @@
 
 import xxhash
 
-LEAST = 2  # a single gateway could show neither that the change is well nor that it is not
-PAIRS, MOST_PAIRS = 6, 24  # compared pairs, whose figures are sent to all; above the lower bound only for more zones
+MIN_STAGE_SIZE = 2  # a single gateway could show neither that the change is well nor that it is not
+MIN_PAIRS, MAX_PAIRS = 6, 24  # compared pairs, whose figures are sent to all; above the lower bound only for more zones
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     old: str
 
 
-def _drawn(rollout: str, what: str) -> int:
+def _hash(rollout: str, what: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{rollout}/{what}".encode())
 
 
@@ -37,20 +37,23 @@
 
     def __init__(self, rollout: str, zones: Mapping[str, str], stages: Sequence[float]) -> None:
         self.zones = dict(zones)
-        by: dict[str, list[str]] = defaultdict(list)
-        for name in sorted(zones, key=lambda name: (_drawn(rollout, name), name)):
-            by[zones[name]].append(name)
-        early = {zone: names[:-1] for zone, names in by.items()}
+        names_by_zone: dict[str, list[str]] = defaultdict(list)
+        for name in sorted(zones, key=lambda name: (_hash(rollout, name), name)):
+            names_by_zone[zones[name]].append(name)
+        before_last_stage = {zone: names[:-1] for zone, names in names_by_zone.items()}
         order: list[str] = []
-        taken = dict.fromkeys(by, 0)
-        while left := [zone for zone in by if taken[zone] < len(early[zone])]:
-            zone = min(left, key=lambda zone: (Fraction(taken[zone], len(by[zone])), _drawn(rollout, f"/{zone}"), zone))
-            order.append(early[zone][taken[zone]])
+        taken = dict.fromkeys(names_by_zone, 0)
+        while remaining := [zone for zone in names_by_zone if taken[zone] < len(before_last_stage[zone])]:
+            zone = min(
+                remaining,
+                key=lambda zone: (Fraction(taken[zone], len(names_by_zone[zone])), _hash(rollout, f"/{zone}"), zone),
+            )
+            order.append(before_last_stage[zone][taken[zone]])
             taken[zone] += 1
         before_last = len(order)
-        self.names = tuple(order + [names[-1] for names in by.values()])
+        self.names = tuple(order + [names[-1] for names in names_by_zone.values()])
         size = len(self.names)
-        self._ends = [min(before_last, max(LEAST, math.ceil(share * size))) for share in stages[:-1]] + [size]
+        self._ends = [min(before_last, max(MIN_STAGE_SIZE, math.ceil(share * size))) for share in stages[:-1]] + [size]
         self.stages = len(stages)
         self._positions = {name: position for position, name in enumerate(self.names)}
         self.can_be_judged = before_last > 0
@@ -64,13 +67,13 @@
         position = self._positions.get(name)
         return 0 if position is None else next(stage for stage, end in enumerate(self._ends, 1) if position < end)
 
-    def upto(self, stage: int) -> tuple[str, ...]:
+    def up_to(self, stage: int) -> tuple[str, ...]:
         """All gateways that are changed when a stage is complete; none for stage 0."""
         return self.names[: self._ends[stage - 1]] if stage else ()
 
     def of(self, stage: int) -> tuple[str, ...]:
         """Gateways that change in a stage; may be empty in a small fleet."""
-        return self.names[len(self.upto(stage - 1)) : len(self.upto(stage))]
+        return self.names[len(self.up_to(stage - 1)) : len(self.up_to(stage))]
 
     def pairs(self, stage: int) -> tuple[Pair, ...]:
         """Pairs to compare during a stage; the last stage compares those of the stage before it.
@@ -79,11 +82,11 @@
         """
         new: dict[str, list[str]] = defaultdict(list)
         old: dict[str, list[str]] = defaultdict(list)
-        ahead = set(self.upto(min(stage, self.stages - 1)))
+        ahead = set(self.up_to(min(stage, self.stages - 1)))
         for name in self.names:
             (new if name in ahead else old)[self.zones[name]].append(name)
         rows = [list(zip(new[zone], reversed(old[zone]), strict=False)) for zone in sorted(new)]
-        most = min(MOST_PAIRS, max(PAIRS, len(rows)))
+        limit = min(MAX_PAIRS, max(MIN_PAIRS, len(rows)))
         found = [
             Pair(self.zones[a], a, b)
             for turn in range(max(map(len, rows), default=0))
@@ -91,4 +94,4 @@
             if turn < len(row)
             for a, b in (row[turn],)
         ]
-        return tuple(found[:most])
+        return tuple(found[:limit])
--- a/yardbank/cluster/rollout/state_machine.py
+++ b/yardbank/cluster/rollout/state_machine.py
@@ -18,46 +18,46 @@
     Options,
     RollBack,
     Transition,
-    reconciled,
-    remembered,
+    load_memory,
+    reconcile_phase,
 )
-from yardbank.cluster.rollout.phase import AWAY, NAMES, TABLE, Permit, Phase
+from yardbank.cluster.rollout.phase import AWAY, NAMES, TRANSITIONS, Permit, Phase
 
-AGAIN = 10_000_000_000  # wait before another attempt to store state or to make a change
+RETRY_NS = 10_000_000_000  # wait before another attempt to store state or to make a change
 
 
 class RolloutStateMachine:
     """State of this gateway in the rollout."""
 
-    def __init__(self, leases: Leases, keep: KeyValueStore, options: Options) -> None:
-        self._leases, self._keep, self._options = leases, keep, options
+    def __init__(self, leases: Leases, store: KeyValueStore, options: Options) -> None:
+        self._leases, self._store, self._options = leases, store, options
         self.active_version = options.active_version
-        self._memory = remembered(keep)
-        self.phase, fell = reconciled(self._memory, options.active_version)
-        self.change = Change.of(self._memory.change) if self._memory.change else None
+        self._memory = load_memory(store)
+        self.phase, fell_reason = reconcile_phase(self._memory, options.active_version)
+        self.change = Change.from_json(self._memory.change) if self._memory.change else None
         self.orders: list[Activate | RollBack | Commit] = []
-        self.turns: list[Transition] = []
+        self.transitions: list[Transition] = []
         self.name = ""  # short hash of the requested version
         self.stage = 0  # the current one
         self.permit: Permit | None = None
-        self.moved = False  # whether the phase has changed since this was last reset
-        self._since = 0  # when the phase was entered
-        self._again = self._not_before = 0
-        self._unkept = False
-        self._overdue = False
+        self.state_changed = False  # whether the phase changed or a stop was decided since the last record
+        self._phase_since = 0  # when the phase was entered
+        self._retry_save_at = self._retry_change_at = 0
+        self._save_failed = False
+        self._overdue_logged = False
         if self.change is not None:
             self.name = self.active_version.now.name
-            self.permit = self._permit(self.change)
+            self.permit = self._new_permit(self.change)
             if self.phase != self._memory.phase:
-                self.say(NAMES[self.phase].replace(" ", "_"), fell or "after a start")
+                self.log_event(NAMES[self.phase].replace(" ", "_"), fell_reason or "after a restart")
 
-    def _permit(self, change: Change) -> Permit:
+    def _new_permit(self, change: Change) -> Permit:
         return Permit(self._leases, change.id, change.most_at_once, change.outage)
 
     def begun(self, now: int) -> None:
         """Starts the clock of the phase: the first call with a time."""
-        self._since = now
-        self._remember(now)
+        self._phase_since = now
+        self._save(now)
 
     # Stored state
 
@@ -70,56 +70,56 @@
         """Why a rollout was stopped; empty: it was not."""
         return dict(self._memory.stopped).get(rollout, "")
 
-    def say(self, what: str, why: str = "") -> None:
+    def log_event(self, what: str, why: str = "") -> None:
         """Records an event for the log."""
         rollout = self.change.id if self.change is not None else ""
-        self.turns.append(Transition(rollout, what, self.stage, self.name, why))
+        self.transitions.append(Transition(rollout, what, self.stage, self.name, why))
 
-    def _remember(self, now: int) -> bool:
+    def _save(self, now: int) -> bool:
         memory, change = self._memory, self.change
-        memory.change = change.kept() if change is not None else ""
+        memory.change = change.to_json() if change is not None else ""
         memory.phase = self.phase
-        kept = self._keep.save(msgspec.msgpack.encode(memory))
-        if not kept and not self._unkept:
-            self.say("not_kept", f"{NAMES[self.phase]}: it will not be known after a start")
-        self._unkept, self._again = not kept, now + AGAIN
-        return kept
+        saved = self._store.save(msgspec.msgpack.encode(memory))
+        if not saved and not self._save_failed:
+            self.log_event("not_kept", f"{NAMES[self.phase]}: not stored, so unknown after a restart")
+        self._save_failed, self._retry_save_at = not saved, now + RETRY_NS
+        return saved
 
     def stop(self, now: int, rollout: str, why: str) -> None:
-        """Stops a rollout for good. If that cannot be stored, it is retried; after a restart the peers report the stop."""
+        """Stops a rollout for good. If that cannot be stored, it is retried; after a restart the peers report it."""
         if self.stopped(rollout) or rollout == self._memory.finished:  # a finished rollout is not rolled back
             return
         self._memory.stopped = [*self._memory.stopped, (rollout, why)][-MAX_STOPPED:]
-        self._remember(now)
-        self.moved = True
-        self.turns.append(Transition(rollout, "stopped", self.stage, self.name, why))
+        self._save(now)
+        self.state_changed = True
+        self.transitions.append(Transition(rollout, "stopped", self.stage, self.name, why))
 
     def finish(self, now: int) -> None:
         """The whole fleet has finished the rollout."""
         if self.change is not None and not self.finished:
-            self._memory.finished, self.active_version = self.change.id, self.active_version.kept()
-            self._remember(now)
+            self._memory.finished, self.active_version = self.change.id, self.active_version.committed()
+            self._save(now)
             self.orders.append(Commit())
-            self.say("finished")
+            self.log_event("finished")
 
     def adopt(self, now: int, change: Change | None, name: str) -> None:
         """Adopts another request, or none; only while this gateway runs the version from before it."""
         if self.permit is not None:
             self.permit.release(now)
         self.change, self.name = change, name
-        self.phase, self._since, self.moved = Phase.OLD, now, True
-        self.permit = None if change is None else self._permit(change)
+        self.phase, self._phase_since, self.state_changed = Phase.OLD, now, True
+        self.permit = None if change is None else self._new_permit(change)
         self._memory.restarts, self._memory.down = (
             self.active_version.restarts,
             bool(change is not None and change.program),
         )
-        if change is not None and self.active_version.young and self.active_version.now.rollout == change.id:
+        if change is not None and self.active_version.uncommitted and self.active_version.now.rollout == change.id:
             self.phase = Phase.SETTLING  # active although nothing is stored about it
         elif change is not None and self.active_version.fell_from == change.id:
             self.phase = Phase.FELL
         elif change is not None and self._memory.finished == change.id:
             self.phase = Phase.NEW
-        self._remember(now)
+        self._save(now)
 
     @property
     def restarts(self) -> int:
@@ -129,15 +129,15 @@
 
     # Transitions
 
-    def _go(self, now: int, event: str, why: str = "") -> None:
-        to = TABLE.get((self.phase, event))
+    def _transition(self, now: int, event: str, why: str = "") -> None:
+        to = TRANSITIONS.get((self.phase, event))
         if to is None:
             return
-        self.phase, self._since, self.moved, self._overdue = to, now, True, False
+        self.phase, self._phase_since, self.state_changed, self._overdue_logged = to, now, True, False
         if (self.phase, event) not in ((Phase.DUE, "turn"), (Phase.OLD, "not now")):
-            self.say(NAMES[to].replace(" ", "_"), why)
+            self.log_event(NAMES[to].replace(" ", "_"), why)
             if event != "permit":  # that was stored before the order
-                self._remember(now)
+                self._save(now)
 
     def step(self, now: int, turn: bool, recall: str, position: int) -> None:
         """Makes the transitions that are due.
@@ -148,39 +148,43 @@
         change, permit = self.change, self.permit
         if change is None or permit is None:
             return
-        if self._unkept and now >= self._again:
-            self._remember(now)
-        if self.phase in AWAY and not self._overdue and now - self._since > change.outage:
-            self._overdue = True
-            self.say("overdue", f"{NAMES[self.phase]} for longer than {change.outage // 10**9} s")
+        if self._save_failed and now >= self._retry_save_at:
+            self._save(now)
+        if self.phase in AWAY and not self._overdue_logged and now - self._phase_since > change.outage:
+            self._overdue_logged = True
+            self.log_event("overdue", f"{NAMES[self.phase]} for longer than {change.outage // 10**9} s")
         if self.phase == Phase.OLD and turn:
-            self._go(now, "turn")
+            self._transition(now, "turn")
         if self.phase == Phase.DUE and not turn:
             permit.release(now)
-            self._go(now, "not now")
+            self._transition(now, "not now")
         if self.phase in (Phase.NEW, Phase.SETTLING) and recall:
             permit.release(now)
-            self._go(now, "recalled", recall)
+            self._transition(now, "recalled", recall)
         if self.phase in (Phase.DUE, Phase.BACK_DUE):
-            self._ask(now, permit, position)
-        elif self.phase in (Phase.SETTLING, Phase.BACK_SETTLING) and now - self._since >= change.settle:
+            self._use_permit(now, permit, position)
+        elif self.phase in (Phase.SETTLING, Phase.BACK_SETTLING) and now - self._phase_since >= change.settle:
             permit.release(now)
-            self._go(now, "settled")
+            self._transition(now, "settled")
 
-    def _ask(self, now: int, permit: Permit, position: int) -> None:
+    def _use_permit(self, now: int, permit: Permit, position: int) -> None:
         if position >= 0:
-            permit.seek(now, position)
+            permit.request(now, position)
         down = self._memory.down
-        if not permit.may_go(now, down) or now < self._not_before or (self._unkept and now < self._again):
+        if (
+            not permit.is_usable(now, down)
+            or now < self._retry_change_at
+            or (self._save_failed and now < self._retry_save_at)
+        ):
             return
         before, self.phase = self.phase, Phase.OUT if self.phase == Phase.DUE else Phase.BACK_OUT
-        kept = self._remember(now)
+        saved = self._save(now)
         self.phase = before
-        if not kept and before == Phase.DUE:  # a restart would not find a change that is not stored
+        if not saved and before == Phase.DUE:  # a restart would not find a change that is not stored
             permit.release(now)
             return
         self.orders.append(Activate(self.version(), down) if before == Phase.DUE else RollBack(down))
-        self._go(now, "permit")
+        self._transition(now, "permit")
 
     def version(self) -> Version:
         """The requested version."""
@@ -192,33 +196,33 @@
         return Version(change.id, change.mark(), settings, program, self.name)
 
     @property
-    def running(self) -> str:
+    def running_version(self) -> str:
         """Short hash of the active version."""
         if self.change is not None and self.active_version.now.rollout == self.change.id:
             return self.name
         return (
-            self._options.name
+            self._options.version_name
             if self.active_version.now == self._options.active_version.now
             else self.active_version.now.name
         )
 
-    def up(self, now: int) -> None:
+    def applied(self, now: int) -> None:
         """The change was made without a restart."""
         self.active_version = (
-            self.active_version.gone_over(self.version())
+            self.active_version.activated(self.version())
             if self.phase == Phase.OUT
-            else self.active_version.gone_back()
+            else self.active_version.rolled_back()
         )
-        self._go(now, "up")
+        self._transition(now, "up")
 
-    def not_in_service(self, now: int) -> None:
+    def needs_restart(self, now: int) -> None:
         """The change needs a restart that the order did not allow: keeps the permit until it may."""
         self._memory.down = True
-        self._go(now, "not in service")
+        self._transition(now, "not in service")
 
     def failed(self, now: int, why: str) -> None:
         """The change could not be made; the active version stays."""
         if self.permit is not None:
             self.permit.release(now)
-        self._not_before = now + AGAIN
-        self._go(now, "failed", why)
+        self._retry_change_at = now + RETRY_NS
+        self._transition(now, "failed", why)
--- a/yardbank/daemon/__init__.py
+++ b/yardbank/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The thin shell around ``yardbank.proxy``: a reactor, signals, and worker processes."""
+"""Runs ``yardbank.proxy`` as a process: reactor, signals, worker processes and their supervisors."""
 
 from yardbank.daemon.supervisor import run_supervisor
 from yardbank.daemon.worker import run_worker
--- a/yardbank/daemon/restarts.py
+++ b/yardbank/daemon/restarts.py
@@ -1,23 +1,23 @@
-"""When a worker that died is started again. No I/O; time is passed in, in seconds."""
+"""Backoff for restarts of a dead worker. No I/O; time is passed in, in seconds."""
 
 from __future__ import annotations
 
 
-class Restarts:
-    """At once the first time; after that later each time, up to a bound, as long as it dies young."""
+class RestartBackoff:
+    """Restarts at once the first time, then with exponential backoff up to a bound while workers die early."""
 
-    def __init__(self, first: float = 0.1, most: float = 5.0, settled: float = 10.0) -> None:
-        self._first, self._most, self._settled = first, most, settled
-        self._wait = 0.0
-        self._started = 0.0
+    def __init__(self, first_wait: float = 0.1, max_wait: float = 5.0, min_uptime: float = 10.0) -> None:
+        self._first_wait, self._max_wait, self._min_uptime = first_wait, max_wait, min_uptime
+        self._next_wait = 0.0
+        self._started_at = 0.0
 
     def started(self, now: float) -> None:
         """The worker was started."""
-        self._started = now
+        self._started_at = now
 
     def died(self, now: float) -> float:
-        """The worker died: how long to wait before the next start."""
-        if now - self._started >= self._settled:
-            self._wait = 0.0
-        wait, self._wait = self._wait, min(self._most, max(self._first, 2 * self._wait))
+        """The worker died; returns how long to wait before the next start."""
+        if now - self._started_at >= self._min_uptime:
+            self._next_wait = 0.0
+        wait, self._next_wait = self._next_wait, min(self._max_wait, max(self._first_wait, 2 * self._next_wait))
         return wait
--- a/yardbank/daemon/supervisor.py
+++ b/yardbank/daemon/supervisor.py
@@ -1,4 +1,4 @@
-"""Several worker processes on one port: starts them, starts a dead one again, passes signals on."""
+"""Several worker processes on one port: starts them, restarts dead ones, forwards signals."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from yardbank.config import Config
-from yardbank.daemon.restarts import Restarts
+from yardbank.daemon.restarts import RestartBackoff
 
 
 class _Worker(ProcessProtocol):
@@ -23,17 +23,17 @@
 
 
 class Supervisor:
-    """Keeps N workers running until told to stop."""
+    """Keeps a fixed number of workers running until a stop signal."""
 
     def __init__(self, reactor: Any, command: list[str], workers: int, log: Any) -> None:
         self._reactor, self._command, self._log = reactor, command, log
         self._running: dict[int, Any] = {}
-        self._restarts = {number: Restarts() for number in range(workers)}
+        self._restarts = {number: RestartBackoff() for number in range(workers)}
         self._stopping = False
-        self._worst = 0
+        self._worst_exit_code = 0
 
     def start(self) -> None:
-        """Start all."""
+        """Starts all workers."""
         for number in self._restarts:
             self._spawn(number)
 
@@ -48,10 +48,10 @@
         self._log.info("worker_started", worker=number, pid=self._running[number].pid)
 
     def ended(self, number: int, code: int | None, ended_by: int | None) -> None:
-        """A worker is gone."""
+        """A worker process has ended."""
         self._running.pop(number, None)
         if self._stopping:
-            self._worst = max(self._worst, code or 0)
+            self._worst_exit_code = max(self._worst_exit_code, code or 0)
             if not self._running:
                 self._reactor.stop()
             return
@@ -60,7 +60,7 @@
         self._reactor.callLater(wait, self._spawn, number)
 
     def signal(self, number: int) -> None:
-        """Pass a signal on to all workers; a stop is remembered."""
+        """Forwards a signal to all workers; after SIGTERM or SIGINT none is restarted."""
         if number in (signal.SIGTERM, signal.SIGINT):
             self._stopping = True
             if not self._running:
@@ -70,12 +70,12 @@
 
     @property
     def exit_code(self) -> int:
-        """The worst of the workers' at the stop."""
-        return self._worst
+        """The highest exit code of the workers during the stop."""
+        return self._worst_exit_code
 
 
 def run_supervisor(file: Path, config: Config, workers: int, record: Path | None, log: Any) -> int:
-    """Run workers until told to stop; the exit code."""
+    """Runs workers until a stop signal; returns the exit code."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
@@ -84,11 +84,12 @@
         command += ["--record", str(record)]
     supervisor = Supervisor(reactor, command, workers, log)
 
-    def begin() -> None:  # after the reactor's own handlers: it needs the one for SIGCHLD, these are ours
+    # Called once the reactor has installed its handlers: it needs the one for SIGCHLD, and these replace its others
+    def install_handlers_and_start() -> None:
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda got, frame: reactor.callFromThread(supervisor.signal, got))
         supervisor.start()
 
-    reactor.callLater(0, begin)
+    reactor.callLater(0, install_handlers_and_start)
     reactor.run()
     return supervisor.exit_code
--- a/yardbank/daemon/worker.py
+++ b/yardbank/daemon/worker.py
@@ -1,4 +1,4 @@
-"""One process with one gateway. SIGTERM drains, SIGHUP reads the settings again."""
+"""One process with one gateway. SIGTERM drains, SIGHUP reloads the settings."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class Recorder:
-    """Facts as JSON lines, each with the machine's steady time in seconds."""
+    """Writes recorded facts as JSON lines, each with the machine's monotonic time in seconds."""
 
     def __init__(self, path: Path, source: str) -> None:
         self._file: IO[str] = path.open("a", encoding="utf-8")
         self._source = source
 
     def __call__(self, fact: dict[str, Any]) -> None:
-        """Write one line; whole lines only, so that a killed process leaves a record that can be read."""
+        """Writes and flushes one line, so that the record of a killed process stays readable."""
         line = json.dumps({"at": time.monotonic(), "source": self._source, **fact}, separators=(",", ":"))
         self._file.write(line + "\n")
         self._file.flush()
 
 
 def _settings_file(file: Path, started: Started | None) -> Path:
-    """The settings file that counts now: a rollout may have changed it in service. Raises ``ValueError``."""
+    """Path of the current settings: a rollout may have changed it without a restart. Raises ``ValueError``."""
     if started is None:
         return file
     from yardbank.cluster.rollout import active_version
@@ -46,10 +46,10 @@
 
 
 class SupervisorWatch:
-    """Tells that the supervisor has ended, however it did: it holds the other end of this process's input."""
+    """Detects the end of the supervisor, however it ended: it holds the write end of this process's stdin."""
 
-    def __init__(self, descriptor: int, tell: Callable[[], None]) -> None:
-        self._descriptor, self._tell = descriptor, tell
+    def __init__(self, descriptor: int, on_end: Callable[[], None]) -> None:
+        self._descriptor, self._on_end = descriptor, on_end
 
     def fileno(self) -> int:
         """See ``IFileDescriptor``."""
@@ -57,22 +57,22 @@
 
     def logPrefix(self) -> str:  # noqa: N802
         """See ``ILoggingContext``."""
-        return "keeper"
+        return "supervisor"
 
     def doRead(self) -> Any:  # noqa: N802
-        """Nothing is ever written to it: what can be read is its end."""
+        """The supervisor never writes: readability means end of file."""
         return None if os.read(self._descriptor, 4096) else ConnectionDone()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """It has ended."""
-        self._tell()
+        """The supervisor has ended."""
+        self._on_end()
 
 
 class Worker:
     """One gateway in this process, from its start to its end. Owns the proxy and the exit code.
 
-    ``log`` is bound to the worker's number where there are several. ``started`` says what is in force, and by whom this
-    process was started.
+    ``log`` is bound to the worker's number where there are several. ``started``: the active version, and whether a
+    supervisor started this process.
     """
 
     def __init__(self, reactor: Any, file: Path, started: Started | None, log: Any) -> None:
@@ -85,11 +85,11 @@
 
     @property
     def is_supervised(self) -> bool:
-        """Whether a supervisor would start this process again."""
+        """Whether a supervisor would restart this process."""
         return self._started is not None and self._started.supervised
 
     def start(self, config: Config, clocks: Clocks, workers: int, worker: int, record: Path | None) -> None:
-        """Begin to serve."""
+        """Starts to serve."""
         started = self._started
         if started is not None and started.supervised:
             started = replace(started, leave=self.leave)
@@ -108,7 +108,7 @@
         self._proxy.start()
 
     def handle_signals(self) -> None:
-        """SIGTERM and SIGINT drain, SIGHUP reads the settings again, the end of the supervisor drains as well."""
+        """SIGTERM, SIGINT and the end of the supervisor drain; SIGHUP reloads the settings."""
         if self.is_supervised:
             self._reactor.addReader(SupervisorWatch(0, self.supervisor_gone))
         signal.signal(signal.SIGTERM, self._on_stop_signal)
@@ -122,25 +122,25 @@
         self._reactor.callFromThread(self.reload)
 
     def stop(self) -> None:
-        """Drain, then end the reactor."""
+        """Drains, then stops the reactor."""
         assert self._proxy is not None
         self._proxy.stop().addCallback(lambda _: self._reactor.callLater(0, self._reactor.stop))
 
     def leave(self) -> None:
-        """A rollout asks for it: the supervisor starts this gateway again, by what is in force then."""
+        """Exits on request of a rollout, so that the supervisor restarts the gateway with the version active then."""
         from yardbank.cluster.rollout.active_version import EXIT_FOR_RESTART
 
         self.exit_code = EXIT_FOR_RESTART
         self.stop()
 
     def supervisor_gone(self) -> None:
-        """The supervisor has ended."""
-        note = "nobody would start this one anew: it answers what it has taken, and ends"
+        """The supervisor has ended: without it nobody would restart this process."""
+        note = "no supervisor to restart this worker: draining and stopping"
         self._log.error("supervisor_gone", note=note)
         self.stop()
 
     def reload(self) -> None:
-        """Read the settings again; what cannot be used changes nothing."""
+        """Reloads the settings; invalid ones change nothing."""
         assert self._proxy is not None
         try:
             self._proxy.reload(load(_settings_file(self._file, self._started)))
@@ -163,17 +163,21 @@
     clocks: Clocks | None = None,
     started: Started | None = None,
 ) -> int:
-    """Serve until told to stop; the exit code. ``started``: what is in force, and by whom this process was started."""
+    """Serves until a stop signal; returns the exit code.
+
+    ``started``: the active version, and whether a supervisor started this process.
+    """
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
-    gc.set_threshold(20_000, 20, 20)  # requests are short-lived: a sweep at each 700 objects costs a tenth
+    # Requests are short-lived: at the default threshold of 700 objects, collection costs a tenth of the time
+    gc.set_threshold(20_000, 20, 20)
     clocks = clocks or Clocks()
     clocks.set(reactor)
     if worker is not None:
         log = log.bind(worker=worker)
-    served = Worker(reactor, file, started, log)
-    served.start(config, clocks, workers, worker or 0, record)
-    served.handle_signals()
+    gateway_worker = Worker(reactor, file, started, log)
+    gateway_worker.start(config, clocks, workers, worker or 0, record)
+    gateway_worker.handle_signals()
     reactor.run(installSignalHandlers=False)
-    return served.exit_code
+    return gateway_worker.exit_code
