--- a/tests/cluster/rollout/test_actuator.py
+++ b/tests/cluster/rollout/test_actuator.py
@@ -150,12 +150,20 @@
     code, output = run_rollout_command("show", file)
     assert code == 2 and "has the gateway run?" in output
     file.write_text(SETTINGS.read_text())
-    assert run_rollout_command("check", file) == (2, f"yardbank: {file}: no rollout block: this gateway takes part in none\n")
+    assert run_rollout_command("check", file) == (
+        2,
+        f"yardbank: {file}: no rollout block: this gateway takes part in none\n",
+    )
 
 
 def test_stop_and_withdraw_add_a_command_to_the_command_file(tmp_path):
     file = write_fleet_files(tmp_path)
-    assert run_rollout_command("stop", file, "a")[0] == run_rollout_command("stop", file, "a")[0] == run_rollout_command("withdraw", file, "b")[0] == 0
+    assert (
+        run_rollout_command("stop", file, "a")[0]
+        == run_rollout_command("stop", file, "a")[0]
+        == run_rollout_command("withdraw", file, "b")[0]
+        == 0
+    )
     found = taken((tmp_path / "rollout.hcl.word").read_bytes(), "w", COMMANDS)
     assert found == OperatorCommand(("a",), ("b",))
     assert run_rollout_command("stop", file, 'a" {')[0] == 2
--- a/tests/cluster/rollout/test_false_records.py
+++ b/tests/cluster/rollout/test_false_records.py
@@ -55,7 +55,9 @@
             cells = tuple(Cell(cell.name, sum(cell.counts()), 0, 0, 0, 0) for cell in record.cells)
             return msgspec.structs.replace(record, cells=cells)
 
-        falsify_records(world, pair.old if old_gateway_lies else pair.new, all_failed if old_gateway_lies else all_served)
+        falsify_records(
+            world, pair.old if old_gateway_lies else pair.new, all_failed if old_gateway_lies else all_served
+        )
         world.run(250)
         assert not world.said("well") and len(world.on_new()) <= 2
 
@@ -75,7 +77,10 @@
         record_log.receive("g3", encode_message([encode_record(GatewayRecord("g3", 1, 8, "c1", 7, Phase.NEW))])) == []
     )  # older by number
     assert [
-        record.phase for record in record_log.receive("g3", encode_message([encode_record(GatewayRecord("g3", 2, 1, "c1", 7, Phase.NEW))]))
+        record.phase
+        for record in record_log.receive(
+            "g3", encode_message([encode_record(GatewayRecord("g3", 2, 1, "c1", 7, Phase.NEW))])
+        )
     ] == [Phase.NEW]
     assert record_log.receive("g1", encode_message([encode_record(GatewayRecord("g9", 1, 1))])) == []  # not on the list
     record_log.put_own(GatewayRecord("g0", 5, 1))
--- a/tests/cluster/rollout/test_files.py
+++ b/tests/cluster/rollout/test_files.py
@@ -16,8 +16,17 @@
 from tests.support.router_world import wait_for
 from yardbank.cluster.rollout import active_version as active_version_file
 from yardbank.cluster.rollout.active_version import EXIT_FOR_RESTART, ActiveVersion, Version
-from yardbank.cluster.rollout.document import COMMANDS, SHAPE, Asked, Change, OperatorCommand, Reject, WatchedFile, taken
-from yardbank.cluster.rollout.local_state import Memory, reconcile_phase, load_memory
+from yardbank.cluster.rollout.document import (
+    COMMANDS,
+    SHAPE,
+    Asked,
+    Change,
+    OperatorCommand,
+    Reject,
+    WatchedFile,
+    taken,
+)
+from yardbank.cluster.rollout.local_state import Memory, load_memory, reconcile_phase
 from yardbank.cluster.rollout.phase import Phase
 from yardbank.config import ConfigError
 from yardbank.daemon.versions import Versions
@@ -150,7 +159,9 @@
     versions.started(100)
     rolled_back = versions.ended(101, 1001, "ended with code 1", 1, NEWER)
     assert (
-        rolled_back.active_version == ActiveVersion(fell=rolled_back.why, fell_from="a") and rolled_back.write and "code 1" in rolled_back.why
+        rolled_back.active_version == ActiveVersion(fell=rolled_back.why, fell_from="a")
+        and rolled_back.write
+        and "code 1" in rolled_back.why
     )
     versions.started(101)
     # The old version has no rollback target
@@ -195,9 +206,14 @@
                 return [line for line in lines if line["event"] == name]
 
             wait_for(lambda: events("listening"))
-            left = [one for one in events("rollout") if one["what"] == "left"]  # logged by the supervisor, maybe by the worker too
+            left = [
+                one for one in events("rollout") if one["what"] == "left"
+            ]  # logged by the supervisor, maybe by the worker too
             assert left and all(one["rollout"] == "a" and "code 7" in one["why"] for one in left)
-            assert active_version_file.read(tmp_path).fell_from == "a" and not active_version_file.read(tmp_path).uncommitted
+            assert (
+                active_version_file.read(tmp_path).fell_from == "a"
+                and not active_version_file.read(tmp_path).uncommitted
+            )
             os.kill(events("worker_started")[1]["pid"], signal.SIGKILL)
             wait_for(lambda: len(events("listening")) == 2)
             assert active_version_file.read(tmp_path).restarts == 1
--- a/tests/cluster/rollout/test_fleet.py
+++ b/tests/cluster/rollout/test_fleet.py
@@ -117,7 +117,9 @@
     world = start_fleet(8)
     world.dies = lambda name, new, age: age > world.young + 5
     assert world.until(
-        lambda: sum(p.active_version.uncommitted and p.active_version.restarts > 1 for p in world.processes.values()) >= 2,
+        lambda: (
+            sum(p.active_version.uncommitted and p.active_version.restarts > 1 for p in world.processes.values()) >= 2
+        ),
         300,
     )
     world.run(5)
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -235,8 +235,8 @@
     clocks.set(reactor)
     machine.now += 10
     assert clocks.seconds() == reactor.seconds() == 65.0 and reactor.timeout() == 2.0
-    assert clocks.wall() == 1e9 + 65.0 - 7200.0 and clocks.is_skewed
+    assert clocks.wall() == 1e9 + 65.0 - 7200.0 and clocks.odd
     unchanged = Clocks()
     unchanged.set(reactor)
     machine.now += 5
-    assert not unchanged.is_skewed and reactor.seconds() == machine.now and unchanged.wall() == machine.time()
+    assert not unchanged.odd and reactor.seconds() == machine.now and unchanged.wall() == machine.time()
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -151,8 +151,12 @@
         self.backend.position = lambda server: ProbeResult(
             {"": (positions["log"] if server.name == "p" else positions[server.name],)}, server.name == "p"
         )
-        gateway_settings = Settings(seed, "a", 1, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
-        self.gateway = Gateway(gateway_settings, self.backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds, log=self)
+        gateway_settings = Settings(
+            seed, "a", 1, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4
+        )
+        self.gateway = Gateway(
+            gateway_settings, self.backend, reactor=clock, seconds=clock.seconds, wall=clock.seconds, log=self
+        )
         self.list_service = ServerListService(load_text(SETTINGS), self.gateway, clock, folder, 0, self, clock.seconds)
         self.list_service.watcher._notify = False
         self.list_service.start()
@@ -433,7 +437,9 @@
     """200 gateways restart within two seconds, each with a floor; probes and connections at one server stay bounded."""
     clock, positions = make_place(tmp_path)
     unused_runs, seen = [], {"probes": 0, "connections": 0}
-    gateway_settings = Settings(1, "a", 200, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4)
+    gateway_settings = Settings(
+        1, "a", 200, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4
+    )
     most = {"probes": 0}
     chance = random.Random(1)
     at = sorted(chance.random() * 2 for _ in range(200))
--- a/yardbank/cluster/rollout/announcer.py
+++ b/yardbank/cluster/rollout/announcer.py
@@ -7,7 +7,7 @@
 from yardbank.cluster.peers.parts import MembershipView, Message
 from yardbank.cluster.rollout.local_state import Options
 from yardbank.cluster.rollout.metrics import Metrics, cells
-from yardbank.cluster.rollout.record import MAX_RECORD, MAX_WHY, Cell, GatewayRecord, encode_record
+from yardbank.cluster.rollout.record import MAX_REASON_LENGTH, MAX_RECORD_OCTETS, Cell, GatewayRecord, encode_record
 from yardbank.cluster.rollout.record_log import RecordLog, relay_count
 from yardbank.cluster.rollout.stage_plan import StagePlan
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
@@ -68,14 +68,14 @@
             change.mark() if change else 0,
             state_machine.phase,
             state_machine.running_version,
-            stop[:MAX_WHY],
+            stop[:MAX_REASON_LENGTH],
             self.beat if self._cells else self.last_record.beat,  # not compared: nothing new at each beat
             int(self._membership_view.slowness() >= SLOWNESS_LIMIT),
             state_machine.restarts,
             self._metrics.memory >> 20 if self._cells else self.last_record.memory,
             self._cells,
         )
-        while record.cells and len(encode_record(record)) > MAX_RECORD - 16:
+        while record.cells and len(encode_record(record)) > MAX_RECORD_OCTETS - 16:
             record = replace(record, cells=record.cells[:-1])
         if record.stop and not self.last_record.stop:
             self._urgent_rounds = URGENT_STOP_ROUNDS
--- a/yardbank/cluster/rollout/document.py
+++ b/yardbank/cluster/rollout/document.py
@@ -45,7 +45,7 @@
     hold: Duration = 60 * SECOND  # least duration of a stage after all its gateways have changed
     settle: Duration = 10 * SECOND  # a gateway's figures do not count for so long after its change
     most_at_once: Annotated[int, Field(ge=1, le=64, strict=True)] = 1
-    outage: Duration = 30 * SECOND  # a change with restart is expected to take no longer, settling included
+    outage: Duration = 30 * SECOND  # a change that takes longer, settling included, is no planned outage
     longest: Duration = 1800 * SECOND  # a stage without progress is undecided after this
     worse: StringTuple = METRICS
     worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.02  # least difference, as a share of a class's requests
--- a/yardbank/cluster/rollout/part.py
+++ b/yardbank/cluster/rollout/part.py
@@ -13,7 +13,7 @@
 from yardbank.cluster.rollout.local_state import Activate, Commit, Options, RollBack, Transition
 from yardbank.cluster.rollout.phase import AWAY, CHANGED_PHASES, WAITING_PHASES, Phase
 from yardbank.cluster.rollout.progress import Progress
-from yardbank.cluster.rollout.record import MAX_WHY, GatewayRecord
+from yardbank.cluster.rollout.record import MAX_REASON_LENGTH, GatewayRecord
 from yardbank.cluster.rollout.record_log import RecordLog, relay_count
 from yardbank.cluster.rollout.stage_plan import StagePlan
 from yardbank.cluster.rollout.state_machine import RolloutStateMachine
@@ -93,9 +93,7 @@
             state_machine.log_event("asked", f"stopped before: {before}" if before else "")
         self._rebuild_plan(
             now,
-            fresh=not any(
-                record.mark and record.phase in CHANGED_PHASES for record in self._record_log.all().values()
-            ),
+            fresh=not any(record.mark and record.phase in CHANGED_PHASES for record in self._record_log.all().values()),
         )
 
     def _rebuild_plan(self, now: int, fresh: bool = False) -> None:
@@ -157,7 +155,7 @@
 
     def failed(self, now: int, why: str) -> None:
         """The change could not be made."""
-        self._state_machine.failed(now, why[:MAX_WHY])
+        self._state_machine.failed(now, why[:MAX_REASON_LENGTH])
         self._tick_at = min(self._tick_at, now)
 
     # Time
@@ -206,7 +204,7 @@
             if not why and len(stop_voters) >= 2:
                 why = f"{', '.join(stop_voters[:2])}: {records[stop_voters[0]].stop.rpartition(': ')[2]}"
             if why:
-                state_machine.stop(now, change.id, why[:MAX_WHY])
+                state_machine.stop(now, change.id, why[:MAX_REASON_LENGTH])
         for what, stage, why in progress.events:
             state_machine.stage = stage
             if what == "finished":
@@ -218,7 +216,7 @@
                 state_machine.log_event(what, why)
         progress.events.clear()
         if (stopped := state_machine.stopped(change.id)) and not state_machine.finished:
-            self._rollback_reason = self._rollback_reason or f"stopped: {stopped}"[:MAX_WHY]
+            self._rollback_reason = self._rollback_reason or f"stopped: {stopped}"[:MAX_REASON_LENGTH]
         hold_reason = self._find_hold_reason(progress, records, alive)
         if (
             hold_reason != self._hold_reason
--- a/yardbank/cluster/rollout/progress.py
+++ b/yardbank/cluster/rollout/progress.py
@@ -95,9 +95,9 @@
 
     def stop_reason(self, records: Mapping[str, GatewayRecord]) -> str:
         """Why the rollout has to stop by this gateway's own judgement; empty: it has not."""
-        return (
-            self.canary_analysis.worse() if self._seen_from_start else ""
-        ) or self.canary_analysis.process_failure(records)
+        return (self.canary_analysis.worse() if self._seen_from_start else "") or self.canary_analysis.process_failure(
+            records
+        )
 
     def hold_reason(self, records: Mapping[str, GatewayRecord], alive: frozenset[str]) -> str:
         """Why too little is known for this gateway to change; empty: it is enough."""
@@ -105,7 +105,7 @@
         if not self.plan.can_be_judged:
             return "no zone has two gateways: nothing to compare with"
         if 2 * len(alive & set(self.plan.names)) <= size:
-            return f"sees {len(alive)} of {size} gateways"
+            return f"sees {len(alive)} of {size}"
         if 2 * sum(name in alive for name in records) <= size:
             return f"{sum(name in alive for name in records)} of {size} gateways have the request"
         before = self.plan.up_to(self.current_stage - 1)
--- a/yardbank/cluster/rollout/record.py
+++ b/yardbank/cluster/rollout/record.py
@@ -12,7 +12,7 @@
 
 from yardbank.cluster.peers.datagram import MAX_INCARNATION, MAX_NAME, DroppedError
 
-MAX_CELLS, MAX_RECORD, MAX_WHY = 8, 600, 48
+MAX_CELLS, MAX_RECORD_OCTETS, MAX_REASON_LENGTH = 8, 600, 48
 MAX_COUNT = 1 << 53
 
 
@@ -81,13 +81,18 @@
         found = [(_record_decoder.decode(part), bytes(part)) for part in parts[1:]]
     except (msgspec.DecodeError, UnicodeDecodeError):
         raise DroppedError("shape") from None
-    if not all(_is_valid(record) and len(raw) <= MAX_RECORD for record, raw in found):
+    if not all(_is_valid(record) and len(raw) <= MAX_RECORD_OCTETS for record, raw in found):
         raise DroppedError("shape")
     return found
 
 
 def _is_valid(record: GatewayRecord) -> bool:
-    texts = [(record.owner, MAX_NAME), (record.rollout, MAX_NAME), (record.version, MAX_NAME), (record.stop, MAX_WHY)]
+    texts = [
+        (record.owner, MAX_NAME),
+        (record.rollout, MAX_NAME),
+        (record.version, MAX_NAME),
+        (record.stop, MAX_REASON_LENGTH),
+    ]
     counts = [record.phase, record.beat, record.slow, record.restarts, record.memory]
     counts += [number for cell in record.cells for number in (*cell.counts(), cell.p99)]
     names = [cell.name for cell in record.cells]
--- a/yardbank/cluster/rollout/record_log.py
+++ b/yardbank/cluster/rollout/record_log.py
@@ -141,9 +141,7 @@
         found, octets = [own.raw], len(own.raw)
         if self._rate.left(now) > 0:
             fresh = [
-                entry
-                for name, entry in self._entries.items()
-                if entry.relays < relays and name not in (self.name, to)
+                entry for name, entry in self._entries.items() if entry.relays < relays and name not in (self.name, to)
             ]
             fresh.sort(key=lambda entry: (not entry.record.stop, not entry.record.cells, entry.relays))
             chosen = [entry for entry in fresh if entry.record.mark]
--- a/yardbank/daemon/clocks.py
+++ b/yardbank/daemon/clocks.py
@@ -22,12 +22,12 @@
         """Wall-clock time, seconds since 1970."""
         return (
             self._wall_origin + self.offset + (time.monotonic() - self._monotonic_origin) * self.rate
-            if self.is_skewed
+            if self.odd
             else time.time()
         )
 
     @property
-    def is_skewed(self) -> bool:
+    def odd(self) -> bool:
         """Whether these clocks differ from the machine's."""
         return self.rate != 1.0 or self.offset != 0.0
 
