--- a/tests/cluster/rollout/test_landed_version.py
+++ b/tests/cluster/rollout/test_landed_version.py
@@ -81,18 +81,20 @@
     try:
         wait_for(lambda: all(sees_all(name) for name in names), 40)
 
-        def told(name):  # records of the current program's gateways reach each other; the landed ones ignore them
+        def gateways_with_records(
+            name,
+        ):  # records of the current program's gateways reach each other; the landed ones ignore them
             shown = view(name).get("parts", {}).get("rollout", {})
             return sorted(one for found in (shown.get("places") or {}).values() for one in found)
 
-        wait_for(lambda: all(told(name) == ["g2", "g3", "g4"] for name in ("g2", "g3", "g4")), 40)
+        wait_for(lambda: all(gateways_with_records(name) == ["g2", "g3", "g4"] for name in ("g2", "g3", "g4")), 40)
         assert view("g0")["dropped"].get("version", 0) > 0  # messages arrived there and were ignored
         assert all(sees_all(name) for name in names)
         # A gateway is upgraded in place with its stored state, and downgraded again
         running["g1"].kill()
         running["g1"].wait()
         running["g1"] = start("g1", ROOT)
-        wait_for(lambda: told("g2") == ["g1", "g2", "g3", "g4"], 40)
+        wait_for(lambda: gateways_with_records("g2") == ["g1", "g2", "g3", "g4"], 40)
         running["g1"].kill()
         running["g1"].wait()
         before = view("g1")["life"]
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -324,33 +324,33 @@
 @pytest.mark.parametrize("seed", range(200))
 def test_after_a_kill_at_any_step_the_next_run_serves_no_stale_or_drained_reads(tmp_path, seed, monkeypatch):
     """Writes, lists, stops and kills in random order; a kill comes between steps, or before or after a store's write."""
-    chance, (clock, positions) = random.Random(seed), make_place(tmp_path)
+    rng, (clock, positions) = random.Random(seed), make_place(tmp_path)
     run = GatewayRun(tmp_path, clock, positions)
-    gone: set[str] = set()
+    drained_names: set[str] = set()
     for _ in range(8):
-        step = chance.choice(["write", "write", "read", "copy", "list", "kill", "kill in write", "stop"])
+        step = rng.choice(["write", "write", "read", "copy", "list", "kill", "kill in write", "stop"])
         if step == "write":
             run.write()
         elif step == "read":
-            assert not gone & set(run.read())
+            assert not drained_names & set(run.read())
         elif step == "copy":
-            positions[chance.choice("cd")] = positions["log"]
+            positions[rng.choice("cd")] = positions["log"]
         elif step == "list":
-            drained = chance.choice(["", "c", "d"])
+            drained = rng.choice(["", "c", "d"])
             specs = [
                 s if s.name != drained else ServerSpec(s.name, s.group, s.zone, s.host, s.port, state="draining")
                 for s in SERVERS
             ]
             (tmp_path / "list.hcl").write_text(render(specs))
             run.pass_time(1.5)
-            gone = {drained} - {""}
+            drained_names = {drained} - {""}
         else:
             if step == "stop":
                 run.stop()
             elif step == "kill":
                 run.kill()
             else:
-                write, when = Store.write, chance.random()
+                write, when = Store.write, rng.random()
 
                 def killed_write(store, snapshot, write=write, when=when):
                     if when < 0.5:
@@ -360,11 +360,11 @@
 
                 monkeypatch.setattr(Store, "write", killed_write)
                 with pytest.raises(ProcessKilled):
-                    run.list_service._write(clean=chance.random() < 0.5 and not run.gateway.unanswered)
+                    run.list_service._write(clean=rng.random() < 0.5 and not run.gateway.unanswered)
                 monkeypatch.setattr(Store, "write", write)
                 run.kill()
             run = GatewayRun(tmp_path, clock, positions)
-            assert not gone & set(run.read())
+            assert not drained_names & set(run.read())
     run.read()
     run.kill()
 
@@ -388,17 +388,17 @@
 
 def test_a_sigkill_during_writes_leaves_an_intact_snapshot(tmp_path):
     """SIGKILL at random moments: the last snapshot reported as written, or a later one, is intact."""
-    chance, told = random.Random(3), 0
+    rng, reported = random.Random(3), 0
     for _ in range(12):
         command = [sys.executable, "-c", WRITER, str(tmp_path / "s")]
         process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
         assert process.stdout.readline() == "up\n"
-        for _ in range(chance.randrange(1, 30)):
-            told = int(process.stdout.readline())
+        for _ in range(rng.randrange(1, 30)):
+            reported = int(process.stdout.readline())
         os.kill(process.pid, signal.SIGKILL)
         process.wait()
         store = Store(tmp_path / "s")
-        assert store.read().version >= told and not store.fault
+        assert store.read().version >= reported and not store.fault
         store.close()
 
 
@@ -441,8 +441,8 @@
         1, "a", 200, (READ, WRITE), reports="probe", may_probe=True, may_cancel=True, max_attempts=4
     )
     most = {"probes": 0}
-    chance = random.Random(1)
-    at = sorted(chance.random() * 2 for _ in range(200))
+    rng = random.Random(1)
+    at = sorted(rng.random() * 2 for _ in range(200))
     gateways, per_bin = [], {}
 
     class CountingBackend(FakeBackend):
