--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's pipe: replies only on standard output, plain messages for malformed input."""
+"""The adapter process: only replies on standard output, and error messages that name the field for malformed input."""
 
 import json
 import re
@@ -49,7 +49,7 @@
         },
     ],
 }
-ROWS = [
+MEMBERS = [
     {
         "server": 11,
         "zone": "z",
@@ -71,12 +71,12 @@
         "up_since": None,
     },
 ]
-START = [
+SETUP = [
     {"kind": "hello", "gateway": 3, "init_seed": 5, "env": ENV},
-    {"kind": "snapshot_rows", "table": 0, "members": ROWS},
+    {"kind": "snapshot_rows", "table": 0, "members": MEMBERS},
     {"kind": "topology", "gateway": 3, "scope": "SAVED", "stamp": 1, "table": 0},
 ]
-CALL = {
+REQUEST = {
     "kind": "call",
     "gateway": 3,
     "rid": "r",
@@ -93,9 +93,9 @@
 }
 
 
-def pipe(*lines):
+def run_adapter(*lines):
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "yardbank.adapter"],
         input=text,
         capture_output=True,
@@ -103,11 +103,11 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 0 and "Traceback" not in done.stderr
-    return [json.loads(line)["steps"] for line in done.stdout.splitlines()], done.stderr
+    assert process.returncode == 0 and "Traceback" not in process.stderr
+    return [json.loads(line)["steps"] for line in process.stdout.splitlines()], process.stderr
 
 
-def test_a_request_is_sent_and_answered():
+def test_request_is_forwarded_and_answered():
     ok = {
         "kind": "settled",
         "gateway": 3,
@@ -120,12 +120,12 @@
         "mark": 2,
         "gauge": None,
     }
-    replies, errors = pipe(
+    replies, errors = run_adapter(
         {"now": 0, "items": []},
-        {"now": 10**9, "items": START},
-        {"now": 10**9, "items": [CALL]},
+        {"now": 10**9, "items": SETUP},
+        {"now": 10**9, "items": [REQUEST]},
         {"now": 10**9 + 10**7, "items": [ok, {"kind": "cancelled_by_client", "gateway": 3, "rid": "r"}]},
-        {"now": 10**9 + 10**7, "items": [{"kind": "destroy", "gateway": 3}, *START]},
+        {"now": 10**9 + 10**7, "items": [{"kind": "destroy", "gateway": 3}, *SETUP]},
     )
     assert errors == "" and replies[0] == []
     sends = [step for step in replies[2] if step["kind"] == "forward"]
@@ -133,17 +133,17 @@
     assert replies[4] == []
 
 
-def test_malformed_lines_are_told_plainly():
-    replies, errors = pipe(
+def test_malformed_lines_are_reported_with_the_field_name():
+    replies, errors = run_adapter(
         "not json",
         {"now": "soon", "items": []},
-        {"now": 10**9, "items": START},
-        {"now": 10**9, "items": [{**CALL, "expires": None}]},
-        {"now": 10**9, "items": [{**CALL, "expires": "later"}]},
+        {"now": 10**9, "items": SETUP},
+        {"now": 10**9, "items": [{**REQUEST, "expires": None}]},
+        {"now": 10**9, "items": [{**REQUEST, "expires": "later"}]},
         {"now": 10**9, "items": [{"kind": "riddle", "gateway": 3}]},
-        {"now": 10**9, "items": [{**CALL, "priority": "unheard-of"}]},
+        {"now": 10**9, "items": [{**REQUEST, "priority": "unheard-of"}]},
         {"now": 10**9, "items": [7]},
-        {"now": 10**9, "items": [CALL]},
+        {"now": 10**9, "items": [REQUEST]},
     )
     assert replies[0] == replies[1] == replies[7] == []
     for reply, name in zip(replies[3:7], ["expires", "expires", "kind", "class_name"], strict=True):
@@ -151,28 +151,28 @@
     assert "'now'" in errors and "forward" in [step["kind"] for step in replies[8]]
 
 
-def test_bad_settings_name_the_field():
-    start = [{**START[0], "env": {**ENV, "zone": 4}}]
-    replies, errors = pipe({"now": 1, "items": start})
+def test_error_for_invalid_settings_names_the_field():
+    start = [{**SETUP[0], "env": {**ENV, "zone": 4}}]
+    replies, errors = run_adapter({"now": 1, "items": start})
     assert [step["kind"] for step in replies[0]] == ["die"] and "zone" in errors
 
 
 def test_readme_example_runs():
     code = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)[-1]
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
-    assert done.stdout.split("\n")[:2] == ["1", "[1]"]
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
+    assert process.stdout.split("\n")[:2] == ["1", "[1]"]
 
 
-def test_module_keeps_within_its_size():
+def test_policy_package_stays_within_its_size_limit():
     files = sorted((ROOT / "yardbank" / "policy").glob("*.py"))
     lines = [line for file in files for line in file.read_text().splitlines()]
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert sorted(named) == [str(file.relative_to(ROOT)) for file in files]  # the bench wants each by its name
-    assert len(files) > 1 and sum(1 for line in lines if line.strip()) <= 1_200  # beyond that the bench warns
-    assert max(map(len, lines)) <= 120  # the formatter's bound, as everywhere
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert sorted(listed) == [str(file.relative_to(ROOT)) for file in files]  # the benchmark requires each file to be listed
+    assert len(files) > 1 and sum(1 for line in lines if line.strip()) <= 1_200  # above this the benchmark warns
+    assert max(map(len, lines)) <= 120  # the formatter's line length
 
 
-def test_a_first_message_with_wrong_types_names_the_field():
+def test_error_for_wrong_types_in_hello_names_the_field():
     for change, name in (
         ({"domain": None}, "domain"),
         ({"domain": 7}, "domain"),
@@ -183,6 +183,6 @@
         ({"period": 0}, "period"),
         ({"services": []}, "classes"),
     ):
-        replies, errors = pipe({"now": 1, "items": [{**START[0], "env": {**ENV, **change}}]})
+        replies, errors = run_adapter({"now": 1, "items": [{**SETUP[0], "env": {**ENV, **change}}]})
         assert [step["kind"] for step in replies[0]] == ["die"], change
         assert name in errors and "Traceback" not in errors
--- a/yardbank/interface/__init__.py
+++ b/yardbank/interface/__init__.py
@@ -1,7 +1,7 @@
-"""Types of the decision module: settings, events and actions. Nothing here decides anything.
+"""Types of the decision module: settings, events and actions. This package holds no logic.
 
-Times and durations are integer nanoseconds. A log position is the clock time up to which a server has
-applied every commit. Events go into ``Router.handle``; actions come out of it.
+Times and durations are integer nanoseconds. A log position is the clock time up to which a server has applied
+every commit. Events are passed to ``Router.handle``, which returns actions.
 """
 
 from yardbank.interface.actions import (
--- a/yardbank/interface/actions.py
+++ b/yardbank/interface/actions.py
@@ -1,4 +1,4 @@
-"""What is to be done: actions that come out of ``Router.handle``."""
+"""Actions that ``Router.handle`` returns: what the gateway has to do."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send one attempt of a request to a server; give it up at ``until``."""
+    """Send one attempt of a request to a server; the attempt times out at ``until`` (clock time, ns)."""
 
     id: str
     server: int
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: turned away, harmless to try again."""
+    """Final answer: the request was rejected and may be retried safely, after ``retry_after`` ns if that is not 0."""
 
     id: str
     retry_after: int = 0
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; it may or may not have taken effect."""
+    """Final answer: the request failed and may or may not have taken effect."""
 
     id: str
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a server for its report."""
+    """Request a server's report."""
 
     server: int
 
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Wake the router after a while."""
+    """Call the router with a ``Timer`` event after ``delay`` ns."""
 
     delay: int
     token: str
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the server list and its changes."""
+    """Subscribe to the server list and its changes."""
 
 
 Action = Send | Refuse | Fail | Cancel | Probe | CloseIdle | SetTimer | Subscribe
--- a/yardbank/interface/events.py
+++ b/yardbank/interface/events.py
@@ -1,4 +1,4 @@
-"""What happens: events that go into ``Router.handle``."""
+"""Events that go into ``Router.handle``: what has happened."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One line of the server list.
+    """One server's entry in the server list.
 
-    ``started`` is a clock time (ns), 0 for long ago; ``share`` is of the requests that equally good servers get, as the
-    operator or a plan says. Raises ``ValueError`` for a share that is not positive.
+    ``started`` is the clock time of the server's start (ns); 0 means that it started long ago. ``share`` is the
+    server's relative share of requests among equally good servers, set by the operator or by a plan. Raises
+    ``ValueError`` for a share that is not positive.
     """
 
     server: int
     zone: str
     group: int
     primary: bool
-    state: str  # of ``MemberState``
+    state: str  # a ``MemberState`` value
     started: int = 0
     share: float = 1.0
 
@@ -30,31 +31,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What a server reports of itself, as old as the report: its log position (ns), its role, its load."""
+    """A server's report of its own state when the report was made: log position (ns), role and load."""
 
     position: int | None = None
     primary: bool | None = None
-    load: float | None = None  # the share of its cores that is busy
+    load: float | None = None  # fraction of its CPU cores in use
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """The list of servers, complete or changed lines only."""
+    """The server list: either complete or changed entries only, depending on ``kind``."""
 
-    kind: str  # of ``ListKind``
+    kind: str  # a ``ListKind`` value
     members: tuple[Member, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class TokensLost:
-    """A restart lost the session tokens: every session's token in a group is at least the group's floor."""
+    """A restart lost the session tokens; from now on every session's token in a group is at least the group's floor."""
 
-    floors: tuple[tuple[int, int], ...]  # group, position
+    floors: tuple[tuple[int, int], ...]  # (group, position) pairs
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request; exactly one final answer is owed by ``expires`` (clock time, ns)."""
+    """A client's request; exactly one final answer must be given by ``expires`` (clock time, ns)."""
 
     id: str
     group: int
@@ -62,21 +63,21 @@
     expires: int
     session: str | None = None
     tenant: str | None = None
-    since_write: int | None = None  # carried token: age of the session's last write, 0 or None: no write
+    since_write: int | None = None  # carried token: age of the session's last write (ns); 0 or None means no write
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
     """How an attempt ended.
 
-    ``latency`` is in ns; ``closed``: the request has its final answer by this; ``position`` is the log position
-    that came with the answer, of a write its commit.
+    ``latency`` is in ns. ``closed`` means that this outcome gave the request its final answer. ``position`` is the log
+    position that came with the answer; for a write it is the position of its commit.
     """
 
     id: str
     attempt: int
     server: int
-    status: str  # of ``Status``
+    status: str  # a ``Status`` value
     latency: int
     closed: bool
     role: Role = Role.UNKNOWN
@@ -86,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """How a probe ended (``latency`` in ns), and the report that it brought."""
+    """How a probe ended (``latency`` in ns), and the report that it returned."""
 
     server: int
     status: str
@@ -96,24 +97,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The first byte of a streamed answer has gone to the client."""
+    """The first byte of a streamed answer has been sent to the client."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ClientCancelled:
-    """The client has left; nothing more is owed."""
+    """The client has cancelled its request or disconnected; no answer is needed any more."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class GossipedOutliers:
-    """What gossip says of servers' health; replaces the last one.
+    """What other gateways report of servers' health; replaces the previous event of this type.
 
-    ``outliers``: servers found to be outliers, each until when (ns); ``healthy``: servers that this gateway has ejected
-    and others find healthy.
+    ``outliers``: servers that others consider outliers, each with the time until which that holds (ns). ``healthy``:
+    servers that this gateway has ejected and others find healthy.
     """
 
     outliers: tuple[tuple[int, int], ...] = ()
@@ -122,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PositionGossiped:
-    """A position that another gateway observed, and proves; only ``report.position`` counts."""
+    """A verified log position that another gateway observed; only ``report.position`` is used."""
 
     server: int
     report: Report
@@ -130,30 +131,30 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneLatencies:
-    """Latencies to other zones; replaces the last one. A zone that is not named costs a constant factor.
+    """Latencies to other zones; replaces the previous event of this type.
 
-    Each entry of ``latencies``: the zone; the round trip beyond one within this gateway's own zone (ns); the longest
-    whole round trip (ns), with less than which left an attempt is of no use there (0: the first alone says). Raises
-    ``ValueError`` for a negative one.
+    A zone that is not listed costs a constant factor. Each entry of ``latencies`` holds: the zone; the extra round trip
+    over one within this gateway's own zone (ns); the longest complete round trip (ns), below which remaining time is
+    too short for an attempt there (0: use the extra round trip instead). Raises ``ValueError`` for a negative latency.
     """
 
     latencies: tuple[tuple[str, int, int], ...] = ()
 
     def __post_init__(self) -> None:
-        for zone, beyond, longest in self.latencies:
-            require(beyond >= 0 and longest >= 0, f"ways[{zone}]: a round trip must not be negative")
+        for zone, extra, longest in self.latencies:
+            require(extra >= 0 and longest >= 0, f"ways[{zone}]: a round trip must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
 class Deadline:
-    """A pending request's answer is needed sooner than was said; ``request`` replaces the one of that id."""
+    """A pending request's deadline has moved forward; ``request`` replaces the one with the same id."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """A timer set by the router has run out."""
+    """A timer set by the router has expired."""
 
     token: str
 
--- a/yardbank/interface/values.py
+++ b/yardbank/interface/values.py
@@ -1,6 +1,6 @@
-"""Values that are one of a few, in settings and events.
+"""Enumerations used in settings and events.
 
-Each member equals its plain string, so callers may pass either; the module compares with the members.
+Each ``StrEnum`` member equals its plain string, so callers may pass either; the package compares against the members.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class Role(IntEnum):
-    """What a server said of its role in an answer."""
+    """A server's role as stated in its answer."""
 
     UNKNOWN = 0
     PRIMARY = 1
@@ -17,15 +17,15 @@
 
 
 class Effect(StrEnum):
-    """What happens if a request of a class runs twice."""
+    """What happens if a request of this class runs twice."""
 
-    SAFE = "safe"  # nothing: it only reads
-    KEYED = "keyed"  # the repeat is dropped by its idempotency key, within a window and a scope
+    SAFE = "safe"  # no effect: the request only reads
+    KEYED = "keyed"  # the duplicate is dropped by its idempotency key, within a window and a scope
     UNSAFE = "unsafe"  # it takes effect twice
 
 
 class KeyScope(StrEnum):
-    """Where the repeat of a keyed request is recognized."""
+    """Where duplicates of a keyed request are detected."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,53 +33,53 @@
 
 
 class ReadMode(StrEnum):
-    """How recent the data must be that a request of a class sees."""
+    """How recent the data seen by a request must be."""
 
     ANY = "any"
     BOUNDED = "bounded"  # at most ``staleness_bound`` old
-    SESSION = "session"  # at least the session's last write
-    FRESH = "fresh"  # everything: only a primary can answer
-    WRITE = "write"  # it is a write: only a primary can answer
+    SESSION = "session"  # includes the session's last write
+    FRESH = "fresh"  # includes all commits: only a primary can answer
+    WRITE = "write"  # a write: only a primary can answer
 
 
 class ReplicaCheck(StrEnum):
-    """What a replica does with a read that requires a later position than its own."""
+    """What a replica does with a read that requires a log position beyond its own."""
 
-    NONE = "none"  # it answers all the same
-    REFUSE = "refuse"
-    WAIT = "wait"
+    NONE = "none"  # it does not check and answers anyway
+    REFUSE = "refuse"  # it rejects the read with ``Status.MISS``
+    WAIT = "wait"  # it waits for a while until it has caught up
 
 
 class TokenMode(StrEnum):
-    """Where a session's token is kept."""
+    """Where a session's token is stored."""
 
     REMEMBERED = "remembered"  # by the gateway
     CARRIED = "carried"  # by the client, in each request
 
 
 class ReportMode(StrEnum):
-    """Where servers' reports come from."""
+    """How servers' reports arrive."""
 
-    ANSWERS = "answers"
-    PROBE = "probe"
+    ANSWERS = "answers"  # attached to answers
+    PROBE = "probe"  # in reply to probes
     NONE = "none"
 
 
 class MemberState(StrEnum):
-    """What the list says of a server."""
+    """A server's state in the server list."""
 
     READY = "ready"
-    DRAINING = "draining"  # it must not be sent anything new
+    DRAINING = "draining"  # no new requests may be sent to it
     GONE = "gone"
 
 
 class ListKind(StrEnum):
-    """How much of the list an event holds."""
+    """Which part of the server list an event contains."""
 
-    DELTA = "delta"  # changed lines only
+    DELTA = "delta"  # changed entries only
     FULL = "full"
-    SAVED = "saved"  # complete, from the store, as old as that
-    FAILED = "failed"  # asking for the list failed
+    SAVED = "saved"  # complete, loaded from the store and possibly outdated
+    FAILED = "failed"  # the list could not be fetched
 
 
 class Status(StrEnum):
@@ -87,14 +87,14 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the server has no room and ran nothing
+    FULL = "full"  # the server is at capacity and did not run the request
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection broke
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # it was not sent
-    MISS = "miss"  # the server is not primary, or is behind what the read requires
+    NOT_SENT = "moot"  # the gateway did not send it
+    MISS = "miss"  # the server is not primary, or has not reached the position that the read requires
 
 
-NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS))  # attempts without an effect
+NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS))  # ended without effect
 NEEDS_PRIMARY = frozenset((ReadMode.FRESH, ReadMode.WRITE))
