--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -1,4 +1,4 @@
-"""Positions on the gateway's clock: held against a real log whose truth the test knows."""
+"""Positions on the gateway's clock, compared with a simulated log whose true state the test knows."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,30 +7,30 @@
 from yardbank.gateway.positions import Positions
 from yardbank.timeline import References, Timeline, covers
 
-S = 1_000_000_000
+SECOND = 1_000_000_000
 STEP = st.tuples(st.sampled_from(["write", "probe", "apply", "late", "elect", "skew"]), st.integers(0, 50))
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(STEP, max_size=60), st.integers(3, 5000))
-def test_no_position_is_too_early_and_no_token_is_reached_by_a_copy_that_lacks_the_write(steps, links):
-    """Random writes by several gateways, probes whose answers overtake each other, elections, clocks that jump."""
-    now, line = 1000 * S, Timeline(links)
-    log = []  # (committed at, origin, mark), in the order of the log
-    applied = {0: 0, 1: 0, 2: 0}  # commits that each server has
-    primary, skew, marks = 0, 0, {0: 0, 1: 0, 2: 0}
-    pending = []  # answers on their way: what they say, and when their question went out
+def test_positions_are_never_too_late_and_tokens_are_reached_only_with_the_write(steps, max_points):
+    """Random writes by several gateways, probes answered out of order, elections, and clocks that jump."""
+    now, timeline = 1000 * SECOND, Timeline(max_points)
+    log = []  # (commit time, origin, log position), in the order of the log
+    applied = {0: 0, 1: 0, 2: 0}  # number of commits that each server has applied
+    primary, skew, last_positions = 0, 0, {0: 0, 1: 0, 2: 0}
+    pending = []  # answers in transit: kind, content, and when the request was sent
     tokens = []
 
     def vector(server):
         found = {}
-        for _, origin, mark in log[: applied[server]]:
-            found[origin] = mark
+        for _, origin, log_position in log[: applied[server]]:
+            found[origin] = log_position
         return found
 
     def check():
         for server, count in applied.items():
-            position = line.position(vector(server))
+            position = timeline.position(vector(server))
             if position is None:
                 continue
             missing = [at for at, _, _ in log[count:]]
@@ -41,10 +41,10 @@
     for kind, pick in steps:
         now += pick + 1
         if kind == "write":
-            marks[primary] = max(marks[primary] + 1, now + skew)
-            log.append((now, f"{primary:03}", (marks[primary],)))
+            last_positions[primary] = max(last_positions[primary] + 1, now + skew)
+            log.append((now, f"{primary:03}", (last_positions[primary],)))
             applied[primary] = len(log)
-            if pick % 3:  # by this gateway; others' writes are seen through probes alone
+            if pick % 3:  # by this gateway; other gateways' writes are seen only through probes
                 pending.append(("commit", len(log) - 1, now - pick))
         elif kind == "probe":
             pending.append(("observe", vector(primary), now - pick % 3))
@@ -57,78 +57,78 @@
             applied[best] = len(log)
             primary = best
         elif kind == "skew":
-            skew = (pick - 25) * S
+            skew = (pick - 25) * SECOND
         if pending and (kind == "late" or pick % 2):
-            what, value, sent = pending.pop(pick % len(pending))
-            if what == "commit":
-                _, origin, mark = log[value]
-                tokens.append((line.commit(origin, mark, min(sent, log[value][0])), value))
+            kind_of_answer, value, sent_at = pending.pop(pick % len(pending))
+            if kind_of_answer == "commit":
+                _, origin, log_position = log[value]
+                tokens.append((timeline.commit(origin, log_position, min(sent_at, log[value][0])), value))
             else:
-                line.observe(value, sent)
+                timeline.observe(value, sent_at)
         check()
-    assert len(line) <= links
-
-
-def test_an_idle_log_keeps_its_copies_fresh():
-    line = Timeline()
-    token = line.commit("001", (5,), 10 * S)
-    assert token == 10 * S
-    assert line.position({"001": (4,)}) is None
-    line.observe({"001": (5,)}, 90 * S)  # nothing has been committed since
-    assert line.position({"001": (5,)}) == 90 * S
-    assert line.commit("001", (6,), 89 * S) == 90 * S + 1  # its answer came late; the token still outranks
-    assert line.position({"001": (5,)}) == 90 * S
-
-
-def test_a_primary_with_a_clock_behind_is_ordered_by_the_log():
-    line = Timeline()
-    line.commit("001", (1000,), 10 * S)
-    token = line.commit("002", (3,), 20 * S)  # the new primary's clock is far behind
-    assert line.position({"001": (1000,)}) == 10 * S
-    assert line.position({"001": (1000,), "002": (3,)}) == 20 * S == token
-
-
-def test_histories_that_parted_say_nothing():
-    line = Timeline()
-    line.commit("001", (1,), 1 * S)
-    line.commit("001", (9,), 5 * S)  # lost with its primary
-    line.observe({"001": (1,), "002": (2,)}, 8 * S)
-    assert line.position({"001": (1,), "002": (2,)}) in (1 * S, 5 * S - 1)
+    assert len(timeline) <= max_points
+
+
+def test_replica_position_advances_while_the_log_is_idle():
+    timeline = Timeline()
+    token = timeline.commit("001", (5,), 10 * SECOND)
+    assert token == 10 * SECOND
+    assert timeline.position({"001": (4,)}) is None
+    timeline.observe({"001": (5,)}, 90 * SECOND)  # nothing has been committed since
+    assert timeline.position({"001": (5,)}) == 90 * SECOND
+    assert timeline.commit("001", (6,), 89 * SECOND) == 90 * SECOND + 1  # its answer came late; the token is still later
+    assert timeline.position({"001": (5,)}) == 90 * SECOND
+
+
+def test_new_primary_with_a_slow_clock_is_ordered_by_the_log():
+    timeline = Timeline()
+    timeline.commit("001", (1000,), 10 * SECOND)
+    token = timeline.commit("002", (3,), 20 * SECOND)  # the new primary's clock is far behind
+    assert timeline.position({"001": (1000,)}) == 10 * SECOND
+    assert timeline.position({"001": (1000,), "002": (3,)}) == 20 * SECOND == token
+
+
+def test_diverged_history_gets_no_position_beyond_the_common_part():
+    timeline = Timeline()
+    timeline.commit("001", (1,), 1 * SECOND)
+    timeline.commit("001", (9,), 5 * SECOND)  # lost with its primary
+    timeline.observe({"001": (1,), "002": (2,)}, 8 * SECOND)
+    assert timeline.position({"001": (1,), "002": (2,)}) in (1 * SECOND, 5 * SECOND - 1)
     assert not covers({"001": (1,)}, {"001": (2,)})
 
 
-def test_the_chain_is_bounded():
-    line = Timeline(8)
+def test_number_of_points_is_bounded():
+    timeline = Timeline(8)
     for number in range(100):
-        line.commit("001", (number,), number * S)
-    assert len(line) <= 8 and line.head() == 99 * S
-    assert line.commit("001", (0,), 0) > 0  # older than all that is kept: a later token, never an earlier one
-    assert line.position({"001": (1,)}) is None
-
-
-def test_whom_to_ask_for_the_head():
-    who = References()
-    assert who.reference() is None
-    who.on_role(1, True, 0)
-    who.on_role(2, True, 5)
-    assert who.reference() == 2
-    who.on_role(2, False, 6)
-    who.on_role(2, True, 4)  # older word
-    assert who.reference() == 1
-    who.forget(1)
-    assert who.reference() is None
-
-
-def test_reports():
-    known = Positions()
-    known.listed(1, 0, True, 0)
-    known.listed(2, 0, False, 0)
-    assert known.reference(1) is None and known.reference(2) == 1
+        timeline.commit("001", (number,), number * SECOND)
+    assert len(timeline) <= 8 and timeline.head() == 99 * SECOND
+    assert timeline.commit("001", (0,), 0) > 0  # older than all points kept: the token is later, never earlier
+    assert timeline.position({"001": (1,)}) is None
+
+
+def test_reference_is_the_server_last_reported_as_primary():
+    references = References()
+    assert references.reference() is None
+    references.on_role(1, True, 0)
+    references.on_role(2, True, 5)
+    assert references.reference() == 2
+    references.on_role(2, False, 6)
+    references.on_role(2, True, 4)  # an older report
+    assert references.reference() == 1
+    references.forget(1)
+    assert references.reference() is None
+
+
+def test_reports_translate_log_positions_to_times():
+    positions = Positions()
+    positions.listed(1, 0, True, 0)
+    positions.listed(2, 0, False, 0)
+    assert positions.reference(1) is None and positions.reference(2) == 1
     head = ProbeResult({"001": (3,)}, True)
-    known.observed(1, head, 7 * S)
-    assert known.report(1, head, 7 * S).position == 7 * S
-    copy = ProbeResult({"001": (3,)}, False)
-    assert (known.report(2, copy, 8 * S).position, known.report(2, copy, 8 * S).primary) == (7 * S, False)
-    known.dropped(1)
-    assert known.reference(2) is None
-    assert known.committed(1, ("001", (4,)), 9 * S) == 9 * S  # the late answer of a server off the list
+    positions.observed(1, head, 7 * SECOND)
+    assert positions.report(1, head, 7 * SECOND).position == 7 * SECOND
+    replica = ProbeResult({"001": (3,)}, False)
+    assert (positions.report(2, replica, 8 * SECOND).position, positions.report(2, replica, 8 * SECOND).primary) == (7 * SECOND, False)
+    positions.dropped(1)
+    assert positions.reference(2) is None
+    assert positions.committed(1, ("001", (4,)), 9 * SECOND) == 9 * SECOND  # a late answer from a server that left the list
