--- a/tests/policy/test_fleet_recovery.py
+++ b/tests/policy/test_fleet_recovery.py
@@ -1,4 +1,4 @@
-"""A fleet of thin gateways after a burst: it comes back by itself, and without what it goes by it does not."""
+"""Recovery of a fleet of many small gateways: it recovers from a burst unaided, and does not without load reports."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from yardbank.testing.rig.virtual import Fleet, World, served_share
 
 
-def shares(**more):
-    """Worth served before a burst of half as much again, and from two to four seconds after it."""
+def served_around_burst(**more):
+    """Return the served share before a burst of 1.6 times the load, that of 2 to 4 seconds after it, and all spans."""
     world = World(
         **({"gateways": 200, "groups": 4, "rate": 520.0, "length": 11.0} | more),
         load=lambda second: 1.6 if 3 <= second < 6 else 1.0,
@@ -19,17 +19,17 @@
     return served_share(spans, 1, 3), served_share(spans, 8, 10), spans
 
 
-def test_a_fleet_comes_back_within_two_seconds_of_a_burst():
-    before, after, _ = shares()
+def test_fleet_recovers_within_two_seconds_of_a_burst():
+    before, after, _ = served_around_burst()
     assert before > 0.85 and after > 0.95 * before
 
 
-def test_the_model_is_hard_enough_to_keep_a_blind_fleet_down():
-    before, after, _ = shares(tells_load=False)
+def test_fleet_without_load_reports_does_not_recover_in_the_model():
+    before, after, _ = served_around_burst(tells_load=False)
     assert after < 0.8 * before
 
 
-def test_a_fleet_comes_back_after_all_servers_were_gone_for_three_seconds():
+def test_fleet_recovers_after_all_servers_were_down_for_three_seconds():
     world = World(
         gateways=200,
         groups=4,
@@ -45,12 +45,12 @@
     assert served_share(spans, 4, 6) < 0.6 * before < 0.85 * before < served_share(spans, 11, 14)
 
 
-def test_the_same_seed_gives_the_same_run():
-    runs = [shares(gateways=20, rate=100.0, length=10.0)[2] for _ in range(2)]
+def test_same_seed_gives_the_same_run():
+    runs = [served_around_burst(gateways=20, rate=100.0, length=10.0)[2] for _ in range(2)]
     assert runs[0] == runs[1]
 
 
-def test_requests_share_cores_wait_for_slots_and_are_turned_away():
+def test_emulated_server_shares_cores_queues_for_slots_and_rejects_when_full():
     clock = VirtualClock(SECOND)
     server = EmulatedServer(clock, Capacity(cores=2, slots=4, queue=1, crowd=9), primary=True)
     start = clock.now
@@ -59,10 +59,10 @@
         server.submit(Work(1.0, lambda end: ends.append((end, round((clock.now - start) / SECOND, 2)))))
     assert ends == [(FULL, 0.0)] and server.pending == 5
     clock.run(20 * SECOND)
-    assert ends[1:5] == [(OK, 2.0)] * 4 and ends[5] == (OK, 3.0)  # four share two cores; the fifth then has one
+    assert ends[1:5] == [(OK, 2.0)] * 4 and ends[5] == (OK, 3.0)  # four requests share two cores; then the fifth has one core
 
 
-def test_what_a_server_holds_makes_it_slower():
+def test_emulated_server_slows_down_when_crowded():
     times = []
     for crowd in (9.0, 1.0):
         clock = VirtualClock(SECOND)
@@ -75,23 +75,23 @@
     assert times[0] == pytest.approx(4, abs=0.01) and times[1] == pytest.approx(10, abs=0.01)
 
 
-def test_a_copy_falls_behind_under_reads_and_says_miss():
+def test_emulated_replica_falls_behind_under_reads_and_answers_miss():
     clock = VirtualClock(SECOND)
-    copy = EmulatedServer(clock, Capacity(cores=1, slots=9, crowd=10, apply_s=0.1), primary=False)
+    replica = EmulatedServer(clock, Capacity(cores=1, slots=9, crowd=10, apply_s=0.1), primary=False)
     ends = []
     for _ in range(9):
-        copy.submit(Work(1.0, ends.append))
-    copy.commit(clock.now)
-    clock.run(clock.now + SECOND // 2)  # its thread has had a tenth of the core: half of what it needs
-    assert copy.position() < SECOND and not ends
-    copy.submit(Work(1.0, ends.append), required_position=clock.now)
-    copy.submit(Work(1.0, ends.append, write=True))
+        replica.submit(Work(1.0, ends.append))
+    replica.commit(clock.now)
+    clock.run(clock.now + SECOND // 2)  # its apply thread got a tenth of the core: half of what it needs
+    assert replica.position() < SECOND and not ends
+    replica.submit(Work(1.0, ends.append), required_position=clock.now)
+    replica.submit(Work(1.0, ends.append, write=True))
     assert ends == [MISS, MISS]
     clock.run(clock.now + SECOND)
-    assert copy.position() == clock.now
+    assert replica.position() == clock.now
 
 
-def test_load_is_that_of_the_last_period_and_a_dead_process_answers_nothing():
+def test_emulated_load_covers_the_last_period_and_a_stopped_server_answers_nothing():
     clock = VirtualClock(SECOND)
     server = EmulatedServer(clock, Capacity(cores=2), primary=True)
     ends = []
--- a/tests/policy/test_health.py
+++ b/tests/policy/test_health.py
@@ -1,10 +1,10 @@
-"""Which servers are doubted, silent, lost, asked, trusted again; connections that go bad."""
+"""Server health: ejection, silent servers, probes, readmission, lost attempts and dead connections."""
 
 from tests.support.router_world import MS, SECOND, Member, Role, World, answer_all, group, sent
 from yardbank.interface import Cancel, CloseIdle, Fail, Probe, Probed, Send, ServerList, SetTimer
 
 
-def test_hung_primary_holds_writes_and_is_sought_by_probes():
+def test_writes_wait_for_a_hung_primary_and_probes_find_the_new_one():
     world = World()
     world.known(1, primary=True)
     for index in range(4):
@@ -20,7 +20,7 @@
     assert sent(world) == [2]
 
 
-def test_reads_leave_a_silent_server():
+def test_reads_at_a_silent_server_are_cancelled_once():
     world = World()
     for server in (2, 3):
         world.known(server)
@@ -34,7 +34,7 @@
     assert cancelled and set(cancelled) <= out and len(cancelled) == len(set(cancelled))
 
 
-def test_trial_of_a_silent_server_is_kept_short():
+def test_trial_request_at_a_silent_server_is_cancelled_early():
     world = World(group(2))
     for server in (2, 3):
         world.known(server)
@@ -42,15 +42,15 @@
     world.router.servers[2].latency_ratio = 4.0
     world.ask("r", "any", left=5 * SECOND)
     assert sent(world) == [2]
-    asked = world.now
+    sent_at = world.now
     while not world.of(Cancel):
         world.tick()
-        assert world.now - asked < 400 * MS
+        assert world.now - sent_at < 400 * MS
     world.end("r", 2, "cancelled", after=MS)
     assert sent(world) == [3]
 
 
-def test_an_idle_gateway_sets_no_timer_and_probes_nobody():
+def test_idle_gateway_sets_no_timer_and_sends_no_probe():
     world = World()
     assert world.out == []
     world.ask("r", "any")
@@ -61,7 +61,7 @@
     assert world.tick() == []
 
 
-def test_an_unproven_replica_is_probed_for_a_read_that_needs_its_position():
+def test_replica_of_unknown_position_is_probed_for_a_bounded_read():
     world = World()
     world.ask("r", "lookup")
     assert sent(world) == [] and len(world.of(Probe)) == 1
@@ -69,11 +69,11 @@
     assert sent(world)[0] in (2, 3)
     world = World()
     world.ask("r", "lookup")
-    world.tick(60 * MS)  # no word from it: the primary
+    world.tick(60 * MS)  # the probe is not answered: the read goes to the primary
     assert sent(world) == [1]
 
 
-def test_hundreds_of_gateways_ask_a_server_no_more_often_than_a_few():
+def test_probe_interval_grows_with_the_number_of_gateways():
     world = World(gateways=500)
     world.router.servers[1].role_at[True] = -1
     world.ask("w", "commit")
@@ -87,7 +87,7 @@
     assert len(world.of(Probe)) == 3
 
 
-def test_where_replicas_check_a_miss_is_forgotten_and_an_answer_is_no_lag():
+def test_replica_is_avoided_after_a_miss_until_its_estimated_lag_has_decayed():
     world = World(group(1), tokens="carried", checks="refuse")
     world.ask("r", "lookup")
     world.end("r", 2, role=Role.REPLICA)
@@ -100,7 +100,7 @@
     assert sent(world) == [2]
 
 
-def test_a_refused_connection_of_a_living_process_closes_idle_ones_after_use():
+def test_connection_refused_by_a_running_server_closes_idle_connections():
     world = World(group(1))
     world.known(1, primary=True)
     world.known(2, after=SECOND)
@@ -117,30 +117,30 @@
     assert world.of(CloseIdle) == []
 
 
-def test_a_dead_process_is_doubted_and_closes_nothing():
+def test_connection_refused_by_a_dead_server_ejects_it_and_closes_nothing():
     world = World(group(1))
     world.ask("r", "any")
     server = sent(world)[0]
     world.end("r", server, "connect_failed", after=MS)
     world.feed(Probed(server, "connect_failed", MS), MS)
-    assert world.router.servers[server].ejected_until > world.now and world.router.scarce_until == 0
+    assert world.router.servers[server].ejected_until > world.now and world.router.connection_shortage_until == 0
 
 
-def test_a_replica_that_misses_is_not_asked_again_at_each_sweep():
+def test_replica_that_missed_is_not_retried_at_each_sweep():
     world = World(group(1), tokens="carried", checks="refuse")
     world.router.servers[1].draining = True
     world.ask("r", "status", since_write=700 * MS, left=2 * SECOND)
     tries = 0
     for _ in range(60):
-        answer_all_misses = list(world.router.attempts.items())
-        for (name, number), attempt in answer_all_misses:
+        in_flight = list(world.router.attempts.items())
+        for (name, number), attempt in in_flight:
             tries += 1
             world.end(name, attempt.server.id, "miss", number, after=MS, role=Role.REPLICA)
         world.tick(10 * MS)
     assert 1 <= tries <= 2
 
 
-def test_a_returning_server_starts_behind_and_with_a_fresh_limit():
+def test_restarted_server_is_assumed_to_lag_and_gets_the_initial_limit():
     world = World(group(2), tokens="carried", checks="refuse")
     world.router.servers[3].limit = 30.0
     world.feed(ServerList("delta", (Member(3, "a", 0, False, "ready", world.now),)))
@@ -150,7 +150,7 @@
         assert 3 not in sent(world)
 
 
-def test_a_connection_that_came_to_nothing_after_idling_is_closed_before_the_next_send():
+def test_connection_that_timed_out_after_idling_is_closed_before_the_next_send():
     world = World(group(1))
     world.known(2)
     for name, status in (("r", "ok"), ("s", "timeout")):
@@ -161,14 +161,14 @@
     assert [type(action) for action in world.out][:2] == [CloseIdle, Send]
 
 
-def passed_over(kind="status", count=3):
-    """A world in which one request waits at a server that has answered later ones; the server, and its name."""
+def world_with_lost_attempt(kind="status", count=3):
+    """Return a world in which one request waits at a server that has answered later ones, and that server."""
     world = World(group(replicas=1))
     world.known(1, primary=True)
     world.ask("lost", kind, left=SECOND)
     server = world.of(Send)[0].server
     for number in range(count):
-        world.router.servers[3 - server].overload_until = world.now + SECOND  # all go to the one
+        world.router.servers[3 - server].overload_until = world.now + SECOND  # all requests go to the same server
         world.ask(f"r{number}", kind)
         assert world.of(Send)[0].server == server
         world.end(f"r{number}", server)
@@ -176,22 +176,22 @@
     return world, server
 
 
-def test_a_read_that_a_calm_server_has_passed_over_goes_elsewhere():
-    world, server = passed_over()
+def test_lost_read_at_a_lightly_loaded_server_is_cancelled_and_resent():
+    world, server = world_with_lost_attempt()
     latency_ratio = world.router.servers[server].latency_ratio
     world.tick(200 * MS)
     assert not world.of(Cancel)
     world.tick(300 * MS)
     assert [(action.id, action.attempt) for action in world.of(Cancel)] == [("lost", 0)]
     world.tick(20 * MS)
-    assert not world.of(Cancel)  # once is enough
+    assert not world.of(Cancel)  # it is cancelled only once
     world.end("lost", server, "cancelled", after=0, closed=False)
     assert [action.server for action in world.of(Send)] == [3 - server]
     assert world.router.servers[server].latency_ratio == latency_ratio and not world.router.servers[server].silent
 
 
-def test_a_write_that_is_passed_over_stays_out_and_its_timeout_is_no_slow_server():
-    world, server = passed_over("commit", 1)
+def test_lost_write_is_not_cancelled_and_its_timeout_does_not_count_as_slow():
+    world, server = world_with_lost_attempt("commit", 1)
     before = (
         world.router.servers[server].latency_ratio,
         world.router.admission.recent_attempts,
@@ -204,14 +204,14 @@
     assert (world.router.admission.recent_attempts, world.router.admission.recent_successes) == before[1:]
 
 
-def test_a_read_at_a_strained_server_is_not_taken_for_lost():
-    world, server = passed_over()
+def test_read_at_an_overloaded_server_does_not_count_as_lost():
+    world, server = world_with_lost_attempt()
     world.router.servers[server].latency_ratio = 0.5
     world.tick(500 * MS)
     assert not world.of(Cancel)
 
 
-def test_an_attempt_lost_after_a_short_pause_says_nothing_of_idle_connections():
+def test_attempt_lost_after_a_short_pause_does_not_lower_the_idle_limit():
     world = World(group(replicas=0))
     world.ask("r1", "commit")
     world.end("r1", 1)
@@ -220,22 +220,25 @@
     assert world.router.servers[1].idle_limit == 30 * SECOND
 
 
-def test_a_copy_that_has_just_started_is_asked_though_its_lag_is_taken_to_be_long():
-    """It was taken to lack all that its warmth lasts, and asked only once that guess had faded: reads kept off it."""
+def test_restarted_replica_is_probed_although_its_assumed_lag_is_long():
+    """Guards against reads avoiding a restarted replica until its assumed lag, the whole warm-up time, has decayed.
 
-    def started(**more):
+    It was probed only after that decay.
+    """
+
+    def world_after_restart(**more):
         world = World(reports="probe", **more)
         world.known(1, primary=True)
-        back = [
+        restarted = [
             Member(m.server, m.zone, m.group, m.primary, m.state, world.now if m.server == 2 else 0) for m in group(1)
         ]
-        world.feed(ServerList("full", tuple(back)))
+        world.feed(ServerList("full", tuple(restarted)))
         world.ask("read", "lookup", after=200 * MS)
         return world
 
-    few = started()
-    assert [probe.server for probe in few.of(Probe)] == [2] and not few.of(Send)
-    few.known(2, after=5 * MS)
-    assert few.router.servers[2].position_unknown is False
-    hundreds = started(gateways=200, tells_load=True)
-    assert 2 not in [probe.server for probe in hundreds.of(Probe)]  # what each of hundreds asks adds up: as before
+    small_fleet = world_after_restart()
+    assert [probe.server for probe in small_fleet.of(Probe)] == [2] and not small_fleet.of(Send)
+    small_fleet.known(2, after=5 * MS)
+    assert small_fleet.router.servers[2].position_unknown is False
+    large_fleet = world_after_restart(gateways=200, tells_load=True)
+    assert 2 not in [probe.server for probe in large_fleet.of(Probe)]  # probes by hundreds of gateways would add up
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,4 @@
-"""The rules over random sequences of events."""
+"""The router's invariants under random sequences of events."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,51 +13,51 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.lists(STEP, max_size=80))
-def test_rules_hold(steps):
+def test_invariants_hold_for_random_events(steps):
     world = World(group(3))
-    kinds = {kind.name: kind for kind in CLASSES}
-    asked, answered, out, ran, proven, tokens = {}, set(), {}, {}, {}, {}
+    classes = {request_class.name: request_class for request_class in CLASSES}
+    requests, answered, in_flight, ran, proven, tokens = {}, set(), {}, {}, {}, {}
     demoted, drained = set(), set()
 
-    def see():
+    def check_actions():
         for action in world.out:
             if isinstance(action, Send):
-                kind, request = asked[action.id]
+                request_class, request = requests[action.id]
                 assert action.id not in answered and action.server not in drained
-                assert not any(key[0] == action.id for key in out)  # one copy at a time
+                assert not any(key[0] == action.id for key in in_flight)  # one attempt at a time
                 first = ran.get(action.id)
                 assert (
                     first is None
-                    or kind.effect == "safe"
-                    or (kind.effect == "keyed" and world.now - first < kind.window)
+                    or request_class.effect == "safe"
+                    or (request_class.effect == "keyed" and world.now - first < request_class.window)
                 )
-                need = {
-                    "bounded": world.now - kind.staleness_bound,
+                required = {
+                    "bounded": world.now - request_class.staleness_bound,
                     "session": tokens.get(request.session, 0),
                 }
                 if action.server in demoted or action.server not in {1}:
                     server = world.router.servers[action.server]
-                    assert server.is_primary() or proven.get(action.server, 0) >= need.get(kind.read, 0)
-                number = sum(1 for key in out.values() if key[0] == action.id) + done.get(action.id, 0)
-                out[action.id, number] = (action.id, action.server, world.now)
+                    assert server.is_primary() or proven.get(action.server, 0) >= required.get(request_class.read, 0)
+                number = sum(1 for key in in_flight.values() if key[0] == action.id) + done.get(action.id, 0)
+                in_flight[action.id, number] = (action.id, action.server, world.now)
             elif isinstance(action, Refuse | Fail):
                 assert action.id not in answered
                 if isinstance(action, Refuse):
-                    assert action.id not in ran or asked[action.id][0].effect == "safe"
+                    assert action.id not in ran or requests[action.id][0].effect == "safe"
                 answered.add(action.id)
 
     done = {}
     for step, pick, delay in steps:
         world.now += delay * MS
         if step == "ask":
-            kind = CLASSES[pick % len(CLASSES)]
-            name = f"q{len(asked)}"
-            request = Request(name, 0, kind.name, world.now + kind.deadline, session=f"s{pick % 3}")
-            asked[name] = (kind, request)
+            request_class = CLASSES[pick % len(CLASSES)]
+            name = f"q{len(requests)}"
+            request = Request(name, 0, request_class.name, world.now + request_class.deadline, session=f"s{pick % 3}")
+            requests[name] = (request_class, request)
             world.feed(request)
-        elif step == "end" and out:
-            key = list(out)[pick % len(out)]
-            name, server, at = out.pop(key)
+        elif step == "end" and in_flight:
+            key = list(in_flight)[pick % len(in_flight)]
+            name, server, at = in_flight.pop(key)
             done[name] = done.get(name, 0) + 1
             status = STATUSES[pick % len(STATUSES)]
             if status not in NEVER_RAN:
@@ -65,12 +65,12 @@
             closed = name in answered or status == "ok"
             if status == "ok":
                 answered.add(name)
-            kind, request = asked[name]
+            request_class, request = requests[name]
             replica = server != 1
             if replica and status in ("ok", "miss"):
                 demoted.add(server)
             position = None
-            if status == "ok" and kind.read == "write":
+            if status == "ok" and request_class.read == "write":
                 position = world.now
                 tokens[request.session] = max(tokens.get(request.session, 0), position)
             role = Role.UNKNOWN if status not in ("ok", "miss") else Role.REPLICA if replica else Role.PRIMARY
@@ -88,22 +88,22 @@
             world.feed(ServerList("delta", (Member(server, "a", 0, False, state),)))
         else:
             world.feed(Timer("sweep"))
-        see()
-    for key in list(out):
-        name, server, at = out.pop(key)
+        check_actions()
+    for key in list(in_flight):
+        name, server, at = in_flight.pop(key)
         done[name] = done.get(name, 0) + 1
         closed = name in answered
         world.feed(Outcome(name, key[1], server, "timeout", world.now - at, closed))
         ran.setdefault(name, at)
-        see()
-    world.now += max(kind.deadline for kind in kinds.values())
+        check_actions()
+    world.now += max(request_class.deadline for request_class in classes.values())
     world.feed(Timer("sweep"))
-    see()
-    still = {name for key in out for name in [key[0]]}
-    assert answered | still == set(asked)
+    check_actions()
+    still_in_flight = {name for key in in_flight for name in [key[0]]}
+    assert answered | still_in_flight == set(requests)
 
 
-def test_same_events_same_actions():
+def test_same_events_give_the_same_actions():
     def play():
         world, log = World(group(3)), []
         for index in range(40):
--- a/tests/policy/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -1,11 +1,12 @@
-"""Recorded events and the actions they led to: where what came in later is absent, every action is the same.
+"""Replays recorded events: where newer features are unused, every action must equal the recorded one.
 
-The first events are from the module as it was before shares came in. Their actions were taken anew, from the same events,
-when lost attempts, the end of unsent requests at half their time, growth from a limit of one and the least pause that tells
-on idle connections came in, as those are meant to act; with shares of 1 and of 0.25 they must still agree.
+The first record has events from before server shares were introduced. Its actions were recorded again, from the same
+events, when these intended changes of behaviour were introduced: lost attempts, refusal of unsent requests after half their
+time, growth from a limit of one, and the shortest pause that counts for idle connections. They must be the same with
+shares of 1 and of 0.25.
 
-The second are two runs over three zones, of few gateways and of hundreds, with events and actions of the module as it was
-before ``PositionGossiped`` and ``ZoneLatencies`` came in.
+The second record has two runs over three zones, one of few gateways and one of hundreds, with events and actions from
+before ``PositionGossiped`` and ``ZoneLatencies`` were introduced.
 """
 
 import json
@@ -18,7 +19,7 @@
 
 RECORD = json.loads((DATA / "recorded_events.json").read_text())
 ZONES = json.loads((DATA / "recorded_zones.json").read_text())
-RENAMED = {  # since the recording
+RENAMED_FIELDS = {  # recorded name: current name
     "aim": "latency_objective",
     "worth": "priority_weight",
     "late_worth": "late_weight",
@@ -27,58 +28,58 @@
 RENAMED_EVENTS = {"Gone": "ClientCancelled", "Restored": "TokensLost", "Hearsay": "GossipedOutliers"}
 
 
-def value(plain):
-    if isinstance(plain, list):
-        return tuple(value(one) for one in plain)
-    if isinstance(plain, dict):
-        made = {RENAMED.get(name, name): value(one) for name, one in plain.items() if name}
-        if "role" in made:
-            made["role"] = api.Role(made["role"])
-        return getattr(api, RENAMED_EVENTS.get(plain[""], plain[""]))(**made)
-    return plain
+def decode(recorded):
+    if isinstance(recorded, list):
+        return tuple(decode(item) for item in recorded)
+    if isinstance(recorded, dict):
+        fields = {RENAMED_FIELDS.get(name, name): decode(item) for name, item in recorded.items() if name}
+        if "role" in fields:
+            fields["role"] = api.Role(fields["role"])
+        return getattr(api, RENAMED_EVENTS.get(recorded[""], recorded[""]))(**fields)
+    return recorded
 
 
 def replay(classes=RECORD["classes"], settings=RECORD["settings"], batches=RECORD["batches"], more=(), **member):
-    """The actions of each event; ``more`` events are told along with each, and what they lead to is left out."""
-    router = Router(api.Settings(classes=tuple(value(kind) for kind in classes), **settings))
-    for now, plain, _ in batches:
-        event = value(plain)
+    """Yield the actions of each event; each of the ``more`` events follows it and may only set timers."""
+    router = Router(api.Settings(classes=tuple(decode(request_class) for request_class in classes), **settings))
+    for now, recorded, _ in batches:
+        event = decode(recorded)
         if isinstance(event, api.ServerList) and member:
             changed = (
                 api.Member(m.server, m.zone, m.group, m.primary, m.state, m.started, **member) for m in event.members
             )
             event = api.ServerList(event.kind, tuple(changed))
         yield [repr(action) for action in router.handle(now, event)]
-        for one in more:
-            assert all(isinstance(action, api.SetTimer) for action in router.handle(now, one))
+        for extra in more:
+            assert all(isinstance(action, api.SetTimer) for action in router.handle(now, extra))
 
 
-def test_with_share_one_every_recorded_action_is_the_same():
-    wanted = [actions for _, _, actions in RECORD["batches"]]
-    assert len(wanted) > 800 and sum(map(bool, wanted)) > 400
-    assert {action.partition("(")[0] for actions in wanted for action in actions} >= {
+def test_equal_shares_reproduce_every_recorded_action():
+    expected = [actions for _, _, actions in RECORD["batches"]]
+    assert len(expected) > 800 and sum(map(bool, expected)) > 400
+    assert {action.partition("(")[0] for actions in expected for action in actions} >= {
         "Send",
         "Refuse",
         "Probe",
         "SetTimer",
     }
-    assert list(replay()) == wanted
-    assert list(replay(share=0.25)) == wanted  # equal shares are no shares
+    assert list(replay()) == expected
+    assert list(replay(share=0.25)) == expected  # equal shares have no effect
 
 
-NOTHING_NEW = (
+EVENTS_WITHOUT_EFFECT = (
     api.ZoneLatencies(),
     api.ZoneLatencies((("a zone of nobody", 5, 9),)),
-    api.PositionGossiped(99, api.Report(1)),  # of a server that is not listed
+    api.PositionGossiped(99, api.Report(1)),  # server 99 is not listed
     api.PositionGossiped(
         1, api.Report(None, False, 1.0)
-    ),  # that proves no position: its role and load are nobody's business
+    ),  # without a position; the role and load of such a report are ignored
 )
 
 
 @pytest.mark.parametrize("run", ZONES["runs"], ids=["few", "hundreds"])
-def test_without_marks_and_ways_every_recorded_action_is_the_same(run):
-    wanted = [actions for _, _, actions in run["batches"]]
-    assert {action.partition("(")[0] for actions in wanted for action in actions} >= {"Send", "Probe", "CloseIdle"}
-    assert list(replay(ZONES["classes"], **run)) == wanted
-    assert list(replay(ZONES["classes"], **run, more=NOTHING_NEW)) == wanted
+def test_runs_without_gossiped_positions_and_zone_latencies_reproduce_every_recorded_action(run):
+    expected = [actions for _, _, actions in run["batches"]]
+    assert {action.partition("(")[0] for actions in expected for action in actions} >= {"Send", "Probe", "CloseIdle"}
+    assert list(replay(ZONES["classes"], **run)) == expected
+    assert list(replay(ZONES["classes"], **run, more=EVENTS_WITHOUT_EFFECT)) == expected
--- a/tests/policy/test_zones.py
+++ b/tests/policy/test_zones.py
@@ -1,4 +1,4 @@
-"""What lies in other zones: which servers there are used, and when."""
+"""Servers in other zones: which are used, and when."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from yardbank.interface import ClientCancelled, Probe, Refuse, Send, ZoneLatencies
 
 
-def test_own_zone_first():
+def test_replica_in_the_own_zone_is_preferred():
     world = World(
         [
             Member(1, "b", 0, True, "ready"),
@@ -23,8 +23,8 @@
 BOTH_SEEDS = pytest.mark.parametrize("seed", [7, 8])
 
 
-def far_and_near(seed, **more):
-    """A primary and a copy here, a copy in b; both copies are proven and calm."""
+def world_with_remote_replica(seed, **more):
+    """Return a primary and a replica in the own zone, a replica in b; positions are known, replicas lightly loaded."""
     members = [Member(1, "a", 0, True, "ready"), Member(2, "a", 0, False, "ready"), Member(3, "b", 0, False, "ready")]
     world = World(members, seed=seed, reports="probe", **more)
     for server, primary in ((1, True), (2, False), (3, False)):
@@ -34,57 +34,57 @@
 
 
 def share_of(world, server, class_name="any", count=60):
-    """The part of so many requests, one after the other, that goes to a server."""
-    went = 0
+    """Return the share of consecutive requests that goes to a server."""
+    sent_count = 0
     for number in range(count):
         world.ask(f"{class_name}{number}", class_name, after=0)
         (send,) = world.of(Send)
-        went += send.server == server
+        sent_count += send.server == server
         world.feed(ClientCancelled(send.id))
         world.router.attempts.pop((send.id, 0))
         del world.router.servers[send.server].in_flight[send.id, 0]
-    return went / count
+    return sent_count / count
 
 
 @BOTH_SEEDS
-def test_a_zone_that_is_named_costs_what_its_way_does_against_the_aim_and_others_the_constant(seed):
-    world = far_and_near(seed)
-    near, far = world.router.servers[2], world.router.servers[3]
-    near.latency_ratio = 0.124  # chance adds up to a fifth
+def test_zone_with_a_known_latency_costs_its_round_trip_and_other_zones_a_constant_factor(seed):
+    world = world_with_remote_replica(seed)
+    local, remote = world.router.servers[2], world.router.servers[3]
+    local.latency_ratio = 0.124  # jitter adds up to a fifth
     assert share_of(world, 3) == 0  # 0.1 * 1.5 is more
     world.feed(ZoneLatencies((("b", MS, 0),)))
     assert share_of(world, 3) == 1  # 0.1 + 1/400 is less
     world.feed(ZoneLatencies((("b", 40 * MS, 0),)))
     assert share_of(world, 3) == 0
-    world.feed(ZoneLatencies((("c", 1, 0),)))  # replaces the last: b costs the constant again
+    world.feed(ZoneLatencies((("c", 1, 0),)))  # replaces the last event: b costs the constant factor again
     assert share_of(world, 3) == 0
-    far.latency_ratio = 0.06
+    remote.latency_ratio = 0.06
     assert share_of(world, 3) == 1
 
 
 @BOTH_SEEDS
-def test_a_fast_far_copy_is_preferred_to_a_slow_near_one_as_long_as_its_way_is_worth_it(seed):
-    world = far_and_near(seed)
+def test_fast_remote_replica_is_preferred_to_a_slow_local_one_only_if_its_round_trip_is_short(seed):
+    world = world_with_remote_replica(seed)
     world.router.servers[2].latency_ratio, world.router.servers[3].latency_ratio = 0.5, 0.05
-    for beyond, wanted in ((100 * MS, 1), (300 * MS, 0)):  # of an aim of 400 ms
-        world.feed(ZoneLatencies((("b", beyond, 0),)))
-        assert share_of(world, 3) == wanted
+    for extra, expected in ((100 * MS, 1), (300 * MS, 0)):  # of a latency objective of 400 ms
+        world.feed(ZoneLatencies((("b", extra, 0),)))
+        assert share_of(world, 3) == expected
 
 
 @BOTH_SEEDS
-def test_equals_are_of_one_price_with_the_way_and_shares_decide_among_them(seed):
-    world = far_and_near(seed)
+def test_equality_of_servers_includes_the_round_trip_and_shares_decide_among_equals(seed):
+    world = world_with_remote_replica(seed)
     world.router.servers[2].share = 3.0
     world.feed(ZoneLatencies((("b", 4 * MS, 0),)))
-    assert 0.1 < share_of(world, 3, count=200) < 0.45  # equals: 0.1 and 0.11
+    assert 0.1 < share_of(world, 3, count=200) < 0.45  # the costs 0.1 and 0.11 are equal
     world.feed(ZoneLatencies((("b", 100 * MS, 0),)))
     assert share_of(world, 3) == 0
 
 
 @BOTH_SEEDS
-def test_an_attempt_with_less_time_left_than_the_way_takes_goes_elsewhere_or_as_the_last_way_out(seed):
-    world = far_and_near(seed)
-    world.router.servers[2].latency_ratio = 3.0  # so the far one looks best
+def test_server_whose_round_trip_exceeds_the_time_left_is_used_only_as_a_last_resort(seed):
+    world = world_with_remote_replica(seed)
+    world.router.servers[2].latency_ratio = 3.0  # so the remote replica looks best
     world.feed(ZoneLatencies((("b", 0, 500 * MS),)))
     world.ask("enough", "any", left=600 * MS)
     assert sent(world) == [3]
@@ -92,7 +92,7 @@
     world.ask("short", "any", left=450 * MS)
     assert sent(world) == [2]
     world.end("short", 2)
-    world.feed(ZoneLatencies((("b", 470 * MS, 0),)))  # the round trip itself, where no longest is told
+    world.feed(ZoneLatencies((("b", 470 * MS, 0),)))  # the extra round trip counts where no longest one is given
     world.ask("alone", "any", left=450 * MS)
     assert sent(world) == [2]
     world.end("alone", 2)
@@ -102,9 +102,9 @@
 
 
 @BOTH_SEEDS
-def test_a_copy_that_the_way_rules_out_is_not_asked_where_it_stands(seed):
-    world = far_and_near(seed)
-    world.known(3, lag=SECOND, after=2 * SECOND)  # too far behind when heard of, perhaps no longer
+def test_replica_ruled_out_by_its_round_trip_is_not_probed(seed):
+    world = world_with_remote_replica(seed)
+    world.known(3, lag=SECOND, after=2 * SECOND)  # too far behind when last reported, perhaps no longer
     world.router.servers[2].draining = True
     world.feed(ZoneLatencies((("b", 0, 900 * MS),)))
     world.ask("wide", "lookup", after=2 * SECOND, left=1000 * MS)
@@ -115,8 +115,8 @@
 
 
 @BOTH_SEEDS
-def test_writes_go_to_the_primary_whatever_the_way(seed):
-    world = far_and_near(seed)
+def test_writes_go_to_the_primary_whatever_its_round_trip(seed):
+    world = world_with_remote_replica(seed)
     world.known(3, primary=True, after=MS)  # it has moved to b
     world.feed(ZoneLatencies((("b", SECOND, 9 * SECOND),)))
     for name, class_name in (("w", "commit"), ("k", "keyed"), ("f", "check")):
@@ -126,17 +126,20 @@
 
 
 @BOTH_SEEDS
-def test_a_request_is_hopeless_by_what_answers_take_not_by_the_way(seed):
-    """The usual latency has the ways in it that requests go; before a server is chosen, no way is known to be needed."""
-    world = far_and_near(seed)
+def test_zone_latencies_do_not_make_a_request_too_late(seed):
+    """The average latency already contains the round trips of past requests.
+
+    Before a server is chosen, no particular round trip is known to be needed.
+    """
+    world = world_with_remote_replica(seed)
     world.feed(ZoneLatencies((("b", 390 * MS, 0),)))
     world.router.servers[1].draining = world.router.servers[2].draining = True
     world.ask("r", "any", left=500 * MS)
-    assert sent(world) == [3]  # nobody else: perhaps it is faster than the map says
+    assert sent(world) == [3]  # no other server is left, and it may be faster than the latency map says
     world.ask("late", "any", left=50 * MS)
     assert world.of(Refuse)
 
 
-def test_a_negative_way_is_refused_by_its_zone():
+def test_error_for_a_negative_round_trip_names_the_zone():
     with pytest.raises(ValueError, match=r"ways\[b\]"):
         ZoneLatencies((("a", 1, 1), ("b", -1, 0)))
--- a/yardbank/policy/__init__.py
+++ b/yardbank/policy/__init__.py
@@ -1,12 +1,12 @@
 """The decisions of one gateway: events in, actions out, without I/O, clocks or threads of its own.
 
-The rule is WeScale's ReadAfterWrite: a session's token is the log position of its last write. The session's reads
-go to a replica that is known to have reached that position, else to the primary. Everything else here keeps that
-rule standing while servers fail, start, fall behind or are overloaded.
+The consistency rule is WeScale's ReadAfterWrite: a session's token is the log position of its last write. The session's
+reads go to a replica that is known to have reached that position, otherwise to the primary. The rest of the package
+upholds that rule while servers fail, start, fall behind or are overloaded.
 
-``Router`` holds the parts and passes events along; each part owns its state and says so at its top:
-``ServerTable`` (what is known of servers), ``Admission`` (what is let through), ``Selection`` (which server),
-``SessionTokens`` (what a session must see) and ``WaitQueue`` (requests that wait for capacity).
+``Router`` holds the components and passes events to them. Each component owns its state and documents it:
+``ServerTable`` (what is known of servers), ``Admission`` (which requests are admitted), ``Selection`` (which server is
+chosen), ``SessionTokens`` (the position that a session must see) and ``WaitQueue`` (requests waiting for capacity).
 The types of settings, events and actions are those of ``yardbank.interface``.
 """
 
--- a/yardbank/policy/router.py
+++ b/yardbank/policy/router.py
@@ -1,4 +1,4 @@
-"""One gateway's requests and their attempts, from event to final answer.
+"""Routes one gateway's requests and tracks their attempts, from the first event to the final answer.
 
 Times are integer nanoseconds.
 """
@@ -12,15 +12,15 @@
 from yardbank.policy.admission import Admission
 from yardbank.policy.requests import Attempt, PendingRequest, WaitQueue
 from yardbank.policy.selection import Selection
-from yardbank.policy.servers import BACKOFF, SECOND, Server, ServerTable
+from yardbank.policy.servers import BASE_BACKOFF, SECOND, Server, ServerTable
 from yardbank.policy.sessions import SessionTokens
 
-LOST_LATENCIES = 5.0  # lost: an attempt that a later one overtook, after so many usual latencies
-SCARCE = 5 * SECOND  # for so long after a connection was refused, idle ones are given back
+LOST_AFTER_LATENCIES = 5.0  # lost: an attempt out for this many average latencies while a later one was answered
+SHORTAGE_PERIOD = 5 * SECOND  # how long idle connections are closed after a server refused a connection
 
 
 class ShedReason(StrEnum):
-    """Why a request was given up, as the log counts it."""
+    """Why a request was given up; the log counts requests by these values."""
 
     NO_ATTEMPT_LEFT = "no attempt left"
     NO_TIME_LEFT = "no time left"
@@ -31,11 +31,12 @@
 class Router:
     """One gateway's decisions: events in, actions out.
 
-    Owns: pending requests, attempts in flight, the actions of the event at hand; holds the parts and is the only
-    one to emit a request's actions. One ``random.Random`` serves all parts, so that a seed gives one run.
-    Bound: one entry a request without its final answer and one an attempt in flight, besides what the parts hold.
-    Invariants: each request gets exactly one final answer, or its client has left or has its answer begun; an
-    attempt is in ``attempts`` and in its server's ``in_flight``, or in neither; while there is either, a timer runs.
+    Owns: pending requests, attempts in flight, the actions of the current event; holds the other components and is the
+    only one to emit a request's actions. All components share one ``random.Random``, so that a seed determines a run.
+    Bound: one entry per request without a final answer and one per attempt in flight, besides the components' state.
+    Invariants: each request gets exactly one final answer, unless its client has left or its answer has begun; an
+    attempt is in ``attempts`` and in its server's ``in_flight``, or in neither; a timer is set while there are requests
+    or attempts.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -48,9 +49,9 @@
         self._actions: list[api.Action] = []
         self._timer_is_set = False
         self.requests: dict[str, PendingRequest] = {}
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, also of requests answered meanwhile
-        self.shed: Counter[str] = Counter()  # requests given up, by ``ShedReason``: for the log
-        self.scarce_until = 0  # until when servers are taken to be short of connections
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, including those of requests already answered
+        self.shed: Counter[str] = Counter()  # number of requests given up by ``ShedReason``, for the log
+        self.connection_shortage_until = 0  # until when servers are assumed to be short of connections
         self.table = ServerTable(settings, self.random, self._emit)
         self.admission = Admission(settings, self.table, self.sweep_interval)
         self.selection = Selection(settings, self.table, self.admission, self.random)
@@ -59,18 +60,18 @@
 
     @property
     def servers(self) -> dict[int, Server]:
-        """What is known of each listed server, by its number."""
+        """What is known of each listed server, by server number."""
         return self.table.servers
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at a time; return the actions in order.
+        """Process one event and return the resulting actions in order.
 
         Raises ``ValueError`` for a request whose class is not in the settings.
         """
         self.now = now
         self._actions = []
         self._dispatch(event)
-        if not self._timer_is_set and (self.requests or self.attempts):  # an idle gateway of hundreds costs nothing
+        if not self._timer_is_set and (self.requests or self.attempts):  # hundreds of idle gateways must cost nothing
             self._timer_is_set = True
             self._emit(api.SetTimer(self.sweep_interval, "sweep"))
         return self._actions
@@ -108,27 +109,27 @@
             case api.TokensLost():
                 self.on_tokens_lost(event)
 
-    # events of servers
+    # server events
 
     def on_server_list(self, event: api.ServerList) -> None:
-        """Take in the list of servers, whole or changed lines only."""
+        """Apply a server list, complete or changed entries only."""
         self.table.apply_list(self.now, event)
 
     def on_position_gossiped(self, event: api.PositionGossiped) -> None:
-        """A position that another gateway observed proves itself, and nothing of role or health."""
+        """Record a position observed by another gateway; it says nothing of the server's role or health."""
         server = self.servers.get(event.server)
         if server is None or event.report.position is None:
             return
-        self.table.learn_position(self.now, server, event.report.position)
+        self.table.record_position(self.now, server, event.report.position)
         self._route_waiting(server.group)
 
     def on_tokens_lost(self, event: api.TokensLost) -> None:
-        """A restart lost every token; floors in their place keep sessions from reading too early."""
+        """Raise the floors that replace tokens lost in a restart, so that no session reads too early."""
         for group, floor in event.floors:
             self.sessions.raise_floor(group, floor)
 
     def on_probed(self, event: api.Probed) -> None:
-        """A probe tells position and role; its answer shows that the process runs, not that it works."""
+        """Record a probe's position and role; its answer shows that the process runs, not that it serves requests."""
         server = self.servers.get(event.server)
         if server is None:
             return
@@ -138,14 +139,14 @@
             server.eject(self.now, silent=False)
             return
         server.unanswered_probes = 0
-        self.table.learn_report(self.now, server, event.report)
-        if self.now - server.refused_at < BACKOFF:
-            self.scarce_until = self.now + SCARCE
+        self.table.record_report(self.now, server, event.report)
+        if self.now - server.connection_refused_at < BASE_BACKOFF:
+            self.connection_shortage_until = self.now + SHORTAGE_PERIOD
         if not server.silent:
             server.readmit()
         self._route_waiting(server.group)
 
-    # events of requests
+    # request events
 
     def on_request(self, request: api.Request) -> None:
         """Route a new request. Raises ``ValueError`` if its class is not in the settings."""
@@ -160,61 +161,61 @@
         self._route(pending)
 
     def on_client_cancelled(self, event: api.ClientCancelled | api.Started) -> None:
-        """Nothing more is owed: the client has left, or has its answer begun; what is in flight may still teach."""
+        """Drop a request whose client left or whose answer has begun; its attempts' outcomes are still recorded."""
         pending = self.requests.pop(event.id, None)
         if pending is not None:
             self.queue.remove(pending)
 
     def on_deadline(self, event: api.Deadline) -> None:
-        """The answer is needed sooner than was said; what is in flight is timed out by the gateway."""
+        """Apply an earlier deadline to a pending request; the gateway itself times out attempts in flight."""
         pending = self.requests.get(event.request.id)
         if pending is not None:
             pending.request = event.request
 
     def on_outcome(self, event: api.Outcome) -> None:
-        """Learn from how an attempt ended; answer, resend or give up its request."""
+        """Record how an attempt ended; answer, resend or give up its request."""
         attempt = self.attempts.pop((event.id, event.attempt), None)
         if attempt is None:
             return
         server = attempt.server
         del server.in_flight[event.id, event.attempt]
-        self.table.learn_answer(self.now, event, attempt)
-        self.table.learn_report(self.now, server, event.report)
-        self.table.learn_connection(server, event, attempt.idle)
+        self.table.record_answer(self.now, event, attempt)
+        self.table.record_report(self.now, server, event.report)
+        self.table.record_connection_outcome(server, event, attempt.idle)
         refused = event.status == Status.CONNECT_FAILED and event.latency < self.settings.connect_timeout / 2
-        self.table.learn_health(self.now, event, attempt, refused)
-        if self.now < self.scarce_until and not server.in_flight:  # an idle one keeps another gateway out
+        self.table.update_health(self.now, event, attempt, refused)
+        if self.now < self.connection_shortage_until and not server.in_flight:  # idle ones keep others out
             self._emit(api.CloseIdle(server.id))
         if event.status == Status.FULL or refused:
             self._back_off(attempt)
-        self._learn_latency(event, attempt)
-        self._settle(event, attempt)
+        self._record_latency(event, attempt)
+        self._finish_attempt(event, attempt)
         self._route_waiting(server.group)
 
     def _back_off(self, attempt: Attempt) -> None:
-        """A server has no room: to be asked is load too, and hundreds must not come back at once."""
-        self.admission.record_pressure(self.now)
+        """Back off from a full server: rejections are load too, and hundreds of gateways must not return at once."""
+        self.admission.record_overload(self.now)
         first = attempt.pending.request_class.latency_objective // 4
         attempt.server.back_off(self.now, first, jitter=0.5 + self.random.random())
 
-    def _learn_latency(self, event: api.Outcome, attempt: Attempt) -> None:
-        """What an attempt's end says of its server's latency and of how much to admit."""
+    def _record_latency(self, event: api.Outcome, attempt: Attempt) -> None:
+        """Record what an attempt's end says of its server's latency and of the demand that can be admitted."""
         server, request_class = attempt.server, attempt.pending.request_class
         is_ok = event.status == Status.OK
         in_time = is_ok and event.latency <= request_class.latency_objective
-        is_slow = event.status in (Status.TIMEOUT, Status.CANCELLED) and not attempt.is_overtaken()
-        if is_ok or is_slow:  # no answer yet is a slow one too
-            self.table.learn_latency(self.now, server, request_class, event.latency)
+        is_slow = event.status in (Status.TIMEOUT, Status.CANCELLED) and not attempt.is_probably_lost()
+        if is_ok or is_slow:  # a missing answer counts as a slow one
+            self.table.record_latency(self.now, server, request_class, event.latency)
             self.admission.record_latency(request_class.name, event.latency)
-        usual = self.admission.usual_latency[request_class.name]
-        timed_out = event.status == Status.TIMEOUT and is_slow and event.latency > usual
+        average = self.admission.average_latency[request_class.name]
+        timed_out = event.status == Status.TIMEOUT and is_slow and event.latency > average
         if event.status in (Status.OK, Status.FULL) or timed_out:
             self.admission.record_attempt(self.now, in_time)
         if event.status in (Status.MISS, Status.FULL, Status.TIMEOUT) or (is_ok and not in_time):
             self.selection.be_cautious(self.now, server.group)
 
-    def _settle(self, event: api.Outcome, attempt: Attempt) -> None:
-        """What the end of an attempt means for its request; a write's answer sets its session's token."""
+    def _finish_attempt(self, event: api.Outcome, attempt: Attempt) -> None:
+        """Finish or reroute an attempt's request; a write's answer sets its session's token."""
         pending = attempt.pending
         if pending.request_class.read == ReadMode.WRITE and event.status == Status.OK:
             self.sessions.on_write(self.now, pending.request, event.position or self.now)
@@ -226,10 +227,10 @@
         elif event.id in self.requests:
             self._route(pending)
 
-    # the timer
+    # timer
 
     def on_timer(self, event: api.Timer) -> None:
-        """Sweep, while anything is owed: silent servers, lost attempts, waiting requests."""
+        """Sweep for silent servers, lost attempts and waiting requests while requests or attempts exist."""
         self._timer_is_set = False
         self.admission.refresh_ranking()
         for server in {attempt.server.id: attempt.server for attempt in self.attempts.values()}.values():
@@ -246,30 +247,30 @@
         self._cancel_lost(server)
         for attempt in server.in_flight.values():
             if self.now - attempt.sent_at > attempt.pending.request_class.latency_objective:
-                self.selection.be_cautious(self.now, server.group)  # it is late for certain
+                self.selection.be_cautious(self.now, server.group)  # it has certainly missed its objective
                 break
 
     def _sweep_waiting(self, pending: PendingRequest) -> None:
-        half = (pending.arrived + pending.request.expires) // 2  # answered by then, a client can try elsewhere
-        if not pending.attempts and self.now + self.sweep_interval > half:
+        halfway = (pending.arrived + pending.request.expires) // 2  # refused by then, a client can try elsewhere
+        if not pending.attempts and self.now + self.sweep_interval > halfway:
             self._give_up(pending, ShedReason.HELD_TOO_LONG)
-        elif self.admission.is_hopeless(self.now, pending):
+        elif self.admission.cannot_finish_in_time(self.now, pending):
             self._give_up(pending, ShedReason.NO_TIME_LEFT)
         else:
             self._enqueue(pending)
 
     def _cancel_lost(self, server: Server) -> None:
-        """A connection can fall silent by itself: reads on it go elsewhere while that may be in time."""
+        """Cancel reads on connections that have stopped answering, if another server may still answer in time."""
         for key, attempt in server.in_flight.items():
             request_class = attempt.pending.request_class
-            usual = self.admission.usual_latency[request_class.name]
-            if self.now - attempt.sent_at < max(LOST_LATENCIES * usual, request_class.latency_objective // 2):
-                break  # the oldest come first
-            if attempt.is_overtaken() and not self.admission.is_hopeless(self.now, attempt.pending):
+            average = self.admission.average_latency[request_class.name]
+            if self.now - attempt.sent_at < max(LOST_AFTER_LATENCIES * average, request_class.latency_objective // 2):
+                break  # attempts are in order of age, the oldest first
+            if attempt.is_probably_lost() and not self.admission.cannot_finish_in_time(self.now, attempt.pending):
                 self._cancel(key, attempt)
 
     def _cancel(self, key: tuple[str, int], attempt: Attempt) -> None:
-        """Stop waiting for a read that may be sent elsewhere; a write may yet be answered."""
+        """Cancel a read that may be sent elsewhere; a write may still be answered."""
         if attempt.cancelled or attempt.pending.request_class.effect != Effect.SAFE:
             return
         if self.settings.may_cancel and self.may_resend(attempt.pending):
@@ -279,7 +280,7 @@
     # routing
 
     def may_resend(self, pending: PendingRequest) -> bool:
-        """Whether a further attempt is allowed at all."""
+        """Whether a further attempt of a request is allowed."""
         if pending.attempts >= self.settings.max_attempts or self.now >= pending.request.expires:
             return False
         request_class = pending.request_class
@@ -290,10 +291,10 @@
         return self.now - pending.ran_at < request_class.window
 
     def _route(self, pending: PendingRequest) -> None:
-        """Send a request now, let it wait, or give it up."""
+        """Send a request now, queue it, or give it up."""
         if not self.may_resend(pending):
             return self._give_up(pending, ShedReason.NO_ATTEMPT_LEFT)
-        if self.admission.is_hopeless(self.now, pending):
+        if self.admission.cannot_finish_in_time(self.now, pending):
             return self._give_up(pending, ShedReason.NO_TIME_LEFT)
         if not self.admission.admits(self.now, pending):
             return self._give_up(pending, ShedReason.NOT_ADMITTED)
@@ -315,13 +316,13 @@
             self._emit(api.CloseIdle(server.id))
         key = pending.request.id, pending.attempts
         server.in_flight[key] = self.attempts[key] = Attempt(pending, server, self.now, idle)
-        if server.ejected_until:  # one trial at a time
+        if server.ejected_until:  # allows one trial request at a time
             server.ejected_until = server.next_ejection_end(self.now)
         pending.attempts += 1
         self._emit(api.Send(pending.request.id, server.id, pending.request.expires))
 
     def _enqueue(self, pending: PendingRequest) -> None:
-        """Keep a request back until there is capacity."""
+        """Queue a request until there is capacity; probe the group's servers if its primary is unknown."""
         pending.tried.clear()
         self.queue.add(pending, self.admission.is_late(self.now, pending))
         group = pending.request.group
@@ -330,19 +331,19 @@
                 self.table.probe(self.now, server)
 
     def _route_waiting(self, group: int) -> None:
-        """Try again what waits for a group, the most weight first."""
-        for pending in self.queue.next_of(group, self.admission.ranking):
+        """Route requests that wait for a group, by descending weight."""
+        for pending in self.queue.first_of_each_class(group, self.admission.ranking):
             self._route(pending)
 
     def _give_up(self, pending: PendingRequest, reason: ShedReason) -> None:
-        """Answer at once: a refusal where it is true that trying again is harmless, else a failure."""
+        """Give the final answer now: a refusal if a retry is certainly harmless, otherwise a failure."""
         self.shed[reason] += 1
         self.requests.pop(pending.request.id, None)
         self.queue.remove(pending)
         request_class = pending.request_class
         dropped_if_repeated = request_class.effect == Effect.KEYED and request_class.scope == KeyScope.ALL
         if pending.ran_at is None or request_class.effect == Effect.SAFE or dropped_if_repeated:
-            wait = BACKOFF if request_class.late_weight else request_class.deadline  # sooner is late again
+            wait = BASE_BACKOFF if request_class.late_weight else request_class.deadline  # sooner would be late again
             self._emit(api.Refuse(pending.request.id, min(self.settings.max_retry_after, wait)))
         else:
             self._emit(api.Fail(pending.request.id))
--- a/yardbank/policy/selection.py
+++ b/yardbank/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which server a request's next attempt goes to.
+"""Server selection: which server a request's next attempt goes to.
 
 Times are integer nanoseconds.
 """
@@ -11,56 +11,56 @@
 from yardbank.policy.requests import PendingRequest
 from yardbank.policy.servers import PROBE_INTERVAL, SECOND, USUAL_LATENCY_RATIO, Server, ServerTable
 
-PRIMARY_PENALTY = 3.0  # a primary is chosen for a read when replicas look so many times dearer
-FAR_PENALTY = 1.5  # the same of a server in another zone whose distance is not known
-JITTER = 0.2  # of a server's cost, so that gateways do not all choose the same
-EQUAL_COST = 1.3  # servers up to so many times the least cost are equals: their shares decide
-SAMPLE = 16  # servers looked at for one read, where a group has more
-EASY_LOAD = 0.7  # the load up to which everything is sent to a server
-EASY_LOAD_SPILL = 0.4  # the load up to which all reads are sent to a primary
-FULL_LOAD = 0.9  # the load at which a server counts as full, as reports err
-MIN_SENT = 0.03  # the share that is sent to a full server still
-CAUTION = 3 * SECOND  # for so long after a late answer or none, a group's load is probed before sending
-MAX_WAIT_SHARE = 8  # a read waits for a probe at most this part (1/n) of its latency objective
+PRIMARY_COST_FACTOR = 3.0  # a primary is chosen for a read only when replicas cost this many times more
+REMOTE_COST_FACTOR = 1.5  # the same for a server in another zone to which the latency is not known
+COST_JITTER = 0.2  # random part of a server's cost, so that gateways do not all choose the same server
+EQUAL_COST_RATIO = 1.3  # servers within this multiple of the lowest cost are equal: their shares decide
+SAMPLE_SIZE = 16  # servers considered for one read where a group has more
+SHEDDING_LOAD = 0.7  # load up to which all requests are sent to a server; above it some are withheld
+SHEDDING_LOAD_PRIMARY_READS = 0.4  # load up to which all reads that may use a primary are sent to it
+FULL_LOAD = 0.9  # load at which a server counts as full; below 1 because reports are inexact
+MIN_SENT_SHARE = 0.03  # share of requests that is still sent to a full server
+CAUTION_PERIOD = 3 * SECOND  # how long a group's load is probed before sending, after a late or missing answer
+PROBE_WAIT_DIVISOR = 8  # a read waits for a probe for at most 1/8 of its latency objective
 
 
 class Selection:
-    """Chooses a server; has no state of servers of its own.
+    """Chooses a server; has no server state of its own.
 
     Owns: until when each group's load is probed before sending. Written by the router only.
-    Bound: one entry a group.
-    Invariants: no server is chosen that drains, that the request has tried, or that has not reached the position
+    Bound: one entry per group.
+    Invariants: no server is chosen that is draining, that the request has tried, or that has not reached the position
     that a read must see; a request that needs the primary goes nowhere else.
     """
 
-    def __init__(self, settings: api.Settings, table: ServerTable, admission: Admission, draw: random.Random) -> None:
+    def __init__(self, settings: api.Settings, table: ServerTable, admission: Admission, rng: random.Random) -> None:
         self._zone = settings.zone
         self._table = table
         self._admission = admission
-        self._random = draw
-        self._needing_primary = [one.name for one in settings.classes if one.read in api.NEEDS_PRIMARY]
-        self._served_by_replicas = [one.name for one in settings.classes if one.read not in api.NEEDS_PRIMARY]
+        self._random = rng
+        self._primary_classes = [c.name for c in settings.classes if c.read in api.NEEDS_PRIMARY]
+        self._replica_classes = [c.name for c in settings.classes if c.read not in api.NEEDS_PRIMARY]
         self.cautious_until: dict[int, int] = {}  # by group
 
     def be_cautious(self, now: int, group: int) -> None:
-        """A group's server was late or did not answer: probe its servers' load before sending, for a while."""
-        self.cautious_until[group] = now + CAUTION
+        """Probe a group's load before sending for a while, as its servers were late or did not answer."""
+        self.cautious_until[group] = now + CAUTION_PERIOD
 
     def cost(self, now: int, server: Server, primary: Server | None) -> float:
-        """What a further request may expect to wait there, as a latency ratio with jitter."""
-        jitter = 1 + JITTER * self._random.random()
+        """Return the expected wait of one more request at a server, as a latency ratio with jitter."""
+        jitter = 1 + COST_JITTER * self._random.random()
         cost = (len(server.in_flight) + 1) * self._table.expected_latency_ratio(now, server) * jitter
         if server.zone != self._zone and server.zone not in self._table.zone_latencies:
-            cost *= FAR_PENALTY
-        return cost * PRIMARY_PENALTY if server is primary else cost
+            cost *= REMOTE_COST_FACTOR
+        return cost * PRIMARY_COST_FACTOR if server is primary else cost
 
     def total_cost(self, now: int, server: Server, primary: Server | None, pending: PendingRequest) -> float:
-        """That, and the round trip there as a share of the objective: it is paid once, however many wait."""
+        """Return ``cost`` plus the round trip as a share of the objective; the latter does not grow with the queue."""
         round_trip = self._table.extra_latency(server) / pending.request_class.latency_objective
         return self.cost(now, server, primary) + round_trip
 
     def has_capacity(self, now: int, server: Server, pending: PendingRequest) -> bool:
-        """Whether it may be sent one more; reads that others can serve leave writes half of a primary."""
+        """Whether a server may get another request; reads that replicas can serve leave half a primary to writes."""
         table = self._table
         warmup_fraction = table.warmup_fraction(now, server)
         limit = server.limit
@@ -70,36 +70,36 @@
             return False
         if self.is_overloaded(now, server, pending):
             return False
-        if warmup_fraction >= 1.0:  # the usual case; looking up an index costs a walk over the group
+        if warmup_fraction >= 1.0:  # the usual case; finding the server's index below scans the group
             return True
         size = 1 if pending.needs_primary else table.max_members[server.group]
-        # a cold server takes its own slice of the draws
+        # Each cold server accepts its own slice of the admission draws.
         slot = pending.admission_draw + table.groups[server.group].index(server) / size
         return slot % 1.0 < warmup_fraction / size
 
     def needs_load_probe(self, now: int, server: Server, pending: PendingRequest) -> bool:
-        """Whether a server's load must be known before it is sent to: of hundreds, each sees little of it."""
+        """Whether a server's load must be known before sending: each of hundreds of gateways sees little of it."""
         if not self._table.probes_before_sending:
             return False
         spills_to_primary = server.is_primary() and not pending.needs_primary
         return spills_to_primary or now < self.cautious_until.get(pending.request.group, 0)
 
     def is_overloaded(self, now: int, server: Server, pending: PendingRequest) -> bool:
-        """Whether it is so busy that it is left to requests of more weight: the fuller, the less is sent."""
+        """Whether a server's load reserves it for requests of more weight; the share sent falls as the load rises."""
         if not self.needs_load_probe(now, server, pending):
             return False
         load = self._table.load_of(now, server)
         if load is None:
             return False
-        easy_load = EASY_LOAD
+        shedding_load = SHEDDING_LOAD
         if server.is_primary() and not pending.needs_primary:
-            easy_load = EASY_LOAD_SPILL
-        rivals = self._needing_primary if pending.needs_primary else self._served_by_replicas
-        sent = max(MIN_SENT, 1 - (load - easy_load) / (FULL_LOAD - easy_load))
-        return self._admission.place(pending, rivals) > sent
+            shedding_load = SHEDDING_LOAD_PRIMARY_READS
+        competing_classes = self._primary_classes if pending.needs_primary else self._replica_classes
+        sent_share = max(MIN_SENT_SHARE, 1 - (load - shedding_load) / (FULL_LOAD - shedding_load))
+        return self._admission.priority_quantile(pending, competing_classes) > sent_share
 
     def choose(self, now: int, pending: PendingRequest) -> Server | None:
-        """The server for the next attempt, or none for now."""
+        """Return the server for the next attempt, or None if there is none at present."""
         group = pending.request.group
         primary = self._table.primary(now, group)
         if pending.needs_primary:
@@ -107,8 +107,8 @@
                 return None
             return primary if self.has_capacity(now, primary, pending) else None
         members = self._table.groups.get(group, [])
-        if len(members) > SAMPLE:  # a walk over hundreds costs more than it finds, unless none of a few will do
-            best = self._choose_for_read(now, pending, primary, self._random.sample(members, SAMPLE))
+        if len(members) > SAMPLE_SIZE:  # scanning hundreds of servers pays only if a sample yields none
+            best = self._choose_for_read(now, pending, primary, self._random.sample(members, SAMPLE_SIZE))
             if best is not None and best is not primary:
                 return best
         return self._choose_for_read(now, pending, primary, members)
@@ -116,79 +116,79 @@
     def _choose_for_read(
         self, now: int, pending: PendingRequest, primary: Server | None, members: Sequence[Server]
     ) -> Server | None:
-        """The server for a read's next attempt among some of its group."""
-        free, able = self._candidates(now, pending, primary, members)
-        healthy = self._healthy(now, able)
+        """Return the server for a read's next attempt among some members of its group."""
+        untried, eligible = self._candidates(now, pending, primary, members)
+        healthy = self._healthy(now, eligible)
         if all(server is primary for server in healthy):
-            if self._waits_for_probe(now, pending, primary, free, able):
+            if self._waits_for_probe(now, pending, primary, untried, eligible):
                 return None
-        trials = [server for server in able if 0 < server.ejected_until <= now and not server.in_flight]
+        trials = [server for server in eligible if 0 < server.ejected_until <= now and not server.in_flight]
         if trials and healthy and pending.attempts == 0:
             if trials[0].silent or not self._table.probe(now, trials[0]):
                 return trials[0]
-        priced = [
+        costs = [
             (self.total_cost(now, server, primary, pending), server)
-            for server in healthy or trials or able
+            for server in healthy or trials or eligible
             if self.has_capacity(now, server, pending)
         ]
-        if not priced:
+        if not costs:
             return None
-        least, best = min(priced, key=lambda pair: pair[0])
+        lowest_cost, best = min(costs, key=lambda pair: pair[0])
         if best is primary and self._replicas_are_overloaded(now, pending, primary, healthy):
-            return None  # what replicas have too much of would be too much for a primary sooner
-        return self._by_share(priced, least, best)
+            return None  # load that is too much for the replicas would overload the primary even sooner
+        return self._pick_by_share(costs, lowest_cost, best)
 
     def _candidates(
         self, now: int, pending: PendingRequest, primary: Server | None, members: Sequence[Server]
     ) -> tuple[list[Server], list[Server]]:
-        """The servers that the request has not tried, and of these the ones that have what it must see."""
+        """Return the servers that the request has not tried, and those of them that have the data it must see."""
         table = self._table
         required = pending.required_position(now)
-        free = [server for server in members if not server.draining and server.id not in pending.tried]
-        able = [server for server in free if server is primary or table.has_reached(now, server, required)]
-        if table.zone_latencies:  # one whose round trip alone takes too long, only if no other may be sent it
+        untried = [server for server in members if not server.draining and server.id not in pending.tried]
+        eligible = [server for server in untried if server is primary or table.has_reached(now, server, required)]
+        if table.zone_latencies:  # a server whose round trip alone exceeds the deadline is used only if no other can be
             expires = pending.request.expires
-            free = [server for server in free if now + table.longest_round_trip(server) <= expires]
-            able = [server for server in able if server in free] or able
-        return free, able
+            untried = [server for server in untried if now + table.longest_round_trip(server) <= expires]
+            eligible = [server for server in eligible if server in untried] or eligible
+        return untried, eligible
 
-    def _healthy(self, now: int, able: list[Server]) -> list[Server]:
-        """Servers that are not ejected; of these the ones that gossip does not name, if any."""
+    def _healthy(self, now: int, eligible: list[Server]) -> list[Server]:
+        """Return servers that are not ejected, without the outliers that gossip names unless nothing else is left."""
         outliers = self._table.gossiped_outliers
-        admitted = [server for server in able if server.ejected_until == 0]
+        admitted = [server for server in eligible if server.ejected_until == 0]
         return [server for server in admitted if now >= outliers.get(server.id, 0)] or admitted
 
     def _waits_for_probe(
-        self, now: int, pending: PendingRequest, primary: Server | None, free: list[Server], able: list[Server]
+        self, now: int, pending: PendingRequest, primary: Server | None, untried: list[Server], eligible: list[Server]
     ) -> bool:
-        """Whether a read waits shortly for a replica that probably has what it must see, instead of the primary."""
-        if now - pending.arrived >= pending.request_class.latency_objective / MAX_WAIT_SHARE:
+        """Whether a read waits briefly for a probe of a replica that probably has its data, instead of the primary."""
+        if now - pending.arrived >= pending.request_class.latency_objective / PROBE_WAIT_DIVISOR:
             return False
         table = self._table
         required = pending.required_position(now)
-        likely = []
-        for server in free:
-            if server in able or server.ejected_until or server.heard_at >= now - PROBE_INTERVAL:
+        probable = []
+        for server in untried:
+            if server in eligible or server.ejected_until or server.position_heard_at >= now - PROBE_INTERVAL:
                 continue
             may_be_fresh = server.position_unknown and not table.probes_before_sending
-            if may_be_fresh or table.likely_position(now, server) >= required:
-                likely.append(server)
-        if not likely:
+            if may_be_fresh or table.estimated_position(now, server) >= required:
+                probable.append(server)
+        if not probable:
             return False
-        return table.probe(now, min(likely, key=lambda server: self.total_cost(now, server, primary, pending)))
+        return table.probe(now, min(probable, key=lambda server: self.total_cost(now, server, primary, pending)))
 
     def _replicas_are_overloaded(
         self, now: int, pending: PendingRequest, primary: Server | None, healthy: list[Server]
     ) -> bool:
         return any(server is not primary and self.is_overloaded(now, server, pending) for server in healthy)
 
-    def _by_share(self, priced: list[tuple[float, Server]], least: float, best: Server) -> Server:
-        """The best, or one drawn by share among its equals: what is seen of servers outranks shares."""
-        if all(server.share == best.share for _, server in priced):
+    def _pick_by_share(self, costs: list[tuple[float, Server]], lowest_cost: float, best: Server) -> Server:
+        """Return the best server, or one drawn by share among its equals: observed cost outranks shares."""
+        if all(server.share == best.share for _, server in costs):
             return best
         equals = [
             server
-            for cost, server in priced
-            if cost <= EQUAL_COST * least or (cost <= USUAL_LATENCY_RATIO and server.zone == best.zone)
+            for cost, server in costs
+            if cost <= EQUAL_COST_RATIO * lowest_cost or (cost <= USUAL_LATENCY_RATIO and server.zone == best.zone)
         ]
         return self._random.choices(equals, [server.share for server in equals])[0]
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -1,7 +1,7 @@
-"""What one gateway knows of each server, and how it learns it: from lists, answers, probes and gossip.
+"""What one gateway knows of each server, updated from server lists, answers, probes and gossip.
 
-Times, durations and log positions are integer nanoseconds. A latency ratio is an answer's latency as a share of its
-class's latency objective.
+Times, durations and log positions are integer nanoseconds. A latency ratio is an answer's latency divided by the
+latency objective of its class.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-USUAL_LATENCY_RATIO = 0.25  # taken for a server that nothing is known of
-INITIAL_LIMIT = 4.0  # requests that may be in flight at a server that nothing is known of
-FULL_LATENCY_RATIO = 0.4  # the mean at which a server counts as full: the slowest answers still make the objective
-SILENT_TOTAL_WAIT = 8.0  # silent: its requests in flight waited so many usual latencies together ...
-SILENT_WAIT = 2.5  # ... and nothing came for so many
-BACKOFF = 250 * MS  # the first ejection; each further one is twice as long
+USUAL_LATENCY_RATIO = 0.25  # assumed for a server of which nothing is known
+INITIAL_CONCURRENCY_LIMIT = 4.0  # requests in flight allowed at a server of which nothing is known
+FULL_LATENCY_RATIO = 0.4  # mean at which a server counts as full: its slowest answers still meet the objective
+SILENT_TOTAL_LATENCIES = 8.0  # silent: requests in flight have together waited for this many usual latencies ...
+SILENT_LATENCIES = 2.5  # ... and no answer has come for this many
+BASE_BACKOFF = 250 * MS  # length of the first ejection; each further one is twice as long
 MAX_BACKOFF_DOUBLINGS = 3
-PROBE_INTERVAL = 100 * MS  # between two probes of a server by one gateway, at least
-FLEET_PROBE_INTERVAL = MS  # between two probes of a server by all gateways, on average at least
-MAX_IDLE = 30 * SECOND  # a connection that was unused for longer may be dead
-LAG_DECAY = 2 * SECOND  # how long a replica that was behind is taken to need to catch up
-LOAD_LIFETIME = SECOND  # a reported load that is older is not used
-DELTA_DELAY = SECOND  # changes of the primary may reach the list so much later
-RATIO_DECAY = 2 * SECOND  # of the weight of earlier answers
-RATIO_LIFETIME = 4 * SECOND  # after it, a server that nothing was heard from counts as its zone does
-MAX_LATENCY_RATIO = 4.0  # one answer counts for no more
-FEW_GATEWAYS = 32  # so many gateways and more hear too little each to judge servers by their own answers alone
+PROBE_INTERVAL = 100 * MS  # least time between two probes of a server by one gateway
+FLEET_PROBE_INTERVAL = MS  # least average time between two probes of a server by all gateways together
+MAX_IDLE_TIME = 30 * SECOND  # a connection unused for longer may be dead
+LAG_DECAY_TIME = 2 * SECOND  # time constant of a lagging replica's assumed catch-up
+LOAD_MAX_AGE = SECOND  # an older reported load is not used
+LIST_DELAY = SECOND  # a change of primary may reach the server list this much later
+RATIO_DECAY_TIME = 2 * SECOND  # time constant by which earlier answers lose weight
+RATIO_FADE_TIME = 4 * SECOND  # time constant by which a server without answers returns to its zone's mean
+MAX_LATENCY_RATIO = 4.0  # upper bound of a single answer's ratio
+LARGE_FLEET_GATEWAYS = 32  # from this many on, each gateway sees too few answers to judge servers by them alone
 
-Emit = Callable[[api.Action], None]
+EmitAction = Callable[[api.Action], None]
 
 
 class Server:
@@ -45,58 +45,58 @@
         self.id = member.server
         self.zone = member.zone
         self.group = member.group
-        self.share = 1.0  # of the requests that equally good servers get
-        self.started = 0  # 0: long ago
+        self.share = 1.0  # relative share of requests among equally good servers
+        self.started = 0  # 0: started long ago
         self.listed_primary = False
-        self.draining = False  # it must not be sent anything new
-        self.role_at = {True: -1, False: -1}  # when it was last known to be primary, and not to be
+        self.draining = False  # no new requests may be sent to it
+        self.role_at = {True: -1, False: -1}  # when it was last known to be primary (True) and not to be (False)
         # positions
-        self.position = 0  # proven; never falls
-        self.lag = 0  # how far behind it was when last heard
-        self.heard_at = 0  # when its position was last heard of
-        self.position_unknown = False  # it has started and its position is not known since
+        self.position = 0  # proven; never decreases
+        self.lag = 0  # how far behind it was at ``position_heard_at``
+        self.position_heard_at = 0  # time of the latest evidence of its position
+        self.position_unknown = False  # it has started and no position of it is known since
         # latency and concurrency
         self.latency_ratio = USUAL_LATENCY_RATIO
         self.latency_ratio_at = now
-        self.limit = INITIAL_LIMIT  # requests that may be in flight; more wait here, where they are ordered
+        self.limit = INITIAL_CONCURRENCY_LIMIT  # allowed in flight; more wait in this gateway's prioritized queue
         self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request and attempt number, oldest first
-        self.load = 0.0  # the share of its cores in use, as it last reported
-        self.load_at = -LOAD_LIFETIME
+        self.load = 0.0  # fraction of its CPU cores in use, as last reported
+        self.load_at = -LOAD_MAX_AGE
         # failures
-        self.failures = 0  # in a row
-        self.ejected_until = 0  # 0: not ejected; once past, it is tried with one request at a time
-        self.silent = False  # it takes requests and answers nothing
+        self.failures = 0  # consecutive
+        self.ejected_until = 0  # 0: not ejected; after this time it is tried with one request at a time
+        self.silent = False  # it accepts requests and answers none
         self.overload_backoff = 0
-        self.overload_until = 0  # it said that it is full: nothing is sent until then
-        self.refused_at = 0  # when it last refused a connection
+        self.overload_until = 0  # it reported that it is full: nothing is sent until then
+        self.connection_refused_at = 0  # when it last refused a connection
         self.answered_at = now
-        self.last_answered_sent_at = 0  # when the latest attempt that it has answered was sent
-        self.idle_limit = MAX_IDLE  # a connection that was unused for longer is closed before a send
+        self.last_answered_sent_at = 0  # send time of the latest attempt that it has answered
+        self.idle_limit = MAX_IDLE_TIME  # a connection unused for longer is closed before the next send
         # probes
         self.next_probe_at = 0
         self.probe_in_flight = False
-        self.unanswered_probes = 0  # in a row
+        self.unanswered_probes = 0  # consecutive
 
     def is_primary(self) -> bool:
-        """Whether the latest evidence says primary; a role that was reported counts from when it was true."""
+        """Whether the latest evidence says primary; a reported role is dated by the time at which it was true."""
         return self.role_at[True] > self.role_at[False]
 
     def is_full(self) -> bool:
-        """Whether its answers are so slow that more requests would make them late."""
+        """Whether its answers are so slow that further requests would miss their latency objective."""
         return self.latency_ratio > FULL_LATENCY_RATIO
 
     def readmit(self) -> None:
-        """End its ejection."""
+        """End the ejection and reset the failure count."""
         self.failures = 0
         self.ejected_until = 0
         self.silent = False
 
     def next_ejection_end(self, now: int) -> int:
-        """When an ejection that begins now ends: it grows with failures in a row."""
-        return now + BACKOFF * (1 << min(self.failures, MAX_BACKOFF_DOUBLINGS))
+        """Return the end of an ejection that begins now; its length grows with consecutive failures."""
+        return now + BASE_BACKOFF * (1 << min(self.failures, MAX_BACKOFF_DOUBLINGS))
 
     def eject(self, now: int, silent: bool) -> None:
-        """Send it nothing for a while that doubles each time; nothing changes while it is ejected for the same."""
+        """Send it nothing for a time that doubles with each failure; no-op while it is ejected for the same reason."""
         if now < self.ejected_until and silent == self.silent:
             return
         self.ejected_until = self.next_ejection_end(now)
@@ -104,50 +104,50 @@
         self.silent = self.silent or silent
 
     def back_off(self, now: int, first: int, jitter: float) -> None:
-        """It is full: send it nothing for a while that doubles each time, from ``first`` ns up to a second."""
+        """Send a full server nothing for a time that doubles on each call, from ``first`` ns up to a second."""
         self.overload_backoff = min(2 * self.overload_backoff or first, SECOND)
         self.overload_until = now + int(self.overload_backoff * jitter)
 
 
 class ServerTable:
-    """Every server of the list with what was learnt of it, and its ejection as an outlier.
+    """Every listed server with its observed state, and its ejection as an outlier.
 
     Owns: servers and their groups, the mean latency ratio of each zone, loads by group and role, latencies between
-    zones, outliers by gossip. Written by the router's events only.
-    Bound: one ``Server`` a listed server; the rest one entry a group, a zone or a server that gossip names.
-    Invariants: a server is in ``servers`` and in its group's list, or in neither; its position never falls; what
-    gossip says ejects nobody and proves no role; one probe a server is sent an interval.
+    zones, outliers reported by gossip. Written by the router's events only.
+    Bound: one ``Server`` per listed server; otherwise one entry per group, zone or server that gossip names.
+    Invariants: a server is in ``servers`` and in its group's list, or in neither; its position never decreases; gossip
+    ejects no server and proves no role; at most one probe is sent to a server per probe interval.
     """
 
-    def __init__(self, settings: api.Settings, draw: random.Random, emit: Emit) -> None:
+    def __init__(self, settings: api.Settings, rng: random.Random, emit: EmitAction) -> None:
         self.settings = settings
-        self._random = draw
+        self._random = rng
         self._emit = emit
-        self.probes_before_sending = settings.tells_load and settings.gateways >= FEW_GATEWAYS
+        self.probes_before_sending = settings.tells_load and settings.gateways >= LARGE_FLEET_GATEWAYS
         self.servers: dict[int, Server] = {}
         self.groups: dict[int, list[Server]] = {}
-        self.max_members: dict[int, int] = {}  # by group: the most servers that it has had at a time
+        self.max_members: dict[int, int] = {}  # by group: most members that served at one time
         self.zone_latency_ratios: defaultdict[str, float] = defaultdict(lambda: USUAL_LATENCY_RATIO)
-        self.group_loads: dict[tuple[int, bool], tuple[float, int]] = {}  # by group and role: load, when
-        self.gossiped_outliers: dict[int, int] = {}  # by server: until when others can take its reads
-        self.zone_latencies: dict[str, tuple[int, int]] = {}  # by zone: round trip beyond one's own, longest
+        self.group_loads: dict[tuple[int, bool], tuple[float, int]] = {}  # by group and role: (load, report time)
+        self.gossiped_outliers: dict[int, int] = {}  # by server: until when its reads go to others
+        self.zone_latencies: dict[str, tuple[int, int]] = {}  # by zone: (extra, longest) round trip
 
-    # the list
+    # server list
 
     def apply_list(self, now: int, event: api.ServerList) -> None:
-        """Take the list as far as it goes: it is late, and knows of health only whether a process runs."""
+        """Apply a server list, which may be outdated and states health only as far as whether a process runs."""
         if self.settings.subscribe and event.kind in (ListKind.SAVED, ListKind.FAILED):
             self._emit(api.Subscribe())
         members = [member for member in event.members if member.state != MemberState.GONE]
         self._remove_unlisted(event, {member.server for member in members})
         for member in members:
             self._apply_member(now, member, is_delta=event.kind == ListKind.DELTA)
-        for group in {member.group for member in members}:  # one that drains leaves its place to another
+        for group in {member.group for member in members}:  # draining servers do not count, as others replace them
             serving = sum(not server.draining for server in self.groups[group])
             self.max_members[group] = max(self.max_members.get(group, 1), serving)
 
     def _remove_unlisted(self, event: api.ServerList, listed: set[int]) -> None:
-        known = {member.server for member in event.members}  # the cost is that of the change, not of the list
+        known = {member.server for member in event.members}  # a delta costs only its own entries, not the whole list
         if event.kind in (ListKind.FULL, ListKind.SAVED):
             known = set(self.servers)
         for number in sorted(known - listed):
@@ -164,59 +164,59 @@
         if server is None:
             server = self.servers[member.server] = Server(member, now)
             self.groups.setdefault(member.group, []).append(server)
-        if member.started > server.started:  # what was learnt of its health is void; its copy is old
+        if member.started > server.started:  # its health must be observed anew, and its data is old
             server.readmit()
-            server.limit = INITIAL_LIMIT
+            server.limit = INITIAL_CONCURRENCY_LIMIT
             server.started = member.started
             server.role_at[True] = -1
             server.lag = self.settings.cold
-            server.heard_at = now
+            server.position_heard_at = now
             server.position_unknown = True
         if member.primary and not server.listed_primary:
-            primary_at = now - DELTA_DELAY if is_delta else 0
+            primary_at = now - LIST_DELAY if is_delta else 0
             server.role_at[True] = max(server.role_at[True], primary_at)
         server.listed_primary = member.primary
         server.share = member.share
         server.draining = member.state == MemberState.DRAINING
 
-    # what others say
+    # gossip
 
     def apply_gossiped_outliers(self, now: int, event: api.GossipedOutliers) -> None:
-        """Gossip keeps reads from a server that another can take, and brings trials forward, not all at once."""
+        """Record outliers, whose reads go to other servers, and bring trials of healthy servers forward with jitter."""
         self.gossiped_outliers = dict(event.outliers)
         for number in event.healthy:
             server = self.servers.get(number)
             if server is None:
                 continue
-            trial_at = now + int(self._random.random() * BACKOFF)
+            trial_at = now + int(self._random.random() * BASE_BACKOFF)
             if server.ejected_until:
                 server.ejected_until = min(server.ejected_until, trial_at)
 
     def apply_zone_latencies(self, event: api.ZoneLatencies) -> None:
-        """Replace the latencies between zones: the round trip, and the longest one that must still fit."""
-        self.zone_latencies = {zone: (beyond, max(beyond, longest)) for zone, beyond, longest in event.latencies}
+        """Replace the zone latencies: the extra round trip, and the longest one that must fit before the deadline."""
+        self.zone_latencies = {zone: (extra, max(extra, longest)) for zone, extra, longest in event.latencies}
 
     def extra_latency(self, server: Server) -> int:
-        """The round trip to a server's zone beyond one within this zone (ns); 0 where it is not known."""
+        """Return the extra round trip to a server's zone over one within this gateway's zone (ns); 0 if unknown."""
         return self.zone_latencies.get(server.zone, (0, 0))[0]
 
     def longest_round_trip(self, server: Server) -> int:
-        """The longest round trip to a server's zone that must still fit (ns); 0 where it is not known."""
+        """Return the longest round trip to a server's zone, which must fit before the deadline (ns); 0 if unknown."""
         return self.zone_latencies.get(server.zone, (0, 0))[1]
 
     # positions, roles, load
 
-    def learn_position(self, now: int, server: Server, position: int) -> None:
-        """Positions only rise, and one beyond the clock proves nothing."""
+    def record_position(self, now: int, server: Server, position: int) -> None:
+        """Record a server's position; positions never decrease, and one ahead of the clock is ignored."""
         if position > now:
             return
         server.position = max(server.position, position)
         server.lag = now - server.position
-        server.heard_at = now
+        server.position_heard_at = now
         server.position_unknown = False
 
-    def learn_report(self, now: int, server: Server, report: api.Report | None) -> None:
-        """A report is exact but old: the role in it was true at its position."""
+    def record_report(self, now: int, server: Server, report: api.Report | None) -> None:
+        """Record a report, which is exact but old: its role was true at its position."""
         if report is None:
             return
         if report.load is not None:
@@ -227,46 +227,46 @@
             return
         if report.primary is not None and report.position >= server.position:
             server.role_at[report.primary] = max(server.role_at[report.primary], report.position)
-        self.learn_position(now, server, report.position)
+        self.record_position(now, server, report.position)
 
-    def learn_answer(self, now: int, event: api.Outcome, attempt: Attempt) -> None:
-        """What an answer proves: a role now, and a position."""
+    def record_answer(self, now: int, event: api.Outcome, attempt: Attempt) -> None:
+        """Record what an answer proves: the server's current role, and a position."""
         server = attempt.server
         if event.role:
             server.role_at[event.role == api.Role.PRIMARY] = now
         if event.role == api.Role.PRIMARY:
-            self.learn_position(now, server, now - event.latency)
+            self.record_position(now, server, now - event.latency)
         if event.position and (self.settings.tells_position or event.status != Status.OK):
-            self.learn_position(now, server, event.position)
+            self.record_position(now, server, event.position)
         required = attempt.pending.required_position(attempt.sent_at)
         if required and event.role == api.Role.REPLICA and self.settings.checks != ReplicaCheck.NONE:
-            self._learn_check(now, server, event, required)
+            self._record_position_check(now, server, event, required)
 
-    def _learn_check(self, now: int, server: Server, event: api.Outcome, required: int) -> None:
-        """The replica has compared its position with the one that a read required."""
+    def _record_position_check(self, now: int, server: Server, event: api.Outcome, required: int) -> None:
+        """Record the result of a replica's comparison of its position with the one that a read required."""
         if event.status == Status.OK:
             server.position = max(server.position, required)
             server.lag = min(server.lag, now - required)
-        elif event.status == Status.MISS:  # taken to be further behind each time: misses load it too
-            server.lag = 2 * (now - min(self.likely_position(now, server), required))
-            server.heard_at = now
+        elif event.status == Status.MISS:  # assumed further behind after each miss, because misses load it too
+            server.lag = 2 * (now - min(self.estimated_position(now, server), required))
+            server.position_heard_at = now
         server.position_unknown = False
 
-    def likely_position(self, now: int, server: Server) -> int:
-        """The position that a replica probably has: how far it was behind is forgotten as it catches up."""
-        return now - int(server.lag * exp((server.heard_at - now) / LAG_DECAY))
+    def estimated_position(self, now: int, server: Server) -> int:
+        """Return the position that a replica probably has: its last known lag decays as it catches up."""
+        return now - int(server.lag * exp((server.position_heard_at - now) / LAG_DECAY_TIME))
 
     def has_reached(self, now: int, server: Server, required: int) -> bool:
-        """Whether a read may be sent there: a proven position is enough; so is a likely one where servers check."""
+        """Whether a read may be sent there: needs a proven position, or an estimated one where servers check it."""
         checked = self.settings.checks != ReplicaCheck.NONE
         if checked and self.probes_before_sending and server.position_unknown and not server.in_flight:
-            return True  # it says itself if it is behind, which costs less than hundreds of probes
+            return True  # the server rejects the read if it is behind, which costs less than hundreds of probes
         if not required or server.position >= required:
             return True
-        return checked and self.likely_position(now, server) + self.settings.patience >= required
+        return checked and self.estimated_position(now, server) + self.settings.patience >= required
 
     def primary(self, now: int, group: int) -> Server | None:
-        """The server last known to be primary, unless it drains or is ejected."""
+        """Return the server last known to be primary, unless it is draining or ejected."""
         latest: Server | None = None
         for server in self.groups.get(group, ()):
             if not server.is_primary() or server.draining:
@@ -278,17 +278,17 @@
         return latest
 
     def load_of(self, now: int, server: Server) -> float | None:
-        """What a server reported of its load lately, else what one of its role in its group did."""
-        if now - server.load_at < LOAD_LIFETIME:
+        """Return a server's recently reported load, else that of one with its role in its group, else None."""
+        if now - server.load_at < LOAD_MAX_AGE:
             return server.load
-        load, reported_at = self.group_loads.get((server.group, server.is_primary()), (0.0, -LOAD_LIFETIME))
-        return load if now - reported_at < LOAD_LIFETIME else None
+        load, reported_at = self.group_loads.get((server.group, server.is_primary()), (0.0, -LOAD_MAX_AGE))
+        return load if now - reported_at < LOAD_MAX_AGE else None
 
     # latency, concurrency, slow start
 
-    def learn_latency(self, now: int, server: Server, request_class: api.RequestClass, latency: int) -> None:
-        """An answer sets the server's latency ratio, and by it how many requests may be in flight there."""
-        weight = 0.5 - 0.4 * exp((server.latency_ratio_at - now) / RATIO_DECAY)
+    def record_latency(self, now: int, server: Server, request_class: api.RequestClass, latency: int) -> None:
+        """Update the latency ratios of a server and its zone by an answer, and then the server's concurrency limit."""
+        weight = 0.5 - 0.4 * exp((server.latency_ratio_at - now) / RATIO_DECAY_TIME)
         ratio = min(latency / request_class.latency_objective, MAX_LATENCY_RATIO)
         zone_ratio = self.zone_latency_ratios[server.zone]
         self.zone_latency_ratios[server.zone] = zone_ratio + weight / 4 * (ratio - zone_ratio)
@@ -296,16 +296,16 @@
         server.latency_ratio_at = now
         if server.is_full():
             server.limit = max(1.0, 0.95 * server.limit)
-        elif 2 * len(server.in_flight) >= server.limit or server.limit < 2:  # one alone leaves none behind
+        elif 2 * len(server.in_flight) >= server.limit or server.limit < 2:  # limit 1: none is left in flight
             server.limit += 1 / server.limit
 
     def expected_latency_ratio(self, now: int, server: Server) -> float:
-        """Its latency ratio, which fades to its zone's mean: a server unheard of is neither rushed at nor avoided."""
-        usual = self.zone_latency_ratios[server.zone]
-        return usual + (server.latency_ratio - usual) * exp((server.latency_ratio_at - now) / RATIO_LIFETIME)
+        """Return its latency ratio, fading to its zone's mean: one not heard from is neither flooded nor avoided."""
+        zone_mean = self.zone_latency_ratios[server.zone]
+        return zone_mean + (server.latency_ratio - zone_mean) * exp((server.latency_ratio_at - now) / RATIO_FADE_TIME)
 
     def warmup_fraction(self, now: int, server: Server) -> float:
-        """The share of its capacity that a server started lately has for certain (slow start)."""
+        """Return the fraction of its capacity that a recently started server certainly has (slow start)."""
         if not server.started:
             return 1.0
         age = (now - server.started) / max(self.settings.cold, 1)
@@ -314,36 +314,36 @@
     # failures and probes
 
     def eject_if_silent(self, now: int, server: Server) -> bool:
-        """Eject a server that takes requests and answers nothing; only one's own requests there can tell."""
+        """Eject a server that accepts requests and answers none; only this gateway's own requests can show that."""
         oldest = next(iter(server.in_flight.values()))
         since = max(server.answered_at, oldest.sent_at)
-        patience = USUAL_LATENCY_RATIO
+        usual_ratio = USUAL_LATENCY_RATIO
         if not server.silent:
-            patience = min(1.0, max(USUAL_LATENCY_RATIO, self.expected_latency_ratio(now, server)))
-        usual = oldest.pending.request_class.latency_objective * patience
-        if now - since < SILENT_WAIT * usual:
+            usual_ratio = min(1.0, max(USUAL_LATENCY_RATIO, self.expected_latency_ratio(now, server)))
+        usual_latency = oldest.pending.request_class.latency_objective * usual_ratio
+        if now - since < SILENT_LATENCIES * usual_latency:
             return False
         waited = sum(now - max(since, attempt.sent_at) for attempt in server.in_flight.values())
-        if not server.silent and waited < SILENT_TOTAL_WAIT * usual:
+        if not server.silent and waited < SILENT_TOTAL_LATENCIES * usual_latency:
             return False
         server.eject(now, silent=True)
         return True
 
-    def learn_connection(self, server: Server, event: api.Outcome, idle: int) -> None:
-        """What an attempt's end says of how long connections to a server may be left unused."""
-        if event.status == Status.OK:  # readmitted slowly; one's own answer outweighs what others say
+    def record_connection_outcome(self, server: Server, event: api.Outcome, idle: int) -> None:
+        """Record what an attempt's end says of its connection: mainly how long connections there may be unused."""
+        if event.status == Status.OK:  # raised slowly; an answer to this gateway outranks gossip
             self.gossiped_outliers.pop(server.id, None)
             server.overload_backoff = 0
-            server.idle_limit = min(MAX_IDLE, int(1.2 * server.idle_limit))
-        elif event.status not in api.NEVER_RAN and BACKOFF < idle > event.latency:
+            server.idle_limit = min(MAX_IDLE_TIME, int(1.2 * server.idle_limit))
+        elif event.status not in api.NEVER_RAN and BASE_BACKOFF < idle > event.latency:  # shorter pauses prove nothing
             if server.latency_ratio < FULL_LATENCY_RATIO:
                 server.idle_limit = min(server.idle_limit, idle) // 2
 
-    def learn_health(self, now: int, event: api.Outcome, attempt: Attempt, refused: bool) -> None:
-        """Eject a server that cannot be reached, readmit one that answers; ``refused``: at once, so it may be full."""
+    def update_health(self, now: int, event: api.Outcome, attempt: Attempt, refused: bool) -> None:
+        """Eject an unreachable server, readmit one that answers; ``refused``: failed at once, so it may be full."""
         server = attempt.server
-        if refused:  # a probe tells a dead process from one that takes no more connections
-            server.refused_at = now
+        if refused:  # a probe distinguishes a dead process from one that has reached its connection limit
+            server.connection_refused_at = now
             self.probe(now, server)
         elif event.status in (Status.CONNECT_FAILED, Status.RESET):
             server.eject(now, silent=False)
@@ -353,9 +353,9 @@
             server.last_answered_sent_at = max(server.last_answered_sent_at, attempt.sent_at)
 
     def probe(self, now: int, server: Server) -> bool:
-        """Probe a server if one is due; return whether a probe is in flight.
+        """Probe a server if a probe is due; return whether a probe is in flight.
 
-        Only for what the next decision needs: hundreds of gateways probe the same servers.
+        Call it only for what the next decision needs, because hundreds of gateways probe the same servers.
         """
         if now >= server.next_probe_at and self.settings.may_probe and self.settings.reports != ReportMode.NONE:
             interval = max(PROBE_INTERVAL, self.settings.gateways * FLEET_PROBE_INTERVAL)
