--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -167,7 +167,7 @@
     files = sorted((ROOT / "yardbank" / "policy").glob("*.py"))
     lines = [line for file in files for line in file.read_text().splitlines()]
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert sorted(listed) == [str(file.relative_to(ROOT)) for file in files]  # the benchmark requires each file to be listed
+    assert sorted(listed) == [str(file.relative_to(ROOT)) for file in files]  # the benchmark needs each file listed
     assert len(files) > 1 and sum(1 for line in lines if line.strip()) <= 1_200  # above this the benchmark warns
     assert max(map(len, lines)) <= 120  # the formatter's line length
 
--- a/tests/policy/test_cold_fleet.py
+++ b/tests/policy/test_cold_fleet.py
@@ -68,7 +68,8 @@
             self._warm(number, server.speed)
             self._count(server, received)
         self.members = [
-            replace(member, started=self.clock.now) if member.server in self.received else member for member in self.members
+            replace(member, started=self.clock.now) if member.server in self.received else member
+            for member in self.members
         ]
         for number, gateway in enumerate(self.gateways):
             if number < self.restarted_gateways:  # it has just restarted and knows only the server list
@@ -107,7 +108,9 @@
 
 def worst_ratio(router=Router, seed=1, gateways=30, cold=(2, 3), restarted_gateways=0, rate=90.0, load=1.0):
     """Run a group of one primary and three replicas; return the worst window ratio of any cold server."""
-    world = World(seed=seed, gateways=gateways, groups=1, copies=3, rate=rate, length=DURATION_S, load=lambda second: load)
+    world = World(
+        seed=seed, gateways=gateways, groups=1, copies=3, rate=rate, length=DURATION_S, load=lambda second: load
+    )
     fleet = ColdFleet(world, router, cold, restarted_gateways)
     fleet.run()
     mean = sum(kind.fraction * kind.work_s for kind in world.workload)
--- a/tests/policy/test_fleet_recovery.py
+++ b/tests/policy/test_fleet_recovery.py
@@ -59,7 +59,7 @@
         server.submit(Work(1.0, lambda end: ends.append((end, round((clock.now - start) / SECOND, 2)))))
     assert ends == [(FULL, 0.0)] and server.pending == 5
     clock.run(20 * SECOND)
-    assert ends[1:5] == [(OK, 2.0)] * 4 and ends[5] == (OK, 3.0)  # four requests share two cores; then the fifth has one core
+    assert ends[1:5] == [(OK, 2.0)] * 4 and ends[5] == (OK, 3.0)  # four share two cores; then the fifth has one core
 
 
 def test_emulated_server_slows_down_when_crowded():
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -10,7 +10,7 @@
 
 def test_cold_server_gets_its_reduced_share_from_hundreds_of_gateways_together():
     sent_count = 0
-    for seed in range(400):  # one request from each gateway: at least one sent by each would be the whole load
+    for seed in range(400):  # one request each: if every gateway sent it there, server 4 would get them all
         world = World(group(3), seed=seed, gateways=400)
         world.feed(ServerList("delta", (Member(4, "a", 0, False, "ready", world.now),)))
         for server in (1, 2, 3):  # its lower latency ratio must not attract more requests
@@ -64,7 +64,7 @@
     world.ask("new", "commit", left=3 * SECOND)
     world.router.servers[1].silent, world.router.servers[1].ejected_until = False, 0
     world.end("first", 1, role=Role.PRIMARY, after=MS)
-    assert [action.id for action in world.of(Send)] == ["new", "old"]  # in this order; the fast answer raised the limit to two
+    assert [action.id for action in world.of(Send)] == ["new", "old"]  # in this order; the limit rose to two
 
 
 def test_queued_read_whose_token_no_server_has_reached_does_not_block_others():
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -158,7 +158,7 @@
 def test_requests_are_tried_again_after_an_outage():
     world = large_fleet_gateway()
     request_class = world.router.request_classes["lookup"]
-    world.router.admission.average_latency["lookup"] = 2.0 * request_class.latency_objective  # as after a long series of timeouts
+    world.router.admission.average_latency["lookup"] = 2.0 * request_class.latency_objective  # as after many timeouts
     world.ask("r", "lookup", after=10 * SECOND)
     assert [send.id for send in world.of(Send)] == ["r"]
 
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -76,7 +76,9 @@
     assert timeline.position({"001": (4,)}) is None
     timeline.observe({"001": (5,)}, 90 * SECOND)  # nothing has been committed since
     assert timeline.position({"001": (5,)}) == 90 * SECOND
-    assert timeline.commit("001", (6,), 89 * SECOND) == 90 * SECOND + 1  # its answer came late; the token is still later
+    assert (
+        timeline.commit("001", (6,), 89 * SECOND) == 90 * SECOND + 1
+    )  # its answer came late; the token is still later
     assert timeline.position({"001": (5,)}) == 90 * SECOND
 
 
@@ -128,7 +130,10 @@
     positions.observed(1, head, 7 * SECOND)
     assert positions.report(1, head, 7 * SECOND).position == 7 * SECOND
     replica = ProbeResult({"001": (3,)}, False)
-    assert (positions.report(2, replica, 8 * SECOND).position, positions.report(2, replica, 8 * SECOND).primary) == (7 * SECOND, False)
+    assert (positions.report(2, replica, 8 * SECOND).position, positions.report(2, replica, 8 * SECOND).primary) == (
+        7 * SECOND,
+        False,
+    )
     positions.dropped(1)
     assert positions.reference(2) is None
-    assert positions.committed(1, ("001", (4,)), 9 * SECOND) == 9 * SECOND  # a late answer from a server that left the list
+    assert positions.committed(1, ("001", (4,)), 9 * SECOND) == 9 * SECOND  # late answer from a server off the list
--- a/yardbank/adapter.py
+++ b/yardbank/adapter.py
@@ -165,7 +165,12 @@
         "server": action.server,
         "not_past": action.until,
     },
-    api.Refuse: lambda gateway, action: {"kind": "busy", "gateway": gateway, "rid": action.id, "wait": action.retry_after},
+    api.Refuse: lambda gateway, action: {
+        "kind": "busy",
+        "gateway": gateway,
+        "rid": action.id,
+        "wait": action.retry_after,
+    },
     api.Fail: lambda gateway, action: {"kind": "end_failed", "gateway": gateway, "rid": action.id},
     api.Cancel: lambda gateway, action: {
         "kind": "abort_attempt",
--- a/yardbank/interface/settings.py
+++ b/yardbank/interface/settings.py
@@ -37,15 +37,16 @@
         require(0 <= self.window < MAX_DURATION, f"classes[{self.name}].window must be at least 0 and under 146 years")
         require(self.effect in tuple(Effect), f"classes[{self.name}].effect has the unknown value {self.effect!r}")
         require(self.scope in tuple(KeyScope), f"classes[{self.name}].scope has the unknown value {self.scope!r}")
-        require(
-            0 <= self.priority_weight <= MAX_WEIGHT, f"classes[{self.name}].worth must be between 0 and 1e12"
-        )
+        require(0 <= self.priority_weight <= MAX_WEIGHT, f"classes[{self.name}].worth must be between 0 and 1e12")
         require(
             0 <= self.late_weight <= MAX_WEIGHT,
             f"classes[{self.name}].late_worth must be between 0 and 1e12",
         )
         bound = self.staleness_bound
-        require(0 <= bound < MAX_DURATION, f"classes[{self.name}].staleness_bound must be at least 0 and under 146 years")
+        require(
+            0 <= bound < MAX_DURATION,
+            f"classes[{self.name}].staleness_bound must be at least 0 and under 146 years",
+        )
         require(self.read in tuple(ReadMode), f"classes[{self.name}].read has the unknown value {self.read!r}")
 
 
--- a/yardbank/policy/router.py
+++ b/yardbank/policy/router.py
@@ -205,7 +205,7 @@
         in_time = is_ok and event.latency <= request_class.latency_objective
         is_slow = event.status in (Status.TIMEOUT, Status.CANCELLED) and not attempt.is_probably_lost()
         if is_ok or is_slow:  # a missing answer counts as a slow one
-            self.table.record_latency(self.now, server, request_class, event.latency)
+            self.table.update_latency(self.now, server, request_class, event.latency)
             self.admission.record_latency(request_class.name, event.latency)
         average = self.admission.average_latency[request_class.name]
         timed_out = event.status == Status.TIMEOUT and is_slow and event.latency > average
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -129,7 +129,7 @@
         self.max_members: dict[int, int] = {}  # by group: most members that served at one time
         self.zone_latency_ratios: defaultdict[str, float] = defaultdict(lambda: USUAL_LATENCY_RATIO)
         self.group_loads: dict[tuple[int, bool], tuple[float, int]] = {}  # by group and role: (load, report time)
-        self.gossiped_outliers: dict[int, int] = {}  # by server: until when its reads go to others
+        self.gossiped_outliers: dict[int, int] = {}  # by server: until when its reads go to others if possible
         self.zone_latencies: dict[str, tuple[int, int]] = {}  # by zone: (extra, longest) round trip
 
     # server list
@@ -182,7 +182,10 @@
     # gossip
 
     def apply_gossiped_outliers(self, now: int, event: api.GossipedOutliers) -> None:
-        """Record outliers, whose reads go to other servers, and bring trials of healthy servers forward with jitter."""
+        """Record outliers, whose reads go to other servers where possible, and bring trials of healthy servers forward.
+
+        Trials are spread by jitter, so that not all gateways start them at once.
+        """
         self.gossiped_outliers = dict(event.outliers)
         for number in event.healthy:
             server = self.servers.get(number)
@@ -286,7 +289,7 @@
 
     # latency, concurrency, slow start
 
-    def record_latency(self, now: int, server: Server, request_class: api.RequestClass, latency: int) -> None:
+    def update_latency(self, now: int, server: Server, request_class: api.RequestClass, latency: int) -> None:
         """Update the latency ratios of a server and its zone by an answer, and then the server's concurrency limit."""
         weight = 0.5 - 0.4 * exp((server.latency_ratio_at - now) / RATIO_DECAY_TIME)
         ratio = min(latency / request_class.latency_objective, MAX_LATENCY_RATIO)
--- a/yardbank/timeline.py
+++ b/yardbank/timeline.py
@@ -71,7 +71,9 @@
     def commit(self, origin: str, log_position: LogPosition, sent_at: int) -> int:
         """Record that a write sent at ``sent_at`` (ns) was committed as ``log_position``; return its session token."""
         points = self._points
-        index = bisect_left(points, True, key=lambda point: origin in point.vector and point.vector[origin] >= log_position)
+        index = bisect_left(
+            points, True, key=lambda point: origin in point.vector and point.vector[origin] >= log_position
+        )
         before = points[index - 1] if index else None
         if index < len(points) and points[index].vector.get(origin) == log_position:
             self._raise_high(index, sent_at)
--- a/yardbank/wire.py
+++ b/yardbank/wire.py
@@ -106,7 +106,9 @@
         may_cancel=get_field(limits, "cancel", bool, False),
         may_probe=get_field(limits, "probes", bool, False),
         connect_timeout=get_field(limits, "connect_timeout", int, 250_000_000),
-        max_retry_after=get_field(limits, "max_retry_after", int, 0) if get_field(limits, "retry_after", bool, False) else 0,
+        max_retry_after=get_field(limits, "max_retry_after", int, 0)
+        if get_field(limits, "retry_after", bool, False)
+        else 0,
         subscribe=get_enum(env, "registry_mode", SUBSCRIBE_MODES, "automatic"),
         cold=get_field(rules, "cold", int, 0),
         cold_share=get_field(rules, "start_capacity", NUMBER_TYPES, 1.0),
