--- a/tests/cluster/lease/test_fleet.py
+++ b/tests/cluster/lease/test_fleet.py
@@ -1,4 +1,4 @@
-"""Leases over many gateways on the virtual clock: who holds what by true time, under loss, cuts, stops and kills."""
+"""Leases of many gateways on a virtual clock: holders by true time under loss, partitions, stops and kills."""
 
 from dataclasses import replace
 from random import Random
@@ -16,7 +16,7 @@
 TERMS = LeaseTerms(drift=0.02)
 
 
-class Kept:
+class MemoryStore:
     def __init__(self):
         self.data = None
 
@@ -29,38 +29,41 @@
 
 
 class Fleet(GossipFleet):
-    """Judges at every event: a holding lasts, by true time, until its end by its gateway's clock, stopped or not."""
+    """Checks at every event that no resource has two holders outside of a transfer.
+
+    By true time a lease lasts until it expires by its gateway's clock, whether the gateway is stopped or not.
+    """
 
     def __init__(self, count, seed=1, zones=3, stores=0.5, terms=TERMS, **more):
         names = [f"g{number}" for number in range(count)]
         spread = {name: f"z{number % zones}" for number, name in enumerate(names)}
-        self.random, self.keeps, self.stores, self.terms = Random(seed), {}, stores, terms
-        self.ends, self.epochs, self.handing = {}, {}, {}  # by resource: holder's end; highest; (who, begun)
+        self.random, self.stores_by_name, self.stores, self.terms = Random(seed), {}, stores, terms
+        self.ends, self.epochs, self.transfers = {}, {}, {}  # by resource: end by holder; highest; (holder, start)
         self.owned, self.overlaps = [], []
-        super().__init__(names, seed=seed, zones=spread, parts=self.made, **more)
+        super().__init__(names, seed=seed, zones=spread, parts=self.make_parts, **more)
         for name in names:
             self.start(name, rate=1 + self.random.choice((-1, 1)) * 0.0198)
 
-    def made(self, node, random):
-        keep = self.keeps.setdefault(node.name, Kept()) if self.random.random() < self.stores else NullStore()
-        return [LeasePart(node.membership_view, self.terms, random, keep)]
+    def make_parts(self, node, random):
+        store = self.stores_by_name.setdefault(node.name, MemoryStore()) if self.random.random() < self.stores else NullStore()
+        return [LeasePart(node.membership_view, self.terms, random, store)]
 
     def part(self, name):
         return self.nodes[name].outbox.parts["lease"]
 
-    def do(self, name, what, *args):
+    def call(self, name, method, *args):
         if name in self.paused or name not in self.nodes:
             return None
-        found = getattr(self.part(name), what)(self.own(name), *args)
+        found = getattr(self.part(name), method)(self.own(name), *args)
         self.prompt(name)
         return found
 
-    def hand(self, resource, to):
-        """Whoever holds it hands it on."""
+    def transfer(self, resource, to):
+        """Let the present holder transfer the resource."""
         for name in self.holders(resource):
             begun = self.now
             if name not in self.paused and self.part(name).transfer(self.own(name), resource, to):
-                self.handing[resource] = name, begun
+                self.transfers[resource] = name, begun
                 self.prompt(name)
 
     def kill(self, name):
@@ -74,15 +77,15 @@
     def _act(self, name, what):
         super()._act(name, what)
         if name in self.nodes and name not in self.paused:
-            self.judge(name)
+            self.check(name)
 
-    def judge(self, name):
+    def check(self, name):
         part, now = self.part(name), self.own(name)
-        for turn in part.take_events(""):
-            if turn.what == "owned":
-                assert turn.epoch > self.epochs.get(turn.resource, 0), (name, turn)
-                self.epochs[turn.resource] = turn.epoch
-                self.owned.append((self.now, turn.resource, name))
+        for event in part.take_events(""):
+            if event.what == "owned":
+                assert event.epoch > self.epochs.get(event.resource, 0), (name, event)
+                self.epochs[event.resource] = event.epoch
+                self.owned.append((self.now, event.resource, name))
         for resource, claim in part.claims.claims.items():
             assert (part.epoch(now, resource) is not None) == claim.holds(now)
         for resource, ends in self.ends.items():
@@ -94,10 +97,10 @@
                 ends[name] = round((claim.until - 3600 * SECOND) / self.rates[name])
                 others = [other for other in ends if other != name and ends[other] > self.now]
                 if others:
-                    self.two(resource, name, others)
+                    self.check_overlap(resource, name, others)
 
-    def two(self, resource, name, others):
-        who, begun = self.handing.get(resource, ("", 0))
+    def check_overlap(self, resource, name, others):
+        who, begun = self.transfers.get(resource, ("", 0))
         assert len(others) == 1 and who in (name, others[0]), (self.now, resource, name, others)
         end = min(self.ends[resource][one] for one in (name, others[0]))
         assert end <= begun + TERMS.overlap, (self.now, resource, name, others, end - begun)
@@ -106,16 +109,16 @@
     def cut(self, name, sources, targets, oneway=False, effect=None):
         self.network.begin(name, pairs_of(sources, targets, oneway), effect or Effect(cut="silent"))
 
-    def changed(self, zones, within):
-        """A new list reaches each gateway when it will."""
+    def change_list(self, zones, within):
+        """Let a new list reach each gateway at a random time within so many seconds."""
         self.zones = self.newest = zones
         for name in self.names:
-            self.at(self.now + int(self.random.uniform(0, within) * SECOND), lambda name=name: self.take(name, zones))
+            self.at(self.now + int(self.random.uniform(0, within) * SECOND), lambda name=name: self.take_list(name, zones))
 
-    def take(self, name, zones):
+    def take_list(self, name, zones):
         if name in self.paused:
-            self.at(self.now + SECOND, lambda: self.take(name, zones))
-        elif name in self.nodes and zones is self.newest:  # an older one is not there any more
+            self.at(self.now + SECOND, lambda: self.take_list(name, zones))
+        elif name in self.nodes and zones is self.newest:  # older lists are no longer distributed
             self.nodes[name].listed(self.own(name), self.names, zones)
             self.prompt(name)
 
@@ -123,8 +126,8 @@
         return [one for one in resources if not self.holders(one)]
 
 
-def trouble(fleet, seconds, lists=False):
-    """Cuts, losses, stops, kills and hand-overs by draw."""
+def inject_faults(fleet, seconds, lists=False):
+    """Random partitions, message loss, stops, kills and transfers."""
     random, end = fleet.random, fleet.now + seconds * SECOND
     resources = list(fleet.epochs)
     number = 0
@@ -150,17 +153,17 @@
         elif what == 4 and name in fleet.nodes:
             fleet.kill(name)
             back = fleet.now + int(random.uniform(0.01, 5) * SECOND)
-            fleet.at(back, lambda name=name: name not in fleet.nodes and again(fleet, name, resources))
+            fleet.at(back, lambda name=name: name not in fleet.nodes and restart(fleet, name, resources))
         elif what == 5 and lists:
-            fleet.changed({one: random.choice("xyz") for one in fleet.names}, random.choice((0.2, 6, 30)))
+            fleet.change_list({one: random.choice("xyz") for one in fleet.names}, random.choice((0.2, 6, 30)))
         else:
-            fleet.hand(random.choice(resources), name)
+            fleet.transfer(random.choice(resources), name)
 
 
-def again(fleet, name, resources):
+def restart(fleet, name, resources):
     fleet.start(name, rate=fleet.rates[name])
     for resource in resources:
-        fleet.do(name, "acquire", resource)
+        fleet.call(name, "acquire", resource)
 
 
 def heal(fleet, resources):
@@ -170,28 +173,28 @@
         if name in fleet.paused:
             fleet.resume(name)
         if name not in fleet.nodes:
-            again(fleet, name, resources)
+            restart(fleet, name, resources)
 
 
-def wanted(fleet, resources, by):
+def acquire_all(fleet, resources, by):
     for number, resource in enumerate(resources):
         for name in by(number):
-            fleet.do(name, "acquire", resource)
+            fleet.call(name, "acquire", resource)
 
 
 @pytest.mark.parametrize(("seed", "voters"), [(0, 3), (1, 4), (2, 5), (3, 3), (4, 3), (5, 5)])
-def test_never_two_outside_a_handing_on_and_soon_one_again(seed, voters):
+def test_no_two_holders_outside_a_transfer_under_faults_and_all_leases_held_soon_after(seed, voters):
     lists = seed > 2
     fleet = Fleet(9, seed, stores=1 if lists else 0.5, terms=replace(TERMS, voters=voters))
     resources = [f"channel/{number}" for number in range(6)]
-    wanted(fleet, resources, lambda number: [fleet.names[(number + more) % 9] for more in range(3)])
+    acquire_all(fleet, resources, lambda number: [fleet.names[(number + more) % 9] for more in range(3)])
     fleet.run(5 * SECOND)
     assert not fleet.unheld(resources)
-    trouble(fleet, 50, lists)
+    inject_faults(fleet, 50, lists)
     heal(fleet, resources)
-    if lists:  # all have one list before the time counts
+    if lists:  # wait until all have the same list
         fleet.run(fleet.now + 31 * SECOND)
-    healed = fleet.now  # those that start now are silent for a lease as voters, and the link's rate is used up
+    healed = fleet.now  # voters that start now are silent for a lease, and the rate limit is used up
     took = fleet.run_until(lambda: not fleet.unheld(resources), 20 * SECOND)
     assert took is not None and took - healed <= 2 * long_lease(TERMS) + SECOND
     assert len(fleet.owned) > 2 * len(resources) and max(fleet.overlaps, default=0) <= TERMS.overlap
@@ -199,10 +202,10 @@
     assert not fleet.unheld(resources)
 
 
-def test_two_hundred_gateways_settle_without_a_storm_and_outlive_a_zone():
+def test_200_gateways_start_with_bounded_traffic_and_recover_from_the_loss_of_a_zone():
     fleet = Fleet(200, 3)
     resources = [f"channel/{number}" for number in range(200)]
-    wanted(fleet, resources, lambda number: [fleet.names[number], fleet.names[(number + 1) % 200]])
+    acquire_all(fleet, resources, lambda number: [fleet.names[number], fleet.names[(number + 1) % 200]])
     assert fleet.run_until(lambda: not fleet.unheld(resources), 2 * long_lease(TERMS)) is not None
     start = [node.outbox.octets for node in fleet.nodes.values()]
     assert max(start) < 24 * 1024
@@ -217,5 +220,5 @@
     took = fleet.run_until(lambda: not fleet.unheld(resources), 20 * SECOND)
     assert took is not None and took - at <= long_lease(TERMS) + TERMS.term // 8 + 2 * vote_time(TERMS)
     print(
-        f"started {max(start)} octets at most, {steady:.0f} a second; {len(gone)} lost, held again in {(took - at) / SECOND}"
+        f"start: {max(start)} octets at most, {steady:.0f} a second; {len(gone)} lost, held again in {(took - at) / SECOND}"
     )
--- a/tests/cluster/lease/test_lease.py
+++ b/tests/cluster/lease/test_lease.py
@@ -1,17 +1,17 @@
-"""One grant, one holder: wanted, renewed, handed on, lost; starts, stores and epochs."""
+"""The life of a lease: acquiring, renewing, transferring and losing it; restarts, stores and epochs."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from tests.support.lease_bus import SECOND, TERMS, Bus, R
-from yardbank.cluster.lease.epochs import SHIFT
+from yardbank.cluster.lease.epochs import BOOT_EPOCH_SHIFT
 from yardbank.cluster.lease.messages import LeaseRequest, LeaseTaken, encode
-from yardbank.cluster.lease.model_check.nodes import Kept
+from yardbank.cluster.lease.model_check.nodes import MemoryStore
 from yardbank.cluster.lease.timing import long_lease, short_overlap, vote_time
 
 
-def test_wanted_held_renewed_released_and_taken_by_the_next():
+def test_lease_is_acquired_renewed_released_and_acquired_by_the_next_candidate():
     bus = Bus("abcde")
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
@@ -24,14 +24,14 @@
     assert bus.holders() == []
     bus.run(4 * SECOND)
     assert bus.holders() == ["b"] and bus.parts["b"].epoch(bus.now, R) > first
-    assert [(turn.what, turn.why) for turn in bus.parts["a"].take_events("channel/")] == [
+    assert [(event.what, event.why) for event in bus.parts["a"].take_events("channel/")] == [
         ("owned", ""),
         ("ended", "released"),
     ]
     assert bus.parts["a"].take_events("") == []
 
 
-def test_a_holder_that_is_cut_off_ends_by_its_own_clock_and_another_follows_within_a_lease_and_a_vote():
+def test_partitioned_holder_expires_by_its_own_clock_and_is_replaced_within_a_lease_and_a_vote():
     bus = Bus("abcde")
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
@@ -39,12 +39,12 @@
     bus.run(5 * SECOND)
     bus.cut.add("a")
     bus.run(TERMS.holding_time() + 1)
-    assert bus.parts["a"].epoch(bus.now, R) is None  # asked, without a tick in between
+    assert bus.parts["a"].epoch(bus.now, R) is None  # expired on query, without a tick before
     bus.run(long_lease(TERMS) - TERMS.holding_time() + TERMS.term // 8 + 2 * vote_time(TERMS))
     assert bus.holders() == ["b"]
 
 
-def test_handing_on_overlaps_within_its_bound_and_comes_back_where_nobody_takes_it():
+def test_transfer_moves_the_lease_and_is_taken_back_if_the_successor_does_not_accept():
     bus = Bus("abcde")
     a, b = bus.parts["a"], bus.parts["b"]
     a.acquire(bus.now, R)
@@ -53,20 +53,20 @@
     assert not a.transfer(bus.now, R, "a") and not a.transfer(bus.now, R, "x") and not b.transfer(bus.now, R, "a")
     assert a.transfer(bus.now, R, "b") and not a.transfer(bus.now, R, "c")
     bus.run(SECOND)
-    assert b.offered("permit/") == [] and bus.holders() == ["a"]  # not taken up: stays, under its epoch
-    assert a.epoch(bus.now, R) == epoch and [turn.what for turn in a.take_events("")] == ["owned"]
+    assert b.offered("permit/") == [] and bus.holders() == ["a"]  # not accepted: stays, under its epoch
+    assert a.epoch(bus.now, R) == epoch and [event.what for event in a.take_events("")] == ["owned"]
     assert a.transfer(bus.now, R, "b")
     bus.flush()
     assert b.offered("channel/") == [(R, "a")] and b.offered("") == []
     b.acquire(bus.now, R)
     bus.flush()
     assert bus.holders() == ["b"] and b.epoch(bus.now, R) > epoch
-    assert not b.transfer(bus.now, R, "c")  # the one before might hold it still
+    assert not b.transfer(bus.now, R, "c")  # the previous holder might still hold it
     bus.run(2 * SECOND)
     assert bus.holders() == ["b"] and a.take_events("")[-1].why == "handed on" and R not in a.claims.claims
 
 
-def test_who_is_cut_off_in_mid_handing_on_ends_by_the_overlap():
+def test_holder_partitioned_during_a_transfer_ends_within_the_overlap():
     bus = Bus("abcde")
     a = bus.parts["a"]
     a.acquire(bus.now, R)
@@ -82,11 +82,11 @@
     a.tick(bus.now)
     assert a.take_events("")[-1].why == "handed on, unanswered"
     bus.cut.clear()
-    a.receive(bus.now, "b", 1, encode(LeaseTaken(R, 1 << 20)))  # after its end: no harm
+    a.receive(bus.now, "b", 1, encode(LeaseTaken(R, 1 << 20)))  # after its end: no effect
     a.release(bus.now, R)
 
 
-def test_stopped_in_mid_handing_on_and_woken_after_two_epochs_it_does_and_harms_nothing():
+def test_holder_stopped_during_a_transfer_and_resumed_two_epochs_later_has_no_effect():
     bus = Bus("abcde")
     a = bus.parts["a"]
     a.acquire(bus.now, R)
@@ -106,7 +106,7 @@
     assert bus.holders() == ["c"] and len(a.take_events("")) == 2 and len(a.take_log_events()) == 2
 
 
-def test_both_dying_in_mid_handing_on_leave_it_to_others_after_a_lease_and_a_vote():
+def test_lease_is_acquired_by_another_after_both_sides_of_a_transfer_die():
     bus = Bus("abcdefgh")
     voters = bus.parts["a"].electorate.voters(R)
     old, new, third = [name for name in "abcdefgh" if name not in voters][:3]
@@ -123,24 +123,24 @@
 
 
 @pytest.mark.parametrize("names", ["a", "ab"])
-def test_a_list_of_one_or_two_works_as_far_as_it_can(names):
+def test_one_or_two_gateways_hold_leases_only_with_a_majority(names):
     bus = Bus(names)
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
     assert bus.holders() == ["a"]
     bus.cut.add(names[-1])
     bus.run(2 * long_lease(TERMS))
-    assert bus.holders() == []  # a stands still itself, or has no majority
+    assert bus.holders() == []  # a is stopped itself, or has no majority
 
 
-def test_a_life_that_is_raised_after_the_start_raises_the_epochs():
+def test_boot_epoch_raised_after_the_start_raises_the_epochs():
     part = Bus("abc").parts["a"]
     part._membership_view.boot_epoch = 50
     part.tick(10**12)
-    assert part.epochs.next_epoch() > 50 << SHIFT and part.epochs.floor == 50 << SHIFT and part.boot_epoch < 50
+    assert part.epochs.next_epoch() > 50 << BOOT_EPOCH_SHIFT and part.epochs.floor == 50 << BOOT_EPOCH_SHIFT and part.boot_epoch < 50
 
 
-def test_a_thousand_wants_in_a_fleet_that_starts_are_all_held_within_two_leases():
+def test_many_resources_of_a_starting_fleet_are_all_held_within_two_leases():
     bus = Bus([f"g{number}" for number in range(20)], fresh=True)
     resources = [f"permit/x/{number}" for number in range(100)]
     for number, resource in enumerate(resources):
@@ -148,20 +148,20 @@
             bus.parts[f"g{(number + more) % 20}"].acquire(bus.now, resource)
     bus.run(2 * long_lease(TERMS))
     assert all(len(bus.holders(resource)) == 1 for resource in resources)
-    asks = sum(isinstance(word, LeaseRequest) for _, _, word in bus.said)
-    assert asks < 100 * 2 * 3 * 20
+    requests = sum(isinstance(message, LeaseRequest) for _, _, message in bus.said)
+    assert requests < 100 * 2 * 3 * 20
 
 
-# Starts, stores, epochs
+# Restarts, stores and epochs
 
 
-def test_a_voter_that_started_is_silent_for_a_lease_whatever_its_store_says():
+def test_started_voter_is_silent_for_a_lease_whatever_its_store_contains():
     bus = Bus("abc")
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
-    keep = Kept(None)
-    bus.start("b", keep=keep)
-    bus.start("c", keep=keep)
+    store = MemoryStore(None)
+    bus.start("b", keep=store)
+    bus.start("c", keep=store)
     bus.cut.add("a")
     bus.parts["b"].acquire(bus.now, R)
     bus.run(long_lease(TERMS) - 2)
@@ -172,10 +172,10 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(["keep", "old", "lost"])), min_size=1, max_size=8))
-def test_epochs_rise_whatever_becomes_of_the_stores(events):
-    """Stores kept, rolled back to their first copy, or lost; also all of them, one after another."""
+def test_epochs_rise_whether_stores_are_kept_rolled_back_or_lost(events):
+    """Restarts gateways one after another, perhaps all, with a store that is kept, rolled back or lost."""
     bus = Bus("abc")
-    keeps, old = {name: Kept(None) for name in "abc"}, {}
+    stores, old = {name: MemoryStore(None) for name in "abc"}, {}
     last, owner = 0, "a"
     for name, what in events:
         bus.parts[owner].acquire(bus.now, R)
@@ -185,14 +185,14 @@
         last = epoch
         bus.parts[owner].release(bus.now, R)
         bus.flush()
-        old.setdefault(name, keeps[name].data)
+        old.setdefault(name, stores[name].data)
         if what != "keep":
-            keeps[name] = Kept(old[name] if what == "old" else None)
-        bus.start(name, keep=keeps[name])
+            stores[name] = MemoryStore(old[name] if what == "old" else None)
+        bus.start(name, keep=stores[name])
         owner = name
 
 
-def test_epochs_go_on_above_all_when_every_store_is_lost_and_the_clock_is_right():
+def test_epochs_rise_after_all_stores_are_lost_if_the_clock_is_correct():
     bus = Bus("abc")
     for name in "abc":
         bus.start(name, boot_epoch=1_800_000_000)
@@ -204,4 +204,4 @@
         bus.start(name, boot_epoch=1_800_000_001)
     bus.parts["c"].acquire(bus.now, R)
     bus.run(2 * long_lease(TERMS))
-    assert bus.parts["c"].epoch(bus.now, R) > before >= 1_800_000_000 << SHIFT
+    assert bus.parts["c"].epoch(bus.now, R) > before >= 1_800_000_000 << BOOT_EPOCH_SHIFT
--- a/tests/golden/test_golden_lease.py
+++ b/tests/golden/test_golden_lease.py
@@ -90,11 +90,11 @@
     assert load("lease")["verdicts"] == [
         Verdict.GRANTED,
         Verdict.HELD,
-        Verdict.TAKEN,
+        Verdict.OTHER_CANDIDATE,
         Verdict.SILENT,
-        Verdict.LOW,
-        Verdict.LIST,
+        Verdict.EPOCH_USED,
+        Verdict.OTHER_LIST,
         Verdict.FULL,
-        Verdict.FAR,
-        Verdict.NAMED,
+        Verdict.EPOCH_TOO_FAR,
+        Verdict.SUCCESSOR_NOTED,
     ]
--- a/yardbank/cluster/lease/claim.py
+++ b/yardbank/cluster/lease/claim.py
@@ -1,4 +1,4 @@
-"""One resource that this gateway wants or holds: its state and what its voters answered. No I/O.
+"""The state of one resource that this gateway wants or holds, with the replies of its voters. No I/O.
 
 Invariants: a claim is held only in ``HOLDING`` and ``TRANSFERRING`` and only before ``until``; ``TRANSITIONS`` lists
 every change of state; at most ``MAX_REQUESTS`` requests wait for replies.
@@ -12,7 +12,7 @@
 
 
 class ClaimState(IntEnum):
-    """Where a claim stands."""
+    """State of a claim."""
 
     WAITING = 1
     REQUESTING = 2
@@ -20,13 +20,14 @@
     TRANSFERRING = 4
 
 
+# The names of the states in the operators' view.
 STATE_NAMES = {
     ClaimState.WAITING: "waiting",
     ClaimState.REQUESTING: "asking",
     ClaimState.HOLDING: "holding",
     ClaimState.TRANSFERRING: "handing on",
 }
-# From, by, to.
+# From state, cause, to state; None: the claim is removed.
 TRANSITIONS = (
     (ClaimState.WAITING, "the backoff is over", ClaimState.REQUESTING),
     (ClaimState.REQUESTING, "a majority grants", ClaimState.HOLDING),
@@ -39,70 +40,73 @@
     (ClaimState.TRANSFERRING, "a majority renews: taken back", ClaimState.HOLDING),
     (ClaimState.HOLDING, "release", None),
 )
-MAX_REQUESTS = 16  # requests whose replies still count
+MAX_REQUESTS = 16  # requests of one claim whose replies are still accepted
 
-Sets = Sequence[tuple[tuple[str, ...], int]]  # voters, and how many of them must agree
+VoterSets = Sequence[tuple[tuple[str, ...], int]]  # voters, and how many of them must agree
 
 
 @dataclass(slots=True)
 class Claim:
-    """Times are nanoseconds of this gateway's own clock. ``Proposer`` and ``Holder`` say which fields each writes."""
+    """Times are nanoseconds of this gateway's own clock.
+
+    The modules of ``Proposer`` and ``Holder`` list the fields that each of them writes.
+    """
 
     resource: str
     state: ClaimState = ClaimState.WAITING
     epoch: int = 0
-    until: int = 0  # held so long and no longer, whatever is heard later
-    due_at: int = 0  # when there is something to do
+    until: int = 0  # end of the lease; once it has passed, nothing heard later extends it
+    due_at: int = 0  # time of the next action
     vote_deadline: int = 0
     held_since: int = 0
-    round_started_at: int = 0  # when the requests that are under way began
+    round_started_at: int = 0  # when the current round of requests started
     failed_votes: int = 0
-    raised_epochs: int = 0  # within this vote
-    contested: bool = False  # another held it at the last vote: one voter is asked first, all if it is free
-    first_voter: str = ""  # that one, while its reply is awaited
-    successor: str = ""  # of a transfer
-    notice_number: int = 0  # the number under which the voters were notified of the successor
-    transfer_until: int = 0  # the latest end of a transfer
-    reclaim_at: int = 0  # when an unanswered transfer is taken back
-    grants: dict[str, int] = field(default_factory=dict)  # by voter: until when its grant counts
-    requests: dict[int, int] = field(default_factory=dict)  # by number of the request: when it was sent
-    refusals: dict[str, int] = field(default_factory=dict)  # by voter: when it may answer otherwise
-    informed_voters: set[str] = field(default_factory=set)  # voters that have noted the successor
+    raised_epochs: int = 0  # higher epochs tried in this vote
+    contested: bool = False  # another gateway held it at the last vote: ask one voter first, the others if it is free
+    first_voter: str = ""  # the voter asked first, while its reply is pending
+    successor: str = ""  # recipient of the transfer
+    notice_number: int = 0  # number of the message that told the voters of the successor
+    transfer_until: int = 0  # latest end of a transfer
+    reclaim_at: int = 0  # when a transfer that was not answered is taken back
+    grants: dict[str, int] = field(default_factory=dict)  # by voter: end of its grant
+    requests: dict[int, int] = field(default_factory=dict)  # by request number: when it was sent
+    refusals: dict[str, int] = field(default_factory=dict)  # by voter: earliest time of a different reply
+    informed_voters: set[str] = field(default_factory=set)  # voters that acknowledged the successor
 
     def holds(self, now: int) -> bool:
-        """Whether it is held at this very time."""
+        """Whether this gateway holds the lease now."""
         return self.state in (ClaimState.HOLDING, ClaimState.TRANSFERRING) and now < self.until
 
     def record_request(self, now: int, number: int) -> None:
-        """A request for votes is sent now."""
+        """Record that a request for votes is sent now; the oldest are dropped beyond ``MAX_REQUESTS``."""
         self.requests[number] = now
         while len(self.requests) > MAX_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
-    def granted_until(self, sets: Sets) -> int:
-        """Until when the grants are a majority of each set."""
-        ends = []
-        for voters, needed in sets:
+    def granted_until(self, voter_sets: VoterSets) -> int:
+        """Until when enough voters of every set have granted the lease; 0: not at all."""
+        expiries = []
+        for voters, needed in voter_sets:
             if needed > len(voters):
                 return 0
-            ends.append(sorted((self.grants.get(voter, 0) for voter in voters), reverse=True)[needed - 1])
-        return min(ends)
+            expiries.append(sorted((self.grants.get(voter, 0) for voter in voters), reverse=True)[needed - 1])
+        return min(expiries)
 
-    def is_vote_lost(self, sets: Sets) -> bool:
-        """Whether so many have refused that the vote cannot be won."""
-        return any(sum(voter not in self.refusals for voter in voters) < needed for voters, needed in sets)
+    def is_vote_lost(self, voter_sets: VoterSets) -> bool:
+        """Whether too many voters of any set have refused for the vote to be won."""
+        return any(sum(voter not in self.refusals for voter in voters) < needed for voters, needed in voter_sets)
 
-    def free_at(self, now: int, sets: Sets) -> int:
-        """When a majority of each set may be free, as far as the replies tell."""
+    def free_at(self, now: int, voter_sets: VoterSets) -> int:
+        """Earliest time at which enough voters of every set may be free, according to their replies."""
         latest = now
-        for voters, needed in sets:
+        for voters, needed in voter_sets:
             if needed <= len(voters):
-                ends = sorted(max(now, self.refusals.get(voter, now)) for voter in voters)
-                latest = max(latest, ends[needed - 1])
+                expiries = sorted(max(now, self.refusals.get(voter, now)) for voter in voters)
+                latest = max(latest, expiries[needed - 1])
         return latest
 
     def forget_replies(self) -> None:
-        """Nothing that was answered so far counts any more."""
+        """Discard all replies, and ignore those still to come for earlier requests."""
         self.grants.clear()
         self.requests.clear()
         self.refusals.clear()
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -1,9 +1,9 @@
-"""One gateway as a candidate and a holder. No I/O: time (ns, its own clock) and randomness come in.
+"""The candidate and holder side of one gateway. No I/O: time (ns, its own clock) and randomness are arguments.
 
-Owns no lease itself: it gives each call and each message to the ``Proposer`` (votes) or the ``Holder`` (claims and what
-is held). Whatever comes in, first everything that has run out by now ends: an ownership that has lapsed is never taken
-up again under its epoch. Lamport's advice on leases with quorums, as in Chubby (Burrows, OSDI 2006), whose sequencers
-are the epochs here.
+It holds no lease itself but passes each call and message to the ``Proposer`` (votes) or the ``Holder`` (claims and held
+leases). Before anything else is processed, expired leases are ended: a lease that has expired is never resumed under
+its epoch. The design follows Lamport's advice on leases with quorums, as in Chubby (Burrows, OSDI 2006); the epochs
+correspond to Chubby's sequencers.
 """
 
 from __future__ import annotations
@@ -26,7 +26,10 @@
 
 
 class Claims:
-    """What the user does, and what comes in. Counts what it dropped: ``full`` (too many claims), ``stale`` replies."""
+    """Handles the user's calls and incoming messages.
+
+    ``full`` counts claims rejected because there are too many, ``stale`` replies that no request waits for.
+    """
 
     __slots__ = (
         "_boot_epoch",
@@ -68,15 +71,15 @@
 
     @property
     def claims(self) -> dict[str, Claim]:
-        """All that is wanted or held, by resource."""
+        """All wanted and held resources, by name."""
         return self.holder.claims
 
-    # What the user does
+    # Calls of the user
 
     def acquire(self, now: int, resource: str) -> None:
         """See ``api.Leases``. Raises ``ValueError`` for a name that no message can carry."""
         if not 0 < len(resource) <= MAX_RESOURCE:
-            raise ValueError(f"a resource's name has 1 to {MAX_RESOURCE} characters: {resource!r}")
+            raise ValueError(f"resource name must have 1 to {MAX_RESOURCE} characters: {resource!r}")
         if resource in self.claims:
             return
         claim = self.holder.add(resource)
@@ -87,7 +90,7 @@
         claim.due_at = now
         if not self.offers.is_open(now, resource):
             claim.due_at += self.proposer.random_delay(self.proposer.vote_time)
-        self._act(now, claim)
+        self._do_due_work(now, claim)
 
     def release(self, now: int, resource: str) -> None:
         """See ``api.Leases``."""
@@ -103,10 +106,10 @@
         self.holder.expire(now, claim)
         return self.holder.transfer(now, claim, to)
 
-    # What comes in
+    # Incoming messages
 
-    def answer(self, now: int, voter: str, reply: VoteReply) -> None:
-        """A voter's reply."""
+    def on_vote_reply(self, now: int, voter: str, reply: VoteReply) -> None:
+        """Handle a voter's reply."""
         claim = self.claims.get(reply.resource)
         if claim is None or reply.boot_epoch != self._boot_epoch:
             self.stale += 1
@@ -114,46 +117,46 @@
         self.holder.expire(now, claim)
         if reply.holder and reply.verdict == Verdict.HELD:
             self.log.record_hint(reply.resource, reply.holder, reply.highest_epoch)
-        if reply.verdict == Verdict.NAMED:
-            self.holder.successor_noted(claim, voter, reply.number)
+        if reply.verdict == Verdict.SUCCESSOR_NOTED:
+            self.holder.record_successor_noted(claim, voter, reply.number)
             return
         requested_at = claim.requests.get(reply.number)
         if requested_at is None or not self._is_voter(now, claim, voter):
             self.stale += 1
         elif reply.verdict == Verdict.GRANTED:
-            self._take_grant(now, claim, voter, requested_at)
+            self._on_grant(now, claim, voter, requested_at)
         else:
-            self._take_refusal(now, claim, voter, reply)
+            self._on_refusal(now, claim, voter, reply)
 
     def _is_voter(self, now: int, claim: Claim, name: str) -> bool:
-        return any(name in voters for voters, _ in self._electorate.sets(now, claim.resource))
+        return any(name in voters for voters, _ in self._electorate.voter_sets(now, claim.resource))
 
-    def _take_grant(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
-        self.holder.granted(now, claim, voter, requested_at)
+    def _on_grant(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
+        self.holder.record_grant(now, claim, voter, requested_at)
         if claim.state == ClaimState.REQUESTING and claim.first_voter:
             self.proposer.ask_all(now, claim)
 
-    def _take_refusal(self, now: int, claim: Claim, voter: str, reply: VoteReply) -> None:
+    def _on_refusal(self, now: int, claim: Claim, voter: str, reply: VoteReply) -> None:
         is_candidate = claim.state == ClaimState.REQUESTING
-        if reply.verdict == Verdict.LOW and is_candidate and self.proposer.raise_epoch(now, claim):
+        if reply.verdict == Verdict.EPOCH_USED and is_candidate and self.proposer.raise_epoch(now, claim):
             return
-        claim.refusals[voter] = now + self._refused_for(reply)
+        claim.refusals[voter] = now + self._refusal_time(reply)
         if is_candidate:
-            self.proposer.refused(now, claim, is_taken=reply.verdict in (Verdict.HELD, Verdict.TAKEN))
+            self.proposer.record_refusal(now, claim, is_taken=reply.verdict in (Verdict.HELD, Verdict.OTHER_CANDIDATE))
         elif claim.state == ClaimState.TRANSFERRING and reply.holder == claim.successor:
-            if claim.is_vote_lost(self._electorate.sets(now, claim.resource)):
+            if claim.is_vote_lost(self._electorate.voter_sets(now, claim.resource)):
                 self.holder.end(now, claim, "handed on")
 
-    def _refused_for(self, reply: VoteReply) -> int:
-        """How long (ns) the voter will refuse at least."""
-        if reply.verdict == Verdict.TAKEN:
+    def _refusal_time(self, reply: VoteReply) -> int:
+        """Minimum time (ns) for which the voter will keep refusing."""
+        if reply.verdict == Verdict.OTHER_CANDIDATE:
             return 0
         if reply.verdict in (Verdict.HELD, Verdict.SILENT):
             return min(int(reply.remaining_ms * MS * (1 + 2 * self._terms.drift)), self.longest_lease)
         return self._terms.term // 8
 
-    def offer(self, now: int, sender: str, message: TransferOffer) -> None:
-        """Another gateway names this one as its successor."""
+    def on_transfer_offer(self, now: int, sender: str, message: TransferOffer) -> None:
+        """Handle another gateway's offer to transfer its lease to this one."""
         claim = self.claims.get(message.resource)
         if claim is not None and claim.holds(now):
             if claim.epoch > message.epoch:
@@ -163,10 +166,10 @@
             return
         if claim is not None and claim.state == ClaimState.WAITING:
             claim.due_at = now
-            self._act(now, claim)
+            self._do_due_work(now, claim)
 
-    def took(self, now: int, sender: str, message: LeaseTaken) -> None:
-        """The successor says that it holds."""
+    def on_lease_taken(self, now: int, sender: str, message: LeaseTaken) -> None:
+        """Handle the successor's message that it holds the lease now."""
         claim = self.claims.get(message.resource)
         if claim is None or claim.state != ClaimState.TRANSFERRING:
             return
@@ -179,14 +182,14 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
+        """End expired leases and offers, and do what is due."""
         for claim in list(self.claims.values()):
             self.holder.expire(now, claim)
-            self._act(now, claim)
+            self._do_due_work(now, claim)
         self.offers.expire(now)
 
-    def _act(self, now: int, claim: Claim) -> None:
-        """Do what is due."""
+    def _do_due_work(self, now: int, claim: Claim) -> None:
+        """Start, continue or renew as the state of the claim requires."""
         if claim.resource not in self.claims:
             return
         if claim.state == ClaimState.HOLDING:
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -1,12 +1,14 @@
-"""Which voters must agree while the list changes. No I/O: time (ns) comes in.
+"""Which voters must agree while the list of gateways changes. No I/O: time (ns) is an argument.
 
-Gateways take a new list at different times. A voter grants only under the list that it has itself. Who has taken a new
-one needs a majority of the old one's voters as well, until so many of them have said that they left the old list that
-the rest are no majority of it, and a lease has passed since each said so: what they granted under it is over then.
-Those that the new list no longer names cannot be asked; one lease after the change they count as stopped.
+Gateways take a new list at different times. A voter grants only requests made under its own list. A candidate that has
+taken a new list needs a majority of the old list's voters as well. That ends once so many of them have announced that
+they left the old list that the rest are no majority of it, and one lease has passed since each announcement: by then
+all that they granted under the old list has expired. Gateways that the new list no longer names cannot be asked; one
+lease after the change they are taken to have stopped.
 
-So it does not matter how long gateways differ, only that each remembers the lists that it went through. One that
-started without that memory grants and asks nothing new while it hears of a list that it does not know.
+Safety therefore does not depend on how long the gateways' lists differ, only on each gateway remembering the lists that
+it went through. A gateway that started without that memory neither grants nor requests new leases while it hears of a
+list that it does not know.
 """
 
 from __future__ import annotations
@@ -19,15 +21,15 @@
 from yardbank.cluster.lease.quorum import majority, voters_of
 from yardbank.cluster.lease.timing import long_lease
 
-ANNOUNCED_AT_ONCE = 1
-MAX_CACHED = 4096  # resources whose voters are remembered
+ANNOUNCEMENTS_PER_TICK = 1
+MAX_CACHED = 4096  # resources whose voters are cached
 
 VoterSet = tuple[tuple[str, ...], int]  # voters, and how many of them must agree
 StoredList = tuple[int, dict[str, str], int]  # hash, zones by name, how many vote on each resource
 
 
 class OlderList(NamedTuple):
-    """A list that was in force here; ``since``: when it was left. ``votes``: how many vote on each resource."""
+    """A list that was in force here. ``since``: when it was replaced; ``votes``: number of voters per resource."""
 
     hash: int
     zones: Mapping[str, str]
@@ -36,7 +38,10 @@
 
 
 class Announcement(NamedTuple):
-    """Where a peer stands, as it said last; ``since``: as long as it says just this; ``at``: when it said it last."""
+    """The lists that a peer announced last.
+
+    ``since``: when it first announced its present list; ``at``: when its last announcement came.
+    """
 
     hash: int
     older_lists: tuple[int, ...]
@@ -45,10 +50,10 @@
 
 
 class Electorate:
-    """The lists of one gateway, and what it has heard of its peers'. Times are ns of its own clock.
+    """The lists of one gateway, and what its peers announced of theirs. Times are ns of this gateway's clock.
 
-    Owns the list in force, at most ``MAX_LISTS // 2`` older ones that still bind and as many past ones that do not, one
-    announcement of each peer, and a cache of voters (``MAX_CACHED``).
+    Owns the list in force, at most ``MAX_LISTS // 2`` older lists whose voters must still agree, as many past lists
+    whose voters need not, one announcement of each peer, and a cache of voters (``MAX_CACHED``).
     """
 
     __slots__ = (
@@ -70,33 +75,33 @@
     def __init__(self, name: str, terms: LeaseTerms) -> None:
         self.name = name
         self._terms = terms
-        self.longest_lease = long_lease(terms)  # or longer, if terms were before this start
+        self.longest_lease = long_lease(terms)  # ns; longer if the terms before this start allowed longer leases
         self.hash = 0
         self.zones: dict[str, str] = {}
-        self.older_lists: list[OlderList] = []  # the newest first
-        self.past_lists: tuple[int, ...] = ()  # lists that bind no more
+        self.older_lists: list[OlderList] = []  # still binding, newest first
+        self.past_lists: tuple[int, ...] = ()  # hashes of lists that no longer bind
         self.announcements: dict[str, Announcement] = {}
-        self.without_memory = True  # of lists from before this start
-        self.forgotten = 0  # older lists given up because there were too many
+        self.without_memory = True  # the lists from before this start are unknown
+        self.forgotten = 0  # older lists dropped because there were too many
         self._announce_at = 0
         self._last_peer = ""
         self._cache: dict[tuple[int, str], tuple[str, ...]] = {}
 
     def restore(self, now: int, lists: Iterable[StoredList], longest_lease: int) -> None:
-        """What was stored before this start, the newest list first, and the longest lease known then (ns)."""
+        """Restore the lists stored before this start, newest first, and the longest lease known then (ns)."""
         self.longest_lease = max(self.longest_lease, longest_lease)
         for list_hash, zones, votes in lists:
             self.without_memory = False
             self.older_lists.append(OlderList(list_hash, dict(zones), votes, now))
 
     def stored_lists(self) -> list[StoredList]:
-        """What a later start needs."""
+        """The lists to store for the next start, newest first."""
         found = [(self.hash, dict(self.zones), self._terms.voters)]
         found += [(older.hash, dict(older.zones), older.votes) for older in self.older_lists]
         return found
 
     def update_list(self, now: int, list_hash: int, zones: Mapping[str, str]) -> bool:
-        """The list as it is now; ``list_hash`` stands for it and for the terms. Whether it is another."""
+        """Take the present list; returns whether it has changed. ``list_hash`` covers the list and the lease terms."""
         if list_hash == self.hash:
             return False
         if self.hash:
@@ -107,7 +112,7 @@
             self._retire(older)
         self.hash = list_hash
         self.zones = dict(zones)
-        self.announcements = {peer: said for peer, said in self.announcements.items() if peer in zones}
+        self.announcements = {peer: announcement for peer, announcement in self.announcements.items() if peer in zones}
         self._announce_at = now
         self._last_peer = ""
         return True
@@ -117,7 +122,7 @@
         self.past_lists = (older.hash, *self.past_lists)[: MAX_LISTS // 2]
 
     def record_announcement(self, now: int, peer: str, list_hash: int, older_lists: tuple[int, ...]) -> None:
-        """A peer says by which list it goes, and which older ones still bind it."""
+        """Record the list that a peer is at, and the older lists that still bind it."""
         if peer == self.name or peer not in self.zones:
             return
         last = self.announcements.get(peer)
@@ -126,10 +131,10 @@
             since = last.since
         self.announcements[peer] = Announcement(list_hash, older_lists, since, now)
 
-    # Who must agree
+    # Voters
 
     def voters(self, resource: str) -> tuple[str, ...]:
-        """Those that the list in force gives it."""
+        """The voters of a resource under the list in force."""
         return self._voters(resource, self.hash, self.zones, self._terms.voters)
 
     def _voters(self, resource: str, list_hash: int, zones: Mapping[str, str], votes: int) -> tuple[str, ...]:
@@ -142,8 +147,8 @@
             self._cache[key] = found
         return found
 
-    def sets(self, now: int, resource: str) -> list[VoterSet]:
-        """Sets of voters, and how many of each must agree."""
+    def voter_sets(self, now: int, resource: str) -> list[VoterSet]:
+        """All sets of voters that must agree, each with the number of votes needed."""
         voters = self.voters(resource)
         found: list[VoterSet] = [(voters, majority(len(voters)))]
         for older in self.older_lists:
@@ -152,36 +157,36 @@
         return found
 
     def _binding(self, now: int, older: OlderList, resource: str) -> VoterSet | None:
-        """The voters of an older list that must agree, and how many of them; None: it binds no more."""
+        """The voters of an older list that must still agree, and how many of them; None: it no longer binds."""
         voters = self._voters(resource, older.hash, older.zones, older.votes)
         if set(voters) == set(self.voters(resource)):
-            return None  # any two majorities of them share one
+            return None  # same voters: any two majorities of them share a voter
         quorum = majority(len(voters))
         if now < older.since + self.longest_lease:
             return voters, quorum
         remaining = tuple(name for name in voters if name in self.zones)
-        needed = len(remaining) - quorum + 1  # then the others are no majority
+        needed = len(remaining) - quorum + 1  # the voters left over are then no majority
         if needed <= sum(self._has_settled(now, name) for name in remaining):
             return None
         return remaining, needed
 
     def _has_settled(self, now: int, peer: str) -> bool:
-        """Whether a peer has been at this list for a lease, bound by no list that this gateway does not know."""
+        """Whether a peer has been at this list for one lease and is bound by no list unknown to this gateway."""
         if peer == self.name:
-            return True  # asked only when its own change is a lease ago
+            return True  # the caller checked that this gateway changed its list at least one lease ago
         return self._is_at_list(now, peer) and self._all_known().issuperset(self.announcements[peer].older_lists)
 
     def _is_at_list(self, now: int, peer: str) -> bool:
-        """Whether a peer has been at this list for a lease."""
-        said = self.announcements.get(peer)
-        return said is not None and said.hash == self.hash and said.since + self.longest_lease <= now
+        """Whether a peer has been at this list for one lease."""
+        announcement = self.announcements.get(peer)
+        return announcement is not None and announcement.hash == self.hash and announcement.since + self.longest_lease <= now
 
     def all_voters(self, now: int, resource: str) -> list[str]:
-        """Whoever is in one of the sets, by name."""
-        return sorted({voter for voters, _ in self.sets(now, resource) for voter in voters})
+        """The voters of all sets, sorted by name."""
+        return sorted({voter for voters, _ in self.voter_sets(now, resource) for voter in voters})
 
     def accepts(self, now: int, request: LeaseRequest) -> bool:
-        """Whether the candidate goes by the same list, and through all that still bind this gateway."""
+        """Whether the candidate is at the same list and knows all older lists that still bind this gateway."""
         if request.list_hash != self.hash:
             return False
         if not request.renewal and self.may_be_behind(now):
@@ -191,42 +196,42 @@
                 return False
         return True
 
-    # Which lists are known
+    # Known lists
 
     def known_lists(self) -> tuple[int, ...]:
-        """Lists gone through lately, as they stand in requests."""
+        """Hashes of the lists that this gateway went through lately; sent in requests."""
         return self.binding_lists() + self.past_lists
 
     def binding_lists(self) -> tuple[int, ...]:
-        """Older lists that are not over, as they stand in replies."""
+        """Hashes of the older lists that still bind this gateway; sent in replies and announcements."""
         return tuple(older.hash for older in self.older_lists)
 
     def _all_known(self) -> set[int]:
         return {*self.known_lists(), self.hash}
 
     def may_be_behind(self, now: int) -> bool:
-        """Whether a list that this gateway never saw may be in force elsewhere."""
+        """Whether a list unknown to this gateway may be in force at other gateways."""
         if not self.without_memory:
             return False
         known = self._all_known()
         return any(
-            said.hash not in known and now < said.at + 2 * self.longest_lease for said in self.announcements.values()
+            announcement.hash not in known and now < announcement.at + 2 * self.longest_lease for announcement in self.announcements.values()
         )
 
     def _unconfirmed_peers(self) -> list[str]:
-        """Peers that have not said that they are at this list, bound by none that is unknown here."""
+        """Peers that have not announced this list, or are bound by a list unknown to this gateway."""
         known = self._all_known()
         confirmed = {
             peer
-            for peer, said in self.announcements.items()
-            if said.hash == self.hash and known.issuperset(said.older_lists)
+            for peer, announcement in self.announcements.items()
+            if announcement.hash == self.hash and known.issuperset(announcement.older_lists)
         }
         return sorted(name for name in self.zones if name != self.name and name not in confirmed)
 
     # Time
 
     def tick(self, now: int) -> list[str]:
-        """To whom to announce oneself now: ``ANNOUNCED_AT_ONCE`` at a time."""
+        """The peers to send an announcement to now, at most ``ANNOUNCEMENTS_PER_TICK``."""
         if not self.hash or now < self._announce_at or not (self.older_lists or self.without_memory):
             return []
         self._retire_older_lists(now)
@@ -235,12 +240,15 @@
             self._end_pass(now)
             return []
         self._announce_at = now + self._terms.term // 8
-        chosen = peers[:ANNOUNCED_AT_ONCE]
+        chosen = peers[:ANNOUNCEMENTS_PER_TICK]
         self._last_peer = chosen[-1]
         return chosen
 
     def _end_pass(self, now: int) -> None:
-        """All peers were asked once; half of the list say the same, and nobody anything else: nothing is missing."""
+        """End a pass over all peers.
+
+        If at least half of the others are at this list and no peer announced an unknown one, no list is missing here.
+        """
         self._last_peer = ""
         self._announce_at = now + self._terms.term
         others = len(self.zones) - 1
@@ -248,9 +256,10 @@
             self.without_memory = False
 
     def _retire_older_lists(self, now: int) -> None:
-        """Forget older lists once so few may go by any other than this one that they are no majority anywhere.
+        """Drop older lists once too few gateways may be at any other list to be a majority anywhere.
 
-        Lists that only others went through are over then as well, so nobody waits for anybody in a cycle.
+        Lists that only other gateways went through have ended by then as well, so gateways never wait for each other in
+        a cycle.
         """
         late = sum(name != self.name and not self._is_at_list(now, name) for name in self.zones)
         for older in list(self.older_lists):
--- a/yardbank/cluster/lease/holder.py
+++ b/yardbank/cluster/lease/holder.py
@@ -1,9 +1,9 @@
-"""Leases that this gateway holds: won, renewed, transferred, ended. No I/O: time (ns, its own clock) comes in.
+"""Leases held by this gateway: winning, renewing, transferring and ending them. No I/O: time (ns) is an argument.
 
-Owns the claims, at most ``MAX_CLAIMS``. Writes of a ``Claim``: ``until``, ``held_since``, ``successor``,
+Owns the claims, at most ``MAX_CLAIMS``. Of a ``Claim`` it writes ``until``, ``held_since``, ``successor``,
 ``notice_number``, ``transfer_until``, ``reclaim_at``, ``grants``, ``informed_voters``, and the states ``HOLDING`` and
-``TRANSFERRING``. A grant counts from when its request was sent, by this clock, shortened for drift; a transfer never
-outlasts the overlap by any clock.
+``TRANSFERRING``. A grant counts from when its request was sent, by this gateway's clock, shortened for drift; a
+transfer never lasts longer than the overlap by any gateway's clock.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Holder:
-    """The claims, and what is done with those that are held."""
+    """The claims of this gateway, and the operations on those that are held."""
 
     __slots__ = (
         "_boot_epoch",
@@ -61,19 +61,19 @@
         self.claims: dict[str, Claim] = {}
 
     def add(self, resource: str) -> Claim | None:
-        """A new claim; None: there are too many."""
+        """Add a claim; None: there are too many."""
         if len(self.claims) >= MAX_CLAIMS:
             return None
         claim = Claim(resource)
         self.claims[resource] = claim
         return claim
 
-    def granted(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
-        """A voter grants or renews what was requested then."""
+    def record_grant(self, now: int, claim: Claim, voter: str, requested_at: int) -> None:
+        """A voter granted or renewed the lease; ``requested_at``: when the request was sent."""
         until = requested_at + self._terms.holding_time()
         claim.grants[voter] = max(claim.grants.get(voter, 0), until)
         claim.refusals.pop(voter, None)
-        self._extend(now, claim, claim.granted_until(self._electorate.sets(now, claim.resource)))
+        self._extend(now, claim, claim.granted_until(self._electorate.voter_sets(now, claim.resource)))
 
     def _extend(self, now: int, claim: Claim, until: int) -> None:
         if until <= claim.until or until <= now:
@@ -101,19 +101,22 @@
     def is_renewal_due(self, now: int, claim: Claim) -> bool:
         """Whether it is time to renew.
 
-        After a complete round this is somewhat early, so that the renewals of one gateway go together.
+        After a complete round a renewal may be somewhat early, so that one gateway's renewals are sent together.
         """
         early = self._terms.term // 16 if self._is_round_complete(claim) else 0
         return now + early >= claim.due_at
 
     def renew(self, now: int, claim: Claim) -> None:
-        """Ask for a renewal: a new round, or again within the round that is not complete."""
+        """Request a renewal: start a new round, or repeat the requests of an incomplete one."""
         if self._is_round_complete(claim):
             claim.round_started_at = now
         self._proposer.request_votes(now, claim)
 
     def transfer(self, now: int, claim: Claim, to: str) -> bool:
-        """Begin a transfer; not within ``overlap`` of having got it: the one before may hold it still."""
+        """Start a transfer; returns whether it started.
+
+        Not within ``overlap`` after the lease was won: the previous holder may still hold it.
+        """
         if claim.state != ClaimState.HOLDING or now < claim.held_since + self._terms.overlap:
             return False
         claim.state = ClaimState.TRANSFERRING
@@ -122,7 +125,7 @@
         claim.reclaim_at = now + self._transfer_time * 3 // 5
         claim.until = min(claim.until, claim.transfer_until)
         claim.grants = {voter: min(end, claim.transfer_until) for voter, end in claim.grants.items()}
-        claim.requests.clear()  # replies to what was requested before count no more
+        claim.requests.clear()  # replies to earlier requests no longer count
         claim.refusals.clear()
         claim.informed_voters.clear()
         claim.notice_number = self._outbox.next_number()
@@ -130,7 +133,7 @@
         return True
 
     def continue_transfer(self, now: int, claim: Claim) -> None:
-        """Repeat who is next, or take the lease back once that has had its time."""
+        """Repeat the notices of the transfer, or take the lease back after ``reclaim_at``."""
         if now < claim.reclaim_at:
             self._notify_successor(now, claim)
             return
@@ -139,7 +142,7 @@
         self._proposer.request_votes(now, claim)
 
     def _notify_successor(self, now: int, claim: Claim) -> None:
-        """Notify the voters and the successor."""
+        """Notify the successor, and the voters that have not acknowledged it yet."""
         notice = SuccessorNotice(claim.resource, self._boot_epoch, claim.notice_number, claim.epoch, claim.successor)
         claim.due_at = min(now + max(1, self._terms.overlap // 8), claim.reclaim_at)
         for voter in self._electorate.all_voters(now, claim.resource):
@@ -147,20 +150,20 @@
                 self._outbox.send(voter, notice)
         self._outbox.send(claim.successor, TransferOffer(claim.resource, claim.epoch))
 
-    def successor_noted(self, claim: Claim, voter: str, number: int) -> None:
-        """A voter has noted the successor."""
+    def record_successor_noted(self, claim: Claim, voter: str, number: int) -> None:
+        """A voter acknowledged the successor."""
         if claim.state == ClaimState.TRANSFERRING and number == claim.notice_number:
             claim.informed_voters.add(voter)
 
     def expire(self, now: int, claim: Claim) -> None:
-        """End what has run out by now."""
+        """End the lease if it has expired."""
         if claim.state not in HELD_STATES or now < claim.until:
             return
         reason = "lapsed" if claim.state == ClaimState.HOLDING else "handed on, unanswered"
         self.end(now, claim, reason)
 
     def end(self, now: int, claim: Claim, reason: str) -> None:
-        """The lease is over here: for good after a transfer, else it is tried for again."""
+        """End the lease here. After a transfer the claim is removed, else this gateway tries to get it again."""
         self._log.record(claim.resource, ENDED, claim.epoch, reason)
         if claim.state == ClaimState.TRANSFERRING:
             self._remove(now, claim)
@@ -171,7 +174,7 @@
         claim.due_at = now + self._proposer.random_delay(self._proposer.vote_time)
 
     def release(self, now: int, claim: Claim) -> None:
-        """The user wants it no more."""
+        """Give up the claim on the user's request, whether held or not."""
         self.expire(now, claim)
         if claim.state in HELD_STATES:
             self._log.record(claim.resource, ENDED, claim.epoch, "released")
--- a/yardbank/cluster/lease/model_check/__init__.py
+++ b/yardbank/cluster/lease/model_check/__init__.py
@@ -1,5 +1,6 @@
-"""Every order of events that a few gateways can meet, up to a bound, over the program's own deciders.
+"""Model checker of the lease protocol: explores every order of events of a few gateways, up to a bound.
 
-``world`` is the fleet and what may happen to it, ``scenes`` what is looked at, ``search`` goes through it breadth first
-and keeps shortest counterexamples, ``bugs`` are faults put in to see that they are found.
+It runs the state machines of the program itself. ``world`` has the fleet and the possible actions, ``scenes`` the
+scenarios to explore, ``search`` the breadth-first search for shortest counterexamples, ``freeze`` the copies and keys
+of states, ``bugs`` the faults that are injected to show that the search finds them.
 """
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -1,4 +1,4 @@
-"""Faults put into the deciders, to see that the exploration finds them."""
+"""Faults to inject into the lease protocol, to show that the search finds them. They patch attributes by name."""
 
 from __future__ import annotations
 
@@ -14,54 +14,54 @@
 from yardbank.cluster.lease.voter import Voter
 
 
-def _drift() -> Any:
+def _ignore_drift() -> Any:
     return patch.object(LeaseTerms, "holding_time", lambda terms: terms.term)
 
 
-def _forgets() -> Any:
+def _grant_after_start() -> Any:
     def begin(voter: Voter, now: int, longest: int) -> None:
         voter.silent_until = now
 
     return patch.object(Voter, "begin", begin)
 
 
-def _wakes() -> Any:
+def _ignore_expiry() -> Any:
     return patch.object(Claim, "holds", lambda claim, now: claim.state in holder.HELD_STATES)
 
 
-def _reuses() -> Any:
-    real = Voter.ask
+def _forget_epochs() -> Any:
+    real = Voter.decide
 
-    def ask(voter: Voter, now: int, sender: str, word: Any) -> Any:
-        found = real(voter, now, sender, word)
-        if (entry := voter.entries.get(word.resource)) is not None:
-            voter.entries[word.resource] = entry._replace(highest=0)
-        return found
+    def decide(voter: Voter, now: int, sender: str, request: Any) -> Any:
+        decision = real(voter, now, sender, request)
+        if (entry := voter.entries.get(request.resource)) is not None:
+            voter.entries[request.resource] = entry._replace(highest=0)
+        return decision
 
-    return patch.object(Voter, "ask", ask)
+    return patch.object(Voter, "decide", decide)
 
 
-def _one_set() -> Any:
+def _ignore_older_lists() -> Any:
     return patch.object(Electorate, "_binding", lambda lists, now, one, resource: None)
 
 
-def _uncapped() -> Any:
+def _unlimited_transfer() -> Any:
     return patch.object(holder, "short_overlap", lambda terms: terms.term)
 
 
 BUGS: dict[str, tuple[str, Callable[[], Any]]] = {
-    "drift": ("the holder counts a whole term of its own clock", _drift),
-    "forgets": ("a voter grants at once after a start", _forgets),
-    "wakes": ("who holds is not asked what time it is", _wakes),
-    "epoch": ("a voter forgets which epochs it granted", _reuses),
-    "one-set": ("only the voters of the new list are asked", _one_set),
-    "uncapped": ("a handing on has no end", _uncapped),
+    "drift": ("the holder counts a whole term by its own clock, without the allowance for drift", _ignore_drift),
+    "forgets": ("a voter grants at once after a start", _grant_after_start),
+    "wakes": ("the holder does not check the time before it uses the lease", _ignore_expiry),
+    "epoch": ("a voter forgets which epochs it granted", _forget_epochs),
+    "one-set": ("only the voters of the new list are asked", _ignore_older_lists),
+    "uncapped": ("a transfer is not limited to the overlap", _unlimited_transfer),
 }
 
 
 @contextmanager
-def seeded(bug: str) -> Iterator[None]:
-    """With one bug in; "": with none."""
+def inject_bug(bug: str) -> Iterator[None]:
+    """Inject one bug within the context; "": none."""
     if not bug:
         yield
         return
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -1,4 +1,4 @@
-"""One gateway's deciders copied and as a key that is equal where all that can follow is equal. No I/O."""
+"""Copies of one gateway's lease state, and keys that are equal for states with the same possible futures. No I/O."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from yardbank.cluster.lease.transfer_offers import TransferOffers
 from yardbank.cluster.lease.voter import Voter
 
-# What of each changes in place; all else is shared, or the same for good.
-_CHANGING: dict[type, tuple[str, ...]] = {
+# Fields that are changed in place and must be copied; the others are shared between copies or replaced by ``copy_of``.
+_MUTABLE_FIELDS: dict[type, tuple[str, ...]] = {
     Claim: ("grants", "requests", "refusals", "informed_voters"),
     Epochs: (),
     Electorate: ("older_lists", "announcements"),
@@ -32,22 +32,24 @@
     Claims: (),
     LeasePart: (),
 }
-_SLOTS = {kind: tuple(slot for one in kind.__mro__ for slot in getattr(one, "__slots__", ())) for kind in _CHANGING}
-_READ = {kind: attrgetter(*slots) for kind, slots in _SLOTS.items()}
+_SLOTS = {
+    kind: tuple(slot for one in kind.__mro__ for slot in getattr(one, "__slots__", ())) for kind in _MUTABLE_FIELDS
+}
+_GET_SLOTS = {kind: attrgetter(*slots) for kind, slots in _SLOTS.items()}
 
 
 def _copy(value: Any) -> Any:
     kind = type(value)
     made = object.__new__(kind)
-    for slot, one in zip(_SLOTS[kind], _READ[kind](value), strict=True):
+    for slot, one in zip(_SLOTS[kind], _GET_SLOTS[kind](value), strict=True):
         setattr(made, slot, one)
-    for slot in _CHANGING[kind]:
+    for slot in _MUTABLE_FIELDS[kind]:
         setattr(made, slot, getattr(value, slot).copy())
     return made
 
 
-def copied(part: LeasePart) -> LeasePart:
-    """A copy that shares nothing that changes; what was to be said must have been taken off."""
+def copy_of(part: LeasePart) -> LeasePart:
+    """A copy that shares no mutable state. Outgoing messages must have been collected before: they are not copied."""
     made: LeasePart = _copy(part)
     made.epochs = _copy(part.epochs)
     made.electorate = _copy(part.electorate)
@@ -61,7 +63,7 @@
 
 
 def _copy_claims(claims: Claims, part: LeasePart) -> None:
-    """Copy what the claims are made of, and join the copies to those of the part."""
+    """Copy the objects that the claims consist of, and link them to the copies in ``part``."""
     claims._electorate = part.electorate
     claims._outbox = part._outbox
     claims.offers = _copy(claims.offers)
@@ -82,31 +84,31 @@
     claims.holder = holder
 
 
-class Zero(Random):
-    """Draws that are always the lowest: whoever may act acts as soon as it may. Whatever waits longer is a stop."""
+class ZeroRandom(Random):
+    """Always draws 0, so that every gateway may act as early as possible; longer waits are modelled as stops."""
 
     def random(self) -> float:
-        """Always the least draw."""
+        """Return 0."""
         return 0.0
 
     def __reduce__(self) -> Any:
-        return Zero, ()
+        return ZeroRandom, ()
 
 
-Numbered = tuple[str, int, int]  # who asked, in which life, under which number
+NumberedMessage = tuple[str, int, int]  # requester, its boot epoch, message number
 
 
-def key(part: LeasePart, now: int) -> tuple[tuple[Any, ...], tuple[Numbered, ...]]:
-    """All that decides what it does from now on, and apart from it the numbers, of which only the order matters.
+def key(part: LeasePart, now: int) -> tuple[tuple[Any, ...], tuple[NumberedMessage, ...]]:
+    """Everything that determines the part's future behaviour, and separately the message numbers.
 
-    Times are as from now, those that are over as 0.
+    Of the numbers only the order matters. Times are relative to ``now``; times in the past count as 0.
     """
 
     def ahead(at: int) -> int:
         return at - now if at > now else 0
 
     held, overlap = part.terms.holding_time(), part.terms.overlap
-    numbers: list[Numbered] = []
+    numbers: list[NumberedMessage] = []
     claims = []
     for claim in part.claims.claims.values():
         sent = [(number, at + held - now) for number, at in claim.requests.items() if at + held > now]
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -1,4 +1,4 @@
-"""What a world is made of: gateways with their sight of the list and their store, and letters on their way."""
+"""The elements of a ``World``: gateways with their view of the list and their store, and messages in flight."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     VoteReply,
     decode,
 )
-from yardbank.cluster.lease.model_check.freeze import Numbered, key
+from yardbank.cluster.lease.model_check.freeze import NumberedMessage, key
 from yardbank.cluster.lease.part import LeasePart
 
 
@@ -29,15 +29,15 @@
         self.name, self.boot_epoch, self._zones = name, boot_epoch, zones
 
     def zones(self) -> Mapping[str, str]:
-        """The list, with zones."""
+        """The list: zones by name."""
         return self._zones
 
     def alive(self) -> frozenset[str]:
-        """Nobody: safety must not rest on it."""
+        """Nobody: safety must not depend on this."""
         return frozenset()
 
     def list_hash(self) -> int:
-        """The list as a number."""
+        """A hash of the list."""
         return xxhash.xxh3_64_intdigest(repr(sorted(self._zones.items())).encode())
 
     def slowness(self) -> int:
@@ -45,45 +45,46 @@
         return 0
 
 
-class Kept:
-    """A store that can be copied."""
+class MemoryStore:
+    """A store in memory; see ``parts.KeyValueStore``."""
 
     def __init__(self, data: bytes | None) -> None:
         self.data = data
 
     def load(self) -> bytes | None:
-        """What was saved last."""
+        """The data saved last."""
         return self.data
 
     def save(self, data: bytes) -> bool:
-        """Keep it; always works."""
+        """Save the data; always succeeds."""
         self.data = data
         return True
 
 
 class Node(NamedTuple):
-    """One gateway; its part is never changed in place once it is in a world."""
+    """One gateway. Its part is never changed in place once the node is in a ``World``."""
 
     part: LeasePart
-    keys: dict[int, Any]  # worked out so far, by its clock
-    at: int = 0  # which list it has
-    stalled: tuple[int, str, bytes] | None = None  # stopped after it read its clock: then, and what it was to take
+    keys: dict[int, Any]  # cached keys, by the time on its clock
+    list_index: int = 0  # its list, as an index into the scenario's lists
+    stalled: tuple[int, str, bytes] | None = None  # stalled on a message: the clock read before, the source, the body
 
-    def kept(self) -> bytes | None:
-        """What its store has."""
-        keep = self.part._store
-        assert isinstance(keep, Kept)
-        return keep.data
+    def stored(self) -> bytes | None:
+        """The data in its store."""
+        store = self.part._store
+        assert isinstance(store, MemoryStore)
+        return store.data
 
     def key(self, now: int) -> Any:
         """See ``freeze.key``."""
         if (found := self.keys.get(now)) is None:
-            more = self.at, self.kept(), self.stalled and (now - self.stalled[0], *self.stalled[1:])
+            more = self.list_index, self.stored(), self.stalled and (now - self.stalled[0], *self.stalled[1:])
             found = self.keys[now] = (*key(self.part, now), more)
         return found
 
 
-_KINDS: dict[type[LeaseMessage], str] = {
+# The names of messages in actions, as stored counterexamples have them.
+_KIND_NAMES: dict[type[LeaseMessage], str] = {
     LeaseRequest: "Ask",
     VoteReply: "Answer",
     Release: "Release",
@@ -92,33 +93,33 @@
     LeaseTaken: "Took",
     VoterAnnouncement: "Hello",
 }
-_words: dict[bytes, LeaseMessage] = {}
-_keys: dict[Message, tuple[tuple[Any, ...], Numbered]] = {}
+_decoded_messages: dict[bytes, LeaseMessage] = {}
+_keys: dict[Message, tuple[tuple[Any, ...], NumberedMessage]] = {}
 
 
 class Message(NamedTuple):
-    """On its way."""
+    """A message in flight."""
 
     source: str
     target: str
     body: bytes
 
-    def word(self) -> LeaseMessage:
-        """What it says."""
-        if (found := _words.get(self.body)) is None:
-            found = _words[self.body] = decode(self.body)
+    def decoded(self) -> LeaseMessage:
+        """The decoded message."""
+        if (found := _decoded_messages.get(self.body)) is None:
+            found = _decoded_messages[self.body] = decode(self.body)
         return found
 
-    def key(self) -> tuple[tuple[Any, ...], Numbered]:
-        """What it says apart from its number, and that (none: an empty one)."""
+    def key(self) -> tuple[tuple[Any, ...], NumberedMessage]:
+        """The content without the message number, and the number (an empty one for messages without)."""
         if (found := _keys.get(self)) is None:
-            word, number = self.word(), ("", 0, 0)
-            fields: list[Any] = [getattr(word, one) for one in word.__struct_fields__ if one != "number"]
-            if isinstance(word, LeaseRequest | Release | SuccessorNotice | VoteReply):
-                number = (self.target if isinstance(word, VoteReply) else self.source), word.boot_epoch, word.number
-            found = _keys[self] = (self.source, self.target, type(word).__name__, *fields), number
+            decoded, number = self.decoded(), ("", 0, 0)
+            fields: list[Any] = [getattr(decoded, one) for one in decoded.__struct_fields__ if one != "number"]
+            if isinstance(decoded, LeaseRequest | Release | SuccessorNotice | VoteReply):
+                number = (self.target if isinstance(decoded, VoteReply) else self.source), decoded.boot_epoch, decoded.number
+            found = _keys[self] = (self.source, self.target, type(decoded).__name__, *fields), number
         return found
 
     def kind(self) -> str:
-        """As it stands in actions, those of stored counterexamples too."""
-        return _KINDS[type(self.word())]
+        """Its name in actions."""
+        return _KIND_NAMES[type(self.decoded())]
--- a/yardbank/cluster/lease/model_check/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -1,4 +1,4 @@
-"""Breadth first through all that may happen, each state once; then walks by chance. Counterexamples as files."""
+"""Breadth-first search through all possible states, random walks, and counterexamples in files."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 import msgspec
 
-from yardbank.cluster.lease.model_check.world import Action, Scene, World
+from yardbank.cluster.lease.model_check.world import Action, Scenario, World
 
 
-class Found(NamedTuple):
-    """What a search saw. ``whole``: every state within the scene's budgets, whatever the depth."""
+class SearchResult(NamedTuple):
+    """The result of a search. ``whole``: all states within the scenario's budgets were visited, before the depth limit.
+
+    ``trace``: the actions that lead to the violation ``wrong``, if one was found.
+    """
 
     states: int
     steps: int
@@ -25,27 +28,27 @@
     wrong: str
 
 
-class Example(msgspec.Struct, frozen=True):
-    """A counterexample: with the bug it ends in what is wrong, without it does not."""
+class Counterexample(msgspec.Struct, frozen=True):
+    """A stored counterexample: with the bug injected, its actions lead to the violation ``wrong``; without it, to none."""
 
     bug: str
     wrong: str
-    scene: Scene
+    scene: Scenario
     actions: tuple[tuple[str | int, ...], ...]
 
 
-def explore(scene: Scene, depth: int, most: int = 10_000_000) -> Found:
-    """All states that so many things that happen can lead to; at most ``most`` of them."""
-    gc.disable()  # nothing here goes round in circles, and there is much of it
+def explore(scenario: Scenario, depth: int, most: int = 10_000_000) -> SearchResult:
+    """Visit all states that at most ``depth`` actions lead to, up to ``most`` states."""
+    gc.disable()  # saves time: there are many objects and no reference cycles
     try:
-        return _explore(scene, depth, most)
+        return _explore(scenario, depth, most)
     finally:
         gc.enable()
 
 
-def _explore(scene: Scene, depth: int, most: int) -> Found:
+def _explore(scenario: Scenario, depth: int, most: int) -> SearchResult:
     began = time.monotonic()
-    first = World(scene)
+    first = World(scenario)
     seen = {first.key()}
     parents: list[tuple[int, Action]] = [(-1, ())]
     layer = [(0, first)]
@@ -60,18 +63,18 @@
                     continue
                 if made.wrong:
                     trace = (*_trace(parents, number), action)
-                    return Found(len(seen), steps, level, False, time.monotonic() - began, trace, made.wrong)
+                    return SearchResult(len(seen), steps, level, False, time.monotonic() - began, trace, made.wrong)
                 if (key := made.key()) in seen:
                     continue
                 seen.add(key)
                 parents.append((number, action))
                 following.append((len(parents) - 1, made))
                 if len(seen) >= most:
-                    return Found(len(seen), steps, level, False, time.monotonic() - began, None, "")
+                    return SearchResult(len(seen), steps, level, False, time.monotonic() - began, None, "")
         layer = following
         if not layer:
-            return Found(len(seen), steps, level, True, time.monotonic() - began, None, "")
-    return Found(len(seen), steps, depth, False, time.monotonic() - began, None, "")
+            return SearchResult(len(seen), steps, level, True, time.monotonic() - began, None, "")
+    return SearchResult(len(seen), steps, depth, False, time.monotonic() - began, None, "")
 
 
 def _trace(parents: list[tuple[int, Action]], number: int) -> tuple[Action, ...]:
@@ -82,7 +85,7 @@
     return tuple(reversed(found))
 
 
-LIKELY = {
+ACTION_WEIGHTS = {
     "deliver": 8.0,
     "tick": 4.0,
     "want": 4.0,
@@ -98,14 +101,14 @@
 }
 
 
-def walk(scene: Scene, seed: int, length: int) -> tuple[World, list[Action], int]:
-    """One long way through by chance, whatever the budgets; it ends where something is wrong. With the ownerships."""
-    often = {one: length for one in LIKELY if one in scene.budgets or one in ("pass", "tick", "double", "release")}
-    scene = msgspec.structs.replace(scene, budgets=often, letters=10)
-    random, world, trace, owned = Random(seed), World(scene), list[Action](), 0
+def walk(scenario: Scenario, seed: int, length: int) -> tuple[World, list[Action], int]:
+    """One random walk regardless of budgets, up to a violation. Returns the last state, the actions, the leases won."""
+    budgets = {one: length for one in ACTION_WEIGHTS if one in scenario.budgets or one in ("pass", "tick", "double", "release")}
+    scenario = msgspec.structs.replace(scenario, budgets=budgets, letters=10)
+    random, world, trace, owned = Random(seed), World(scenario), list[Action](), 0
     for _ in range(length):
         actions = list(world.actions())
-        action = random.choices(actions, [LIKELY[one[0]] for one in actions])[0]
+        action = random.choices(actions, [ACTION_WEIGHTS[one[0]] for one in actions])[0]
         if (made := world.after(action)) is not None:
             owned += made.highest > world.highest
             world = made
@@ -115,8 +118,8 @@
     return world, trace, owned
 
 
-def replay(example: Example) -> str:
-    """What goes wrong when it is done again; "": nothing. What cannot happen is left out."""
+def replay(example: Counterexample) -> str:
+    """The violation when the actions are replayed; "": none. Actions that are not possible are skipped."""
     world = World(example.scene)
     for action in example.actions:
         world = world.after(tuple(action)) or world
@@ -125,8 +128,8 @@
     return ""
 
 
-def shrunk(example: Example) -> Example:
-    """Without all that it does not need."""
+def minimize(example: Counterexample) -> Counterexample:
+    """Remove all actions that the violation does not need."""
     at = 0
     while at < len(example.actions):
         actions = example.actions[:at] + example.actions[at + 1 :]
@@ -137,11 +140,11 @@
     return example
 
 
-def read(path: Path) -> Example:
-    """A counterexample from its file."""
-    return msgspec.json.decode(path.read_bytes(), type=Example)
+def read(path: Path) -> Counterexample:
+    """Read a counterexample from its file."""
+    return msgspec.json.decode(path.read_bytes(), type=Counterexample)
 
 
-def write(path: Path, example: Example) -> None:
-    """A counterexample to a file."""
+def write(path: Path, example: Counterexample) -> None:
+    """Write a counterexample to a file."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(example)) + b"\n")
--- a/yardbank/cluster/lease/outbox.py
+++ b/yardbank/cluster/lease/outbox.py
@@ -1,7 +1,7 @@
-"""What one gateway's leases have to send. No I/O.
+"""The outgoing lease messages of one gateway. No I/O.
 
-Owns the queue of outgoing messages and the count of numbered ones. Urgent is what keeps or transfers a lease. What only
-requests one waits for the link's rate, so that many candidates cannot starve holders.
+Owns the queue of outgoing messages and the count of numbered ones. Messages that keep or transfer a lease are urgent.
+Those that only request one are subject to the rate limit, so that many candidates cannot starve holders.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Outbox:
-    """Messages in the order in which they are to be sent; emptied after each event."""
+    """Messages in sending order; emptied after each event."""
 
     __slots__ = ("_last_number", "queue")
 
@@ -33,6 +33,6 @@
         self.queue.append(Outgoing(to, message, urgent))
 
     def next_number(self) -> int:
-        """A number above all that were given since this start."""
+        """The next message number; numbers rise from this start on."""
         self._last_number += 1
         return self._last_number
--- a/yardbank/cluster/lease/ownership_log.py
+++ b/yardbank/cluster/lease/ownership_log.py
@@ -1,7 +1,7 @@
-"""What became of this gateway's leases, and who holds the others as far as is known. No I/O.
+"""Events of this gateway's leases, and hints on who holds other leases. No I/O.
 
 Owns the events that the user has not read (at most ``MAX_EVENTS``, the oldest are lost first), the same events for the
-log (``MAX_LOG_EVENTS``) and hints on holders (``MAX_HINTS``, the least recently heard is forgotten first).
+log (``MAX_LOG_EVENTS``) and hints on holders (``MAX_HINTS``, the least recently heard is dropped first).
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
         self.hints: OrderedDict[str, tuple[str, int]] = OrderedDict()  # by resource: holder, epoch
 
     def record(self, resource: str, what: str, epoch: int, why: str = "") -> None:
-        """``OWNED`` or ``ENDED`` here, under this epoch."""
+        """Record that a lease of this gateway began (``OWNED``) or ended (``ENDED``) under this epoch."""
         if what == OWNED:
             self.record_hint(resource, self._name, epoch)
         if len(self.events) >= MAX_EVENTS:
@@ -37,20 +37,20 @@
         self.log_events.append(event)
 
     def record_hint(self, resource: str, holder: str, epoch: int) -> None:
-        """Somebody holds it, by what a voter answered."""
+        """Record who holds a resource according to a voter."""
         self.hints[resource] = holder, epoch
         self.hints.move_to_end(resource)
         if len(self.hints) > MAX_HINTS:
             self.hints.popitem(last=False)
 
     def take_events(self, prefix: str) -> list[LeaseEvent]:
-        """Events of resources whose names begin so; taken off."""
+        """Events of resources with this prefix; each is returned once."""
         found = [event for event in self.events if event.resource.startswith(prefix)]
         self.events = [event for event in self.events if not event.resource.startswith(prefix)]
         return found
 
     def take_log_events(self) -> list[LeaseEvent]:
-        """The events of all resources for the log; taken off."""
+        """The events of all resources for the log; each is returned once."""
         found = list(self.log_events)
         self.log_events.clear()
         return found
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -1,4 +1,4 @@
-"""Leases as a part of the link: one gateway as a voter, a candidate and a holder. No I/O."""
+"""The lease protocol as a part of a gateway: voter, candidate and holder in one. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from yardbank.cluster.lease.claim import STATE_NAMES, ClaimState
 from yardbank.cluster.lease.claims import Claims
 from yardbank.cluster.lease.electorate import Electorate, StoredList
-from yardbank.cluster.lease.epochs import SHIFT, Epochs
+from yardbank.cluster.lease.epochs import BOOT_EPOCH_SHIFT, Epochs
 from yardbank.cluster.lease.holder import HELD_STATES
 from yardbank.cluster.lease.messages import (
     LeaseMessage,
@@ -25,31 +25,31 @@
     VoterAnnouncement,
     VoteReply,
 )
-from yardbank.cluster.lease.messages import decode as read
-from yardbank.cluster.lease.messages import encode as written
+from yardbank.cluster.lease.messages import decode as decode_message
+from yardbank.cluster.lease.messages import encode as encode_message
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.voter import Decision, Voter
 from yardbank.cluster.peers.parts import KeyValueStore, MembershipView, Message
 
-MAX_SHOWN = 256  # resources in a view
-URGENT_VERDICTS = (Verdict.GRANTED, Verdict.LOW, Verdict.NAMED)
+MAX_SHOWN = 256  # resources in each table of the view
+URGENT_VERDICTS = (Verdict.GRANTED, Verdict.EPOCH_USED, Verdict.SUCCESSOR_NOTED)
 MS = 1_000_000
 
 
 class _StoredState(msgspec.Struct, array_like=True):
-    """What outlives the process. Old programs ignore what they do not know."""
+    """The state kept across restarts. Older versions ignore fields that they do not know."""
 
     epoch: int
-    lists: list[StoredList]  # the newest first
-    longest_lease: int = 0  # ns, by any terms so far
+    lists: list[StoredList]  # newest first
+    longest_lease: int = 0  # ns, the longest under any terms so far
 
 
 class LeasePart:
-    """Implements ``peers.parts.Part`` and ``lease.api.Leases``. Made again at each start of the process.
+    """Implements ``peers.parts.Part`` and ``lease.api.Leases``. Created anew at each start of the process.
 
-    Owns the parts of a gateway as a voter (``voter``, ``electorate``, ``epochs``) and as a candidate and a holder
-    (``claims``), and what is stored. ``now`` must be read after what is passed in has come off the socket: a request is
-    then never older than it seems.
+    Owns the voter (``voter``, ``electorate``, ``epochs``), the candidate and holder (``claims``) and the stored state.
+    Callers must read ``now`` after the message that they pass in was read from the socket, so that a request is never
+    taken to be older than it is.
     """
 
     topic = "lease"
@@ -77,7 +77,7 @@
         self.terms = terms
         self._store = store
         self.name = membership_view.name
-        self.boot_epoch = membership_view.boot_epoch  # as a holder; it stays, whatever the link learns of old starts
+        self.boot_epoch = membership_view.boot_epoch  # identifies this holder; not raised if gossip raises its own
         self._outbox = Outbox()
         self._outgoing: list[Message] = []
         self.epochs = Epochs()
@@ -90,18 +90,18 @@
     # Part
 
     def listed(self, now: int) -> None:
-        """The list is there, or has changed."""
+        """The list of gateways was read or has changed."""
         if not self.begun:
             self._begin(now)
         if self.electorate.update_list(now, self._list_hash(), self._membership_view.zones()):
             self._save()
             for claim in self.claims.claims.values():
                 if claim.state == ClaimState.HOLDING:
-                    claim.due_at = now  # the new voters are asked at once
+                    claim.due_at = now  # ask the new voters at once
         self._flush(now)
 
     def _list_hash(self) -> int:
-        """Of the list and the terms: who has other terms grants nothing to who has not."""
+        """A hash of the list and the terms: gateways with different terms grant each other nothing."""
         terms = self.terms
         agreed = f"{self._membership_view.list_hash()}/{terms.term}/{terms.drift}/{terms.overlap}/{terms.voters}"
         return xxhash.xxh3_64_intdigest(agreed.encode())
@@ -114,7 +114,7 @@
         self.voter.begin(now, self.electorate.longest_lease)
 
     def _load(self) -> _StoredState:
-        """What was stored; what cannot be read is as if there were no store: the boot epoch stands in for it."""
+        """The stored state. If it cannot be decoded, start without it: the boot epoch keeps epochs rising."""
         data = self._store.load()
         if data is None:
             return _StoredState(0, [])
@@ -124,14 +124,14 @@
             return _StoredState(0, [])
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A message came. Raises ``DroppedError``."""
-        message = read(body)
+        """Handle a message. Raises ``DroppedError``."""
+        message = decode_message(body)
         if self.begun:
-            self._take(now, sender, message)
+            self._dispatch(now, sender, message)
             self._flush(now)
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
+        """Do whatever is due by now."""
         if not self.begun:
             return
         self._follow_boot_epoch(now)
@@ -141,17 +141,17 @@
         self._flush(now)
 
     def _follow_boot_epoch(self, now: int) -> None:
-        """The link may have learned that an earlier start was further."""
+        """Raise the floor if gossip learned of an earlier start with a higher boot epoch."""
         boot_epoch = self._membership_view.boot_epoch
-        if boot_epoch > self.boot_epoch and self.epochs.hear(now, boot_epoch << SHIFT):
-            self.epochs.floor = max(self.epochs.floor, boot_epoch << SHIFT)
+        if boot_epoch > self.boot_epoch and self.epochs.hear(now, boot_epoch << BOOT_EPOCH_SHIFT):
+            self.epochs.floor = max(self.epochs.floor, boot_epoch << BOOT_EPOCH_SHIFT)
 
     def next_at(self) -> int | None:
         """When ``tick`` is due."""
         return min((at for at in (self.claims.next_at(), self.electorate.next_at()) if at is not None), default=None)
 
     def outgoing_messages(self) -> list[Message]:
-        """What is to be sent; taken off."""
+        """The messages to send; each is returned once."""
         found = self._outgoing
         self._outgoing = []
         return found
@@ -181,14 +181,14 @@
 
     def offered(self, prefix: str) -> list[tuple[str, str]]:
         """See ``api.Leases``."""
-        return self.claims.offers.take(prefix)
+        return self.claims.offers.take_unseen(prefix)
 
     def take_events(self, prefix: str) -> list[LeaseEvent]:
         """See ``api.Leases``."""
         return self.claims.log.take_events(prefix)
 
     def take_log_events(self) -> list[LeaseEvent]:
-        """The turns of all resources once more, for the log; taken off. The oldest give way where nobody asks."""
+        """The events of all resources again, for the log; each is returned once. The oldest are dropped if unread."""
         return self.claims.log.take_log_events()
 
     def holder(self, resource: str) -> tuple[str, int] | None:
@@ -203,37 +203,37 @@
 
     # Messages
 
-    def _take(self, now: int, sender: str, message: LeaseMessage) -> None:
+    def _dispatch(self, now: int, sender: str, message: LeaseMessage) -> None:
         match message:
             case LeaseRequest():
                 self._vote(now, sender, message)
             case VoteReply():
                 self._observe(now, sender, message)
-                self.claims.answer(now, sender, message)
+                self.claims.on_vote_reply(now, sender, message)
             case Release():
                 self.voter.release(sender, message)
             case SuccessorNotice():
                 if self.voter.note_successor(now, sender, message):
-                    self._reply(sender, message, Decision(Verdict.NAMED))
+                    self._reply(sender, message, Decision(Verdict.SUCCESSOR_NOTED))
             case TransferOffer():
                 self.epochs.hear(now, message.epoch)
-                self.claims.offer(now, sender, message)
+                self.claims.on_transfer_offer(now, sender, message)
             case VoterAnnouncement():
                 self._observe(now, sender, message)
                 if message.wants_reply:
                     self._announce(sender, wants_reply=False)
             case LeaseTaken():
-                self.claims.took(now, sender, message)
+                self.claims.on_lease_taken(now, sender, message)
 
     def _vote(self, now: int, sender: str, request: LeaseRequest) -> None:
         if not self.electorate.accepts(now, request):
-            self._reply(sender, request, Decision(Verdict.LIST))
+            self._reply(sender, request, Decision(Verdict.OTHER_LIST))
             return
-        decision = self.voter.ask(now, sender, request)
+        decision = self.voter.decide(now, sender, request)
         if decision is None:
             return
         if decision.verdict == Verdict.GRANTED and request.renewal:
-            self.claims.log.hints.pop(request.resource, None)  # the entry says it
+            self.claims.log.hints.pop(request.resource, None)  # the voter's entry has the holder now
         self._reply(sender, request, decision)
 
     def _reply(self, to: str, request: LeaseRequest | SuccessorNotice, decision: Decision) -> None:
@@ -258,21 +258,21 @@
         self._outbox.send(to, announcement, urgent=False)
 
     def _observe(self, now: int, sender: str, message: VoteReply | VoterAnnouncement) -> None:
-        """What a peer knows of epochs and lists."""
+        """Take note of a peer's highest epoch and of its lists."""
         if self.epochs.hear(now, message.highest_epoch):
             self.electorate.record_announcement(now, sender, message.list_hash, message.older_lists)
         if self.electorate.older_lists or now < self.voter.silent_until:
-            self.epochs.raise_floor()  # other voters' promises pass to this one: new epochs must be above theirs
+            self.epochs.raise_floor()  # this voter takes over others' promises: new epochs must be above theirs
 
     def _flush(self, now: int) -> None:
-        """Messages to itself are taken at once; the others go out, after what they rest on is stored."""
+        """Handle messages to this gateway at once; queue the others, and store the epochs that they depend on."""
         queue = self._outbox.queue
         while queue:
             to, message, urgent = queue.pop(0)
             if to == self.name:
-                self._take(now, to, message)
+                self._dispatch(now, to, message)
             else:
-                self._outgoing.append(Message(to, written(message), urgent))
+                self._outgoing.append(Message(to, encode_message(message), urgent))
         if self.epochs.highest_epoch > self.epochs.stored:
             self._save()
 
@@ -280,12 +280,12 @@
         epoch = self.epochs.to_store() or self.epochs.stored
         state = _StoredState(epoch, self.electorate.stored_lists(), self.electorate.longest_lease)
         if not self._store.save(msgspec.msgpack.encode(state)):
-            self.failed_writes += 1  # the boot epoch stands in for it
+            self.failed_writes += 1  # not fatal: after a restart the boot epoch keeps epochs rising
 
-    # What an operator sees
+    # View
 
     def view(self, now: int) -> dict[str, Any]:
-        """What an operator should see; times in ms."""
+        """The state for operators; times in ms."""
         held = self._view_held(now)
         granted = self._view_granted(now)
         return {
--- a/yardbank/cluster/lease/proposer.py
+++ b/yardbank/cluster/lease/proposer.py
@@ -1,9 +1,9 @@
-"""Rounds of votes of one gateway as a candidate. No I/O: time (ns, its own clock) and randomness come in.
+"""The votes that one gateway starts as a candidate. No I/O: time (ns, its own clock) and randomness are arguments.
 
-Writes of a ``Claim``: ``vote_deadline``, ``round_started_at``, ``raised_epochs``, ``failed_votes``, ``contested``,
+Of a ``Claim`` it writes ``vote_deadline``, ``round_started_at``, ``raised_epochs``, ``failed_votes``, ``contested``,
 ``first_voter``, ``requests``, and the states ``WAITING`` and ``REQUESTING``. Sends requests for new leases and for
-renewals, and releases the voters of what is over. A vote ends by ``vote_time`` at the latest and raises its epoch at
-most ``MAX_RAISED_EPOCHS`` times.
+renewals, and releases the voters once a lease or a vote has ended. A vote takes at most ``vote_time`` and raises its
+epoch at most ``MAX_RAISED_EPOCHS`` times.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Proposer:
-    """Asks voters, gives up votes that are lost, and waits before the next."""
+    """Requests votes, gives up lost votes, and backs off before the next one."""
 
     __slots__ = (
         "_boot_epoch",
@@ -61,7 +61,7 @@
         self.vote_time = vote_time(terms)  # ns
 
     def start_vote(self, now: int, claim: Claim) -> None:
-        """The backoff of a claim is over."""
+        """Start a vote after the backoff of a claim, unless this gateway may not know the list in force."""
         if self._electorate.may_be_behind(now) or not self._electorate.hash:
             claim.due_at = now + max(1, self._terms.term // 8)
             return
@@ -78,7 +78,7 @@
         return voters[self.random_delay(len(voters))]
 
     def propose(self, now: int, claim: Claim) -> None:
-        """Begin a vote under an epoch above all that are known."""
+        """Request votes under an epoch above all that are known."""
         claim.forget_replies()
         claim.state = ClaimState.REQUESTING
         claim.epoch = self._epochs.next_epoch()
@@ -88,7 +88,7 @@
         self.request_votes(now, claim)
 
     def continue_vote(self, now: int, claim: Claim) -> None:
-        """Replies are missing: ask again, or give up."""
+        """Repeat the requests that were not answered, or give up after the deadline."""
         if now >= claim.vote_deadline:
             claim.first_voter = ""
             self.fail_vote(now, claim)
@@ -96,12 +96,12 @@
         self.ask_all(now, claim)
 
     def ask_all(self, now: int, claim: Claim) -> None:
-        """Ask all voters, no longer one first."""
+        """Ask all voters rather than ``first_voter`` alone."""
         claim.first_voter = ""
         self.request_votes(now, claim)
 
     def request_votes(self, now: int, claim: Claim) -> None:
-        """Ask those voters of whom this round has no grant yet, for a new lease or for a renewal."""
+        """Send requests, for a new lease or a renewal, to the voters that have not granted in this round yet."""
         number = self._outbox.next_number()
         claim.record_request(now, number)
         round_end = claim.round_started_at + self._terms.holding_time()
@@ -129,31 +129,31 @@
             claim.due_at = min(claim.due_at, claim.vote_deadline)
 
     def raise_epoch(self, now: int, claim: Claim) -> bool:
-        """A voter knows a higher epoch: propose a new one; False: too many were tried in this vote."""
+        """Retry under a new epoch after a voter found the last one used; False: too many retries in this vote."""
         if claim.raised_epochs >= MAX_RAISED_EPOCHS:
             return False
         claim.raised_epochs += 1
         self.propose(now, claim)
         return True
 
-    def refused(self, now: int, claim: Claim, is_taken: bool) -> None:
-        """A voter refused; ``is_taken``: another has its vote."""
+    def record_refusal(self, now: int, claim: Claim, is_taken: bool) -> None:
+        """A voter refused; ``is_taken``: it is bound to another gateway."""
         if self._offers.is_open(now, claim.resource):
             return
-        is_lost = claim.is_vote_lost(self._electorate.sets(now, claim.resource))
+        is_lost = claim.is_vote_lost(self._electorate.voter_sets(now, claim.resource))
         if is_lost or (claim.first_voter and is_taken):
             self.fail_vote(now, claim)
         elif claim.first_voter:
             self.ask_all(now, claim)
 
     def fail_vote(self, now: int, claim: Claim) -> None:
-        """The vote is lost: free whom it bound, and wait."""
+        """Give up a lost vote: release the voters that granted it, and back off."""
         unbound = {*self._voters(now, claim)} if claim.first_voter else {*claim.refusals}
         self.release_voters(now, claim, unbound)
         if claim.first_voter:
             free_at = claim.refusals.get(claim.first_voter, now)
         else:
-            free_at = claim.free_at(now, self._electorate.sets(now, claim.resource))
+            free_at = claim.free_at(now, self._electorate.voter_sets(now, claim.resource))
         if self._offers.is_open(now, claim.resource):
             claim.due_at = now + max(1, self._terms.overlap // 8)
         elif free_at > now:
@@ -169,7 +169,7 @@
         claim.forget_replies()
 
     def release_voters(self, now: int, claim: Claim, unbound: Collection[str] = ()) -> None:
-        """Tell all voters that this epoch is over, but for those known to be ``unbound``."""
+        """Tell all voters that this epoch has ended, except those known not to be bound by it (``unbound``)."""
         if claim.state == ClaimState.WAITING:
             return
         message = Release(claim.resource, self._boot_epoch, self._outbox.next_number(), claim.epoch)
@@ -178,7 +178,7 @@
             self._outbox.send(voter, message, urgent)
 
     def random_delay(self, limit: int) -> int:
-        """A draw from 0 up to below ``limit``."""
+        """A random delay of at least 0 and less than ``limit``."""
         return int(self._random.random() * limit)
 
     def _voters(self, now: int, claim: Claim) -> list[str]:
