--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -12,14 +12,14 @@
 from yardbank.cluster.peers.outlier_consensus import reach_consensus
 from yardbank.cluster.peers.report_store import SILENT
 from yardbank.cluster.peers.sharing import Sharing
-from yardbank.cluster.peers.transport import JUDGE_EVERY
+from yardbank.cluster.peers.transport import JUDGE_INTERVAL
 from yardbank.interface import ServerList
 from yardbank.policy import Router
 from yardbank.testing.rig.virtual import Fleet
 from yardbank.testing.rig.virtual_world import World
 
 SECOND = 1_000_000_000
-JUDGED = SECOND / JUDGE_EVERY  # times a second, where datagrams come that often
+JUDGED = SECOND / JUDGE_INTERVAL  # times a second, where datagrams come that often
 DOUBTED = 4  # databases that others say words of, as on an ordinary bad day
 RATE, LENGTH = 240.0, 12.0  # first tries a second of the whole fleet; seconds
 
--- a/tests/cluster/peers/test_batches.py
+++ b/tests/cluster/peers/test_batches.py
@@ -1,4 +1,4 @@
-"""Letters of parts between gateways: packed, sealed, taken by topic, kept to a rate; kept octets on disk."""
+"""Messages of parts between gateways: packing, signing, dispatch by topic, rate limits; and the file store."""
 
 from collections import Counter
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Echo:
-    """Answers each letter, and says what it has heard."""
+    """A part that answers requests and records the messages that it receives."""
 
     topic, rate = "echo", None
 
@@ -53,7 +53,7 @@
 
 
 @given(st.lists(st.binary(max_size=1300), max_size=60))
-def test_letters_keep_their_order_and_fit_their_datagrams(bodies):
+def test_packed_messages_keep_their_order_and_fit_their_datagrams(bodies):
     capacity = batch.entry_capacity("porting", "g1")
     packed = batch.pack([BatchEntry("echo", body) for body in bodies], capacity)
     fitting = [body for body in bodies if batch.size_of(BatchEntry("echo", body)) <= capacity]
@@ -63,22 +63,22 @@
         assert len(data) <= datagram.MAX_OCTETS and batch.decode(data, [KEY], "porting").entries == tuple(items)
 
 
-def test_a_parcel_spoilt_in_any_octet_is_dropped_whole():
+def test_batch_corrupt_in_any_octet_is_dropped_whole():
     data = batch.encode(Batch("porting", "g1", 7, 8, (BatchEntry("echo", b"x"),)), [KEY])
     for at in range(len(data)):
         with pytest.raises(DroppedError):
             batch.decode(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :], [KEY], "porting")
-    with pytest.raises(DroppedError, match="version"):  # as a program from before parcels takes it
+    with pytest.raises(DroppedError, match="version"):  # how a program that only knows version 1 sees it
         datagram.decode(data, [KEY], "porting")
 
 
-def test_a_later_program_s_fields_are_ignored():
+def test_unknown_fields_of_newer_versions_are_ignored():
     more = batch.msgspec.msgpack.encode(["porting", "g1", 7, 8, [["echo", b"x", "new"]], "new too"])
     found = batch.decode(datagram.seal(batch.VERSION, more, [KEY]), [KEY], "porting")
     assert found.entries == (BatchEntry("echo", b"x"),)
 
 
-def test_letters_cross_and_odd_ones_or_topics_nobody_has_are_counted():
+def test_messages_reach_their_part_and_unusable_ones_or_unknown_topics_are_counted():
     made = {}
     fleet = GossipFleet(["a", "b"], parts=lambda node, random: [made.setdefault(node.name, Echo())])
     for name in fleet.names:
@@ -95,7 +95,7 @@
     assert fleet.nodes["b"].dropped["topic"] == 1
 
 
-def test_letters_keep_to_their_rate_and_urgent_ones_go_beyond_it():
+def test_messages_keep_to_the_rate_and_urgent_ones_may_exceed_it():
     node, echo = GossipNode("a", "porting", [KEY], 1, Random(1)), Echo()
     node.add(echo)
     node.listed(SECOND, ["a", "b"])
@@ -104,12 +104,12 @@
     sent = [data for _, data in node.flush(SECOND)]
     first = batch.decode(sent[0], [KEY], "porting")
     assert first.entries == (BatchEntry("echo", b"now"),)
-    assert sum(map(len, sent)) <= 20 * 1024 + 2400 and node.outbox.withheld > 15  # the share of those not urgent too
+    assert sum(map(len, sent)) <= 20 * 1024 + 2400 and node.outbox.withheld > 15  # with the reserved share of other messages
     echo.out = [Message("b", bytes(1000)), Message("b", b"now", urgent=True)]
     assert len(node.flush(SECOND)) == 1
 
 
-def test_round_trips_are_timed_by_whom_they_were_made_with():
+def test_round_trips_are_timed_by_peer():
     seen = []
     fleet = GossipFleet(["a", "b", "c"])
     for name in fleet.names:
@@ -119,7 +119,7 @@
     assert {peer for peer, _ in seen} == {"b", "c"} and all(1_000_000 <= ns <= 4_000_000 for _, ns in seen)
 
 
-def test_zones_of_the_list_make_its_hash():
+def test_list_hash_depends_on_zones():
     one, other = (GossipNode(name, "porting", [KEY], 1, Random(1)) for name in "ab")
     one.listed(0, ["a", "b"], {"a": "norte", "b": "sur"})
     other.listed(0, ["a", "b"], {"a": "norte", "b": "sur"})
@@ -128,23 +128,27 @@
     assert one.list_hash != other.list_hash
 
 
-def test_what_is_kept_is_read_back_whole_or_not_at_all(tmp_path):
-    keep = FileStore(tmp_path / "deep" / "kept", structlog.get_logger())
-    assert keep.load() is None and keep.save(b"epoch 7") and keep.load() == b"epoch 7"
+def test_file_store_loads_the_saved_data_or_nothing(tmp_path):
+    store = FileStore(tmp_path / "deep" / "kept", structlog.get_logger())
+    assert store.load() is None and store.save(b"epoch 7") and store.load() == b"epoch 7"
     path = tmp_path / "deep" / "kept"
     whole = path.read_bytes()
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
-        assert keep.load() is None
+        assert store.load() is None
     path.write_bytes(whole[:-1] + b"8")
-    assert keep.load() is None
+    assert store.load() is None
     path.unlink()
     path.mkdir()
-    assert not keep.save(b"epoch 8") and keep.load() is None
+    assert not store.save(b"epoch 8") and store.load() is None
 
 
-def test_a_burst_to_all_does_not_look_old_to_one():
-    """Numbers go by recipient: of hundreds sent in one flush, one that arrives before another is none too late."""
+def test_burst_to_all_peers_is_not_dropped_as_old_by_any_recipient():
+    """Sequence numbers are counted by recipient.
+
+    With one sequence for all, the numbers of a burst to hundreds of peers would jump at each recipient, and a datagram
+    overtaken by a later one would fall out of the replay window.
+    """
     node, echo = GossipNode("a", "porting", [KEY], 1, Random(1)), Echo()
     node.add(echo)
     names = ["a", *(f"g{number}" for number in range(100))]
@@ -156,13 +160,13 @@
     other = GossipNode("g0", "porting", [KEY], 1, Random(2))
     other.add(heard := Echo())
     other.listed(SECOND, names)
-    for _, data in later + [one for one in first if one[0] == "g0"]:  # they come in another order
+    for _, data in later + [one for one in first if one[0] == "g0"]:  # arrive out of order
         other.receive(SECOND, data)
     assert sorted(body for _, body in heard.heard) == [b"x", b"x", b"y"] and not other.dropped
 
 
-def test_urgent_letters_leave_the_others_a_share():
-    """Renewals of leases took the whole rate, and a restarted gateway heard of no rollout for 50 s."""
+def test_other_messages_keep_a_share_of_the_rate_beside_urgent_ones():
+    """Lease renewals once used up the whole rate, and a restarted gateway learned of no rollout for 50 s."""
     node, echo, passed = GossipNode("a", "porting", [KEY], 1, Random(1)), Echo(), 0
     node.add(echo)
     node.listed(SECOND, ["a", "b"])
--- a/tests/cluster/peers/test_peers.py
+++ b/tests/cluster/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Who is there, what is counted, what crosses: the peers' deciders on a virtual clock, under faults."""
+"""Failure detection, counters and datagrams of gossip, on a virtual clock and under faults."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yardbank.cluster.peers import datagram as wire
-from yardbank.cluster.peers.counters import FRESH, MAX_KEYS, CounterRegistry
+from yardbank.cluster.peers.counters import MAX_CONTRIBUTION_AGE, MAX_KEYS, CounterRegistry
 from yardbank.cluster.peers.datagram import (
     ALIVE,
     GONE,
@@ -21,12 +21,12 @@
     encode,
     read_keys,
 )
-from yardbank.cluster.peers.failure_detector import LEAP, MAX_SLOWNESS, SECOND, Detector
+from yardbank.cluster.peers.failure_detector import MAX_INCARNATION_LEAD, MAX_SLOWNESS, SECOND, Detector
 from yardbank.cluster.peers.node import GossipNode, Rate
 from yardbank.testing.rig.gossip import FLEET, KEY, GossipFleet
 from yardbank.testing.rig.network import Effect, pairs_of
 
-OTHER = b"o" * 32
+OTHER_KEY = b"o" * 32
 NAMES = [f"g{number}" for number in range(8)]
 
 
@@ -44,24 +44,24 @@
 
 # Datagrams
 
-NEWS = st.builds(
+UPDATES = st.builds(
     MembershipUpdate, st.text(max_size=8), st.sampled_from([1, 2, 3]), st.integers(1, 2**53), st.text(max_size=8)
 )
-COUNTS = st.builds(CounterValue, st.text(max_size=8), st.integers(1, 2**40), st.integers(0, 2**40))
-PLAIN = Datagram(
+COUNTERS = st.builds(CounterValue, st.text(max_size=8), st.integers(1, 2**40), st.integers(0, 2**40))
+VALID = Datagram(
     FLEET, "g1", 5, 7, 9, wire.PING, 3, "g2", (MembershipUpdate("g3", SUSPECT, 4, "g4"),), (CounterValue("out", 2, 11),)
 )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(NEWS, max_size=5), st.lists(COUNTS, max_size=5), st.integers(1, 2**50), st.integers(0, 2**50))
-def test_a_datagram_survives_the_way(news, counts, sequence, number):
-    made = Datagram(FLEET, "g1", 5, 7, sequence, wire.ACK, number, "", tuple(news), tuple(counts))
-    assert decode(encode(made, [KEY]), [OTHER, KEY], FLEET) == made
+@given(st.lists(UPDATES, max_size=5), st.lists(COUNTERS, max_size=5), st.integers(1, 2**50), st.integers(0, 2**50))
+def test_datagram_is_unchanged_by_encoding_and_decoding(updates, counters, sequence, number):
+    made = Datagram(FLEET, "g1", 5, 7, sequence, wire.ACK, number, "", tuple(updates), tuple(counters))
+    assert decode(encode(made, [KEY]), [OTHER_KEY, KEY], FLEET) == made
 
 
-def test_a_datagram_spoilt_in_any_octet_is_dropped_whole():
-    data = encode(PLAIN, [KEY])
+def test_datagram_corrupt_in_any_octet_or_truncated_is_dropped_whole():
+    data = encode(VALID, [KEY])
     node = GossipNode("g0", FLEET, [KEY], 1, Random(1))
     node.listed(SECOND, ["g0", "g1", "g2", "g3"])
     for at in range(len(data)):
@@ -70,17 +70,17 @@
         assert node.receive(SECOND, data[:at]) == []
     assert all(seen.state == "unheard" and seen.heard is None for seen in node.view(SECOND))
     assert node.totals(SECOND) == {} and sum(node.dropped.values()) == 9 * len(data)
-    assert len(node.receive(SECOND, data)) == 1  # whole, it is answered
+    assert len(node.receive(SECOND, data)) == 1  # the unchanged datagram is answered
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=1300))
-def test_no_octets_break_it(data):
+def test_arbitrary_octets_are_dropped_even_when_signed(data):
     node = GossipNode("g0", FLEET, [KEY], 1, Random(1))
     node.listed(SECOND, ["g0", "g1"])
     signed = (
         wire.MAGIC + bytes((wire.VERSION,)) + wire._digest(KEY, wire.VERSION, data) + data
-    )  # by one who has the key
+    )  # as a holder of the key could send it
     for octets in (data, signed):
         assert node.receive(SECOND, octets) == []
     assert sum(node.dropped.values()) == 2
@@ -102,25 +102,25 @@
         ({"counters": (CounterValue("x", 1, -1),)}, "shape"),
     ],
 )
-def test_what_is_signed_and_wrong_is_dropped_by_its_reason(change, reason):
+def test_signed_but_invalid_datagram_is_dropped_and_counted_by_reason(change, reason):
     import msgspec
 
     node = GossipNode("g0", FLEET, [KEY], 1, Random(1))
     node.listed(SECOND, ["g0", "g1", "g2"])
-    assert node.receive(SECOND, encode(msgspec.structs.replace(PLAIN, **change), [KEY])) == []
+    assert node.receive(SECOND, encode(msgspec.structs.replace(VALID, **change), [KEY])) == []
     assert node.dropped == {reason: 1}
 
 
-def test_another_version_and_another_key_are_ignored():
-    data = encode(PLAIN, [KEY])
-    for spoilt, reason in (
+def test_datagram_of_other_version_magic_key_or_size_is_rejected():
+    data = encode(VALID, [KEY])
+    for changed, reason in (
         (data[:2] + b"\x02" + data[3:], "version"),
         (b"zz" + data[2:], "magic"),
-        (encode(PLAIN, [OTHER]), "digest"),
+        (encode(VALID, [OTHER_KEY]), "digest"),
         (data + bytes(1200), "size"),
     ):
         with pytest.raises(DroppedError, match=reason):
-            decode(spoilt, [KEY], FLEET)
+            decode(changed, [KEY], FLEET)
     with pytest.raises(ValueError, match="1200 allowed"):
         encode(
             Datagram(
@@ -136,8 +136,8 @@
         )
 
 
-def test_the_longest_names_there_can_be_fit_a_datagram():
-    """One that did not would end the timer that sends the next."""
+def test_longest_allowed_names_fit_a_datagram():
+    """A datagram that is too long raises an error, which would end the timer that sends the next ones."""
     names = [f"{number:02d}" + "n" * 30 for number in range(40)]
     gossip = GossipFleet(names, seed=15)
     for name in names:
@@ -145,24 +145,24 @@
         made.counters.update({f"{number:02d}" + "k" * 62: (1 << 61) + number for number in range(20)})
     seen = {f"{number:02d}" + "s" * 62: (5 - number % 3, 1 << 60) for number in range(20)}
 
-    def look():
+    def record_findings():
         for name, node in gossip.nodes.items():
             node.report_store.record_first_hand(gossip.own(name), seen)
-        gossip.at(gossip.now + SECOND, look)
+        gossip.at(gossip.now + SECOND, record_findings)
 
-    look()
+    record_findings()
     assert gossip.run_until(gossip.agreed, 120 * SECOND)
     gossip.kill(names[0])
     gossip.run(gossip.now + 60 * SECOND)
     assert all(node.sent > 60 and not node.dropped for node in gossip.nodes.values())
 
 
-def test_keys_are_read_by_line():
+def test_keys_are_read_one_a_line_and_faults_name_the_line():
     assert read_keys("# new\n" + "ab" * 16 + "\n\n" + "cd" * 32 + "\n") == [b"\xab" * 16, b"\xcd" * 32]
     for text, fault in (
-        ("ab", "1: a key has 16 to 64 octets, this one 1"),
+        ("ab", "1: a key must have 16 to 64 octets, this one has 1"),
         ("\nxyz", "2: not hexadecimal"),
-        ("", "1: one"),
+        ("", "1: one or two keys are required, 0 found"),
     ):
         with pytest.raises(ValueError, match=fault):
             read_keys(text)
@@ -170,31 +170,31 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 100)), max_size=80))
-def test_no_datagram_is_taken_twice(arrivals):
+def test_no_datagram_is_accepted_twice(arrivals):
     replays, taken, highest = ReplayFilter(), set(), 0
     for boot_epoch, sequence in arrivals:
         try:
             replays.accept("g1", boot_epoch, sequence)
         except DroppedError:
             newest = max((s for w, s in taken if w == boot_epoch), default=0)
-            assert (boot_epoch, sequence) in taken or boot_epoch < highest or newest - sequence >= wire.WINDOW
+            assert (boot_epoch, sequence) in taken or boot_epoch < highest or newest - sequence >= wire.REPLAY_WINDOW
         else:
             assert (boot_epoch, sequence) not in taken and boot_epoch >= highest
             taken.add((boot_epoch, sequence))
         highest = max(highest, boot_epoch) if (boot_epoch, sequence) in taken else highest
 
 
-# Who is there
+# Failure detection
 
 
-def test_all_find_each_other_and_nobody_is_accused():
+def test_all_gateways_find_each_other_without_false_suspicions():
     gossip = fleet()
     gossip.run(gossip.now + 120 * SECOND)
     assert gossip.agreed() and not gossip.told(SUSPECT) and not gossip.told(GONE)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_dies_is_known_to_all_and_one_that_returns_too(seed):
+def test_death_and_restart_of_a_gateway_become_known_to_all(seed):
     gossip = fleet(seed=seed)
     gossip.kill("g3")
     assert gossip.run_until(gossip.agreed, 60 * SECOND)
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_whose_clock_was_set_back_and_whose_store_is_gone_is_taken_back(seed):
+def test_gateway_restarted_with_a_lower_boot_epoch_is_found_alive_again(seed):
     gossip = GossipFleet(NAMES, seed=seed)
     for name in NAMES:
         gossip.start(name, boot_epoch=1_000_000)
@@ -216,12 +216,12 @@
     gossip.start("g3", boot_epoch=1_000)
     assert gossip.run_until(gossip.agreed, 90 * SECOND)
     gossip.kill("g4")
-    gossip.start("g4", boot_epoch=1_000)  # at once: nobody has missed it yet
+    gossip.start("g4", boot_epoch=1_000)  # at once: no peer has noticed that it was gone
     gossip.run(gossip.now + 30 * SECOND)
     assert gossip.run_until(gossip.agreed, 120 * SECOND)
 
 
-def test_one_that_never_comes_is_missed_and_spoils_no_datagram():
+def test_listed_gateway_that_never_starts_is_gone_and_causes_no_drops():
     gossip = GossipFleet(NAMES, seed=13)
     for name in NAMES[:-1]:
         gossip.start(name)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("shape", PARTITIONS)
-def test_each_side_of_a_partition_agrees_and_all_do_after_it(shape):
+def test_each_side_of_a_partition_agrees_and_all_agree_after_it_heals(shape):
     gossip = fleet(seed=5)
     for number, (one, other) in enumerate(PARTITIONS[shape]):
         cut(gossip, f"{shape} {number}", one, other)
@@ -259,14 +259,14 @@
     assert gossip.run_until(gossip.agreed, 120 * SECOND)
 
 
-def test_one_deaf_way_between_two_harms_nobody():
+def test_loss_in_one_direction_between_two_gateways_makes_nobody_gone():
     gossip = fleet(seed=2)
     cut(gossip, "deaf", ["g1"], ["g2"])
     gossip.run(gossip.now + 120 * SECOND)
-    assert not gossip.told(GONE)  # others reach both
+    assert not gossip.told(GONE)  # other gateways reach both
 
 
-def test_one_that_is_stopped_wakes_without_its_old_convictions():
+def test_resumed_gateway_does_not_accuse_peers_by_old_deadlines():
     gossip = fleet(seed=3)
     gossip.pause("g5")
     gossip.run(gossip.now + 40 * SECOND)
@@ -279,19 +279,22 @@
     assert not [pair for pair in accused if pair[1] != "g5"]
 
 
-def test_loss_makes_suspicions_and_they_are_refuted():
+def test_suspicions_from_packet_loss_are_refuted():
     gossip = fleet(seed=4)
     gossip.way = Effect(delay=0.0005, lose=0.3)
     gossip.run(gossip.now + 300 * SECOND)
     assert gossip.told(SUSPECT)
-    falsely = len(gossip.told(GONE))
-    assert falsely <= 0.1 * len(gossip.told(SUSPECT))
+    gone = len(gossip.told(GONE))
+    assert gone <= 0.1 * len(gossip.told(SUSPECT))
     gossip.way = Effect(delay=0.0005)
     assert gossip.run_until(gossip.agreed, 120 * SECOND)
 
 
-def test_a_gateway_that_is_slow_goes_on_telling_and_hearing_news():
-    """Refutations ride on datagrams: where slowness stretched those too, the living were forgotten at 30 % loss."""
+def test_slow_gateway_keeps_exchanging_updates():
+    """Updates with refutations travel on pings.
+
+    When slowness also stretched the interval of the pings, live peers became gone at 30 % packet loss.
+    """
     gossip = fleet(100, seed=3)
     gossip.way = Effect(delay=0.0005, lose=0.3)
     before = len(gossip.told(GONE))
@@ -305,7 +308,7 @@
     assert gossip.run_until(gossip.agreed, 60 * SECOND)
 
 
-def test_doubled_and_overtaking_datagrams_change_nothing():
+def test_duplicate_and_reordered_datagrams_change_nothing():
     gossip = fleet(seed=6, way=Effect(delay=0.001, double=0.3, reorder=0.4))
     gossip.run(gossip.now + 60 * SECOND)
     assert gossip.agreed() and not gossip.told(GONE)
@@ -315,7 +318,7 @@
     assert gossip.run_until(gossip.agreed, 120 * SECOND)
 
 
-def test_a_fast_clock_accuses_nobody():
+def test_fast_clock_makes_nobody_gone():
     gossip = GossipFleet(NAMES, seed=7)
     for name in NAMES:
         gossip.start(name, rate=1.2 if name == "g2" else 1.0)
@@ -324,7 +327,7 @@
     assert gossip.agreed() and not gossip.told(GONE)
 
 
-def test_all_but_one_restart_at_once():
+def test_all_but_one_gateway_restart_at_once():
     gossip = fleet(seed=8)
     for name in NAMES[1:]:
         gossip.kill(name)
@@ -333,13 +336,13 @@
     assert gossip.run_until(gossip.agreed, 60 * SECOND)
 
 
-def test_a_liar_cannot_have_one_that_lives_forgotten():
-    """One that has the key accuses g2 in every datagram: g2 refutes each time, and is never gone for long."""
+def test_false_accusations_by_one_gateway_do_not_make_a_live_peer_gone():
+    """A gateway that has the key accuses g2 in every datagram; g2 refutes each time and is never gone for long."""
     gossip = fleet(seed=9)
-    liar = gossip.nodes["g7"].detector
-    honest = liar.updates_for
-    liar.updates_for = lambda to, count: [
-        MembershipUpdate("g2", GONE, liar.peers["g2"].incarnation, "g7"),
+    faulty = gossip.nodes["g7"].detector
+    honest = faulty.updates_for
+    faulty.updates_for = lambda to, count: [
+        MembershipUpdate("g2", GONE, faulty.peers["g2"].incarnation, "g7"),
         *honest(to, count),
     ][:count]
     gone_for, seen = 0, 0
@@ -352,19 +355,19 @@
     assert all(gossip.believes(name, other) == ALIVE for name in NAMES[:7] for other in NAMES[3:7] if other != name)
 
 
-def test_an_accusation_far_above_ones_incarnation_is_not_believed():
+def test_accusation_with_implausibly_high_incarnation_is_ignored():
     detector = Detector("g0", 10, Random(1))
     detector.listed(0, NAMES)
-    detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10 + LEAP + 1, "g1")])
+    detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10 + MAX_INCARNATION_LEAD + 1, "g1")])
     assert detector.incarnation == 10 and detector.boot_epoch == 10
     detector.receive_updates(1, "g1", [MembershipUpdate("g0", SUSPECT, 10, "g1")])
-    assert detector.incarnation == 11 and detector.boot_epoch == 10  # refuted in the same life
+    assert detector.incarnation == 11 and detector.boot_epoch == 10  # refuted within the same start
     detector.receive_updates(1, "g1", [MembershipUpdate("g0", ALIVE, 50, "g0")])
-    assert detector.incarnation == 51 and detector.boot_epoch == 51  # an earlier life was there
+    assert detector.incarnation == 51 and detector.boot_epoch == 51  # there was an earlier start
     assert detector.times_overtaken == 1
 
 
-def test_peers_come_from_the_list_alone():
+def test_only_listed_gateways_are_peers():
     gossip = fleet(seed=10)
     node = gossip.nodes["g0"]
     node.detector.receive_updates(gossip.now, "g1", [MembershipUpdate("g99", ALIVE, 1, "g1")])
@@ -372,11 +375,11 @@
     node.listed(gossip.now, NAMES[:4])
     assert {seen.name for seen in node.view(gossip.now)} == {"g1", "g2", "g3"}
     gossip.run(gossip.now + 60 * SECOND)
-    assert node.dropped["stranger"] > 0  # those that still list it
+    assert node.dropped["stranger"] > 0  # from gateways that still list it
 
 
 @pytest.mark.parametrize("lose", [0.0, 0.5])
-def test_traffic_is_bounded_in_a_storm_of_suspicion(lose):
+def test_traffic_is_bounded_while_many_gateways_are_suspected(lose):
     gossip = fleet(16, seed=11, way=Effect(delay=0.0005))
     gossip.way = Effect(delay=0.0005, lose=lose)
     for name in gossip.names[:5]:
@@ -387,14 +390,14 @@
     assert max(gossip.octets[name] - before[name] for name in gossip.names) / seconds < 2048
 
 
-def test_the_rate_bounds_what_is_sent_at_once():
+def test_rate_allows_debt_and_refills_up_to_the_burst():
     rate = Rate(rate=1000, burst=2000)
     assert rate.left(0) == 2000
     rate.spend(2500)
     assert rate.left(0) == -500 and rate.left(SECOND) == 500 and rate.left(10 * SECOND) == 2000
 
 
-# Counts
+# Counters
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -405,27 +408,27 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_nothing_is_counted_twice_whatever_comes_late_or_again(moves, random):
-    here, there, boot_epoch, under_way = CounterRegistry(), CounterRegistry(), 1, []
+def test_late_duplicate_and_reordered_counters_are_not_counted_twice(actions, random):
+    here, there, boot_epoch, in_flight = CounterRegistry(), CounterRegistry(), 1, []
     here.set_peers({"g1"})
-    for move, key, value in moves:
-        if move == "set":
+    for action, key, value in actions:
+        if action == "set":
             there.update({f"k{key}": value})
-        elif move == "restart":
+        elif action == "restart":
             there, boot_epoch = CounterRegistry(), boot_epoch + 1
         else:
-            under_way.append((boot_epoch, there.next_to_send(4)))
-            told = random.choice(under_way)  # any of those sent so far, also again
-            here.receive(0, "g1", told[0], told[1])
-    under_way.append((boot_epoch, there.next_to_send(MAX_KEYS)))
-    random.shuffle(under_way)
-    for told in under_way * 2:
-        here.receive(0, "g1", told[0], told[1])
+            in_flight.append((boot_epoch, there.next_to_send(4)))
+            sent = random.choice(in_flight)  # any sent so far, perhaps again
+            here.receive(0, "g1", sent[0], sent[1])
+    in_flight.append((boot_epoch, there.next_to_send(MAX_KEYS)))
+    random.shuffle(in_flight)
+    for sent in in_flight * 2:
+        here.receive(0, "g1", sent[0], sent[1])
     for number in range(6):
         assert here.total(0, f"k{number}").value == there.total(0, f"k{number}").value
 
 
-def test_a_sum_says_who_is_missing_and_how_old_it_is():
+def test_total_tells_missing_contributors_and_age():
     registry = CounterRegistry()
     registry.set_peers({"g1", "g2", "g3"})
     registry.update({"out": 5})
@@ -434,13 +437,13 @@
     registry.receive(20, "g9", 1, [CounterValue("out", 1, 100)])
     total = registry.total(30, "out")
     assert (total.value, total.contributors, total.missing, total.oldest) == (13, 3, 1, 20)
-    later = registry.total(15 + FRESH, "out")
-    assert (later.value, later.missing) == (6, 2)  # g1 was not heard for too long
+    later = registry.total(15 + MAX_CONTRIBUTION_AGE, "out")
+    assert (later.value, later.missing) == (6, 2)  # g1 was not heard recently enough
     registry.set_peers({"g2"})
     assert registry.total(30, "out").value == 6
 
 
-def test_figures_are_bounded():
+def test_counters_are_bounded():
     registry = CounterRegistry()
     registry.update({f"k{number}": number for number in range(MAX_KEYS + 10)})
     assert registry.dropped == 10 and len(registry.keys()) == MAX_KEYS
@@ -449,7 +452,7 @@
     assert registry.dropped == 17
 
 
-def test_counts_reach_the_whole_fleet_and_a_refutation_loses_none():
+def test_counters_reach_the_whole_fleet_and_survive_a_refutation():
     gossip = fleet(seed=12)
     for number, name in enumerate(NAMES):
         gossip.nodes[name].counters.update({"out:a-1": number + 1, "asked:lookup": 10})
@@ -464,8 +467,8 @@
         assert totals["asked:lookup"].value == 80
 
 
-def test_the_same_seed_gives_the_same_story():
-    def story(seed):
+def test_same_seed_gives_the_same_history():
+    def history(seed):
         gossip = GossipFleet(NAMES, seed=seed, way=Effect(delay=0.001, lose=0.2, reorder=0.2))
         for name in NAMES:
             gossip.start(name)
@@ -473,10 +476,10 @@
         gossip.run(60 * SECOND)
         return gossip.history, gossip.octets
 
-    assert story(1) == story(1) != story(2)
+    assert history(1) == history(1) != history(2)
 
 
-def test_one_that_starts_where_nobody_is_there_is_quiet_and_finds_those_who_come():
+def test_gateway_alone_in_a_long_list_sends_little_and_finds_peers_that_start_later():
     names = [f"g{number}" for number in range(200)]
     gossip = GossipFleet(names, seed=14)
     gossip.start("g0")
--- a/tests/cluster/peers/test_processes.py
+++ b/tests/cluster/peers/test_processes.py
@@ -1,4 +1,4 @@
-"""Gateways as processes that know of each other: settings, keys and lists that are wrong, and what is shown."""
+"""Gateway processes that gossip: invalid settings, keys and lists, and the view for operators."""
 
 import json
 import signal
@@ -53,119 +53,123 @@
 
 
 @pytest.fixture
-def two(tmp_path):
+def gateways(tmp_path):
     made = [Process(tmp_path / name, name) for name in ("g1", "g2")]
     yield made
-    for one in made:
-        one.kill()
+    for gateway in made:
+        gateway.kill()
 
 
-def meet(two):
-    """Tell both where the other listens."""
-    for one in two:
-        wait_for(lambda one=one: one.events("listening"))
-    ports = {name: one.events("peers_listening")[-1]["port"] for name, one in zip(("g1", "g2"), two)}
-    for one in two:
-        (one.folder / "peers.hcl").write_text(peers_text(ports))
+def exchange_addresses(gateways):
+    """Write the ports that both listen on into both lists."""
+    for gateway in gateways:
+        wait_for(lambda gateway=gateway: gateway.events("listening"))
+    ports = {name: gateway.events("peers_listening")[-1]["port"] for name, gateway in zip(("g1", "g2"), gateways)}
+    for gateway in gateways:
+        (gateway.folder / "peers.hcl").write_text(peers_text(ports))
     return ports
 
 
-def states(one):
-    return {line["peer"]: line["state"] for line in one.events("peer")}
+def states(gateway):
+    return {line["peer"]: line["state"] for line in gateway.events("peer")}
 
 
-def test_two_find_each_other_and_show_it_and_miss_one_that_is_killed(two):
-    for one in two:
-        one.start()
-    meet(two)
-    wait_for(lambda: states(two[0]).get("g2") == "alive" and states(two[1]).get("g1") == "alive")
-    view = two[0].folder / "peers-view.json"
+def test_two_gateways_find_each_other_show_it_and_notice_a_kill(gateways):
+    for gateway in gateways:
+        gateway.start()
+    exchange_addresses(gateways)
+    wait_for(lambda: states(gateways[0]).get("g2") == "alive" and states(gateways[1]).get("g1") == "alive")
+    view = gateways[0].folder / "peers-view.json"
     wait_for(lambda: view.exists() and "g2" in view.read_text())
     wait_for(lambda: json.loads(view.read_text())["peers"]["g2"]["state"] == "alive")
-    shown = CliRunner().invoke(main, ["peers", "show", str(two[0].file)])
+    shown = CliRunner().invoke(main, ["peers", "show", str(gateways[0].file)])
     assert shown.exit_code == 0 and "g2" in shown.output and "alive" in shown.output
-    two[1].kill()
-    wait_for(lambda: states(two[0])["g2"] == "gone")
-    boot_epoch = two[1].events("peers_listening")[-1]["life"]
-    two[1].start()
-    wait_for(lambda: len(two[1].events("peers_listening")) == 2)
-    assert two[1].events("peers_listening")[-1]["life"] > boot_epoch
-    meet(two)
-    wait_for(lambda: states(two[0])["g2"] == "alive")
-
-
-def test_of_two_of_one_name_the_listed_one_is_heard_and_harms_nobody_where_lists_differ(two, tmp_path):
-    """One whose address no list has hears nothing, and what it sends is dropped as seen before or as an earlier life."""
+    gateways[1].kill()
+    wait_for(lambda: states(gateways[0])["g2"] == "gone")
+    boot_epoch = gateways[1].events("peers_listening")[-1]["life"]
+    gateways[1].start()
+    wait_for(lambda: len(gateways[1].events("peers_listening")) == 2)
+    assert gateways[1].events("peers_listening")[-1]["life"] > boot_epoch
+    exchange_addresses(gateways)
+    wait_for(lambda: states(gateways[0])["g2"] == "alive")
+
+
+def test_of_two_of_one_name_the_listed_one_is_heard_and_harms_nobody_where_lists_differ(gateways, tmp_path):
+    """Two gateways are configured with the same name; some lists have the address of one, some of the other.
+
+    A gateway whose address is in no list receives nothing, and what it sends is dropped as received before or as from
+    an earlier start.
+    """
     others = [Process(tmp_path / folder, name) for folder, name in (("g1-again", "g1"), ("g3", "g3"))]
-    again, g3 = others
+    duplicate, g3 = others
     try:
-        for one in (*two, *others):
-            one.start()
-        for one in (*two, *others):
-            wait_for(lambda one=one: one.events("listening"))
-        port = {id(one): one.events("peers_listening")[-1]["port"] for one in (*two, *others)}
-
-        def tell(one, first):
-            places = {"g1": port[id(first)], "g2": port[id(two[1])], "g3": port[id(g3)]}
-            (one.folder / "peers.hcl").write_text(peers_text(places))
-
-        for one in (two[0], again, two[1], g3):
-            tell(one, two[0])
-        wait_for(lambda: all(states(one).get("g1") == "alive" for one in (two[1], g3)))
-        wait_for(lambda: any("old" in line for line in two[1].events("peers_dropped")))
-        tell(g3, again)
-        wait_for(lambda: states(again).get("g3") == "alive")
-        assert states(two[1])["g1"] == "alive" and states(g3)["g1"] == "alive"
-        assert all(one.process.poll() is None for one in (*two, *others))
+        for gateway in (*gateways, *others):
+            gateway.start()
+        for gateway in (*gateways, *others):
+            wait_for(lambda gateway=gateway: gateway.events("listening"))
+        port = {id(gateway): gateway.events("peers_listening")[-1]["port"] for gateway in (*gateways, *others)}
+
+        def tell(gateway, first):
+            places = {"g1": port[id(first)], "g2": port[id(gateways[1])], "g3": port[id(g3)]}
+            (gateway.folder / "peers.hcl").write_text(peers_text(places))
+
+        for gateway in (gateways[0], duplicate, gateways[1], g3):
+            tell(gateway, gateways[0])
+        wait_for(lambda: all(states(gateway).get("g1") == "alive" for gateway in (gateways[1], g3)))
+        wait_for(lambda: any("old" in line for line in gateways[1].events("peers_dropped")))
+        tell(g3, duplicate)
+        wait_for(lambda: states(duplicate).get("g3") == "alive")
+        assert states(gateways[1])["g1"] == "alive" and states(g3)["g1"] == "alive"
+        assert all(gateway.process.poll() is None for gateway in (*gateways, *others))
     finally:
-        for one in others:
-            one.kill()
+        for gateway in others:
+            gateway.kill()
 
 
-def test_keys_are_replaced_in_service(two):
+def test_keys_can_be_replaced_without_restart(gateways):
     other = "cd" * 32
-    for one in two:
-        one.start()
-    meet(two)
-    wait_for(lambda: states(two[0]).get("g2") == "alive")
+    for gateway in gateways:
+        gateway.start()
+    exchange_addresses(gateways)
+    wait_for(lambda: states(gateways[0]).get("g2") == "alive")
     for text, count in ((f"{KEY}\n{other}", 2), (f"{other}\n{KEY}", 2), (other, 1)):
-        for one in two:
-            (one.folder / "peers.key").write_text(text)
-            before = len(one.events("peer_keys_loaded"))
-            one.process.send_signal(signal.SIGHUP)
-            wait_for(lambda one=one, before=before: len(one.events("peer_keys_loaded")) > before)
-            assert one.events("peer_keys_loaded")[-1]["count"] == count
-    (two[0].folder / "peers.key").write_text("nonsense")
-    two[0].process.send_signal(signal.SIGHUP)
-    wait_for(lambda: two[0].events("peer_keys_rejected"))
-    assert two[0].events("peer_keys_rejected")[0]["fault"].endswith("peers.key:1: not hexadecimal")
-    heard = json.loads((two[0].folder / "peers-view.json").read_text())["written"]
-    wait_for(lambda: json.loads((two[0].folder / "peers-view.json").read_text())["written"] > heard)
-    assert json.loads((two[0].folder / "peers-view.json").read_text())["peers"]["g2"]["state"] != "gone"
-
-
-def test_a_list_that_is_wrong_is_held_back_and_the_last_one_serves_on(two):
-    for one in two:
-        one.start()
-    meet(two)
-    wait_for(lambda: states(two[0]).get("g2") == "alive")
-    listed = len(two[0].events("peers_listed"))
-    (two[0].folder / "peers.hcl").write_text('peer "g2" {\n  address = "127.0.0.1"\n  port = 0\n}\n')
-    wait_for(lambda: two[0].events("peer_list_rejected"))
-    assert 'peers.hcl:3: peer "g2": port' in two[0].events("peer_list_rejected")[0]["fault"]
-    assert len(two[0].events("peers_listed")) == listed
-    two[1].kill()
-    wait_for(lambda: states(two[0])["g2"] == "gone")  # still watched by the list of before
+        for gateway in gateways:
+            (gateway.folder / "peers.key").write_text(text)
+            before = len(gateway.events("peer_keys_loaded"))
+            gateway.process.send_signal(signal.SIGHUP)
+            wait_for(lambda gateway=gateway, before=before: len(gateway.events("peer_keys_loaded")) > before)
+            assert gateway.events("peer_keys_loaded")[-1]["count"] == count
+    (gateways[0].folder / "peers.key").write_text("nonsense")
+    gateways[0].process.send_signal(signal.SIGHUP)
+    wait_for(lambda: gateways[0].events("peer_keys_rejected"))
+    assert gateways[0].events("peer_keys_rejected")[0]["fault"].endswith("peers.key:1: not hexadecimal")
+    heard = json.loads((gateways[0].folder / "peers-view.json").read_text())["written"]
+    wait_for(lambda: json.loads((gateways[0].folder / "peers-view.json").read_text())["written"] > heard)
+    assert json.loads((gateways[0].folder / "peers-view.json").read_text())["peers"]["g2"]["state"] != "gone"
+
+
+def test_invalid_list_is_rejected_and_the_last_valid_one_stays_in_force(gateways):
+    for gateway in gateways:
+        gateway.start()
+    exchange_addresses(gateways)
+    wait_for(lambda: states(gateways[0]).get("g2") == "alive")
+    listed = len(gateways[0].events("peers_listed"))
+    (gateways[0].folder / "peers.hcl").write_text('peer "g2" {\n  address = "127.0.0.1"\n  port = 0\n}\n')
+    wait_for(lambda: gateways[0].events("peer_list_rejected"))
+    assert 'peers.hcl:3: peer "g2": port' in gateways[0].events("peer_list_rejected")[0]["fault"]
+    assert len(gateways[0].events("peers_listed")) == listed
+    gateways[1].kill()
+    wait_for(lambda: states(gateways[0])["g2"] == "gone")  # still monitored under the previous list
 
 
 FAULTY = [
     ("peers.key", "xyz", "peers.key:1: not hexadecimal"),
-    ("peers.key", "ab", "peers.key:1: a key has 16 to 64 octets, this one 1"),
+    ("peers.key", "ab", "peers.key:1: a key must have 16 to 64 octets, this gateway has 1"),
 ]
 
 
 @pytest.mark.parametrize(("name", "text", "fault"), FAULTY)
-def test_a_faulty_key_file_is_one_line_and_exit_2(name, text, fault, tmp_path):
+def test_invalid_or_missing_key_file_gives_one_line_and_exit_status_2(name, text, fault, tmp_path):
     made = Process(tmp_path / "g1")
     (made.folder / name).write_text(text)
     command = [sys.executable, "-m", "yardbank", "serve", str(made.file)]
@@ -176,7 +180,7 @@
     assert done.returncode == 2 and "peers.key: No such file" in done.stderr
 
 
-def test_faulty_settings_and_workers_are_refused(tmp_path):
+def test_invalid_peers_settings_and_several_workers_are_refused(tmp_path):
     made = Process(tmp_path / "g1")
     good = made.file.read_text()
     for change, fault in (
@@ -192,7 +196,7 @@
     assert done.exit_code == 2 and "use one worker" in done.output
 
 
-def test_a_taken_port_is_a_plain_fault(tmp_path):
+def test_port_in_use_is_reported_without_a_traceback(tmp_path):
     made = Process(tmp_path / "g1")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
@@ -206,7 +210,7 @@
     assert done.returncode == 2 and "cannot listen" in done.stderr and "Traceback" not in done.stderr
 
 
-def test_show_without_a_view_or_a_block_says_so(tmp_path):
+def test_peers_show_without_a_view_or_a_peers_block_says_so(tmp_path):
     made = Process(tmp_path / "g1")
     done = CliRunner().invoke(main, ["peers", "show", str(made.file)])
     assert done.exit_code == 2 and "has the gateway run?" in done.output
@@ -217,17 +221,17 @@
     assert done.exit_code == 2 and "no peers block" in done.output
 
 
-def test_a_list_is_taken_whole_or_not_at_all():
+def test_peer_list_is_applied_whole_or_rejected_after_patience():
     watch, good = PeerList(patience=100), peers_text({"g1": 1, "g2": 2}).encode()
     assert watch.seen(0, {"p": good}) == [
         Accept({"g1": ("127.0.0.1", 1), "g2": ("127.0.0.1", 2)}, {"g1": "", "g2": ""})
     ]
     assert watch.seen(10, {"p": good}) == [] and watch.due() is None
     cut = good[: good.rindex(b"peer")]
-    assert watch.seen(20, {"p": cut}) == [] and watch.due() == 120  # it may still be being written
+    assert watch.seen(20, {"p": cut}) == [] and watch.due() == 120  # the file may still be being written
     assert watch.seen(119, {"p": cut}) == []
     (rejected,) = watch.seen(120, {"p": cut})
-    assert rejected == Reject(("p:1: count: 2 peers are promised, 1 are there",))
+    assert rejected == Reject(("p:1: count: 2 peers expected, 1 found",))
     assert watch.seen(500, {"p": cut}) == [] and watch.due() is None and len(watch.places) == 2
     for text, fault in (
         (b"\xff", "p:1: not UTF-8"),
@@ -242,7 +246,7 @@
     assert watch.seen(3000, {"p": good}) == [] and watch.due() is None
 
 
-def test_a_life_is_newer_than_the_last_whatever_the_clock_says():
+def test_boot_epoch_is_above_the_stored_one_whatever_the_clock_says():
     assert (
         next_boot_epoch(None, 1000.7) == 1000
         and next_boot_epoch(5000, 1000.0) == 5001
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -207,7 +207,7 @@
         from yardbank.cluster.peers import outlier_consensus as consensus
         from yardbank.cluster.peers import transport as shell
 
-        consensus.PART, consensus.WITNESSES = 1.0, 1
+        consensus.MAX_EJECTED_SHARE, consensus.MIN_WITNESSES = 1.0, 1
         shell.reach_consensus = lambda now, reports, servers, own, draw: consensus.reach_consensus(
             now, reports, servers, {}, draw
         )
--- a/yardbank/cluster/peers/__init__.py
+++ b/yardbank/cluster/peers/__init__.py
@@ -1,8 +1,8 @@
-"""Which gateways are there, and what they say of themselves. Deciders without I/O, and one thin UDP shell.
+"""Gossip between gateways: membership, counters and health reports. State machines without I/O, and one UDP transport.
 
 Off unless the settings have a ``peers`` block; the operators' platform never imports it.
 """
 
 
 class PeersError(OSError):
-    """The peers' part cannot start; the text is one plain fault."""
+    """Gossip cannot start; the message is one line that says why."""
--- a/yardbank/cluster/peers/batch.py
+++ b/yardbank/cluster/peers/batch.py
@@ -1,7 +1,7 @@
-"""Messages of parts between gateways: datagrams of version 2, beside the gossip's own of version 1. No I/O.
+"""Messages of parts between gateways, sent as datagrams of version 2; version 1 is for gossip itself. No I/O.
 
-Same head and keyed digest as ``datagram``. A program that knows version 1 alone drops them by their version and goes
-on; fields and topics that this program does not know are ignored. So old and new programs share a fleet.
+They have the same header and keyed digest as in ``datagram``. Programs that only know version 1 drop them because of
+the version, and unknown fields and topics are ignored, so old and new programs can share a fleet.
 """
 
 from __future__ import annotations
@@ -10,24 +10,32 @@
 
 import msgspec
 
-from yardbank.cluster.peers.datagram import HEAD, MAX_INCARNATION, MAX_NAME, MAX_OCTETS, DroppedError, open_sealed, seal
+from yardbank.cluster.peers.datagram import (
+    HEADER_OCTETS,
+    MAX_INCARNATION,
+    MAX_NAME,
+    MAX_OCTETS,
+    DroppedError,
+    open_sealed,
+    seal,
+)
 
 VERSION = 2
 MAX_TOPIC = 16  # octets
-MAX_ENTRIES = 32  # of one batch
+MAX_ENTRIES = 32  # in one batch
 MAX_SEQUENCE = 1 << 62
-_ENTRIES_HEAD = 4  # octets that MessagePack may need more for the length of the entries than for none
+_ENTRIES_LENGTH_OCTETS = 4  # what MessagePack may need for the number of entries beyond the encoding of an empty list
 
 
 class BatchEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One message: the topic of the part that it is for, and its octets."""
+    """One message: the topic of the recipient part, and the message's octets."""
 
     topic: str
     body: bytes
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram. ``boot_epoch`` and ``sequence`` are the sender's, as in its other datagrams."""
+    """One datagram. ``boot_epoch`` and ``sequence`` have the same meaning as in ``Datagram``."""
 
     fleet: str
     sender: str
@@ -40,14 +48,14 @@
 
 
 def encode(batch: Batch, keys: Sequence[bytes]) -> bytes:
-    """Its octets. Raises ``ValueError`` if it is too long."""
+    """Encode and seal a batch. Raises ``ValueError`` if it is too long."""
     return seal(VERSION, msgspec.msgpack.encode(batch), keys)
 
 
 def entry_capacity(fleet: str, sender: str) -> int:
-    """Octets that entries may take in one datagram of this sender."""
+    """Octets available for entries in one datagram of this sender."""
     empty = msgspec.msgpack.encode(Batch(fleet, sender, MAX_INCARNATION, MAX_SEQUENCE))
-    return MAX_OCTETS - HEAD - len(empty) - _ENTRIES_HEAD
+    return MAX_OCTETS - HEADER_OCTETS - len(empty) - _ENTRIES_LENGTH_OCTETS
 
 
 def size_of(entry: BatchEntry) -> int:
@@ -56,7 +64,7 @@
 
 
 def pack(entries: Iterable[BatchEntry], capacity: int) -> list[list[BatchEntry]]:
-    """The entries for one gateway in as few datagrams as keep their order. One that fits none is left out."""
+    """Group the entries for one gateway into datagrams, keeping their order. Entries too long for one are left out."""
     batches: list[list[BatchEntry]] = []
     left = 0
     for entry in entries:
@@ -72,7 +80,7 @@
 
 
 def decode(data: bytes, keys: Sequence[bytes], fleet: str) -> Batch:
-    """A datagram sealed by a gateway of this fleet that has a key. Raises ``DroppedError``."""
+    """Verify and decode a datagram of this fleet. Raises ``DroppedError``."""
     body = open_sealed(data, VERSION, keys)
     try:
         batch = _decoder.decode(body)
--- a/yardbank/cluster/peers/counters.py
+++ b/yardbank/cluster/peers/counters.py
@@ -1,10 +1,10 @@
-"""Counters that gateways gossip, totalled over those heard lately. No I/O: time (ns) is an argument.
+"""Counters that gateways gossip, totalled over the gateways heard from recently. No I/O: time (ns) is an argument.
 
 Owns this gateway's counters and the last known ones of its peers.
 
 Invariants: a counter belongs to the one gateway that sends it, and only its newest value counts: a higher boot epoch
-replaces all values of the one before, and within one the version decides. So a restart, a duplicate or a late datagram
-cannot count anything twice, and nobody can send another's counters.
+replaces all values of the one before, and within one boot epoch the higher version wins. So a restart, a duplicate or a
+late datagram cannot count anything twice, and no gateway can send another's counters.
 
 Bound: ``MAX_KEYS`` counters of each gateway.
 """
@@ -16,8 +16,8 @@
 
 from yardbank.cluster.peers.datagram import MAX_NAME, CounterValue
 
-MAX_KEYS = 512  # of one gateway; more are neither sent nor stored
-FRESH = 15_000_000_000  # ns since its last datagram that a gateway's counters are part of a total
+MAX_KEYS = 512  # counters of one gateway; more are neither sent nor stored
+MAX_CONTRIBUTION_AGE = 15_000_000_000  # ns; totals leave out gateways whose last datagram is older
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,8 +40,8 @@
 class CounterTotal:
     """One counter over the fleet.
 
-    ``contributors``: gateways that are part of it, this one too; ``missing``: gateways of the list that are not;
-    ``oldest``: age of the oldest contribution, ns.
+    ``contributors``: gateways included, this one too; ``missing``: listed gateways that are not included; ``oldest``:
+    age of the oldest contribution, ns.
     """
 
     value: int
@@ -51,26 +51,26 @@
 
 
 class CounterRegistry:
-    """This gateway's counters, and what it has received of the others'.
+    """This gateway's counters, and those received from the others.
 
-    ``dropped`` counts values beyond a bound.
+    ``dropped`` counts values rejected because of a bound.
     """
 
     def __init__(self) -> None:
         self.dropped = 0
         self._own: dict[str, _VersionedValue] = {}
         self._of_peers: dict[str, _PeerCounters] = {}
-        self._not_sent_yet: list[str] = []  # keys left of the present round over all counters
+        self._not_sent_yet: list[str] = []  # keys not yet sent in the current round over all counters
         self._version = 0
         self._peers: set[str] = set()
 
     def set_peers(self, names: set[str]) -> None:
-        """The gateways of the list but this one; counters of all others are forgotten."""
+        """Set the listed gateways except this one; counters of all others are dropped."""
         self._peers = set(names)
         self._of_peers = {name: counters for name, counters in self._of_peers.items() if name in names}
 
     def update(self, values: Mapping[str, int]) -> None:
-        """This gateway's counters as they are now. One that is not among them any more is sent as 0 from now on."""
+        """Set this gateway's counters. One that is missing from ``values`` is sent as 0 from now on."""
         for key in [*self._own, *values]:
             self._update_one(key, values.get(key, 0))
 
@@ -85,7 +85,7 @@
         self._own[key] = _VersionedValue(self._version, value)
 
     def next_to_send(self, limit: int) -> list[CounterValue]:
-        """Counters to send next: half of them those changed last, then all in turn."""
+        """The counters to send next: up to half are those changed last, the rest are all counters in turn."""
         by_change = sorted(self._own, key=lambda key: -self._own[key].version)
         keys = by_change[: limit // 2]
         while len(keys) < min(limit, len(self._own)):
@@ -97,7 +97,7 @@
         return [CounterValue(key, self._own[key].version, self._own[key].value) for key in keys]
 
     def receive(self, now: int, sender: str, boot_epoch: int, values: Iterable[CounterValue]) -> None:
-        """A peer's own counters; those of an earlier start than the last known one are ignored."""
+        """Store a peer's own counters; those of an earlier start than the last known one are ignored."""
         if sender not in self._peers:
             return
         known = self._of_peers.get(sender)
@@ -118,13 +118,13 @@
             values[counter.key] = _VersionedValue(counter.version, counter.value)
 
     def total(self, now: int, key: str) -> CounterTotal:
-        """One counter summed over this gateway and the peers heard lately."""
-        fresh = [counters for counters in self._of_peers.values() if now - counters.heard_at <= FRESH]
+        """One counter summed over this gateway and the peers heard from recently."""
+        fresh = [counters for counters in self._of_peers.values() if now - counters.heard_at <= MAX_CONTRIBUTION_AGE]
         value = self._own.get(key, _ABSENT).value
         value += sum(counters.values.get(key, _ABSENT).value for counters in fresh)
         oldest = max((now - counters.heard_at for counters in fresh), default=0)
         return CounterTotal(value, 1 + len(fresh), len(self._peers) - len(fresh), oldest)
 
     def keys(self) -> list[str]:
-        """The names of all counters known here, in order."""
+        """The names of all known counters, sorted."""
         return sorted(set(self._own).union(*(counters.values for counters in self._of_peers.values())))
--- a/yardbank/cluster/peers/datagram.py
+++ b/yardbank/cluster/peers/datagram.py
@@ -1,7 +1,8 @@
-"""What gateways send each other: one datagram, keyed, versioned, bounded. No I/O.
+"""The gossip datagram: authenticated, versioned and of bounded size. No I/O.
 
-Two octets of name, one of version, sixteen of a keyed BLAKE2b digest over all else, then MessagePack. What does not
-verify, is of another fleet or version, or was seen before is dropped by a named reason; nothing of it is kept.
+Format: two octets of magic, one of version, sixteen of a keyed BLAKE2b digest over version and body, then the body in
+MessagePack. A datagram that does not verify, is of another fleet or version, or was received before is dropped whole,
+and counted by the reason.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 import msgspec
 
 MAGIC, VERSION = b"yb", 1
-MAX_OCTETS = 1200  # of a datagram: passes any path without being cut in pieces
-DIGEST, HEAD = 16, 19
+MAX_OCTETS = 1200  # of a datagram; passes any path without fragmentation
+DIGEST_OCTETS, HEADER_OCTETS = 16, 19
 MAX_INCARNATION = 1 << 53
-WINDOW = 64  # so far back datagrams may come in another order than they were sent
-LEAST_KEY = 16  # octets
-ALIVE, SUSPECT, GONE = 1, 2, 3  # as an update says of a peer
+REPLAY_WINDOW = 64  # datagrams may be reordered by less than this many sequence numbers
+MIN_KEY_OCTETS = 16
+ALIVE, SUSPECT, GONE = 1, 2, 3  # states of a peer in updates
 STATES = {ALIVE: "alive", SUSPECT: "suspect", GONE: "gone"}
 MAX_NAME = 64  # octets of any name or key
-MAX_KIND = 5  # of a health report
+MAX_KIND = 5  # highest kind of a health report
 MAX_NUMBER = 1 << 62
-MAX_AGE = 1 << 31  # ms, of a health report
+MAX_AGE = 1 << 31  # ms, age of a health report
 PING, ACK, ASK, NACK = "ping", "ack", "ask", "nack"
-REASONS = ("size", "magic", "version", "digest", "shape", "fleet", "stranger", "old")
+DROP_REASONS = ("size", "magic", "version", "digest", "shape", "fleet", "stranger", "old")
 
 
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -47,7 +48,7 @@
 
 
 class HealthReport(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What a witness found of one start of a server, and how long ago (``age``, ms).
+    """A witness's finding about one start of a server, and how long ago it was made (``age``, ms).
 
     ``number`` rises with each report within the witness's boot epoch.
     """
@@ -56,15 +57,15 @@
     boot_epoch: int
     number: int
     server: str
-    started: int  # ms since 1970 as the list says; 0: long ago
+    started: int  # start of the server in the list, ms since 1970; 0: not given
     kind: int
     age: int
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One datagram. ``number`` names the probe it belongs to, ``target`` whom an ASK or its answer is about.
+    """One datagram. ``number`` identifies its probe, ``target`` the peer that an ASK or the reply to it is about.
 
-    ``boot_epoch`` names the sender's start; ``incarnation`` rises within it with each suspicion that it refutes.
+    ``boot_epoch`` identifies the sender's start; ``incarnation`` rises within it with each refuted suspicion.
     """
 
     fleet: str
@@ -81,7 +82,7 @@
 
 
 class DroppedError(Exception):
-    """A datagram that is not taken; ``reason`` is one of ``REASONS``."""
+    """A datagram or message that cannot be used; for datagrams ``reason`` is one of ``DROP_REASONS``."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -89,9 +90,9 @@
 
 
 def read_keys(text: str) -> list[bytes]:
-    """One or two keys, a line each, in hexadecimal; the first signs, both verify.
+    """Parse one or two keys, in hexadecimal, one a line. The first signs, both verify.
 
-    Raises ``ValueError``, whose text is the line and what is wrong there.
+    Raises ``ValueError`` with the line number and what is wrong there.
     """
     found: list[bytes] = []
     for line, word in enumerate(text.splitlines(), 1):
@@ -101,51 +102,51 @@
             key = bytes.fromhex(word.strip())
         except ValueError:
             raise ValueError(f"{line}: not hexadecimal") from None
-        if not LEAST_KEY <= len(key) <= 64:
-            raise ValueError(f"{line}: a key has {LEAST_KEY} to 64 octets, this one {len(key)}")
+        if not MIN_KEY_OCTETS <= len(key) <= 64:
+            raise ValueError(f"{line}: a key must have {MIN_KEY_OCTETS} to 64 octets, this one has {len(key)}")
         found.append(key)
     if not 1 <= len(found) <= 2:
-        raise ValueError(f"1: one key or two are wanted, {len(found)} found")
+        raise ValueError(f"1: one or two keys are required, {len(found)} found")
     return found
 
 
 def _digest(key: bytes, version: int, body: bytes) -> bytes:
-    return blake2b(bytes((version,)) + body, key=key, digest_size=DIGEST).digest()
+    return blake2b(bytes((version,)) + body, key=key, digest_size=DIGEST_OCTETS).digest()
 
 
 def seal(version: int, body: bytes, keys: Sequence[bytes]) -> bytes:
-    """A datagram with this body. Raises ``ValueError`` if it is too long: whoever fills it has to stop before."""
-    if HEAD + len(body) > MAX_OCTETS:
-        raise ValueError(f"{HEAD + len(body)} octets, {MAX_OCTETS} allowed")
+    """A signed datagram with this body. Raises ``ValueError`` if it is too long; callers must limit the body."""
+    if HEADER_OCTETS + len(body) > MAX_OCTETS:
+        raise ValueError(f"{HEADER_OCTETS + len(body)} octets, {MAX_OCTETS} allowed")
     return MAGIC + bytes((version,)) + _digest(keys[0], version, body) + body
 
 
 def version_of(data: bytes) -> int:
-    """Which version a datagram says it is of; 0: it is none of ours."""
-    return data[2] if len(data) > HEAD and data[:2] == MAGIC else 0
+    """The version in a datagram's header; 0: not a datagram of this protocol."""
+    return data[2] if len(data) > HEADER_OCTETS and data[:2] == MAGIC else 0
 
 
 def open_sealed(data: bytes, version: int, keys: Sequence[bytes]) -> bytes:
-    """The body of a datagram sealed with one of the keys. Raises ``DroppedError``."""
-    if not HEAD < len(data) <= MAX_OCTETS:
+    """The body of a datagram signed with one of the keys. Raises ``DroppedError``."""
+    if not HEADER_OCTETS < len(data) <= MAX_OCTETS:
         raise DroppedError("size")
     if data[:2] != MAGIC:
         raise DroppedError("magic")
-    if data[2] != version:  # an older or newer program in the same fleet: not ours to read
+    if data[2] != version:  # from an older or newer program in the same fleet
         raise DroppedError("version")
-    body = data[HEAD:]
-    if not any(compare_digest(data[3:HEAD], _digest(key, version, body)) for key in keys):
+    body = data[HEADER_OCTETS:]
+    if not any(compare_digest(data[3:HEADER_OCTETS], _digest(key, version, body)) for key in keys):
         raise DroppedError("digest")
     return body
 
 
 def encode(datagram: Datagram, keys: Sequence[bytes]) -> bytes:
-    """Its octets. Raises ``ValueError`` if it is too long."""
+    """Encode and sign a datagram. Raises ``ValueError`` if it is too long."""
     return seal(VERSION, msgspec.msgpack.encode(datagram), keys)
 
 
 def size_of(item: msgspec.Struct) -> int:
-    """Octets that one more of these takes."""
+    """Octets that this item takes in a datagram."""
     return len(msgspec.msgpack.encode(item))
 
 
@@ -153,7 +154,7 @@
 
 
 def decode(data: bytes, keys: Sequence[bytes], fleet: str) -> Datagram:
-    """A datagram sealed by a gateway of this fleet that has a key. Raises ``DroppedError``."""
+    """Verify and decode a datagram of this fleet. Raises ``DroppedError``."""
     body = open_sealed(data, VERSION, keys)
     try:
         datagram = _decoder.decode(body)
@@ -204,22 +205,22 @@
 
 @dataclass(slots=True)
 class _ReplayWindow:
-    """The sequence numbers of one sender's start that were accepted: the highest, and a bit for each just below it."""
+    """Accepted sequence numbers of one sender's start: the highest, and a bitmap of those just below it."""
 
     boot_epoch: int
     highest: int = 0
     accepted: int = 0  # bit n: ``highest`` - n was accepted
 
     def accept(self, sequence: int) -> bool:
-        """Mark a number as accepted; False: it was before, or is too old to tell."""
+        """Mark a number as accepted; False: it was accepted before, or is too old to tell."""
         if sequence > self.highest:
             ahead = sequence - self.highest
-            self.accepted = self.accepted << ahead | 1 if ahead < WINDOW else 1
-            self.accepted &= (1 << WINDOW) - 1
+            self.accepted = self.accepted << ahead | 1 if ahead < REPLAY_WINDOW else 1
+            self.accepted &= (1 << REPLAY_WINDOW) - 1
             self.highest = sequence
             return True
         behind = self.highest - sequence
-        if behind >= WINDOW:
+        if behind >= REPLAY_WINDOW:
             return False
         bit = 1 << behind
         if self.accepted & bit:
@@ -229,13 +230,13 @@
 
 
 class ReplayFilter:
-    """Which datagrams of each sender were accepted already: a sliding window, as in RFC 4303 section 3.4.3."""
+    """Rejects datagrams accepted before, with a sliding window per sender as in RFC 4303 section 3.4.3."""
 
     def __init__(self) -> None:
         self._windows: dict[str, _ReplayWindow] = {}
 
     def accept(self, sender: str, boot_epoch: int, sequence: int) -> None:
-        """Raises ``DroppedError`` for one that was accepted before, is too old to tell, or of an earlier start."""
+        """Raises ``DroppedError`` for a datagram accepted before, too old to tell, or from an earlier start."""
         window = self._windows.get(sender)
         if window is None or boot_epoch > window.boot_epoch:
             window = self._windows[sender] = _ReplayWindow(boot_epoch)
@@ -243,5 +244,5 @@
             raise DroppedError("old")
 
     def retain(self, names: set[str]) -> None:
-        """Forget all but these senders."""
+        """Drop the state of all but these senders."""
         self._windows = {name: window for name, window in self._windows.items() if name in names}
--- a/yardbank/cluster/peers/detector_types.py
+++ b/yardbank/cluster/peers/detector_types.py
@@ -1,4 +1,4 @@
-"""What the detector of failures speaks of: states and their table, paces, what it sends, what is known of a peer."""
+"""Types of the failure detector: states and transitions, timing, probes, and what is known of a peer."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from yardbank.cluster.peers.datagram import ALIVE, GONE, SUSPECT
 
 SECOND = 1_000_000_000
-UNHEARD = 0  # in the list, and no word of it yet
-NAMES = {UNHEARD: "unheard", ALIVE: "alive", SUSPECT: "suspect", GONE: "gone"}
-# From, by, to.
-TABLE = (
+UNHEARD = 0  # listed, but nothing heard from or of it yet
+STATE_NAMES = {UNHEARD: "unheard", ALIVE: "alive", SUSPECT: "suspect", GONE: "gone"}
+# From state, cause, to state.
+TRANSITIONS = (
     (UNHEARD, "heard, or told of", ALIVE),
     (UNHEARD, "no answer to a probe", SUSPECT),
     (UNHEARD, "told of", GONE),
@@ -19,28 +19,31 @@
     (SUSPECT, "time is up", GONE),
     (GONE, "a higher incarnation", ALIVE),
 )
-MAX_RELAYED = 64  # probes for others under way; beyond, they are not taken
+MAX_RELAYED = 64  # concurrent probes for others; further requests are ignored
 MAX_SLOWNESS = 8
-REVISIT = 5  # periods: so often one who is gone is pinged, whatever their number
-LONELY, SEARCH = 3, 4  # who knows fewer to be alive pings so many more a period, whatever the length of the list
-LEAP = 1 << 28  # so far above one's own an incarnation is believed to be an earlier life's: seconds, eight years
+GONE_PING_PERIODS = 5  # one gone peer is pinged every this many periods, however many are gone
+# With fewer than FEW_ALIVE peers alive, EXTRA_PINGS more are pinged a period, however long the list is.
+FEW_ALIVE, EXTRA_PINGS = 3, 4
+# An incarnation at most this far above a gateway's own is taken to be from an earlier start. Boot epochs count seconds,
+# so this is over eight years.
+MAX_INCARNATION_LEAD = 1 << 28
 
 
 @dataclass(slots=True, frozen=True)
 class Pace:
-    """Times in nanoseconds."""
+    """Timing of the failure detector, in nanoseconds."""
 
     period: int = SECOND
     timeout: int = SECOND // 5  # of a direct ping
-    helpers: int = 3
-    suspicion: float = 4.0  # periods, times the logarithm of the fleet's size: the shortest one
-    patience: float = 4.0  # the longest one as a multiple of that
-    confirmations: int = 3  # so many others make it the shortest
+    helpers: int = 3  # peers asked to ping a peer that did not answer
+    suspicion: float = 4.0  # shortest suspicion, in periods times the logarithm of the fleet's size
+    patience: float = 4.0  # longest suspicion, as a multiple of the shortest
+    confirmations: int = 3  # confirmations by others that make a suspicion the shortest
 
 
 @dataclass(slots=True, frozen=True)
 class OutgoingProbe:
-    """Send this to a peer."""
+    """A probe, or the reply to one, to send to a peer."""
 
     to: str
     kind: str
@@ -65,25 +68,25 @@
     state: int = UNHEARD
     incarnation: int = 0
     changed_at: int = 0
-    heard_at: int = 0  # a datagram of its own; 0: never
+    heard_at: int = 0  # when its last datagram came; 0: never
     witness: str = ""
 
 
 @dataclass(slots=True)
 class Probe:
-    """One's own, under way."""
+    """This gateway's own probe in progress."""
 
     number: int
     target: str
-    ask_at: int  # when others are asked; 0: they were
+    ask_at: int  # when helpers are asked; 0: they were asked
     end_at: int
-    asked: int = 0  # others, to ping it
-    helpers: int = 0  # of them not heard of yet
+    asked: int = 0  # helpers asked to ping the target
+    helpers: int = 0  # helpers that have not replied yet
 
 
 @dataclass(slots=True)
-class Relayed:
-    """A probe made for another."""
+class RelayedProbe:
+    """A probe made on behalf of another gateway."""
 
     asker: str
     number: int
@@ -93,7 +96,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """One who may be gone, and who says so."""
+    """The suspicion that a peer is gone, and the gateways that share it."""
 
     since: int
     until: int
--- a/yardbank/cluster/peers/file_store.py
+++ b/yardbank/cluster/peers/file_store.py
@@ -1,4 +1,4 @@
-"""The state of one part on disk: written whole or not at all, checked when read. See ``parts.KeyValueStore``."""
+"""The state of one part on disk: written atomically, verified when read. See ``parts.KeyValueStore``."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class FileStore:
-    """One file.
+    """A store in one file.
 
-    One that is corrupt or unreadable is logged and read as none; one that does not exist is read as none.
+    A file that is corrupt or unreadable is logged and treated as missing.
     """
 
     def __init__(self, path: Path, log: Any) -> None:
         self._path, self._log = path, log
 
     def load(self) -> bytes | None:
-        """What was saved last; None: nothing, or it cannot be read."""
+        """The data saved last; None: nothing was saved, or it cannot be read."""
         try:
             with self._path.open("rb") as file:
                 data = file.read(MAX_OCTETS + _DIGEST + 1)
@@ -37,7 +37,7 @@
         return data[_DIGEST:]
 
     def save(self, data: bytes) -> bool:
-        """Save durably; False, and a log line, if that failed."""
+        """Save durably; on failure log it and return False."""
         part = self._path.with_name(self._path.name + ".part")
         try:
             if len(data) > MAX_OCTETS:
--- a/yardbank/cluster/peers/membership_state.py
+++ b/yardbank/cluster/peers/membership_state.py
@@ -1,7 +1,7 @@
-"""The state of each member: what is known of it, suspicions, and the updates to send. No I/O: time (ns) is an argument.
+"""The members and their states, suspicions, and the updates to send. No I/O: time (ns) is an argument.
 
-Owns the members, the suspicions and this gateway's incarnation. Only members of the list have a state; updates on
-anybody else are ignored. A state changes by the rows of ``detector_types.TABLE`` and no other.
+Owns the members, the suspicions and this gateway's incarnation. Only listed gateways are members; updates on others are
+ignored. States change only by the rows of ``detector_types.TRANSITIONS``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from yardbank.cluster.peers.datagram import ALIVE, GONE, MAX_INCARNATION, SUSPECT, MembershipUpdate
 from yardbank.cluster.peers.detector_types import (
-    LEAP,
+    MAX_INCARNATION_LEAD,
     MAX_SLOWNESS,
     UNHEARD,
     Change,
@@ -20,7 +20,7 @@
     Pace,
     Peer,
     Probe,
-    Relayed,
+    RelayedProbe,
     Suspicion,
 )
 
@@ -28,10 +28,11 @@
 
 
 class MembershipState:
-    """Members, suspicions and updates; ``failure_detector`` adds probes and time.
+    """Members, suspicions and updates; ``failure_detector.Detector`` adds probes and time.
 
-    ``refuted``: suspicions of this gateway that it refuted; ``times_overtaken``: updates that named a higher
-    incarnation of it than its own, once or twice after a start; ``not_relayed``: probes for others not made.
+    ``refuted``: suspicions of this gateway that it refuted; ``times_overtaken``: updates with a higher incarnation of
+    this gateway than its own, to be expected once or twice after a start; ``not_relayed``: requests to probe
+    a peer for another gateway that were not carried out.
     """
 
     def __init__(self, name: str, incarnation: int, random: Random, pace: Pace | None = None) -> None:
@@ -49,19 +50,19 @@
         self.not_relayed = 0
         self._round: list[str] = []
         self._probe: Probe | None = None
-        self._relayed: dict[int, Relayed] = {}
+        self._relayed: dict[int, RelayedProbe] = {}
         self._suspicions: dict[str, Suspicion] = {}
-        self._times_sent: dict[str, int] = {}  # by member: how often its present state was sent
-        self._next_in_turn: list[str] = []  # members whose state fills the space that changes leave
+        self._times_sent: dict[str, int] = {}  # by changed member: how often its present state was sent
+        self._next_in_turn: list[str] = []  # members whose unchanged state fills the space left in datagrams
         self._number = random.getrandbits(32)
         self._next_probe = 0
-        self._next_news = 0
+        self._next_update_ping = 0
         self._periods = 0
         self._last_tick = 0
         self._own_times_sent = 0
 
     def listed(self, now: int, names: Iterable[str]) -> None:
-        """The peers, oneself perhaps among them. Who is not named any more is forgotten."""
+        """Set the listed gateways; ``names`` may include this one. Peers that are no longer listed are dropped."""
         wanted = {name for name in names if name != self.name}
         for name in self.peers.keys() - wanted:
             del self.peers[name]
@@ -71,12 +72,12 @@
             self.peers[name] = Peer(name, changed_at=now)
         self._round = [name for name in self._round if name in self.peers]
         if not self._next_probe:
-            self._next_probe = now + self.random.randrange(self.pace.period)  # a fleet that starts at once spreads
+            self._next_probe = now + self.random.randrange(self.pace.period)  # avoids synchronised probes
 
     # Updates received
 
     def receive_updates(self, now: int, sender: str, updates: Iterable[MembershipUpdate]) -> None:
-        """What a member says of others, and of this gateway."""
+        """Handle a member's updates on others and on this gateway."""
         if sender not in self.peers:
             return
         for update in updates:
@@ -94,24 +95,24 @@
                 self._alive(now, peer, update.incarnation, update.witness)
         elif peer.state == UNHEARD and update.state == GONE:
             self._become(now, peer, GONE, update.incarnation, update.witness)
-        else:  # "gone" of a known member counts as a suspicion only, or a liar could remove one that is alive
+        else:  # "gone" of a known member only counts as a suspicion: a faulty sender must not remove one that is alive
             self._receive_suspicion(now, peer, update)
 
     def _receive_own_update(self, update: MembershipUpdate) -> None:
-        """A suspicion of this gateway, or a higher incarnation of an earlier start: refute it by a higher one."""
+        """Refute a suspicion of this gateway, or a higher incarnation from an earlier start, with a higher one."""
         is_higher = update.incarnation > self.incarnation
         is_accusation = update.state != ALIVE
         if not is_higher and not (is_accusation and update.incarnation == self.incarnation):
             return
-        if update.incarnation > self.incarnation + LEAP or update.incarnation >= MAX_INCARNATION:
+        if update.incarnation > self.incarnation + MAX_INCARNATION_LEAD or update.incarnation >= MAX_INCARNATION:
             return
-        if is_higher:  # of an earlier start, whose clock was ahead, or whose store is lost
+        if is_higher:  # from an earlier start whose clock was ahead, or whose stored boot epoch was lost
             self.boot_epoch = update.incarnation + 1
             self.times_overtaken += 1
         self.incarnation = update.incarnation + 1
         self._own_times_sent = 0
         self.refuted += 1
-        if is_accusation:  # somebody waited for an answer in vain: the fault may be here
+        if is_accusation:  # a peer got no answer from here: this gateway may be slow
             self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
 
     def _receive_suspicion(self, now: int, peer: Peer, update: MembershipUpdate) -> None:
@@ -126,12 +127,12 @@
             self._accuse(now, peer.name, update.witness, update.incarnation)
 
     def _confirm(self, suspicion: Suspicion, peer: Peer, witness: str) -> None:
-        """One more witness of a suspicion: it ends sooner."""
+        """Add a witness to a suspicion, which makes it expire sooner."""
         if witness in suspicion.witnesses or len(suspicion.witnesses) > self.pace.confirmations:
             return
         suspicion.witnesses.add(witness)
         suspicion.until = suspicion.since + self._suspicion_time(len(suspicion.witnesses) - 1)
-        self._times_sent[peer.name] = 0  # a new witness is sent on
+        self._times_sent[peer.name] = 0  # pass on the new witness
 
     # Changes
 
@@ -151,7 +152,7 @@
         self._become(now, peer, SUSPECT, peer.incarnation if incarnation is None else incarnation, witness)
 
     def _suspicion_time(self, confirmations: int) -> int:
-        """How long a suspicion with so many confirmations lasts, ns."""
+        """How long (ns) a suspicion with this many confirmations lasts."""
         shortest = self.pace.suspicion * self.pace.period * max(1.0, math.log10(len(self.peers) + 1))
         part = math.log(confirmations + 1) / math.log(self.pace.confirmations + 1)
         longest = shortest * self.pace.patience
@@ -171,7 +172,7 @@
 
     def updates_for(self, to: str, count: int) -> list[MembershipUpdate]:
         """At most ``count`` updates for a datagram: changes sent least often first, then all members in turn."""
-        enough = max(1, math.ceil(3 * math.log2(len(self.peers) + 2)))  # sendings until all have most likely heard
+        enough = max(1, math.ceil(3 * math.log2(len(self.peers) + 2)))  # times sent until all have most likely heard
         names = self._changed_members(to, count)
         self._count_as_sent(names, enough)
         self._fill_in_turn(names, to, count)
@@ -181,13 +182,13 @@
         self._own_times_sent += 1
         for name in names:
             peer = self.peers[name]
-            if peer.incarnation:  # 0: never heard of, though missed: there is nothing to say
+            if peer.incarnation:  # 0: nothing was ever heard of it, so there is nothing to send
                 updates.append(MembershipUpdate(name, peer.state, peer.incarnation, self._witness_of(peer)))
         return updates[: max(0, count)]
 
     def _changed_members(self, to: str, count: int) -> list[str]:
         names: list[str] = []
-        if self.peers[to].state in (SUSPECT, GONE):  # it should know what is said of it, to refute it
+        if self.peers[to].state in (SUSPECT, GONE):  # the recipient needs its own state to refute it
             names.append(to)
         changed = sorted((name for name in self._times_sent if name != to), key=lambda name: self._times_sent[name])
         return names + changed[: max(0, count - 1 - len(names))]
@@ -201,7 +202,7 @@
                 del self._times_sent[name]
 
     def _fill_in_turn(self, names: list[str], to: str, count: int) -> None:
-        """Add members in turn, a few at most."""
+        """Append up to ``MAX_IN_TURN`` unchanged members, in turn."""
         for _ in range(max(0, min(MAX_IN_TURN, count - 1 - len(names)))):
             if not self._next_in_turn:
                 self._next_in_turn = [name for name, peer in self.peers.items() if peer.state != UNHEARD]
@@ -213,7 +214,7 @@
                 names.append(name)
 
     def _witness_of(self, peer: Peer) -> str:
-        """The gateway in whose name a member's state is sent: of a suspicion that this gateway shares, itself."""
+        """The witness to send with a member's state: this gateway itself, if it shares a suspicion of the member."""
         suspicion = self._suspicions.get(peer.name)
         if suspicion is not None and self.name in suspicion.witnesses:
             return self.name
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -1,13 +1,13 @@
-"""One gateway's gossip as a whole: octets and time in, octets for peers out. No I/O.
+"""The gossip of one gateway: received datagrams and time in, datagrams to send out. No I/O.
 
-Owns and joins the failure detector, the counters, the health reports, the outbox of the parts, and what it takes to
-send and receive datagrams: keys, sequence numbers, the replay filter, the rate.
+Combines the failure detector, the counters, the health reports and the outbox of the parts, and owns what sending and
+receiving datagrams needs: keys, sequence numbers, the replay filter, the rate limit.
 
-Invariant: a datagram is received whole, or dropped by a reason that is counted.
+Invariant: a datagram is processed whole, or dropped and counted by the reason.
 
-Bound: ``RATE`` octets a second and ``BURST`` at once, the parts' messages aside. Beyond it first the updates, counters
-and reports that ride along are left out, then answers and probes made for others; this gateway's own probes are few by
-themselves and are always sent.
+Bound: ``RATE`` octets a second and ``BURST`` at once, without the parts' messages. Beyond it, first the piggybacked
+updates, counters and reports are left out, then replies and probes for other gateways. This gateway's own probes are
+few and always sent.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     MembershipUpdate,
     ReplayFilter,
 )
-from yardbank.cluster.peers.failure_detector import NAMES, Change, Detector, OutgoingProbe, Pace
+from yardbank.cluster.peers.failure_detector import STATE_NAMES, Change, Detector, OutgoingProbe, Pace
 from yardbank.cluster.peers.outbox import Outbox, Rate
 from yardbank.cluster.peers.parts import Part
 from yardbank.cluster.peers.report_store import ReportStore
 
-FILL = 480  # octets of updates, counters and health reports in one datagram
-RATE, BURST = 1800, 8 * 1024  # octets a second on average, and at once
-MAX_PINGS = 64  # latest own pings whose round trip is still timed
+PIGGYBACK_OCTETS = 480  # of updates, counters and health reports in one datagram
+RATE, BURST = 1800, 8 * 1024  # octets a second on average, and octets at once
+MAX_PINGS = 64  # most recent own pings whose round trip is still timed
 MAX_COUNTERS = 4  # in one datagram
 MAX_REPORTS = 5  # in one datagram
 
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Piggyback:
-    """What rides along in one datagram."""
+    """What one datagram carries besides its probe."""
 
     updates: Sequence[MembershipUpdate] = ()
     counters: Sequence[CounterValue] = ()
@@ -63,17 +63,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """One peer as it is seen here; ages in nanoseconds."""
+    """One peer as this gateway sees it; ages in nanoseconds."""
 
     name: str
     state: str
     incarnation: int
-    changed: int  # since its state changed
-    heard: int | None  # since its own last datagram; None: never
+    changed: int  # time since its state changed
+    heard: int | None  # time since its last datagram; None: never heard
 
 
 class _NodeMembershipView:
-    """What parts may know; see ``parts.MembershipView``."""
+    """What parts see of the membership; see ``parts.MembershipView``."""
 
     def __init__(self, node: GossipNode) -> None:
         self._node = node
@@ -100,11 +100,11 @@
 
 
 class GossipNode:
-    """One gateway among its peers.
+    """One gateway's gossip.
 
-    ``dropped``: datagrams and messages by reason; ``withheld``: datagrams not sent to keep the rate; ``sent`` and
-    ``sent_octets``: of all datagrams. ``on_round_trip`` is called with the time (ns), the peer and the duration (ns)
-    of each answered ping.
+    ``dropped``: datagrams and messages by reason; ``withheld``: datagrams not sent because of the rate limit; ``sent``
+    and ``sent_octets``: all datagrams sent. The functions in ``on_round_trip`` are called with the time (ns), the peer
+    and the duration (ns) of each answered ping.
     """
 
     def __init__(
@@ -127,16 +127,17 @@
         self.sent_octets = 0
         self._replays = ReplayFilter()
         self._rate = Rate(RATE, BURST)
-        self._sequences: Counter[str] = Counter()  # by recipient: a burst to all must not look old to one
+        # By recipient: with one sequence for all, a burst to all peers would leave some recipient's replay window.
+        self._sequences: Counter[str] = Counter()
         self._largest_update = wire.MAX_OCTETS  # octets
-        self._pings: OrderedDict[int, _Ping] = OrderedDict()  # by number of the probe
+        self._pings: OrderedDict[int, _Ping] = OrderedDict()  # by probe number
 
     def add(self, part: Part) -> None:
-        """A part of this gateway; before the first list."""
+        """Add a part of this gateway; call it before the first ``listed``."""
         self.outbox.add(part)
 
     def listed(self, now: int, names: Iterable[str], zones: Mapping[str, str] | None = None) -> None:
-        """The gateways of the fleet, as the settings or the list say, and their zones where it names them."""
+        """Set the gateways of the fleet and, where known, their zones."""
         known = set(names) - {self.name}
         zone_of = zones or {}
         self.zones = {name: zone_of.get(name, "") for name in sorted({*known, self.name})}
@@ -151,7 +152,7 @@
             part.listed(now)
 
     def receive(self, now: int, data: bytes) -> list[tuple[str, bytes]]:
-        """A datagram came, from any address. Returns the datagrams to send now, each with its recipient."""
+        """Handle a datagram, from any address. Returns the datagrams to send now, each with its recipient."""
         is_batch = wire.version_of(data) == batches.VERSION
         try:
             if is_batch:
@@ -164,13 +165,13 @@
         return self._flush(now)
 
     def _receive_batch(self, now: int, data: bytes) -> None:
-        """Messages for the parts; each is received or dropped by itself. Raises ``DroppedError``."""
+        """Handle messages for the parts; each is processed or dropped on its own. Raises ``DroppedError``."""
         batch = batches.decode(data, self.keys, self.fleet)
         self._check_sender(batch.sender, batch.boot_epoch, batch.sequence)
         self.outbox.receive(now, batch, self.dropped)
 
     def _receive_datagram(self, now: int, data: bytes) -> None:
-        """A probe or its answer, with what rides along. Raises ``DroppedError``."""
+        """Handle a probe or a reply, and what it carries. Raises ``DroppedError``."""
         datagram = wire.decode(data, self.keys, self.fleet)
         sender = datagram.sender
         self._check_sender(sender, datagram.boot_epoch, datagram.sequence)
@@ -179,13 +180,13 @@
         self.detector.receive_probe(now, sender, datagram.incarnation, datagram.kind, datagram.number, datagram.target)
         self.detector.receive_updates(now, sender, datagram.updates)
         self.counters.receive(now, sender, datagram.boot_epoch, datagram.counters)
-        self.report_store.boot_epoch = self.detector.boot_epoch  # an update may have raised it
+        self.report_store.boot_epoch = self.detector.boot_epoch  # the updates may have raised it
         self.report_store.receive(now, datagram.health_reports)
 
     def _check_sender(self, sender: str, boot_epoch: int, sequence: int) -> None:
-        """Raises ``DroppedError`` for a gateway that is not listed, and for a datagram received before."""
+        """Raises ``DroppedError`` if the sender is not listed, or the datagram was received before."""
         if sender == self.name or sender not in self.detector.peers:
-            raise DroppedError("stranger")  # the list says who is a peer; two of one name are seen here too
+            raise DroppedError("stranger")  # not listed, or another gateway configured with this one's name
         self._replays.accept(sender, boot_epoch, sequence)
 
     def _time_round_trip(self, now: int, sender: str, number: int) -> None:
@@ -197,22 +198,22 @@
             notify(now, sender, now - ping.sent_at)
 
     def tick(self, now: int) -> list[tuple[str, bytes]]:
-        """Time has passed. Returns the datagrams to send now, each with its recipient."""
+        """Do whatever is due by now. Returns the datagrams to send now, each with its recipient."""
         self.detector.tick(now)
         for part in self.outbox.parts.values():
             part.tick(now)
         return self._flush(now)
 
     def flush(self, now: int) -> list[tuple[str, bytes]]:
-        """The datagrams to send after a part learned something outside of gossip, each with its recipient."""
+        """The datagrams to send after a part was called from outside of gossip, each with its recipient."""
         return self._flush(now)
 
     def next_at(self) -> int | None:
-        """When ``tick`` is due; None: when peers are listed."""
+        """When ``tick`` is due; None: not before peers are listed."""
         return min((at for at in (self.detector.next_at(), self.outbox.next_at()) if at is not None), default=None)
 
     def changes(self) -> list[Change]:
-        """What has changed since this was asked last."""
+        """The changes of peers' states since the last call."""
         changes = self.detector.changes
         self.detector.changes = []
         return changes
@@ -261,12 +262,12 @@
         return data
 
     def _piggyback(self, now: int, probe: OutgoingProbe) -> _Piggyback:
-        """What rides along with a probe: nothing if the rate leaves no room, or on requests and answers of helpers."""
-        if probe.kind not in (PING, ACK) or self._rate.left(now) <= FILL:
+        """What a datagram carries besides its probe: nothing on ASK and NACK, or if the rate limit leaves no room."""
+        if probe.kind not in (PING, ACK) or self._rate.left(now) <= PIGGYBACK_OCTETS:
             return _Piggyback()
         reports = self.report_store.next_to_send(now, MAX_REPORTS)
         counters = self.counters.next_to_send(MAX_COUNTERS // 2 if reports else MAX_COUNTERS)
-        left = FILL - sum(wire.size_of(one) for one in (*counters, *reports))
+        left = PIGGYBACK_OCTETS - sum(wire.size_of(one) for one in (*counters, *reports))
         updates = self.detector.updates_for(probe.to, max(1, left // self._largest_update))
         return _Piggyback(updates, counters, reports)
 
@@ -276,11 +277,11 @@
             self._pings.popitem(last=False)
 
     def view(self, now: int) -> list[Observation]:
-        """Every peer as it is seen here."""
+        """Every peer as this gateway sees it."""
         return [
             Observation(
                 peer.name,
-                NAMES[peer.state],
+                STATE_NAMES[peer.state],
                 peer.incarnation,
                 now - peer.changed_at,
                 now - peer.heard_at if peer.heard_at else None,
@@ -289,5 +290,5 @@
         ]
 
     def totals(self, now: int) -> dict[str, CounterTotal]:
-        """Every counter totalled over the peers heard lately."""
+        """Every counter totalled over the gateways heard from recently."""
         return {key: self.counters.total(now, key) for key in self.counters.keys()}  # noqa: SIM118 - no mapping
--- a/yardbank/cluster/peers/outbox.py
+++ b/yardbank/cluster/peers/outbox.py
@@ -1,8 +1,8 @@
-"""The parts of one gateway and their messages: who receives what comes in, and what goes out at what rate. No I/O.
+"""The parts of one gateway: distributes incoming messages, and sends outgoing ones within rate limits. No I/O.
 
-Owns the registered parts and the rates. Bound: per second ``RATE`` octets of all parts without a rate of their own, and
-``BURST`` at once; urgent messages may exceed it by ``URGENT_DEBT``, others by a quarter while urgent ones use it up.
-What exceeds the bound is withheld, that is, lost: parts repeat what matters.
+Owns the registered parts and the rate limits. Bound: ``RATE`` octets a second, and ``BURST`` at once, for all parts
+without a rate of their own. Urgent messages may exceed it by ``URGENT_DEBT``; other messages have a quarter more in
+reserve while urgent ones use it up. Messages beyond the bound are dropped, not sent later: parts repeat what matters.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from yardbank.cluster.peers.parts import Part
 
 SECOND = 1_000_000_000
-RATE, BURST = 1200, 16 * 1024  # octets a second on average, and at once
-URGENT_DEBT = 64 * 1024  # octets that urgent messages may go beyond the rate
+RATE, BURST = 1200, 16 * 1024  # octets a second on average, and octets at once
+URGENT_DEBT = 64 * 1024  # octets by which urgent messages may exceed the rate
 
 
 class Rate:
-    """A token bucket over octets: how many may still be sent now."""
+    """A token bucket over octets."""
 
     def __init__(self, rate: int, burst: int) -> None:
         """``rate``: octets a second; ``burst``: octets at once."""
@@ -31,20 +31,20 @@
         self._updated_at = 0
 
     def left(self, now: int) -> float:
-        """Octets that may be sent now (ns); below zero while a debt is paid off."""
+        """Octets that may be sent now (ns); negative while a debt is paid off."""
         elapsed = max(0, now - self._updated_at)
         self._left = min(self._burst, self._left + elapsed * self._rate / SECOND)
         self._updated_at = max(self._updated_at, now)
         return self._left
 
     def spend(self, octets: int) -> None:
-        """So many were sent. This may go below zero; what follows waits for it."""
+        """Charge sent octets. The balance may become negative; later messages wait until it is positive again."""
         self._left -= octets
 
 
 @dataclass(slots=True, frozen=True)
 class _Destination:
-    """What goes into the same batches: one recipient, one urgency, one rate. ``topic``: "" for the common rate."""
+    """Messages that may share a batch: same recipient, urgency and rate. ``topic``: "" for the common rate."""
 
     to: str
     urgent: bool
@@ -54,7 +54,7 @@
 class Outbox:
     """All parts of one gateway, and their messages.
 
-    ``withheld`` counts messages not sent to keep the rate, ``octets`` those sent.
+    ``withheld``: messages dropped because of a rate limit; ``octets``: total size of the datagrams sent.
     """
 
     def __init__(self, fleet: str, name: str, rate: int = RATE, burst: int = BURST) -> None:
@@ -62,7 +62,7 @@
         self.withheld = 0
         self.octets = 0
         self._common = Rate(rate, burst)
-        self._reserved = Rate(rate // 4, burst // 4)  # for messages not urgent, while urgent ones use up the rest
+        self._reserved = Rate(rate // 4, burst // 4)  # for other messages, while urgent ones use up the common rate
         self._by_topic: dict[str, Rate] = {}  # of parts with a rate of their own
         self._capacity = entry_capacity(fleet, name)
 
@@ -73,11 +73,11 @@
             self._by_topic[part.topic] = Rate(*part.rate)
 
     def receive(self, now: int, batch: Batch, dropped: Counter[str]) -> None:
-        """Hand each message to its part; one that cannot be used is counted in ``dropped`` by its reason."""
+        """Pass each message to its part; messages that cannot be used are counted in ``dropped`` by reason."""
         for entry in batch.entries:
             part = self.parts.get(entry.topic)
             if part is None:
-                dropped["topic"] += 1  # a part that this gateway does not have
+                dropped["topic"] += 1  # this gateway does not have that part
                 continue
             try:
                 part.receive(now, batch.sender, batch.boot_epoch, entry.body)
@@ -89,11 +89,11 @@
     ) -> list[tuple[str, bytes]]:
         """The datagrams to send, each with its recipient; urgent messages first.
 
-        ``seal`` makes the datagram of some entries for a peer, with the sender's next sequence number there.
+        ``seal`` makes the datagram for a peer from entries, with the next sequence number for that peer.
         """
         waiting = self._collect(peers)
         datagrams = []
-        for destination in sorted(waiting, key=lambda one: not one.urgent):
+        for destination in sorted(waiting, key=lambda destination: not destination.urgent):
             for entries in pack(waiting[destination], self._capacity):
                 rate = self._rate_for(now, destination)
                 if rate is None:
@@ -106,7 +106,7 @@
         return datagrams
 
     def _collect(self, peers: Collection[str]) -> dict[_Destination, list[BatchEntry]]:
-        """Take the messages of all parts, those to gateways that are not listed left out."""
+        """Collect the messages of all parts; those to gateways that are not listed are dropped."""
         waiting: dict[_Destination, list[BatchEntry]] = {}
         for topic, part in self.parts.items():
             own_rate = topic if topic in self._by_topic else ""
@@ -117,7 +117,7 @@
         return waiting
 
     def _rate_for(self, now: int, destination: _Destination) -> Rate | None:
-        """The rate that the next batch is charged to; None: it has to be withheld."""
+        """The rate that the next batch is charged to; None: no rate has room for it."""
         rate = self._by_topic.get(destination.topic, self._common)
         lowest = -URGENT_DEBT if destination.urgent else 0
         if rate.left(now) > lowest:
@@ -127,5 +127,5 @@
         return self._reserved if self._reserved.left(now) > 0 else None
 
     def next_at(self) -> int | None:
-        """When a part is due; None: not before something comes in."""
+        """When the first part is due; None: not before a message comes."""
         return min((at for part in self.parts.values() if (at := part.next_at()) is not None), default=None)
--- a/yardbank/cluster/peers/parts.py
+++ b/yardbank/cluster/peers/parts.py
@@ -1,7 +1,8 @@
-"""What a part is: a state machine without I/O that exchanges messages with the parts of its topic at other gateways.
+"""Interface of parts: state machines without I/O that exchange messages with the same part of other gateways.
 
-A part learns of the members and of the messages for its topic, and hands out messages. It never sees an address or a
-datagram. Time (ns, this gateway's steady clock) is an argument; randomness is given when the part is made.
+A part is told of list changes and of messages for its topic, and returns messages to send. It never sees an address or
+a datagram. Time (ns, this gateway's monotonic clock) is an argument; a source of randomness is given to its
+constructor.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message of a part for the same part of another gateway. ``urgent``: does not wait for the rate."""
+    """One message of a part to the same part of another gateway. ``urgent``: may exceed the rate limit."""
 
     to: str
     body: bytes
@@ -21,71 +22,71 @@
 
 
 class MembershipView(Protocol):
-    """What a part may know of the fleet: the list, and the link's own finding of who is there."""
+    """What a part sees of the fleet: the list, and which peers the failure detector finds alive."""
 
     @property
     def name(self) -> str:
-        """This gateway."""
+        """The name of this gateway."""
 
     @property
     def boot_epoch(self) -> int:
-        """The number of this start; higher than that of any start before, as far as anybody remembers."""
+        """The number of this start; higher than that of every earlier start that this gateway or a peer remembers."""
 
     def zones(self) -> Mapping[str, str]:
-        """Every gateway of the list, this one too, and the zone that the list gives it ("": none)."""
+        """Every gateway of the list, this one too, with its zone ("": none)."""
 
     def alive(self) -> frozenset[str]:
-        """Peers that are held to be alive; this gateway is not among them. May err: never a basis of safety."""
+        """Peers believed to be alive, without this gateway. May be wrong: safety must not depend on it."""
 
     def list_hash(self) -> int:
-        """The list's names and zones as a number: equal where two gateways have the same list."""
+        """A hash of the list's names and zones: equal at gateways with the same list."""
 
     def slowness(self) -> int:
-        """0: this gateway finds itself well; above: it was stopped or starved lately, or others miss it."""
+        """0: this gateway is not slow; above: it was stopped or starved recently, or peers suspected it."""
 
 
 class KeyValueStore(Protocol):
-    """The state of one part that outlives the process."""
+    """Persistent state of one part."""
 
     def load(self) -> bytes | None:
-        """What was saved last; None: nothing, or it cannot be read."""
+        """The data saved last; None: nothing was saved, or it cannot be read."""
 
     def save(self, data: bytes) -> bool:
         """Save durably; returns whether that worked."""
 
 
 class Part(Protocol):
-    """One part of a gateway; see the module."""
+    """One part of a gateway; see the module's docstring."""
 
-    topic: str  # at most 16 octets; at most one part of a gateway has it
-    rate: tuple[int, int] | None  # octets a second and at once, of its own; None: shares those of all other parts
+    topic: str  # at most 16 octets; unique among the parts of a gateway
+    rate: tuple[int, int] | None  # its own limits, octets a second and at once; None: shares the common ones
 
     def listed(self, now: int) -> None:
         """The list has changed: ``MembershipView`` has the new one."""
 
     def receive(self, now: int, sender: str, boot_epoch: int, body: bytes) -> None:
-        """A message of a listed peer. May come twice, late, in any order. Raises ``DroppedError`` if it is unusable."""
+        """Handle a message of a listed peer, perhaps duplicate, late or out of order. Raises ``DroppedError``."""
 
     def tick(self, now: int) -> None:
-        """Time has passed; may be called before it is due."""
+        """Do whatever is due by now; may be called before anything is due."""
 
     def next_at(self) -> int | None:
-        """When ``tick`` is due; None: not before something comes in."""
+        """When ``tick`` is due; None: not before a message comes."""
 
     def outgoing_messages(self) -> list[Message]:
         """The messages to send; each is returned once."""
 
     def view(self, now: int) -> dict[str, Any]:
-        """What an operator should see, as plain values."""
+        """The state for operators, as plain values."""
 
 
 class NullStore:
-    """A ``KeyValueStore`` for a gateway without a store."""
+    """A ``KeyValueStore`` for a gateway without a state folder: saves nothing."""
 
     def load(self) -> bytes | None:
-        """Nothing."""
+        """Return None."""
         return None
 
     def save(self, data: bytes) -> bool:
-        """It cannot."""
+        """Return False."""
         return False
--- a/yardbank/cluster/peers/peer_list.py
+++ b/yardbank/cluster/peers/peer_list.py
@@ -1,12 +1,12 @@
-"""The list of gateways, as a file says it: taken whole or not at all. No I/O: texts and time (ns) come in.
+"""The list of gateways in a file, applied whole or not at all. No I/O: the file's text and time (ns) are arguments.
 
     peer "g2" {
       address = "10.0.0.2"
       port    = 7946
     }
 
-A text that cannot be used is given ``patience`` before it is rejected: it may still be being written. The last good
-list serves on meanwhile.
+A text with faults is rejected only after ``patience``, because the file may still be being written. The last valid list
+stays in force meanwhile.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 
 class PeerBlock(Model):
-    """One gateway: where its datagrams are sent to, whatever address its own come from, and its zone."""
+    """One gateway: the address that its datagrams are sent to, wherever its own come from, and its zone."""
 
-    model_config = ConfigDict(extra="ignore", frozen=True)  # a later program's list serves this one too
+    model_config = ConfigDict(extra="ignore", frozen=True)  # accept lists written for newer versions
 
     name: Annotated[str, Field(pattern=NAME)]
     address: Annotated[str, Field(pattern=r"^[0-9.]{7,15}$")]
@@ -37,13 +37,13 @@
 
 
 class PeerFile(Model):
-    """A whole list; ``count``, where given, must be right: a file cut short between two blocks reads well."""
+    """A whole list. ``count``, if given, must match: a file truncated between two blocks is valid otherwise."""
 
     count: Annotated[int, Field(ge=0, strict=True)] | None = None
     peer: tuple[PeerBlock, ...] = Field(default=(), max_length=MAX_PEERS)
 
 
-def _cross(file: PeerFile) -> Faults:
+def _check_list(file: PeerFile) -> Faults:
     found: Faults = []
     names: set[str] = set()
     places: dict[tuple[str, int], str] = {}
@@ -55,17 +55,17 @@
             found.append((("peer", index, "port"), f'peer "{one.name}" has the address of peer "{other}"'))
         places[one.address, one.port] = one.name
     if file.count is not None and file.count != len(file.peer):
-        found.append((("count",), f"count: {file.count} peers are promised, {len(file.peer)} are there"))
+        found.append((("count",), f"count: {file.count} peers expected, {len(file.peer)} found"))
     return found
 
 
-SHAPE = Shape(PeerFile, {"peer": "name"}, (), _cross)
+SHAPE = Shape(PeerFile, {"peer": "name"}, (), _check_list)
 Places = Mapping[str, tuple[str, int]]
 
 
 @dataclass(slots=True, frozen=True)
 class Accept:
-    """Use this list from now on."""
+    """Put this list in force."""
 
     places: Places
     zones: Mapping[str, str] = field(default_factory=dict)
@@ -73,15 +73,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """It cannot be used; the last good one stays in force."""
+    """The list cannot be used; the last valid one stays in force."""
 
     faults: tuple[str, ...]
 
 
 def _read(name: str, data: bytes) -> PeerFile:
-    """The list in a file. Raises ``ConfigError``."""
-    if not data.strip():  # as one is while it is being written
-        raise ConfigError([f"{name}:1: is empty; count = 0 says that there are no peers"])
+    """Parse the list in a file. Raises ``ConfigError``."""
+    if not data.strip():  # probably a file that is being written
+        raise ConfigError([f"{name}:1: is empty; use count = 0 for a list without peers"])
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
@@ -90,21 +90,21 @@
 
 
 class PeerList:
-    """Which version of the list is in force.
+    """Decides which version of the list is in force.
 
-    ``patience``: how long a faulty text may stand before it is rejected, ns.
+    ``patience``: how long (ns) a text with faults may stand before it is rejected.
     """
 
     def __init__(self, patience: int = 2_000_000_000) -> None:
         self._patience = patience
         self._text: bytes | None = None  # last seen
         self._since = 0
-        self._waiting: Reject | None = None
+        self._waiting: Reject | None = None  # the faults of that text, until they are reported
         self.places: Places = {}
         self.zones: Mapping[str, str] = {}
 
     def seen(self, now: int, texts: Mapping[str, bytes]) -> list[Accept | Reject]:
-        """The file holds this text now (``texts``: by file name, at most one). Returns what to do, if anything."""
+        """Take the present text of the file (``texts``: by file name, at most one). Returns what to do, if anything."""
         name, data = next(iter(texts.items()), ("peers", b""))
         if data != self._text:
             self._text = data
@@ -132,20 +132,20 @@
         return [Accept(places, zones)]
 
     def due(self) -> int | None:
-        """When it is to be looked at again; None: when the file changes."""
+        """When to call ``seen`` again; None: when the file changes."""
         return self._since + self._patience if self._waiting is not None else None
 
     def force(self) -> list[Accept | Reject]:
-        """Nothing is held back here."""
+        """Put a held-back list in force; this class holds none back."""
         return []
 
 
 def parse_stored_epoch(text: str) -> int | None:
-    """The number of the last start as a file has it; None where it says nothing that can be: others may know it."""
+    """The boot epoch of the last start from the text of its file; None: not valid. Peers may still know it."""
     word = text.strip()
     return int(word) if word.isascii() and word.isdigit() and 0 < int(word) < MAX_STORED_EPOCH else None
 
 
 def next_boot_epoch(stored: int | None, wall: float) -> int:
-    """A number for this start: higher than the last where that is known, whatever the clock (s) says."""
+    """The boot epoch of this start: above the stored one, if any, even if the clock (``wall``, s) is behind."""
     return max(1, (stored or 0) + 1, int(wall))
--- a/yardbank/cluster/peers/report_store.py
+++ b/yardbank/cluster/peers/report_store.py
@@ -1,13 +1,13 @@
-"""Health reports on database servers: this gateway's own, and those of other gateways that have reached it.
+"""Health reports on database servers: this gateway's own, and those received from other gateways.
 
 No I/O: time (ns) is an argument.
 
-Owns the reports. A report is made by one witness on one start of one server; others pass it on as the witness wrote it.
-Its age is counted where it is stored and sent along with it, so no two clocks are compared.
+Owns the reports. A report is made by one witness on one start of one server; others pass it on unchanged. Its age is
+counted wherever it is stored and sent along with it, so clocks of different gateways are never compared.
 
-Invariants: of one witness and server only the newest report is stored; no report outlives ``LIFE``; only this gateway
-makes reports in its own name. If one comes back that it never made, it answers at once with what is so, under a higher
-number.
+Invariants: only the newest report of one witness on one server is stored; no report is used or sent beyond
+``MAX_REPORT_AGE``; only this gateway makes reports in its own name. If it receives one in its name that it never made,
+it issues a correct one at once under a higher number.
 
 Bound: ``MAX_SERVERS`` servers with ``MAX_WITNESSES`` reports each.
 """
@@ -21,16 +21,16 @@
 from yardbank.cluster.peers.datagram import MAX_NAME, HealthReport
 
 MS, SECOND = 1_000_000, 1_000_000_000
-LIFE = 15 * SECOND  # ns
-REPEAT_AFTER = 4 * SECOND  # ns; a witness repeats a report that still holds and still matters
-SETTLED = SECOND  # ns that a fault must have been reported before its end is: what comes and goes is reported once
+MAX_REPORT_AGE = 15 * SECOND  # ns
+REPEAT_INTERVAL = 4 * SECOND  # ns after which a witness repeats a report that still holds and matters
+MIN_FAULT_TIME = SECOND  # ns after a fault's report before its end is reported: a flapping fault is reported once
 WELL, SILENT, FAILING, FULL, NOTHING = 1, 2, 3, 4, 5
-KINDS = {WELL: "well", SILENT: "silent", FAILING: "failing", FULL: "full", NOTHING: "nothing"}
-BAD = frozenset((SILENT, FAILING, FULL))
+KIND_NAMES = {WELL: "well", SILENT: "silent", FAILING: "failing", FULL: "full", NOTHING: "nothing"}
+FAULTY_KINDS = frozenset((SILENT, FAILING, FULL))
 MAX_WITNESSES = 16  # of one server; beyond, the oldest report is dropped
-MAX_SERVERS = 512  # beyond, reports on further servers are dropped
+MAX_SERVERS = 512  # reports on further servers are dropped
 
-FirstHand = Mapping[str, tuple[int, int]]  # by server: kind, and the start it is true of (ms since 1970, from the list)
+FirstHand = Mapping[str, tuple[int, int]]  # by server: kind, and the server's start in the list (ms since 1970)
 _NO_FINDING = (NOTHING, 0)
 
 
@@ -47,14 +47,15 @@
         return now - self.observed_at
 
     def order(self) -> tuple[int, int]:
-        """Orders the reports of one witness by when it made them."""
+        """Sort key: the order in which a witness made its reports."""
         return self.report.boot_epoch, self.report.number
 
 
 class ReportStore:
-    """One gateway's reports and the others'.
+    """This gateway's reports, and those received from others.
 
-    ``dropped`` counts reports beyond a bound; ``corrected`` those in this gateway's name that it never made.
+    ``dropped`` counts reports rejected because of a bound; ``corrected`` those in this gateway's name that it never
+    made.
     """
 
     def __init__(self, name: str, boot_epoch: int) -> None:
@@ -67,7 +68,7 @@
         self._number = 0
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """The gateways of the list but this one; reports of all others are forgotten."""
+        """Set the listed gateways except this one; reports of all others are dropped."""
         self._peers = set(names)
         witnesses = self._peers | {self._name}
         for server, reports in list(self._reports.items()):
@@ -75,10 +76,10 @@
             self._replace(server, kept)
 
     def record_first_hand(self, now: int, findings: FirstHand) -> None:
-        """Report what this gateway finds itself, as it is now.
+        """Update this gateway's reports from its own present findings.
 
-        A fault is reported as it comes, and its end; that a server does well only where somebody says otherwise. So a
-        fleet in which all is well is silent.
+        A fault is reported, and its end; that a server is healthy is reported only if another witness says otherwise.
+        So a fleet without faults sends no reports.
         """
         self._expire(now)
         reported = {server for server, reports in self._reports.items() if self._name in reports}
@@ -89,23 +90,23 @@
     def _record_finding(self, now: int, server: str, kind: int, started: int) -> None:
         reports = self._reports.get(server, {})
         own = reports.get(self._name)
-        matters = kind in BAD or (kind == WELL and self._is_disputed(reports))
+        matters = kind in FAULTY_KINDS or (kind == WELL and self._is_disputed(reports))
         if own is None:
             if matters:
                 self._make_report(now, server, kind, started)
             return
         if own.report.kind == kind and started in (0, own.report.started):
-            if matters and own.age(now) >= REPEAT_AFTER:
+            if matters and own.age(now) >= REPEAT_INTERVAL:
                 self._make_report(now, server, kind, started)
             return
-        has_ended = own.report.kind in BAD and own.age(now) >= SETTLED
+        has_ended = own.report.kind in FAULTY_KINDS and own.age(now) >= MIN_FAULT_TIME
         if matters or has_ended:
             self._make_report(now, server, kind, started or own.report.started)
 
     def _is_disputed(self, reports: Mapping[str, StoredReport]) -> bool:
-        """Whether another witness finds the server bad."""
+        """Whether another witness reports the server unhealthy."""
         others = (stored for witness, stored in reports.items() if witness != self._name)
-        return any(stored.report.kind in BAD for stored in others)
+        return any(stored.report.kind in FAULTY_KINDS for stored in others)
 
     def _make_report(self, now: int, server: str, kind: int, started: int) -> None:
         if len(server.encode()) > MAX_NAME:
@@ -115,11 +116,11 @@
         self._store(now, HealthReport(self._name, self.boot_epoch, self._number, server, started, kind, 0))
 
     def receive(self, now: int, reports: Iterable[HealthReport]) -> None:
-        """Reports that came with a datagram, whoever sent it."""
+        """Handle the reports in a datagram, whoever sent it."""
         for report in reports:
             if report.witness == self._name:
                 self._receive_own(now, report)
-            elif report.witness in self._peers and report.age < LIFE // MS:
+            elif report.witness in self._peers and report.age < MAX_REPORT_AGE // MS:
                 self._receive_of_peer(now, report)
 
     def _receive_of_peer(self, now: int, report: HealthReport) -> None:
@@ -128,10 +129,10 @@
             self._store(now, report)
 
     def _receive_own(self, now: int, report: HealthReport) -> None:
-        """A report in this gateway's name: one it made before, or one it has to correct."""
+        """Handle a report in this gateway's name: one that it made before, or one that it must correct."""
         if (report.boot_epoch, report.number) <= (self.boot_epoch, self._number):
             return
-        if report.boot_epoch > self.boot_epoch:  # of an earlier start, or made up: the failure detector decides
+        if report.boot_epoch > self.boot_epoch:  # from an earlier start, or forged: left to the failure detector
             return
         self._number = report.number
         self.corrected += 1
@@ -162,15 +163,15 @@
 
     def _expire(self, now: int) -> None:
         for server, reports in list(self._reports.items()):
-            self._replace(server, {witness: stored for witness, stored in reports.items() if stored.age(now) < LIFE})
+            self._replace(server, {witness: stored for witness, stored in reports.items() if stored.age(now) < MAX_REPORT_AGE})
 
     def next_to_send(self, now: int, limit: int) -> list[HealthReport]:
-        """The reports sent least often, with their ages as of now. Counts them as sent."""
-        enough = math.ceil(3 * math.log2(len(self._peers) + 2))  # sendings until all have most likely heard
+        """The reports to send next: those sent least often, with their present ages. Counts them as sent."""
+        enough = math.ceil(3 * math.log2(len(self._peers) + 2))  # times sent until all have most likely heard
         unsettled = []
         for reports in self._reports.values():
             for stored in reports.values():
-                if stored.times_sent < enough and stored.age(now) < LIFE:
+                if stored.times_sent < enough and stored.age(now) < MAX_REPORT_AGE:
                     unsettled.append(stored)
         unsettled.sort(key=lambda stored: stored.times_sent)
         found = []
@@ -180,11 +181,11 @@
         return found
 
     def reports_on_start(self, now: int, server: str, started: int) -> dict[str, StoredReport]:
-        """Other witnesses' reports on this start of a server that have not expired, by witness."""
+        """Other witnesses' unexpired reports on this start of a server, by witness."""
         return {
             witness: stored
             for witness, stored in self._reports.get(server, {}).items()
-            if witness != self._name and stored.report.started == started and stored.age(now) < LIFE
+            if witness != self._name and stored.report.started == started and stored.age(now) < MAX_REPORT_AGE
         }
 
     def reports_on(self, server: str) -> Mapping[str, StoredReport]:
--- a/yardbank/cluster/peers/sharing.py
+++ b/yardbank/cluster/peers/sharing.py
@@ -1,7 +1,8 @@
-"""What one gateway reports to others about itself, and how the consensus on others' reports reaches it. No I/O.
+"""Connects gossip to the decision module: this gateway's counters and findings out, the consensus in. No I/O.
 
-Findings are first-hand: what the decision module concluded from this gateway's own attempts and probes. What others
-reported is stored apart there (``ServerTable.gossiped_outliers``) and never goes out again as a first-hand finding.
+Only first-hand findings are shared: what the decision module concluded from this gateway's own attempts and probes.
+What others reported is kept separately there (``ServerTable.gossiped_outliers``) and is never sent as a first-hand
+finding.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from yardbank.gateway.api import ServerSpec
 from yardbank.policy import Router
 
-FRESH = 3 * SECOND  # an answer this recent says that a server does well
+MAX_ANSWER_AGE = 3 * SECOND  # ns; a server that answered more recently is reported as healthy
 
 
 class Sharing:
-    """One gateway's side of it. All the mappings are the gateway's own, read as they are at each call."""
+    """The gateway's side of gossip. The mappings are the gateway's own live ones, read at each call."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         self._connections, self._refused, self._handle = connections, refused, handle
 
     def figures(self) -> dict[str, int]:
-        """Counts by name: requests out and connections held by server, requests refused by class and manner."""
+        """Counters by name: requests in flight and open connections by server, refused requests by class and reason."""
         found: dict[str, int] = {}
         connections = self._connections()
         for name in self._specs:
@@ -46,7 +47,7 @@
         return found
 
     def listed(self) -> list[ListedServer]:
-        """The servers that may be sent to."""
+        """The servers that may receive requests."""
         return [
             ListedServer(name, spec.group, round(spec.started * 1000))
             for name, spec in self._specs.items()
@@ -54,7 +55,7 @@
         ]
 
     def first_hand(self, now: int) -> dict[str, tuple[int, int]]:
-        """What this gateway has found of servers itself, lately: a kind, and the start that it is true of."""
+        """This gateway's own recent findings by server: the kind, and the start of the server that it is about."""
         found: dict[str, tuple[int, int]] = {}
         for name, spec in self._specs.items():
             server = self._router.servers.get(self._numbers[name])
@@ -66,7 +67,7 @@
                 kind = FAILING
             elif now < server.overload_until:
                 kind = FULL
-            elif server.last_answered_sent_at and now - server.answered_at < FRESH:
+            elif server.last_answered_sent_at and now - server.answered_at < MAX_ANSWER_AGE:
                 kind = WELL
             else:
                 continue
@@ -74,7 +75,7 @@
         return found
 
     def apply_consensus(self, consensus: OutlierConsensus) -> None:
-        """Hand the decision module the servers that other gateways agree on; replaces what it was handed before."""
+        """Pass the consensus of the other gateways to the decision module; it replaces the previous one."""
         numbers = self._numbers
         outliers = tuple((numbers[name], until) for name, until in consensus.outliers.items() if name in numbers)
         healthy = tuple(numbers[name] for name in sorted(consensus.healthy) if name in numbers)
--- a/yardbank/cluster/peers/startup.py
+++ b/yardbank/cluster/peers/startup.py
@@ -1,4 +1,4 @@
-"""What a gateway reads from files before it gossips: its keys, and the boot epoch of its last start."""
+"""Files read before gossip starts: the keys, and the boot epoch of the last start."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from yardbank.cluster.peers.peer_list import next_boot_epoch, parse_stored_epoch
 from yardbank.files import write_atomically
 
-EPOCH_FILE = "peers-life"  # in the state folder; the name is that of the landed version
+EPOCH_FILE = "peers-life"  # in the state folder; the name is kept for compatibility with files of earlier versions
 
 
 def load_keys(path: Path) -> list[bytes]:
-    """Keys from a file. Raises ``PeersError`` naming file and line."""
+    """Read the keys from a file. Raises ``PeersError`` with file and line."""
     try:
         return read_keys(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -28,16 +28,16 @@
 
 
 def begin_boot_epoch(state: Path | None, wall: float, log: Any) -> int:
-    """The boot epoch of this start, stored for the next one where there is a state folder.
+    """Choose the boot epoch of this start, and store it for the next one if there is a state folder.
 
-    ``wall``: seconds since 1970. A file that cannot be written is logged; the clock, or the peers' memory of the last
-    start, then orders the next one.
+    ``wall``: seconds since 1970. A failed write is logged; the next start then relies on the clock, or on the peers'
+    knowledge of this start, to get a higher boot epoch.
     """
     if state is None:
         return next_boot_epoch(None, wall)
     path = state / EPOCH_FILE
     stored = ""
-    with contextlib.suppress(OSError):  # none yet
+    with contextlib.suppress(OSError):  # no file yet
         stored = path.read_text(encoding="utf-8", errors="replace")
     boot_epoch = next_boot_epoch(parse_stored_epoch(stored), wall)
     try:
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -1,7 +1,7 @@
-"""The I/O of gossip: the UDP socket, the timers, the files of the list, the keys and the view.
+"""The I/O of gossip: the UDP socket, the timers, and the files of the list, the keys and the view.
 
-Owns them and decides nothing: ``node`` decides what is sent, ``peer_list`` which list is in force,
-``outlier_consensus`` which servers are outliers.
+Decides nothing: ``node`` decides what is sent, ``peer_list`` which list is in force, and ``outlier_consensus`` which
+servers are outliers.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from yardbank.cluster.peers import PeersError
-from yardbank.cluster.peers.failure_detector import NAMES, SECOND, Pace
+from yardbank.cluster.peers.failure_detector import STATE_NAMES, SECOND, Pace
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.outlier_consensus import OutlierConsensus, reach_consensus
 from yardbank.cluster.peers.peer_list import Accept, PeerList, Reject
@@ -28,13 +28,13 @@
 from yardbank.files import write_atomically
 from yardbank.server_list.watcher import Watcher
 
-WRITE_EVERY = 1.0  # seconds between two writings of the view, at least
-JUDGE_EVERY = SECOND // 5  # ns between two judgements of the health reports, at least
-LOG_DROPS_EVERY = 10.0  # seconds between two log lines on dropped datagrams
+VIEW_WRITE_INTERVAL = 1.0  # seconds between two writes of the view, at least
+JUDGE_INTERVAL = SECOND // 5  # ns; on received datagrams the health reports are evaluated no more often than this
+DROP_LOG_INTERVAL = 10.0  # seconds between two log lines on dropped datagrams
 
 
 class Peers(DatagramProtocol):
-    """One gateway among its peers, from start to stop. ``sharing`` is the gateway's side; all times in ns."""
+    """The gossip of one gateway, from start to stop. ``sharing`` connects it to the gateway; all times are in ns."""
 
     transport: Any
 
@@ -51,9 +51,10 @@
         log: Any,
         sharing: Sharing,
     ) -> None:
-        """``folder``: where the settings' paths start; ``state``: where the boot epoch is stored, if anywhere.
+        """``folder``: base of the paths in the settings; ``state``: folder for the boot epoch, if any.
 
-        ``now``: the steady clock, ns; ``wall``: seconds since 1970. Raises ``PeersError`` if the keys cannot be used.
+        ``now``: the monotonic clock, ns; ``wall``: seconds since 1970. Raises ``PeersError`` if the keys cannot be
+        used.
         """
         self._block = block
         self._folder = folder
@@ -82,7 +83,7 @@
         self._judged_at = 0
 
     def start(self) -> None:
-        """Listen, read the list, begin. Raises ``PeersError`` if the address cannot be had."""
+        """Listen, and start to read the list. Raises ``PeersError`` if it cannot listen."""
         address = self._block.address
         port = self._block.port
         try:
@@ -98,7 +99,7 @@
             life=self.node.detector.boot_epoch,
         )
         self._watcher.start()
-        self._drop_timer = self._reactor.callLater(LOG_DROPS_EVERY, self._log_drops)
+        self._drop_timer = self._reactor.callLater(DROP_LOG_INTERVAL, self._log_drops)
         self._write_view()
 
     def _apply_list(self, action: Accept | Reject) -> None:
@@ -112,7 +113,7 @@
         self._schedule_tick()
 
     def reload_keys(self) -> None:
-        """Read the key file again; one that cannot be used is logged, and the last good keys stay."""
+        """Read the key file again. If it cannot be used, log that and keep the present keys."""
         try:
             self.node.keys = load_keys(self._folder / self._block.key)
         except PeersError as problem:
@@ -121,17 +122,17 @@
             self._log.info("peer_keys_loaded", count=len(self.node.keys))
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Whoever sent it, answers go where the list says."""
+        """Handle a datagram. ``addr`` is ignored: replies go to the sender's address in the list."""
         now = self._now()
         self._send(self.node.receive(now, datagram))
-        if now - self._judged_at >= JUDGE_EVERY:
+        if now - self._judged_at >= JUDGE_INTERVAL:
             self._judge(now)
 
     def connectionRefused(self) -> None:  # noqa: N802
-        """Nobody listens there now."""
+        """Ignore ICMP errors: the failure detector finds peers that do not listen."""
 
     def prompt(self) -> None:
-        """A part learned something outside of gossip: send its messages."""
+        """Send the messages of parts that were called from outside of gossip."""
         self._send(self.node.flush(self._now()))
 
     def _tick(self) -> None:
@@ -143,7 +144,7 @@
             notify(now)
 
     def _judge(self, now: int) -> None:
-        """Store what this gateway found itself, and hand it the consensus on the others' reports."""
+        """Store this gateway's own findings, and pass it the consensus on the others' reports if that has changed."""
         self._judged_at = now
         first_hand = self._sharing.first_hand(now)
         self.node.report_store.record_first_hand(now, first_hand)
@@ -158,7 +159,7 @@
         self._sharing.apply_consensus(consensus)
 
     def _draw(self, server: str) -> float:
-        """This gateway's own chance for a server: always the same, and another at other gateways."""
+        """This gateway's random number for a server: constant, and different at other gateways."""
         return Random(f"{self._block.name}/{server}").random()
 
     def _send(self, datagrams: list[tuple[str, bytes]]) -> None:
@@ -166,9 +167,9 @@
             self._send_one(to, data)
         changes = self.node.changes()
         for change in changes:
-            self._log.info("peer", peer=change.name, state=NAMES[change.state], incarnation=change.incarnation)
+            self._log.info("peer", peer=change.name, state=STATE_NAMES[change.state], incarnation=change.incarnation)
         if changes and self._view_timer is None:
-            self._view_timer = self._reactor.callLater(WRITE_EVERY, self._write_view)
+            self._view_timer = self._reactor.callLater(VIEW_WRITE_INTERVAL, self._write_view)
         self._schedule_tick()
 
     def _send_one(self, to: str, data: bytes) -> None:
@@ -177,7 +178,7 @@
             return
         try:
             self.transport.write(data, address)
-        except OSError:  # no route now: as if lost on the way
+        except OSError:  # such as no route: treated like a lost datagram
             self._not_sent += 1
 
     def _schedule_tick(self) -> None:
@@ -188,12 +189,12 @@
             self._tick_timer = self._reactor.callLater(max(0, at - self._now()) / SECOND, self._tick)
 
     def view(self) -> dict[str, Any]:
-        """What is known here, as plain values; ages in milliseconds."""
+        """The state for operators, as plain values; ages in milliseconds."""
         return {"written": self._wall(), **node_view(self.node, self.consensus, self._now())}
 
     def _write_view(self) -> None:
-        """Put the view where ``yardbank peers show`` finds it."""
-        self._view_timer = self._reactor.callLater(5 * WRITE_EVERY, self._write_view)
+        """Write the view to the file that ``yardbank peers show`` reads."""
+        self._view_timer = self._reactor.callLater(5 * VIEW_WRITE_INTERVAL, self._write_view)
         path = self._folder / self._block.view
         try:
             write_atomically(path, json.dumps(self.view()) + "\n")
@@ -201,8 +202,8 @@
             self._log.warning("peers_view_write_failed", path=str(path), error=str(problem))
 
     def _log_drops(self) -> None:
-        """Log what was dropped, and that another start of this name was heard of, where that has changed."""
-        self._drop_timer = self._reactor.callLater(LOG_DROPS_EVERY, self._log_drops)
+        """Log the counts of drops, and of higher incarnations of this name heard from peers, if they have changed."""
+        self._drop_timer = self._reactor.callLater(DROP_LOG_INTERVAL, self._log_drops)
         times_overtaken = self.node.detector.times_overtaken
         if times_overtaken != self._logged_overtaken:
             self._logged_overtaken = times_overtaken
--- a/yardbank/cluster/peers/view.py
+++ b/yardbank/cluster/peers/view.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of the others, as plain values for an operator. No I/O; ages in milliseconds."""
+"""The view of gossip for operators, as plain values. No I/O; ages in milliseconds."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.outlier_consensus import OutlierConsensus
-from yardbank.cluster.peers.report_store import KINDS
+from yardbank.cluster.peers.report_store import KIND_NAMES
 
 MS = 1_000_000
 
 
 def node_view(node: GossipNode, consensus: OutlierConsensus, now: int) -> dict[str, Any]:
-    """Members, health reports on servers, counts, and what each part has to show."""
+    """Peers, health reports on servers, counters, and the views of the parts."""
     detector = node.detector
     reports = node.report_store
     return {
@@ -35,7 +35,7 @@
             server: {
                 "doubted_ms": max(0, consensus.outliers.get(server, now) - now) // MS,
                 "words": {
-                    witness: {"kind": KINDS[stored.report.kind], "age_ms": stored.age(now) // MS}
+                    witness: {"kind": KIND_NAMES[stored.report.kind], "age_ms": stored.age(now) // MS}
                     for witness, stored in reports.reports_on(server).items()
                 },
             }
