--- a/yardbank/cluster/lease/messages.py
+++ b/yardbank/cluster/lease/messages.py
@@ -27,7 +27,7 @@
     HELD = 2  # another gateway holds the lease
     OTHER_CANDIDATE = 3  # another candidate asked first
     SILENT = 4  # the voter started recently and may not grant yet
-    EPOCH_USED = 5  # the epoch was used already
+    EPOCH_USED = 5  # the epoch was, or may have been, used already
     OTHER_LIST = 6  # the voter is at another list
     FULL = 7  # the voter's table of resources is full
     EPOCH_TOO_FAR = 8  # the epoch is too far ahead
--- a/yardbank/cluster/lease/model_check/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -29,7 +29,7 @@
 
 
 class Counterexample(msgspec.Struct, frozen=True):
-    """A stored counterexample: with the bug injected, its actions lead to the violation ``wrong``; without it, to none."""
+    """Stored counterexample: with the bug injected, its actions lead to the violation ``wrong``, without it to none."""
 
     bug: str
     wrong: str
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -258,7 +258,7 @@
             if message.to in self.nodes and not is_lost:
                 self.messages = (*self.messages, Message(name, message.to, message.body))[-self.scenario.letters :]
         for event in part.take_events(""):
-            if event.what == OWNED and part.epoch(self.clock_of(name), event.resource) == event.epoch:  # not expired yet
+            if event.what == OWNED and part.epoch(self.clock_of(name), event.resource) == event.epoch:  # unexpired
                 if event.epoch <= self.highest:
                     self.wrong = f"epoch {event.epoch} at {name} is not above {self.highest}"
                 self.highest = max(self.highest, event.epoch)
--- a/yardbank/cluster/lease/part.py
+++ b/yardbank/cluster/lease/part.py
@@ -48,8 +48,8 @@
     """Implements ``peers.parts.Part`` and ``lease.api.Leases``. Created anew at each start of the process.
 
     Owns the voter (``voter``, ``electorate``, ``epochs``), the candidate and holder (``claims``) and the stored state.
-    Callers must read ``now`` after the message that they pass in was read from the socket, so that a request is never
-    taken to be older than it is.
+    Callers must read ``now`` after the message that they pass in was read from the socket: a voter's promise then never
+    starts before its request was sent.
     """
 
     topic = "lease"
@@ -265,7 +265,7 @@
             self.epochs.raise_floor()  # this voter takes over others' promises: new epochs must be above theirs
 
     def _flush(self, now: int) -> None:
-        """Handle messages to this gateway at once; queue the others, and store the epochs that they depend on."""
+        """Handle messages to this gateway at once; queue the others, and store their epochs before they are sent."""
         queue = self._outbox.queue
         while queue:
             to, message, urgent = queue.pop(0)
--- a/yardbank/cluster/peers/parts.py
+++ b/yardbank/cluster/peers/parts.py
@@ -1,7 +1,7 @@
 """Interface of parts: state machines without I/O that exchange messages with the same part of other gateways.
 
-A part is told of list changes and of messages for its topic, and returns messages to send. It never sees an address or
-a datagram. Time (ns, this gateway's monotonic clock) is an argument; a source of randomness is given to its
+A part is notified of list changes and of messages for its topic, and returns messages to send. It never sees an address
+or a datagram. Time (ns, this gateway's monotonic clock) is an argument; a source of randomness is given to its
 constructor.
 """
 
