--- a/tests/cluster/lease/test_electorate.py
+++ b/tests/cluster/lease/test_electorate.py
@@ -27,7 +27,9 @@
     most_in_a_zone = max(sum(zones[one] == zone for one in found) for zone in set(zones.values()))
     sizes = [sum(one == zone for one in zones.values()) for zone in set(zones.values())]
     spare = max(1, len(found) - majority(len(found)))
-    assert most_in_a_zone <= spare or sum(min(size, most_in_a_zone - 1) for size in sizes) < len(found)  # as even as possible
+    assert most_in_a_zone <= spare or sum(min(size, most_in_a_zone - 1) for size in sizes) < len(
+        found
+    )  # as even as possible
     for gone in zones:
         rest = {name: zone for name, zone in zones.items() if name != gone}
         if gone not in found and rest and len(set(zones.values())) == len(set(rest.values())):
@@ -72,7 +74,9 @@
     for name in "ade":
         take_new_list(name)
     bus.run(4 * long_lease(TERMS))
-    assert bus.holders() == ["a"] and all(len(part.electorate.voter_sets(bus.now, R)) == 1 for part in bus.parts.values())
+    assert bus.holders() == ["a"] and all(
+        len(part.electorate.voter_sets(bus.now, R)) == 1 for part in bus.parts.values()
+    )
     assert all(not part.electorate.older_lists for part in bus.parts.values())
     assert bus.parts["a"].claims.log.events[-1].what == "owned"  # never lost during the change
 
--- a/tests/cluster/lease/test_fleet.py
+++ b/tests/cluster/lease/test_fleet.py
@@ -45,7 +45,11 @@
             self.start(name, rate=1 + self.random.choice((-1, 1)) * 0.0198)
 
     def make_parts(self, node, random):
-        store = self.stores_by_name.setdefault(node.name, MemoryStore()) if self.random.random() < self.stores else NullStore()
+        store = (
+            self.stores_by_name.setdefault(node.name, MemoryStore())
+            if self.random.random() < self.stores
+            else NullStore()
+        )
         return [LeasePart(node.membership_view, self.terms, random, store)]
 
     def part(self, name):
@@ -113,7 +117,9 @@
         """Let a new list reach each gateway at a random time within so many seconds."""
         self.zones = self.newest = zones
         for name in self.names:
-            self.at(self.now + int(self.random.uniform(0, within) * SECOND), lambda name=name: self.take_list(name, zones))
+            self.at(
+                self.now + int(self.random.uniform(0, within) * SECOND), lambda name=name: self.take_list(name, zones)
+            )
 
     def take_list(self, name, zones):
         if name in self.paused:
--- a/tests/cluster/lease/test_lease.py
+++ b/tests/cluster/lease/test_lease.py
@@ -137,7 +137,11 @@
     part = Bus("abc").parts["a"]
     part._membership_view.boot_epoch = 50
     part.tick(10**12)
-    assert part.epochs.next_epoch() > 50 << BOOT_EPOCH_SHIFT and part.epochs.floor == 50 << BOOT_EPOCH_SHIFT and part.boot_epoch < 50
+    assert (
+        part.epochs.next_epoch() > 50 << BOOT_EPOCH_SHIFT
+        and part.epochs.floor == 50 << BOOT_EPOCH_SHIFT
+        and part.boot_epoch < 50
+    )
 
 
 def test_many_resources_of_a_starting_fleet_are_all_held_within_two_leases():
--- a/tests/cluster/peers/test_batches.py
+++ b/tests/cluster/peers/test_batches.py
@@ -104,7 +104,9 @@
     sent = [data for _, data in node.flush(SECOND)]
     first = batch.decode(sent[0], [KEY], "porting")
     assert first.entries == (BatchEntry("echo", b"now"),)
-    assert sum(map(len, sent)) <= 20 * 1024 + 2400 and node.outbox.withheld > 15  # with the reserved share of other messages
+    assert (
+        sum(map(len, sent)) <= 20 * 1024 + 2400 and node.outbox.withheld > 15
+    )  # with the reserved share of other messages
     echo.out = [Message("b", bytes(1000)), Message("b", b"now", urgent=True)]
     assert len(node.flush(SECOND)) == 1
 
--- a/tests/cluster/peers/test_health_reports.py
+++ b/tests/cluster/peers/test_health_reports.py
@@ -8,19 +8,24 @@
 
 from tests.support.router_world import World, group
 from yardbank.cluster.peers.datagram import HealthReport
-from yardbank.cluster.peers.outlier_consensus import MAX_EJECTED_SHARE, READMISSION_SPREAD, ListedServer, reach_consensus
+from yardbank.cluster.peers.outlier_consensus import (
+    MAX_EJECTED_SHARE,
+    READMISSION_SPREAD,
+    ListedServer,
+    reach_consensus,
+)
 from yardbank.cluster.peers.report_store import (
-    FAULTY_KINDS,
     FAILING,
+    FAULTY_KINDS,
     FULL,
     MAX_REPORT_AGE,
     MAX_SERVERS,
     MAX_WITNESSES,
+    MIN_FAULT_TIME,
     MS,
     NOTHING,
     REPEAT_INTERVAL,
     SECOND,
-    MIN_FAULT_TIME,
     SILENT,
     WELL,
     ReportStore,
@@ -221,7 +226,11 @@
     usable = [one.name for one in GROUP if own.get(one.name, (0, 0))[0] not in FAULTY_KINDS]
     assert len(found.outliers) <= len(usable) * MAX_EJECTED_SHARE and not set(found.outliers) & set(own)
     for server in found.outliers:
-        against = {w for w, one in made.reports_on(server).items() if one.report.kind in FAULTY_KINDS and one.age(now) < MAX_REPORT_AGE}
+        against = {
+            w
+            for w, one in made.reports_on(server).items()
+            if one.report.kind in FAULTY_KINDS and one.age(now) < MAX_REPORT_AGE
+        }
         assert len(against) >= 2 and found.outliers[server] <= now + MAX_REPORT_AGE + READMISSION_SPREAD
     assert found.healthy <= {name for name, (kind, _) in own.items() if kind in FAULTY_KINDS}
 
--- a/tests/cluster/peers/test_processes.py
+++ b/tests/cluster/peers/test_processes.py
@@ -164,7 +164,7 @@
 
 FAULTY = [
     ("peers.key", "xyz", "peers.key:1: not hexadecimal"),
-    ("peers.key", "ab", "peers.key:1: a key must have 16 to 64 octets, this gateway has 1"),
+    ("peers.key", "ab", "peers.key:1: a key must have 16 to 64 octets, this one has 1"),
 ]
 
 
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -179,7 +179,11 @@
     def _is_at_list(self, now: int, peer: str) -> bool:
         """Whether a peer has been at this list for one lease."""
         announcement = self.announcements.get(peer)
-        return announcement is not None and announcement.hash == self.hash and announcement.since + self.longest_lease <= now
+        return (
+            announcement is not None
+            and announcement.hash == self.hash
+            and announcement.since + self.longest_lease <= now
+        )
 
     def all_voters(self, now: int, resource: str) -> list[str]:
         """The voters of all sets, sorted by name."""
@@ -215,7 +219,8 @@
             return False
         known = self._all_known()
         return any(
-            announcement.hash not in known and now < announcement.at + 2 * self.longest_lease for announcement in self.announcements.values()
+            announcement.hash not in known and now < announcement.at + 2 * self.longest_lease
+            for announcement in self.announcements.values()
         )
 
     def _unconfirmed_peers(self) -> list[str]:
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -116,7 +116,11 @@
             decoded, number = self.decoded(), ("", 0, 0)
             fields: list[Any] = [getattr(decoded, one) for one in decoded.__struct_fields__ if one != "number"]
             if isinstance(decoded, LeaseRequest | Release | SuccessorNotice | VoteReply):
-                number = (self.target if isinstance(decoded, VoteReply) else self.source), decoded.boot_epoch, decoded.number
+                number = (
+                    (self.target if isinstance(decoded, VoteReply) else self.source),
+                    decoded.boot_epoch,
+                    decoded.number,
+                )
             found = _keys[self] = (self.source, self.target, type(decoded).__name__, *fields), number
         return found
 
--- a/yardbank/cluster/lease/model_check/scenes.py
+++ b/yardbank/cluster/lease/model_check/scenes.py
@@ -10,13 +10,13 @@
 
 
 def _settled(steps: int) -> tuple[tuple[str | int, ...], ...]:
-    """a has held and renewed the lease for long enough to transfer it; ``steps``: steps in a third of a term."""
+    """The actions after which a may transfer the lease; ``steps``: time steps in a third of a term."""
     renewed = (("pass", steps), ("tick", "a"), ("deliver", "a", "c", "Ask", 0), ("deliver", "c", "a", "Answer", 0))
     return (*A_HOLDS, *renewed, *renewed)
 
 
 def _transferring(steps: int) -> tuple[tuple[str | int, ...], ...]:
-    """a transfers the lease to b; the voter c and b were notified."""
+    """The same, and a transfers the lease to b; the voter c and b were notified."""
     return (*_settled(steps), ("hand", "a", "b"), ("deliver", "a", "c", "NextIs", 0), ("deliver", "a", "b", "Offer", 0))
 
 
@@ -36,9 +36,27 @@
         Scenario("held", ("a",), (LIST,), ("a", "b"), {"pass": 4, "tick": 3, "double": 1}, prefix=A_HOLDS),
         Scenario("fast", ("b", "c"), (LIST,), ("a", "b"), {"pass": 4, "tick": 3}, prefix=A_HOLDS),
         Scenario("stop", ("a",), (LIST,), ("a", "b"), {"pass": 4, "tick": 2, "stall": 1}, prefix=A_HOLDS),
-        Scenario("crash", ("a",), (LIST,), ("a", "b"), {"pass": 3, "tick": 1, "restart": 1, "forget": 1}, prefix=A_HOLDS),
-        Scenario("hand", ("a",), (LIST,), ("a", "b"), {"pass": 3, "tick": 3, "hand": 1}, step=2 * FINE_STEP, prefix=_settled(2)),
-        Scenario("handed", ("a",), (LIST,), ("a", "b"), {"pass": 6, "tick": 3, "double": 1}, step=FINE_STEP, prefix=_transferring(4)),
+        Scenario(
+            "crash", ("a",), (LIST,), ("a", "b"), {"pass": 3, "tick": 1, "restart": 1, "forget": 1}, prefix=A_HOLDS
+        ),
+        Scenario(
+            "hand",
+            ("a",),
+            (LIST,),
+            ("a", "b"),
+            {"pass": 3, "tick": 3, "hand": 1},
+            step=2 * FINE_STEP,
+            prefix=_settled(2),
+        ),
+        Scenario(
+            "handed",
+            ("a",),
+            (LIST,),
+            ("a", "b"),
+            {"pass": 6, "tick": 3, "double": 1},
+            step=FINE_STEP,
+            prefix=_transferring(4),
+        ),
         Scenario(
             "hand-crash",
             ("a",),
@@ -49,12 +67,44 @@
             depth=5,
             prefix=_transferring(2),
         ),
-        Scenario("over", ("a",), (LIST,), ("a", "b"), {"pass": 4, "tick": 1}, step=2 * FINE_STEP, depth=7, prefix=_transferring(2)),
-        Scenario("lists", ("a",), (OLD_LIST, NEW_LIST), ("a", "b"), {"pass": 3, "tick": 1, "list": 4}, depth=5, prefix=A_HOLDS_OLD),
         Scenario(
-            "left", ("a",), (OLD_LIST, NEW_LIST), ("a", "b"), {"pass": 5, "tick": 2, "list": 1}, hellos=True, depth=5, prefix=OTHERS_MOVED
+            "over",
+            ("a",),
+            (LIST,),
+            ("a", "b"),
+            {"pass": 4, "tick": 1},
+            step=2 * FINE_STEP,
+            depth=7,
+            prefix=_transferring(2),
+        ),
+        Scenario(
+            "lists",
+            ("a",),
+            (OLD_LIST, NEW_LIST),
+            ("a", "b"),
+            {"pass": 3, "tick": 1, "list": 4},
+            depth=5,
+            prefix=A_HOLDS_OLD,
+        ),
+        Scenario(
+            "left",
+            ("a",),
+            (OLD_LIST, NEW_LIST),
+            ("a", "b"),
+            {"pass": 5, "tick": 2, "list": 1},
+            hellos=True,
+            depth=5,
+            prefix=OTHERS_MOVED,
+        ),
+        Scenario(
+            "back",
+            ("a",),
+            (OLD_LIST, NEW_LIST, OLD_LIST),
+            ("a", "b"),
+            {"pass": 3, "tick": 1, "list": 4},
+            depth=5,
+            prefix=OTHERS_MOVED,
         ),
-        Scenario("back", ("a",), (OLD_LIST, NEW_LIST, OLD_LIST), ("a", "b"), {"pass": 3, "tick": 1, "list": 4}, depth=5, prefix=OTHERS_MOVED),
         # For random walks: all actions combined. Stores are not lost where lists change, since safety depends on each
         # gateway remembering the lists that it went through (see ``electorate``).
         Scenario("all", ("a", "c"), (LIST,), ("a", "b", "c"), ALL_ACTIONS | {"forget": 1}, step=FINE_STEP, depth=3),
@@ -71,4 +121,11 @@
     )
 }
 # The scenario in which each bug is found soonest.
-SCENARIO_FOR_BUG = {"drift": "held", "forgets": "crash", "wakes": "held", "epoch": "held", "one-set": "lists", "uncapped": "over"}
+SCENARIO_FOR_BUG = {
+    "drift": "held",
+    "forgets": "crash",
+    "wakes": "held",
+    "epoch": "held",
+    "one-set": "lists",
+    "uncapped": "over",
+}
--- a/yardbank/cluster/lease/model_check/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -103,7 +103,9 @@
 
 def walk(scenario: Scenario, seed: int, length: int) -> tuple[World, list[Action], int]:
     """One random walk regardless of budgets, up to a violation. Returns the last state, the actions, the leases won."""
-    budgets = {one: length for one in ACTION_WEIGHTS if one in scenario.budgets or one in ("pass", "tick", "double", "release")}
+    budgets = {
+        one: length for one in ACTION_WEIGHTS if one in scenario.budgets or one in ("pass", "tick", "double", "release")
+    }
     scenario = msgspec.structs.replace(scenario, budgets=budgets, letters=10)
     random, world, trace, owned = Random(seed), World(scenario), list[Action](), 0
     for _ in range(length):
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -14,7 +14,7 @@
 from yardbank.cluster.lease.api import OWNED, LeaseTerms
 from yardbank.cluster.lease.messages import VoterAnnouncement, VoteReply, decode
 from yardbank.cluster.lease.model_check.freeze import ZeroRandom, copy_of
-from yardbank.cluster.lease.model_check.nodes import MemoryStore, MembershipView, Message, Node
+from yardbank.cluster.lease.model_check.nodes import MembershipView, MemoryStore, Message, Node
 from yardbank.cluster.lease.part import LeasePart
 
 SECOND = 1_000_000_000
@@ -71,7 +71,9 @@
         self.messages = ()
 
     def _started(self, name: str, boot_epoch: int, at: int, stored: bytes | None) -> Node:
-        part = LeasePart(MembershipView(name, boot_epoch, self.scenario.lists[at]), TERMS, ZeroRandom(), MemoryStore(stored))
+        part = LeasePart(
+            MembershipView(name, boot_epoch, self.scenario.lists[at]), TERMS, ZeroRandom(), MemoryStore(stored)
+        )
         part.listed(self.clock_of(name))
         return Node(part, {}, at)
 
@@ -277,7 +279,9 @@
 
     def holders(self) -> list[tuple[str, int]]:
         """The gateways that hold the lease now by their own clocks, with their epochs."""
-        found = ((name, node.part.epoch(self.clock_of(name), self.scenario.resource)) for name, node in self.nodes.items())
+        found = (
+            (name, node.part.epoch(self.clock_of(name), self.scenario.resource)) for name, node in self.nodes.items()
+        )
         return [(name, epoch) for name, epoch in found if epoch is not None]
 
     def checked(self) -> World:
--- a/yardbank/cluster/peers/failure_detector.py
+++ b/yardbank/cluster/peers/failure_detector.py
@@ -16,14 +16,14 @@
 
 from yardbank.cluster.peers.datagram import ACK, ALIVE, ASK, GONE, NACK, PING
 from yardbank.cluster.peers.detector_types import (
-    MAX_INCARNATION_LEAD,
+    EXTRA_PINGS,
     FEW_ALIVE,
+    GONE_PING_PERIODS,
+    MAX_INCARNATION_LEAD,
     MAX_RELAYED,
     MAX_SLOWNESS,
-    STATE_NAMES,
-    GONE_PING_PERIODS,
-    EXTRA_PINGS,
     SECOND,
+    STATE_NAMES,
     TRANSITIONS,
     UNHEARD,
     Change,
@@ -132,7 +132,9 @@
         """When ``tick`` is due next; None: not before there are peers."""
         if not self.peers:
             return None
-        times = [relayed.until for relayed in self._relayed.values()] + [suspicion.until for suspicion in self._suspicions.values()]
+        times = [relayed.until for relayed in self._relayed.values()] + [
+            suspicion.until for suspicion in self._suspicions.values()
+        ]
         if self._probe is not None:
             times.append(self._probe.ask_at or self._probe.end_at)
         else:
--- a/yardbank/cluster/peers/outbox.py
+++ b/yardbank/cluster/peers/outbox.py
@@ -93,7 +93,7 @@
         """
         waiting = self._collect(peers)
         datagrams = []
-        for destination in sorted(waiting, key=lambda destination: not destination.urgent):
+        for destination in sorted(waiting, key=lambda key: not key.urgent):
             for entries in pack(waiting[destination], self._capacity):
                 rate = self._rate_for(now, destination)
                 if rate is None:
--- a/yardbank/cluster/peers/outlier_consensus.py
+++ b/yardbank/cluster/peers/outlier_consensus.py
@@ -129,4 +129,6 @@
         return None
     ends: Sequence[int] = sorted((stored.observed_at + MAX_REPORT_AGE for stored in against), reverse=True)
     last_with_enough_witnesses = ends[MIN_WITNESSES - 1]
-    return _Candidate(server, len(against), favourable, last_with_enough_witnesses + int(READMISSION_SPREAD * draw(server)))
+    return _Candidate(
+        server, len(against), favourable, last_with_enough_witnesses + int(READMISSION_SPREAD * draw(server))
+    )
--- a/yardbank/cluster/peers/report_store.py
+++ b/yardbank/cluster/peers/report_store.py
@@ -163,7 +163,9 @@
 
     def _expire(self, now: int) -> None:
         for server, reports in list(self._reports.items()):
-            self._replace(server, {witness: stored for witness, stored in reports.items() if stored.age(now) < MAX_REPORT_AGE})
+            self._replace(
+                server, {witness: stored for witness, stored in reports.items() if stored.age(now) < MAX_REPORT_AGE}
+            )
 
     def next_to_send(self, now: int, limit: int) -> list[HealthReport]:
         """The reports to send next: those sent least often, with their present ages. Counts them as sent."""
--- a/yardbank/cluster/peers/transport.py
+++ b/yardbank/cluster/peers/transport.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from yardbank.cluster.peers import PeersError
-from yardbank.cluster.peers.failure_detector import STATE_NAMES, SECOND, Pace
+from yardbank.cluster.peers.failure_detector import SECOND, STATE_NAMES, Pace
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.outlier_consensus import OutlierConsensus, reach_consensus
 from yardbank.cluster.peers.peer_list import Accept, PeerList, Reject
