--- a/yardbank/cluster/lease/model_check/__main__.py
+++ b/yardbank/cluster/lease/model_check/__main__.py
@@ -43,7 +43,7 @@
             with inject_bug(bug):
                 example = minimize(Counterexample(bug, violation, scenario, trace))
             for action in example.actions:
-                click.echo("  " + " ".join(str(one) for one in action))
+                click.echo("  " + " ".join(str(element) for element in action))
             if out is not None:
                 write(out, example)
     raise SystemExit(1 if is_violated else 0)
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -42,7 +42,7 @@
 
 
 def _ignore_older_lists() -> Any:
-    return patch.object(Electorate, "_binding", lambda lists, now, one, resource: None)
+    return patch.object(Electorate, "_binding", lambda electorate, now, older, resource: None)
 
 
 def _unlimited_transfer() -> Any:
--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -33,33 +33,33 @@
     LeasePart: (),
 }
 _SLOTS = {
-    kind: tuple(slot for one in kind.__mro__ for slot in getattr(one, "__slots__", ())) for kind in _MUTABLE_FIELDS
+    kind: tuple(slot for base in kind.__mro__ for slot in getattr(base, "__slots__", ())) for kind in _MUTABLE_FIELDS
 }
 _GET_SLOTS = {kind: attrgetter(*slots) for kind, slots in _SLOTS.items()}
 
 
 def _copy(value: Any) -> Any:
     kind = type(value)
-    made = object.__new__(kind)
-    for slot, one in zip(_SLOTS[kind], _GET_SLOTS[kind](value), strict=True):
-        setattr(made, slot, one)
+    duplicate = object.__new__(kind)
+    for slot, content in zip(_SLOTS[kind], _GET_SLOTS[kind](value), strict=True):
+        setattr(duplicate, slot, content)
     for slot in _MUTABLE_FIELDS[kind]:
-        setattr(made, slot, getattr(value, slot).copy())
-    return made
+        setattr(duplicate, slot, getattr(value, slot).copy())
+    return duplicate
 
 
 def copy_of(part: LeasePart) -> LeasePart:
     """A copy that shares no mutable state. Outgoing messages must have been collected before: they are not copied."""
-    made: LeasePart = _copy(part)
-    made.epochs = _copy(part.epochs)
-    made.electorate = _copy(part.electorate)
-    made.voter = _copy(part.voter)
-    made.claims = _copy(part.claims)
-    made.voter._epochs = made.epochs
-    made._outbox = _copy(part._outbox)
-    made._outgoing = []
-    _copy_claims(made.claims, made)
-    return made
+    duplicate: LeasePart = _copy(part)
+    duplicate.epochs = _copy(part.epochs)
+    duplicate.electorate = _copy(part.electorate)
+    duplicate.voter = _copy(part.voter)
+    duplicate.claims = _copy(part.claims)
+    duplicate.voter._epochs = duplicate.epochs
+    duplicate._outbox = _copy(part._outbox)
+    duplicate._outgoing = []
+    _copy_claims(duplicate.claims, duplicate)
+    return duplicate
 
 
 def _copy_claims(claims: Claims, part: LeasePart) -> None:
@@ -146,12 +146,12 @@
     electorate = part.electorate
     epochs = part.epochs
     lease = part.claims.longest_lease
-    heard = tuple(
-        (name, one.hash, one.older_lists, ahead(one.since + lease), ahead(one.at + 2 * lease))
-        for name, one in sorted(electorate.announcements.items())
+    announcements = tuple(
+        (name, last.hash, last.older_lists, ahead(last.since + lease), ahead(last.at + 2 * lease))
+        for name, last in sorted(electorate.announcements.items())
     )
-    older_lists = tuple((one.hash, ahead(one.since + lease)) for one in electorate.older_lists)
-    found = (
+    older_lists = tuple((older.hash, ahead(older.since + lease)) for older in electorate.older_lists)
+    state = (
         part.boot_epoch,
         tuple(claims),
         tuple(entries),
@@ -160,7 +160,7 @@
         electorate.hash,
         older_lists,
         electorate.past_lists,
-        heard,
+        announcements,
         electorate.without_memory,
         ahead(electorate._announce_at),
         electorate._last_peer,
@@ -168,4 +168,4 @@
         epochs.floor,
         epochs.stored,
     )
-    return found, tuple(numbers)
+    return state, tuple(numbers)
--- a/yardbank/cluster/lease/model_check/nodes.py
+++ b/yardbank/cluster/lease/model_check/nodes.py
@@ -114,7 +114,7 @@
         """The content without the message number, and the number (an empty one for messages without)."""
         if (found := _keys.get(self)) is None:
             decoded, number = self.decoded(), ("", 0, 0)
-            fields: list[Any] = [getattr(decoded, one) for one in decoded.__struct_fields__ if one != "number"]
+            fields: list[Any] = [getattr(decoded, name) for name in decoded.__struct_fields__ if name != "number"]
             if isinstance(decoded, LeaseRequest | Release | SuccessorNotice | VoteReply):
                 number = (
                     (self.target if isinstance(decoded, VoteReply) else self.source),
--- a/yardbank/cluster/lease/model_check/scenes.py
+++ b/yardbank/cluster/lease/model_check/scenes.py
@@ -30,8 +30,8 @@
 ALL_ACTIONS = {"pass": 1, "tick": 1, "double": 1, "restart": 1, "stall": 1, "hand": 1}
 FINE_STEP = 5 * SECOND // 4
 SCENARIOS: dict[str, Scenario] = {
-    one.name: one
-    for one in (
+    scenario.name: scenario
+    for scenario in (
         Scenario("begin", ("a",), (LIST,), ("a", "b"), {"pass": 3, "tick": 2, "double": 1}),
         Scenario("held", ("a",), (LIST,), ("a", "b"), {"pass": 4, "tick": 3, "double": 1}, prefix=A_HOLDS),
         Scenario("fast", ("b", "c"), (LIST,), ("a", "b"), {"pass": 4, "tick": 3}, prefix=A_HOLDS),
--- a/yardbank/cluster/lease/model_check/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -47,7 +47,7 @@
 
 
 def _explore(scenario: Scenario, depth: int, most: int) -> SearchResult:
-    began = time.monotonic()
+    started_at = time.monotonic()
     first = World(scenario)
     seen = {first.key()}
     parents: list[tuple[int, Action]] = [(-1, ())]
@@ -57,24 +57,26 @@
         following = []
         for number, world in layer:
             for action in world.actions():
-                made = world.after(action)
+                following_world = world.after(action)
                 steps += 1
-                if made is None:
+                if following_world is None:
                     continue
-                if made.wrong:
+                if following_world.wrong:
                     trace = (*_trace(parents, number), action)
-                    return SearchResult(len(seen), steps, level, False, time.monotonic() - began, trace, made.wrong)
-                if (key := made.key()) in seen:
+                    return SearchResult(
+                        len(seen), steps, level, False, time.monotonic() - started_at, trace, following_world.wrong
+                    )
+                if (key := following_world.key()) in seen:
                     continue
                 seen.add(key)
                 parents.append((number, action))
-                following.append((len(parents) - 1, made))
+                following.append((len(parents) - 1, following_world))
                 if len(seen) >= most:
-                    return SearchResult(len(seen), steps, level, False, time.monotonic() - began, None, "")
+                    return SearchResult(len(seen), steps, level, False, time.monotonic() - started_at, None, "")
         layer = following
         if not layer:
-            return SearchResult(len(seen), steps, level, True, time.monotonic() - began, None, "")
-    return SearchResult(len(seen), steps, depth, False, time.monotonic() - began, None, "")
+            return SearchResult(len(seen), steps, level, True, time.monotonic() - started_at, None, "")
+    return SearchResult(len(seen), steps, depth, False, time.monotonic() - started_at, None, "")
 
 
 def _trace(parents: list[tuple[int, Action]], number: int) -> tuple[Action, ...]:
@@ -104,20 +106,22 @@
 def walk(scenario: Scenario, seed: int, length: int) -> tuple[World, list[Action], int]:
     """One random walk regardless of budgets, up to a violation. Returns the last state, the actions, the leases won."""
     budgets = {
-        one: length for one in ACTION_WEIGHTS if one in scenario.budgets or one in ("pass", "tick", "double", "release")
+        kind: length
+        for kind in ACTION_WEIGHTS
+        if kind in scenario.budgets or kind in ("pass", "tick", "double", "release")
     }
     scenario = msgspec.structs.replace(scenario, budgets=budgets, letters=10)
-    random, world, trace, owned = Random(seed), World(scenario), list[Action](), 0
+    random, world, trace, leases_won = Random(seed), World(scenario), list[Action](), 0
     for _ in range(length):
         actions = list(world.actions())
-        action = random.choices(actions, [ACTION_WEIGHTS[one[0]] for one in actions])[0]
-        if (made := world.after(action)) is not None:
-            owned += made.highest > world.highest
-            world = made
+        action = random.choices(actions, [ACTION_WEIGHTS[candidate[0]] for candidate in actions])[0]
+        if (following_world := world.after(action)) is not None:
+            leases_won += following_world.highest > world.highest
+            world = following_world
             trace.append(action)
             if world.wrong:
                 break
-    return world, trace, owned
+    return world, trace, leases_won
 
 
 def replay(example: Counterexample) -> str:
@@ -132,13 +136,13 @@
 
 def minimize(example: Counterexample) -> Counterexample:
     """Remove all actions that the violation does not need."""
-    at = 0
-    while at < len(example.actions):
-        actions = example.actions[:at] + example.actions[at + 1 :]
+    index = 0
+    while index < len(example.actions):
+        actions = example.actions[:index] + example.actions[index + 1 :]
         if wrong := replay(shorter := msgspec.structs.replace(example, actions=actions)):
             example = msgspec.structs.replace(shorter, wrong=wrong)
         else:
-            at += 1
+            index += 1
     return example
 
 
--- a/yardbank/cluster/lease/model_check/world.py
+++ b/yardbank/cluster/lease/model_check/world.py
@@ -57,17 +57,17 @@
         self.budgets = dict(scenario.budgets)
         self.messages: tuple[Message, ...] = ()
         self.planned: tuple[tuple[str, int, int], ...] = ()  # transfers: holder, its epoch, end of the allowed overlap
-        names = sorted({name for one in scenario.lists for name in one})
+        names = sorted({name for zones in scenario.lists for name in zones})
         self.nodes = {name: self._started(name, 1, 0, None) for name in names}
         self.time = 25 * SECOND  # the voters' silence after the start is over
         for name, node in self.nodes.items():
             node.part.tick(self.clock_of(name))
             node.part.outgoing_messages()
         for action in self.scenario.prefix:
-            made = self.after(tuple(action))
-            assert made is not None and not made.wrong, (scenario.name, action, made and made.wrong)
-            self.nodes, self.messages, self.time = made.nodes, made.messages, made.time
-            self.highest, self.planned = made.highest, made.planned
+            world = self.after(tuple(action))
+            assert world is not None and not world.wrong, (scenario.name, action, world and world.wrong)
+            self.nodes, self.messages, self.time = world.nodes, world.messages, world.time
+            self.highest, self.planned = world.highest, world.planned
         self.messages = ()
 
     def _started(self, name: str, boot_epoch: int, at: int, stored: bytes | None) -> Node:
@@ -155,37 +155,39 @@
         """How many older messages have the same source, target and kind."""
         message = self.messages[at]
         like = (message.source, message.target, message.kind())
-        return sum((one.source, one.target, one.kind()) == like for one in self.messages[:at])
+        return sum((other.source, other.target, other.kind()) == like for other in self.messages[:at])
 
     def _find_message(self, action: Action) -> int | None:
         _, source, target, kind, which = action
         like = (source, target, kind)
-        found = [at for at, one in enumerate(self.messages) if (one.source, one.target, one.kind()) == like]
+        found = [
+            at for at, message in enumerate(self.messages) if (message.source, message.target, message.kind()) == like
+        ]
         return found[which] if which < len(found) else None
 
     def after(self, action: Action) -> World | None:
         """The state after an action; None: the action is not possible in this state."""
-        made: World = World.__new__(World)
-        made.scenario, made.time, made.highest, made.wrong = self.scenario, self.time, self.highest, ""
-        made.messages, made.planned = self.messages, self.planned
-        made.nodes, made.budgets = dict(self.nodes), dict(self.budgets)
+        world: World = World.__new__(World)
+        world.scenario, world.time, world.highest, world.wrong = self.scenario, self.time, self.highest, ""
+        world.messages, world.planned = self.messages, self.planned
+        world.nodes, world.budgets = dict(self.nodes), dict(self.budgets)
         what = action[0]
-        if what in made.budgets:
-            made.budgets[what] -= 1
+        if what in world.budgets:
+            world.budgets[what] -= 1
         if what == "pass":
-            made.time += self.scenario.step * (action[1] if len(action) > 1 else 1)
-            return made.checked()
+            world.time += self.scenario.step * (action[1] if len(action) > 1 else 1)
+            return world.checked()
         at = None
         if what in ("deliver", "double", "stall"):
             if (at := self._find_message(action)) is None:
                 return None
             name = action[2]
             if what != "double":
-                made.messages = self.messages[:at] + self.messages[at + 1 :]
+                world.messages = self.messages[:at] + self.messages[at + 1 :]
         else:
             name = action[1]
-        done = made._do(what, name, self.nodes[name], action, None if at is None else self.messages[at])
-        return made.checked() if done else None
+        done = world._do(what, name, self.nodes[name], action, None if at is None else self.messages[at])
+        return world.checked() if done else None
 
     def _do(self, what: str, name: str, node: Node, action: Action, message: Message | None) -> bool:
         """Let one gateway do an action; returns whether it is possible in this state."""
@@ -209,7 +211,7 @@
 
     def _restart(self, name: str, node: Node, keeps_store: bool) -> None:
         stored = node.stored() if keeps_store else None
-        boot_epoch = max(one.part.boot_epoch for one in self.nodes.values()) + 1  # as correct clocks would give it
+        boot_epoch = max(other.part.boot_epoch for other in self.nodes.values()) + 1  # as correct clocks would give it
         self.nodes[name] = self._started(name, boot_epoch, node.list_index, stored)
 
     def _call(self, what: str, name: str, node: Node, part: LeasePart, action: Action, message: Message | None) -> bool:
@@ -291,5 +293,5 @@
             planned = {(name, epoch) for name, epoch, until in self.planned if self.time < until}
             if len(holders) > 2 or not planned & set(holders):
                 description = "held at once by " + ", ".join(f"{name} under {epoch}" for name, epoch in holders)
-                self.wrong = "; ".join(one for one in (description, self.wrong) if one)
+                self.wrong = "; ".join(text for text in (description, self.wrong) if text)
         return self
--- a/yardbank/cluster/peers/node.py
+++ b/yardbank/cluster/peers/node.py
@@ -267,7 +267,7 @@
             return _Piggyback()
         reports = self.report_store.next_to_send(now, MAX_REPORTS)
         counters = self.counters.next_to_send(MAX_COUNTERS // 2 if reports else MAX_COUNTERS)
-        left = PIGGYBACK_OCTETS - sum(wire.size_of(one) for one in (*counters, *reports))
+        left = PIGGYBACK_OCTETS - sum(wire.size_of(item) for item in (*counters, *reports))
         updates = self.detector.updates_for(probe.to, max(1, left // self._largest_update))
         return _Piggyback(updates, counters, reports)
 
--- a/yardbank/cluster/peers/peer_list.py
+++ b/yardbank/cluster/peers/peer_list.py
@@ -47,13 +47,13 @@
     found: Faults = []
     names: set[str] = set()
     places: dict[tuple[str, int], str] = {}
-    for index, one in enumerate(file.peer):
-        if one.name in names:
-            found.append((("peer", index), f'peer "{one.name}" is given twice'))
-        names.add(one.name)
-        if other := places.get((one.address, one.port)):
-            found.append((("peer", index, "port"), f'peer "{one.name}" has the address of peer "{other}"'))
-        places[one.address, one.port] = one.name
+    for index, peer in enumerate(file.peer):
+        if peer.name in names:
+            found.append((("peer", index), f'peer "{peer.name}" is given twice'))
+        names.add(peer.name)
+        if other := places.get((peer.address, peer.port)):
+            found.append((("peer", index, "port"), f'peer "{peer.name}" has the address of peer "{other}"'))
+        places[peer.address, peer.port] = peer.name
     if file.count is not None and file.count != len(file.peer):
         found.append((("count",), f"count: {file.count} peers expected, {len(file.peer)} found"))
     return found
