--- a/yardbank/cluster/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -49,7 +49,7 @@
         self._epochs = epochs
         self.entries: dict[str, Entry] = {}
         self.silent_until = 0
-        self.full = 0  # requests refused because the table is full of bound resources
+        self.full = 0  # requests refused because the table is full of resources with binding promises
         self.ignored = 0  # late or duplicate messages
         self.clashes = 0  # times that two gateways claimed to hold one resource
         self.clash = ""  # the last such case
--- a/yardbank/cluster/peers/outbox.py
+++ b/yardbank/cluster/peers/outbox.py
@@ -38,7 +38,7 @@
         return self._left
 
     def spend(self, octets: int) -> None:
-        """Charge sent octets. The balance may become negative; later messages wait until it is positive again."""
+        """Charge sent octets. A negative balance blocks sending until it is positive again."""
         self._left -= octets
 
 
