--- a/yardbank/cluster/lease/model_check/freeze.py
+++ b/yardbank/cluster/lease/model_check/freeze.py
@@ -1,4 +1,4 @@
-"""One gateway's deciders copied and as a key that is equal where all that can follow is equal. No I/O."""
+"""Copies of one gateway's lease state, and keys that are equal for states with the same possible futures. No I/O."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from yardbank.cluster.lease.transfer_offers import TransferOffers
 from yardbank.cluster.lease.voter import Voter
 
-# What of each changes in place; all else is shared, or the same for good.
-_CHANGING: dict[type, tuple[str, ...]] = {
+# Fields that are changed in place and must be copied; the others are shared between copies or replaced by ``copy_of``.
+_MUTABLE_FIELDS: dict[type, tuple[str, ...]] = {
     Claim: ("grants", "requests", "refusals", "informed_voters"),
     Epochs: (),
     Electorate: ("older_lists", "announcements"),
@@ -32,36 +32,38 @@
     Claims: (),
     LeasePart: (),
 }
-_SLOTS = {kind: tuple(slot for one in kind.__mro__ for slot in getattr(one, "__slots__", ())) for kind in _CHANGING}
-_READ = {kind: attrgetter(*slots) for kind, slots in _SLOTS.items()}
+_SLOTS = {
+    kind: tuple(slot for base in kind.__mro__ for slot in getattr(base, "__slots__", ())) for kind in _MUTABLE_FIELDS
+}
+_GET_SLOTS = {kind: attrgetter(*slots) for kind, slots in _SLOTS.items()}
 
 
 def _copy(value: Any) -> Any:
     kind = type(value)
-    made = object.__new__(kind)
-    for slot, one in zip(_SLOTS[kind], _READ[kind](value), strict=True):
-        setattr(made, slot, one)
-    for slot in _CHANGING[kind]:
-        setattr(made, slot, getattr(value, slot).copy())
-    return made
-
-
-def copied(part: LeasePart) -> LeasePart:
-    """A copy that shares nothing that changes; what was to be said must have been taken off."""
-    made: LeasePart = _copy(part)
-    made.epochs = _copy(part.epochs)
-    made.electorate = _copy(part.electorate)
-    made.voter = _copy(part.voter)
-    made.claims = _copy(part.claims)
-    made.voter._epochs = made.epochs
-    made._outbox = _copy(part._outbox)
-    made._outgoing = []
-    _copy_claims(made.claims, made)
-    return made
+    duplicate = object.__new__(kind)
+    for slot, content in zip(_SLOTS[kind], _GET_SLOTS[kind](value), strict=True):
+        setattr(duplicate, slot, content)
+    for slot in _MUTABLE_FIELDS[kind]:
+        setattr(duplicate, slot, getattr(value, slot).copy())
+    return duplicate
+
+
+def copy_of(part: LeasePart) -> LeasePart:
+    """A copy that shares no mutable state. Outgoing messages must have been collected before: they are not copied."""
+    duplicate: LeasePart = _copy(part)
+    duplicate.epochs = _copy(part.epochs)
+    duplicate.electorate = _copy(part.electorate)
+    duplicate.voter = _copy(part.voter)
+    duplicate.claims = _copy(part.claims)
+    duplicate.voter._epochs = duplicate.epochs
+    duplicate._outbox = _copy(part._outbox)
+    duplicate._outgoing = []
+    _copy_claims(duplicate.claims, duplicate)
+    return duplicate
 
 
 def _copy_claims(claims: Claims, part: LeasePart) -> None:
-    """Copy what the claims are made of, and join the copies to those of the part."""
+    """Copy the objects that the claims consist of, and link them to the copies in ``part``."""
     claims._electorate = part.electorate
     claims._outbox = part._outbox
     claims.offers = _copy(claims.offers)
@@ -82,31 +84,31 @@
     claims.holder = holder
 
 
-class Zero(Random):
-    """Draws that are always the lowest: whoever may act acts as soon as it may. Whatever waits longer is a stop."""
+class ZeroRandom(Random):
+    """Always draws 0, so that every gateway may act as early as possible; longer waits are modelled as stops."""
 
     def random(self) -> float:
-        """Always the least draw."""
+        """Return 0."""
         return 0.0
 
     def __reduce__(self) -> Any:
-        return Zero, ()
+        return ZeroRandom, ()
 
 
-Numbered = tuple[str, int, int]  # who asked, in which life, under which number
+NumberedMessage = tuple[str, int, int]  # requester, its boot epoch, message number
 
 
-def key(part: LeasePart, now: int) -> tuple[tuple[Any, ...], tuple[Numbered, ...]]:
-    """All that decides what it does from now on, and apart from it the numbers, of which only the order matters.
+def key(part: LeasePart, now: int) -> tuple[tuple[Any, ...], tuple[NumberedMessage, ...]]:
+    """Everything that determines the part's future behaviour, and separately the message numbers.
 
-    Times are as from now, those that are over as 0.
+    Of the numbers only the order matters. Times are relative to ``now``; times in the past count as 0.
     """
 
     def ahead(at: int) -> int:
         return at - now if at > now else 0
 
     held, overlap = part.terms.holding_time(), part.terms.overlap
-    numbers: list[Numbered] = []
+    numbers: list[NumberedMessage] = []
     claims = []
     for claim in part.claims.claims.values():
         sent = [(number, at + held - now) for number, at in claim.requests.items() if at + held > now]
@@ -144,12 +146,12 @@
     electorate = part.electorate
     epochs = part.epochs
     lease = part.claims.longest_lease
-    heard = tuple(
-        (name, one.hash, one.older_lists, ahead(one.since + lease), ahead(one.at + 2 * lease))
-        for name, one in sorted(electorate.announcements.items())
+    announcements = tuple(
+        (name, last.hash, last.older_lists, ahead(last.since + lease), ahead(last.at + 2 * lease))
+        for name, last in sorted(electorate.announcements.items())
     )
-    older_lists = tuple((one.hash, ahead(one.since + lease)) for one in electorate.older_lists)
-    found = (
+    older_lists = tuple((older.hash, ahead(older.since + lease)) for older in electorate.older_lists)
+    state = (
         part.boot_epoch,
         tuple(claims),
         tuple(entries),
@@ -158,7 +160,7 @@
         electorate.hash,
         older_lists,
         electorate.past_lists,
-        heard,
+        announcements,
         electorate.without_memory,
         ahead(electorate._announce_at),
         electorate._last_peer,
@@ -166,4 +168,4 @@
         epochs.floor,
         epochs.stored,
     )
-    return found, tuple(numbers)
+    return state, tuple(numbers)
--- a/yardbank/cluster/lease/model_check/search.py
+++ b/yardbank/cluster/lease/model_check/search.py
@@ -1,4 +1,4 @@
-"""Breadth first through all that may happen, each state once; then walks by chance. Counterexamples as files."""
+"""Breadth-first search through all possible states, random walks, and counterexamples in files."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 import msgspec
 
-from yardbank.cluster.lease.model_check.world import Action, Scene, World
+from yardbank.cluster.lease.model_check.world import Action, Scenario, World
 
 
-class Found(NamedTuple):
-    """What a search saw. ``whole``: every state within the scene's budgets, whatever the depth."""
+class SearchResult(NamedTuple):
+    """The result of a search. ``whole``: all states within the scenario's budgets were visited, before the depth limit.
+
+    ``trace``: the actions that lead to the violation ``wrong``, if one was found.
+    """
 
     states: int
     steps: int
@@ -25,27 +28,27 @@
     wrong: str
 
 
-class Example(msgspec.Struct, frozen=True):
-    """A counterexample: with the bug it ends in what is wrong, without it does not."""
+class Counterexample(msgspec.Struct, frozen=True):
+    """Stored counterexample: with the bug injected, its actions lead to the violation ``wrong``, without it to none."""
 
     bug: str
     wrong: str
-    scene: Scene
+    scene: Scenario
     actions: tuple[tuple[str | int, ...], ...]
 
 
-def explore(scene: Scene, depth: int, most: int = 10_000_000) -> Found:
-    """All states that so many things that happen can lead to; at most ``most`` of them."""
-    gc.disable()  # nothing here goes round in circles, and there is much of it
+def explore(scenario: Scenario, depth: int, most: int = 10_000_000) -> SearchResult:
+    """Visit all states that at most ``depth`` actions lead to, up to ``most`` states."""
+    gc.disable()  # saves time: there are many objects and no reference cycles
     try:
-        return _explore(scene, depth, most)
+        return _explore(scenario, depth, most)
     finally:
         gc.enable()
 
 
-def _explore(scene: Scene, depth: int, most: int) -> Found:
-    began = time.monotonic()
-    first = World(scene)
+def _explore(scenario: Scenario, depth: int, most: int) -> SearchResult:
+    started_at = time.monotonic()
+    first = World(scenario)
     seen = {first.key()}
     parents: list[tuple[int, Action]] = [(-1, ())]
     layer = [(0, first)]
@@ -54,24 +57,26 @@
         following = []
         for number, world in layer:
             for action in world.actions():
-                made = world.after(action)
+                following_world = world.after(action)
                 steps += 1
-                if made is None:
+                if following_world is None:
                     continue
-                if made.wrong:
+                if following_world.wrong:
                     trace = (*_trace(parents, number), action)
-                    return Found(len(seen), steps, level, False, time.monotonic() - began, trace, made.wrong)
-                if (key := made.key()) in seen:
+                    return SearchResult(
+                        len(seen), steps, level, False, time.monotonic() - started_at, trace, following_world.wrong
+                    )
+                if (key := following_world.key()) in seen:
                     continue
                 seen.add(key)
                 parents.append((number, action))
-                following.append((len(parents) - 1, made))
+                following.append((len(parents) - 1, following_world))
                 if len(seen) >= most:
-                    return Found(len(seen), steps, level, False, time.monotonic() - began, None, "")
+                    return SearchResult(len(seen), steps, level, False, time.monotonic() - started_at, None, "")
         layer = following
         if not layer:
-            return Found(len(seen), steps, level, True, time.monotonic() - began, None, "")
-    return Found(len(seen), steps, depth, False, time.monotonic() - began, None, "")
+            return SearchResult(len(seen), steps, level, True, time.monotonic() - started_at, None, "")
+    return SearchResult(len(seen), steps, depth, False, time.monotonic() - started_at, None, "")
 
 
 def _trace(parents: list[tuple[int, Action]], number: int) -> tuple[Action, ...]:
@@ -82,7 +87,7 @@
     return tuple(reversed(found))
 
 
-LIKELY = {
+ACTION_WEIGHTS = {
     "deliver": 8.0,
     "tick": 4.0,
     "want": 4.0,
@@ -98,25 +103,29 @@
 }
 
 
-def walk(scene: Scene, seed: int, length: int) -> tuple[World, list[Action], int]:
-    """One long way through by chance, whatever the budgets; it ends where something is wrong. With the ownerships."""
-    often = {one: length for one in LIKELY if one in scene.budgets or one in ("pass", "tick", "double", "release")}
-    scene = msgspec.structs.replace(scene, budgets=often, letters=10)
-    random, world, trace, owned = Random(seed), World(scene), list[Action](), 0
+def walk(scenario: Scenario, seed: int, length: int) -> tuple[World, list[Action], int]:
+    """One random walk regardless of budgets, up to a violation. Returns the last state, the actions, the leases won."""
+    budgets = {
+        kind: length
+        for kind in ACTION_WEIGHTS
+        if kind in scenario.budgets or kind in ("pass", "tick", "double", "release")
+    }
+    scenario = msgspec.structs.replace(scenario, budgets=budgets, letters=10)
+    random, world, trace, leases_won = Random(seed), World(scenario), list[Action](), 0
     for _ in range(length):
         actions = list(world.actions())
-        action = random.choices(actions, [LIKELY[one[0]] for one in actions])[0]
-        if (made := world.after(action)) is not None:
-            owned += made.highest > world.highest
-            world = made
+        action = random.choices(actions, [ACTION_WEIGHTS[candidate[0]] for candidate in actions])[0]
+        if (following_world := world.after(action)) is not None:
+            leases_won += following_world.highest > world.highest
+            world = following_world
             trace.append(action)
             if world.wrong:
                 break
-    return world, trace, owned
+    return world, trace, leases_won
 
 
-def replay(example: Example) -> str:
-    """What goes wrong when it is done again; "": nothing. What cannot happen is left out."""
+def replay(example: Counterexample) -> str:
+    """The violation when the actions are replayed; "": none. Actions that are not possible are skipped."""
     world = World(example.scene)
     for action in example.actions:
         world = world.after(tuple(action)) or world
@@ -125,23 +134,23 @@
     return ""
 
 
-def shrunk(example: Example) -> Example:
-    """Without all that it does not need."""
-    at = 0
-    while at < len(example.actions):
-        actions = example.actions[:at] + example.actions[at + 1 :]
+def minimize(example: Counterexample) -> Counterexample:
+    """Remove all actions that the violation does not need."""
+    index = 0
+    while index < len(example.actions):
+        actions = example.actions[:index] + example.actions[index + 1 :]
         if wrong := replay(shorter := msgspec.structs.replace(example, actions=actions)):
             example = msgspec.structs.replace(shorter, wrong=wrong)
         else:
-            at += 1
+            index += 1
     return example
 
 
-def read(path: Path) -> Example:
-    """A counterexample from its file."""
-    return msgspec.json.decode(path.read_bytes(), type=Example)
+def read(path: Path) -> Counterexample:
+    """Read a counterexample from its file."""
+    return msgspec.json.decode(path.read_bytes(), type=Counterexample)
 
 
-def write(path: Path, example: Example) -> None:
-    """A counterexample to a file."""
+def write(path: Path, example: Counterexample) -> None:
+    """Write a counterexample to a file."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(example)) + b"\n")
