--- a/tests/server_list/test_incremental_reader.py
+++ b/tests/server_list/test_incremental_reader.py
@@ -1,4 +1,4 @@
-"""A list read again by its change alone: the same servers, the same faults, the same change as read whole."""
+"""Incremental reads of a list give the same servers, faults and changes as full reads."""
 
 import random
 
@@ -8,9 +8,9 @@
 
 from yardbank.gateway.api import ServerSpec
 from yardbank.server_list import Apply, HoldBack, ServerListLifecycle
-from yardbank.server_list.comparison import compare, describe, suspicion, suspicion_of
+from yardbank.server_list.comparison import compare, describe, suspicion, suspicion_from_changes
 from yardbank.server_list.document import ServerListError, read_set, render
-from yardbank.server_list.incremental_reader import ListReader, _shared_back, _shared_front
+from yardbank.server_list.incremental_reader import ListReader, _common_prefix_length, _common_suffix_length
 
 GROUPS = {"a", "b"}
 
@@ -24,8 +24,8 @@
     return render(servers, **more).encode()
 
 
-def both(reader, texts):
-    """What the reader makes of it, and what reading it whole does: the same."""
+def read_both_ways(reader, texts):
+    """Read ``texts`` incrementally and in full, check that the results agree, and return the result."""
     try:
         whole = read_set(texts, GROUPS)
     except ServerListError as problem:
@@ -41,31 +41,31 @@
 
 @given(st.binary(max_size=60), st.binary(max_size=60), st.binary(max_size=60))
 @settings(max_examples=300, deadline=None)
-def test_shared_octets_are_counted_exactly(front, a, b):
-    one, other = front + a, front + b
-    shared = _shared_front(one, other)
-    assert one[:shared] == other[:shared]
-    assert shared == min(len(one), len(other)) or one[shared] != other[shared]
-    most = min(len(one), len(other)) - shared
-    back = _shared_back(one, other, most)
-    assert back <= most and one[len(one) - back :] == other[len(other) - back :]
-    assert back == most or one[len(one) - back - 1] != other[len(other) - back - 1]
-
-
-def test_a_changed_line_an_added_and_a_removed_server_are_read_by_their_change():
+def test_common_prefix_and_suffix_lengths_are_exact(prefix, a, b):
+    first, second = prefix + a, prefix + b
+    prefix_length = _common_prefix_length(first, second)
+    assert first[:prefix_length] == second[:prefix_length]
+    assert prefix_length == min(len(first), len(second)) or first[prefix_length] != second[prefix_length]
+    limit = min(len(first), len(second)) - prefix_length
+    suffix_length = _common_suffix_length(first, second, limit)
+    assert suffix_length <= limit and first[len(first) - suffix_length :] == second[len(second) - suffix_length :]
+    assert suffix_length == limit or first[len(first) - suffix_length - 1] != second[len(second) - suffix_length - 1]
+
+
+def test_changed_added_and_removed_servers_are_read_incrementally():
     reader, servers = ListReader(GROUPS), [spec(n) for n in range(50)]
-    first = both(reader, {"l": text(servers)})
+    first = read_both_ways(reader, {"l": text(servers)})
     servers[7] = spec(7, state="draining")
-    second = both(reader, {"l": text(servers)})
+    second = read_both_ways(reader, {"l": text(servers)})
     assert reader.edits == 1 and second.delta.base == first.digest
     assert second.delta.changes == {"s7": (spec(7), spec(7, state="draining"))}
-    servers[20], servers[21] = servers[21], servers[20]  # moved about: no change at all
-    assert both(reader, {"l": text(servers)}).delta.changes == {}
+    servers[20], servers[21] = servers[21], servers[20]  # reordered: no change
+    assert read_both_ways(reader, {"l": text(servers)}).delta.changes == {}
     body = text(servers).replace(b"count = 50\n", b"")
-    both(reader, {"l": body})  # an attribute of the file changed: read whole
+    read_both_ways(reader, {"l": body})  # a changed attribute of the file forces a full read
     edits = reader.edits
     cut = body.replace(render([spec(33)]).encode().split(b"\n\n", 1)[1], b"")
-    third = both(reader, {"l": cut})
+    third = read_both_ways(reader, {"l": cut})
     assert third.delta.changes == {"s33": (spec(33), None)} and reader.edits == edits + 1
 
 
@@ -83,53 +83,53 @@
         lambda t: t.replace(b"port    = 1009", b"port    = 1009 }"),
     ],
 )
-def test_a_broken_change_is_told_as_when_read_whole_and_touches_nothing(broken):
+def test_broken_change_reports_the_faults_of_a_full_read_and_keeps_state(broken):
     reader, good = ListReader(GROUPS), text([spec(n) for n in range(12)])
-    both(reader, {"l": good})
-    assert both(reader, {"l": broken(good)}) is None
-    again = both(reader, {"l": good.replace(b"port    = 1005", b"port    = 2005")})
-    assert again.delta is not None and set(again.delta.changes) == {"s5"}  # against the last good one
+    read_both_ways(reader, {"l": good})
+    assert read_both_ways(reader, {"l": broken(good)}) is None
+    again = read_both_ways(reader, {"l": good.replace(b"port    = 1005", b"port    = 2005")})
+    assert again.delta is not None and set(again.delta.changes) == {"s5"}  # relative to the last valid version
 
 
-def test_weights_outrank_a_changed_server_and_must_name_one():
+def test_weights_blocks_override_a_changed_server_and_must_name_one():
     reader = ListReader(GROUPS)
     servers = [spec(n) for n in range(6)]
     parts = {"l": text(servers), "w": b"weights {\n  s3 = 4.5\n}\n"}
-    both(reader, parts)
+    read_both_ways(reader, parts)
     parts["l"] = text([spec(n, zone="y") if n == 3 else spec(n) for n in range(6)])
-    assert both(reader, parts).by_name()["s3"].weight == 4.5 and reader.edits == 1
+    assert read_both_ways(reader, parts).by_name()["s3"].weight == 4.5 and reader.edits == 1
     parts["l"] = text([spec(n) for n in range(6) if n != 3])
-    assert both(reader, parts) is None
+    assert read_both_ways(reader, parts) is None
     parts["w"] = b"weights {\n  s2 = 2\n}\n"
-    assert both(reader, parts).by_name()["s2"].weight == 2.0
+    assert read_both_ways(reader, parts).by_name()["s2"].weight == 2.0
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=15, deadline=None)
-def test_any_run_of_edits_ends_where_reading_whole_does(seed):
-    chance = random.Random(seed)
+def test_any_sequence_of_edits_yields_the_same_as_full_reads(seed):
+    rng = random.Random(seed)
     servers = {n: spec(n) for n in range(10)}
-    membership, applied = ServerListLifecycle(GROUPS, settle=0), {}
+    lifecycle, applied = ServerListLifecycle(GROUPS, settle=0), {}
     reader = ListReader(GROUPS)
     for now in range(12):
-        for _ in range(chance.randint(1, 2)):
-            number = chance.randrange(14)
-            match chance.randrange(4):
+        for _ in range(rng.randint(1, 2)):
+            number = rng.randrange(14)
+            match rng.randrange(4):
                 case 0:
                     servers.pop(number, None)
                 case 1:
-                    servers[number] = spec(number, state=chance.choice(("ready", "draining")))
+                    servers[number] = spec(number, state=rng.choice(("ready", "draining")))
                 case 2:
-                    servers[number] = spec(number, port=chance.choice((1000 + number, 1003)))
+                    servers[number] = spec(number, port=rng.choice((1000 + number, 1003)))
                 case 3:
-                    servers[number] = spec(number, group=chance.choice("ab"), weight=2.0, started=chance.random())
+                    servers[number] = spec(number, group=rng.choice("ab"), weight=2.0, started=rng.random())
         content = text(servers[n] for n in sorted(servers))
-        if chance.random() < 0.5:  # without the count, servers may come and go in place
+        if rng.random() < 0.5:  # without ``count``, adding and removing servers is an incremental change
             content = content.split(b"\n\n", 1)[-1]
-        if chance.random() < 0.1:
-            content = content[: chance.randrange(len(content))]
-        both(reader, {"l": content})
-        for action in membership.seen(now, {"l": content}):
+        if rng.random() < 0.1:
+            content = content[: rng.randrange(len(content))]
+        read_both_ways(reader, {"l": content})
+        for action in lifecycle.seen(now, {"l": content}):
             whole = action.fleet.servers if isinstance(action, Apply) else ()
             if isinstance(action, Apply):
                 if action.delta is None:
@@ -146,21 +146,21 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=200, deadline=None)
-def test_what_is_held_back_is_the_same_by_the_change_and_by_the_whole(seed):
-    chance = random.Random(seed)
-    old = {f"s{n}": spec(n, primary=chance.random() < 0.4) for n in range(chance.randint(1, 8))}
+def test_suspicion_of_the_changes_equals_suspicion_of_the_whole_lists(seed):
+    rng = random.Random(seed)
+    old = {f"s{n}": spec(n, primary=rng.random() < 0.4) for n in range(rng.randint(1, 8))}
     new = dict(old)
-    for _ in range(chance.randint(1, 3)):
-        number = chance.randrange(9)
-        if chance.random() < 0.5:
+    for _ in range(rng.randint(1, 3)):
+        number = rng.randrange(9)
+        if rng.random() < 0.5:
             new.pop(f"s{number}", None)
         else:
-            new[f"s{number}"] = spec(number, state=chance.choice(("ready", "draining")), group=chance.choice("ab"))
+            new[f"s{number}"] = spec(number, state=rng.choice(("ready", "draining")), group=rng.choice("ab"))
     if not new:
         return
 
     changes = {n: (old.get(n), new.get(n)) for n in (*new, *old) if old.get(n) != new.get(n)}
-    short = suspicion_of(changes, tuple(new.values()))
+    short = suspicion_from_changes(changes, tuple(new.values()))
     whole = suspicion(tuple(old.values()), tuple(new.values()))
     assert short is None or short == whole
     kinds, other = describe(changes), compare(tuple(old.values()), tuple(new.values()))
--- a/tests/server_list/test_server_list.py
+++ b/tests/server_list/test_server_list.py
@@ -1,4 +1,4 @@
-"""Lists of servers: read, checked, held back, applied whole; never a broken one, never an older after a newer."""
+"""Server lists: parsing, validation, hold-back, and applying only complete versions in order."""
 
 import os
 import random
@@ -43,12 +43,12 @@
     return "\n".join(problem.value.faults)
 
 
-def test_a_list_survives_the_way_to_text_and_back():
+def test_rendered_list_parses_to_the_same_servers():
     fleet = read_set({"list.hcl": text()}, GROUPS)
     assert list(fleet.servers) == servers()
 
 
-def test_truncated_at_every_byte_it_is_never_taken_for_the_whole():
+def test_list_truncated_at_any_byte_is_rejected():
     whole = text(*servers(3))
     full = read_set({"l": whole}, GROUPS)
     blocks = BlockCache()
@@ -77,11 +77,11 @@
         ([text(set_name="1"), b'set = "2"\nweights {\n  s0 = 2\n}\n'], "belong to different sets"),
     ],
 )
-def test_what_is_wrong_is_named(parts, reason):
+def test_faults_name_their_cause(parts, reason):
     assert reason in faults(*parts)
 
 
-def test_parts_in_separate_files_are_one_set():
+def test_separate_files_form_one_set():
     weights = b'set = "7"\n\nweights {\n  s1 = 2.5\n}\n'
     one = {"servers.hcl": text(set_name="7"), "weights.hcl": weights}
     fleet = read_set(one, GROUPS)
@@ -103,7 +103,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(PIECE, max_size=6), st.lists(PIECE, max_size=2))
-def test_reading_by_blocks_is_reading_the_whole(pieces, others):
+def test_block_cache_parses_like_the_hcl_parser(pieces, others):
     cache = BlockCache()
     for source in ("".join(pieces), "".join(pieces + others), "".join(pieces)):
         try:
@@ -116,7 +116,7 @@
             assert cache.parse(source) == wanted
 
 
-def test_changes_and_what_is_held_back():
+def test_changes_are_classified_and_suspicious_ones_recognized():
     old = servers()
     new = servers(7, s2={"state": "draining"}, s3={"started": 5.0})
     change = compare(old, new)
@@ -130,79 +130,79 @@
     assert suspicion(old, old[:3]) == ""
 
 
-class Told:
-    """A membership with a clock, and what it did."""
+class LifecycleRecorder:
+    """Drives a ``ServerListLifecycle`` with a simulated clock and records its actions."""
 
     def __init__(self):
-        self.life, self.now, self.did = ServerListLifecycle(GROUPS), 0, []
+        self.lifecycle, self.now, self.actions = ServerListLifecycle(GROUPS), 0, []
 
-    def see(self, data, wait=50 * MS):
-        self.did += self.life.seen(self.now, {"l": data} if data is not None else {})
+    def observe(self, data, wait=50 * MS):
+        self.actions += self.lifecycle.seen(self.now, {"l": data} if data is not None else {})
         self.now += wait
-        self.did += self.life.tick(self.now)
+        self.actions += self.lifecycle.tick(self.now)
 
-    def of(self, kind):
-        return [action for action in self.did if isinstance(action, kind)]
+    def of_type(self, kind):
+        return [action for action in self.actions if isinstance(action, kind)]
 
 
-def test_a_file_replaced_twice_in_quick_succession_is_applied_once_and_the_newest():
-    told = Told()
-    told.see(text(*servers(4)), wait=MS)
+def test_quickly_replaced_file_is_applied_once_in_its_newest_version():
+    recorder = LifecycleRecorder()
+    recorder.observe(text(*servers(4)), wait=MS)
     for count in (5, 6):
-        told.see(text(*servers(count)), wait=MS)
-    assert told.did == []
-    told.see(text(*servers(6)))
-    (applied,) = told.of(Apply)
+        recorder.observe(text(*servers(count)), wait=MS)
+    assert recorder.actions == []
+    recorder.observe(text(*servers(6)))
+    (applied,) = recorder.of_type(Apply)
     assert len(applied.fleet.servers) == 6 and applied.number == 1
 
 
-def test_a_thousand_in_a_second_are_coalesced_and_a_writer_without_pause_is_read_all_the_same():
-    told = Told()
+def test_rapid_changes_are_coalesced_and_read_after_the_patience_time():
+    recorder = LifecycleRecorder()
     for number in range(4000):
-        told.see(text(*servers(4 + number % 3)), wait=MS)
-    assert 1 <= len(told.of(Apply)) <= 3  # once in each time of patience
+        recorder.observe(text(*servers(4 + number % 3)), wait=MS)
+    assert 1 <= len(recorder.of_type(Apply)) <= 3  # once per patience interval
 
 
-def test_each_rejection_is_told_once_and_the_last_good_stays():
-    told = Told()
-    told.see(text())
+def test_rejection_is_reported_once_and_the_last_valid_list_stays():
+    recorder = LifecycleRecorder()
+    recorder.observe(text())
     for _ in range(3):
-        told.see(b"broken {")
-        told.see(text()[:-5])
-        told.see(None)
-    assert len(told.of(Reject)) == 3 and len(told.of(Apply)) == 1
-    assert len(told.life.current.servers) == 6
-    told.see(text(*servers(7)))
-    assert len(told.of(Apply)) == 2
-    told.see(b"broken {")
-    assert len(told.of(Reject)) == 4  # after a good version it is news again
-
-
-def test_what_looks_like_a_mistake_waits_for_the_operator():
-    told = Told()
-    told.see(text())
+        recorder.observe(b"broken {")
+        recorder.observe(text()[:-5])
+        recorder.observe(None)
+    assert len(recorder.of_type(Reject)) == 3 and len(recorder.of_type(Apply)) == 1
+    assert len(recorder.lifecycle.current.servers) == 6
+    recorder.observe(text(*servers(7)))
+    assert len(recorder.of_type(Apply)) == 2
+    recorder.observe(b"broken {")
+    assert len(recorder.of_type(Reject)) == 4  # a valid version in between makes it reportable again
+
+
+def test_suspicious_list_is_held_back_until_forced():
+    recorder = LifecycleRecorder()
+    recorder.observe(text())
     small = [s for s in servers() if s.name in ("s0", "s1")]
-    told.see(text(*small))
-    (held,) = told.of(HoldBack)
-    assert "at once" in held.reason and len(told.life.current.servers) == 6
-    told.did += told.life.force()
-    assert len(told.life.current.servers) == 2 and told.life.force() == []
-    told.see(text())
-    told.see(b"force = true\n" + text(*small))  # the operator's word in the file itself
-    assert len(told.life.current.servers) == 2 and len(told.of(HoldBack)) == 1
-    told.see(text())
-    told.see(text(*small))
-    told.see(text())  # superseded: what was held is gone
-    assert told.life.force() == []
-
-
-def test_a_restored_list_gives_way_to_the_file_and_never_comes_after_it():
-    told = Told()
+    recorder.observe(text(*small))
+    (held,) = recorder.of_type(HoldBack)
+    assert "at once" in held.reason and len(recorder.lifecycle.current.servers) == 6
+    recorder.actions += recorder.lifecycle.force()
+    assert len(recorder.lifecycle.current.servers) == 2 and recorder.lifecycle.force() == []
+    recorder.observe(text())
+    recorder.observe(b"force = true\n" + text(*small))  # the operator confirms the change in the file
+    assert len(recorder.lifecycle.current.servers) == 2 and len(recorder.of_type(HoldBack)) == 1
+    recorder.observe(text())
+    recorder.observe(text(*small))
+    recorder.observe(text())  # supersedes the version that was held back
+    assert recorder.lifecycle.force() == []
+
+
+def test_restored_list_is_replaced_by_the_file_and_never_replaces_it():
+    recorder = LifecycleRecorder()
     fleet = read_set({"l": text(*servers(4))}, GROUPS)
-    assert told.life.restore(fleet, 41).number == 41
-    told.see(text())
-    assert told.of(Apply)[0].number == 42
-    assert told.life.restore(fleet, 99) is None
+    assert recorder.lifecycle.restore(fleet, 41).number == 41
+    recorder.observe(text())
+    assert recorder.of_type(Apply)[0].number == 42
+    assert recorder.lifecycle.restore(fleet, 99) is None
 
 
 CONTENT = st.sampled_from(
@@ -212,87 +212,87 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(CONTENT, st.integers(0, 60)), max_size=40))
-def test_only_complete_valid_versions_are_applied_in_the_order_in_which_they_stood(steps):
-    told, stood, applied_at = Told(), [], []
+def test_only_complete_valid_versions_are_applied_in_the_order_written(steps):
+    recorder, written, applied_at = LifecycleRecorder(), [], []
     for data, wait in steps:
-        stood.append(data)
-        before = len(told.of(Apply))
-        told.see(data, wait=wait * MS)
-        for action in told.of(Apply)[before:]:
-            assert text(*action.fleet.servers) == data  # what stands there now, never an older one
-            applied_at.append(len(stood))
+        written.append(data)
+        before = len(recorder.of_type(Apply))
+        recorder.observe(data, wait=wait * MS)
+        for action in recorder.of_type(Apply)[before:]:
+            assert text(*action.fleet.servers) == data  # the current content, never an older one
+            applied_at.append(len(written))
     assert applied_at == sorted(applied_at)
-    numbers = [action.number for action in told.of(Apply)]
+    numbers = [action.number for action in recorder.of_type(Apply)]
     assert numbers == list(range(1, len(numbers) + 1))
-    if stood and told.life.due() is None and stood[-1] and not stood[-1].startswith(b"broken"):
-        last = told.did[-1] if told.did else None
-        assert told.life.current is not None or isinstance(last, Reject)
+    if written and recorder.lifecycle.due() is None and written[-1] and not written[-1].startswith(b"broken"):
+        last = recorder.actions[-1] if recorder.actions else None
+        assert recorder.lifecycle.current is not None or isinstance(last, Reject)
 
 
-def watched(path, **more):
-    did = []
+def make_watcher(path, **more):
+    events = []
     now = lambda: int(time.monotonic() * 1e9)  # noqa: E731
 
     class Log:
         def __getattr__(self, name):
-            return lambda event, **facts: did.append((event, facts))
+            return lambda event, **facts: events.append((event, facts))
 
-    watcher = Watcher(path, ServerListLifecycle(GROUPS), did.append, reactor=reactor, now=now, log=Log(), **more)
-    return watcher, did
+    watcher = Watcher(path, ServerListLifecycle(GROUPS), events.append, reactor=reactor, now=now, log=Log(), **more)
+    return watcher, events
 
 
-def versions(did):
-    return [len(action.fleet.servers) for action in did if isinstance(action, Apply)]
+def applied_sizes(events):
+    return [len(action.fleet.servers) for action in events if isinstance(action, Apply)]
 
 
 @pytest.mark.parametrize("notify", [True, False], ids=["notified", "polled"])
-def test_every_way_of_replacing_a_file_is_seen(tmp_path, notify):
+def test_every_way_of_replacing_a_file_is_detected(tmp_path, notify):
     ensure_reactor()
     path = tmp_path / "list.hcl"
     path.write_bytes(text(*servers(4)))
-    watcher, did = watched(path, notify=notify, every=60.0 if notify else 0.02)
+    watcher, events = make_watcher(path, notify=notify, every=60.0 if notify else 0.02)
     run(watcher.start)
     try:
-        until(lambda: versions(did) == [4])
+        until(lambda: applied_sizes(events) == [4])
         new = tmp_path / "new"
         new.write_bytes(text(*servers(5)))
         os.replace(new, path)  # renamed into place
-        until(lambda: versions(did) == [4, 5])
+        until(lambda: applied_sizes(events) == [4, 5])
         path.write_bytes(text(*servers(6)))  # written in place
-        until(lambda: versions(did) == [4, 5, 6])
+        until(lambda: applied_sizes(events) == [4, 5, 6])
         path.unlink()
-        until(lambda: any(event[0] == "list_unreadable" for event in did if isinstance(event, tuple)))
+        until(lambda: any(event[0] == "list_unreadable" for event in events if isinstance(event, tuple)))
         (tmp_path / "target").write_bytes(text(*servers(7)))
         os.symlink(tmp_path / "target", tmp_path / "link")
-        os.replace(tmp_path / "link", path)  # a link swapped in
-        until(lambda: versions(did) == [4, 5, 6, 7])
+        os.replace(tmp_path / "link", path)  # replaced by a symbolic link
+        until(lambda: applied_sizes(events) == [4, 5, 6, 7])
     finally:
         run(watcher.stop)
 
 
-def test_a_directory_of_parts_is_one_set(tmp_path):
+def test_files_of_a_directory_form_one_set(tmp_path):
     ensure_reactor()
     folder = tmp_path / "list.d"
     folder.mkdir()
     (folder / "servers.hcl").write_bytes(text(*servers(4), set_name="1"))
     (folder / "ignored.txt").write_text("nonsense {")
-    watcher, did = watched(folder, every=0.02)
+    watcher, events = make_watcher(folder, every=0.02)
     run(watcher.start)
     try:
-        until(lambda: versions(did) == [4])
+        until(lambda: applied_sizes(events) == [4])
         (folder / "weights.hcl").write_text('set = "2"\n\nweights {\n  s1 = 3\n}\n')
-        until(lambda: any(isinstance(action, Reject) for action in did))
+        until(lambda: any(isinstance(action, Reject) for action in events))
         (folder / "servers.hcl").write_bytes(text(*servers(5), set_name="2"))
-        until(lambda: versions(did) == [4, 5])
+        until(lambda: applied_sizes(events) == [4, 5])
         folder.rename(tmp_path / "away")  # the directory is replaced as a whole
         folder.mkdir()
         (folder / "servers.hcl").write_bytes(text(*servers(6)))
-        until(lambda: versions(did)[-1] == 6)
+        until(lambda: applied_sizes(events)[-1] == 6)
     finally:
         run(watcher.stop)
 
 
-def test_files_that_cannot_be_read_are_one_plain_error(tmp_path):
+def test_unreadable_files_raise_os_error(tmp_path):
     with pytest.raises(OSError, match="No such file"):
         read_files(tmp_path / "none")
 
@@ -324,8 +324,8 @@
 """
 
 
-def test_under_live_traffic_requests_are_routed_by_complete_valid_versions_only(tmp_path):
-    """A writer process alternates broken and valid files thousands of times while a client asks."""
+def test_requests_are_routed_by_complete_valid_versions_while_files_change(tmp_path):
+    """A writer process alternates broken and valid files thousands of times while a client sends requests."""
     with world(start=False) as place:
         file = tmp_path / "list.hcl"
         specs = [
@@ -362,8 +362,8 @@
             assert desk.modify().code == 0
             assert desk.read("requests").code == 0
             answers += 2
-        keeper = place.proxy._fleet
-        until(lambda: len(keeper.membership.current.servers) == 6)
+        service = place.proxy._fleet
+        until(lambda: len(service.membership.current.servers) == 6)
         lists = {f["version"]: f["servers"] for f in place.record.facts if f["kind"] == "gateway_list"}
         taken = [f["list"] for f in place.record.facts if f["kind"] == "gateway_taken"]
         allowed = [{spec.name for spec in kept} for kept in good]
@@ -373,32 +373,32 @@
         assert order == sorted(set(order))
 
 
-def test_commands(tmp_path):
+def test_list_commands_check_diff_apply_and_show(tmp_path):
     from tests.config.test_settings import TEXT
 
     settings_file, file = tmp_path / "g.hcl", tmp_path / "new.hcl"
-    cut = TEXT.index('server "norte-1"'), TEXT.index("# Anyone may look")
-    body = TEXT[: cut[0]] + 'membership {\n  path = "list.hcl"\n}\n' + TEXT[cut[1] :]
+    section = TEXT.index('server "norte-1"'), TEXT.index("# Anyone may look")
+    body = TEXT[: section[0]] + 'membership {\n  path = "list.hcl"\n}\n' + TEXT[section[1] :]
     settings_file.write_text(body)
-    listed = [ServerSpec(f"x{n}", "numbers", "z", "127.0.0.1", 1000 + n, n == 0) for n in range(4)]
-    file.write_text(render(listed))
-    call = lambda *words: CliRunner().invoke(main, ["list", *map(str, words), "--settings", str(settings_file)])  # noqa: E731
-    assert "4 servers" in call("check", file).output
-    assert call("apply", file).exit_code == 0
-    assert "no change" in call("diff", file).output
-    assert "x3" in call("show", tmp_path / "list.hcl").output
-    file.write_text(render(listed[:1]))
-    done = call("diff", file)
-    assert done.exit_code == 3 and "removed: x1, x2, x3" in done.output
-    assert call("apply", file).exit_code == 3
-    assert call("apply", file, "--force").exit_code == 0
+    server_specs = [ServerSpec(f"x{n}", "numbers", "z", "127.0.0.1", 1000 + n, n == 0) for n in range(4)]
+    file.write_text(render(server_specs))
+    invoke = lambda *words: CliRunner().invoke(main, ["list", *map(str, words), "--settings", str(settings_file)])  # noqa: E731
+    assert "4 servers" in invoke("check", file).output
+    assert invoke("apply", file).exit_code == 0
+    assert "no change" in invoke("diff", file).output
+    assert "x3" in invoke("show", tmp_path / "list.hcl").output
+    file.write_text(render(server_specs[:1]))
+    result = invoke("diff", file)
+    assert result.exit_code == 3 and "removed: x1, x2, x3" in result.output
+    assert invoke("apply", file).exit_code == 3
+    assert invoke("apply", file, "--force").exit_code == 0
     assert (tmp_path / "list.hcl").read_text().startswith("force = true")
     file.write_text("server {")
-    done = call("check", file)
-    assert done.exit_code == 2 and "new.hcl:" in done.output
+    result = invoke("check", file)
+    assert result.exit_code == 2 and "new.hcl:" in result.output
 
 
-def test_random_order_of_blocks_does_not_change_what_is_read():
+def test_order_of_blocks_does_not_change_the_list():
     specs, chance = servers(), random.Random(1)
     chance.shuffle(specs)
     assert read_set({"l": text(*specs)}, GROUPS).by_name() == read_set({"l": text()}, GROUPS).by_name()
@@ -419,7 +419,7 @@
 """
 
 
-def test_classes_in_a_file_of_their_own_are_checked_with_the_rest():
+def test_classes_in_a_separate_file_are_validated():
     fleet = read_set({"servers.hcl": text(), "classes.hcl": CLASS.encode()}, GROUPS)
     assert fleet.classes[0].name == "port-commit" and fleet.classes[0].match[0].operation == ("modify",)
     assert "aim: Field required" in faults(text(), CLASS.replace('  aim        = "500ms"\n', "").encode())
@@ -427,7 +427,7 @@
     assert "cannot be of a class" in faults(text(), CLASS.replace('["modify"]', '["search"]').encode())
 
 
-def test_a_lists_classes_change_what_new_operations_match(tmp_path):
+def test_classes_of_the_list_change_how_new_operations_are_classified(tmp_path):
     from yardbank.testing.demo.world import CLASSES
 
     with world(start=False) as place:
@@ -450,11 +450,11 @@
         taken = [f["request_class"] for f in place.record.facts if f["kind"] == "gateway_taken"]
         assert taken == ["number-lookup", "strict-read"]
         (folder / "classes.hcl").write_text(CLASSES.replace("1500ms", "1700ms"))
-        until(lambda: place.proxy._fleet.membership._judged != place.proxy._fleet.membership.current.digest)
+        until(lambda: place.proxy._fleet.membership._evaluated_digest != place.proxy._fleet.membership.current.digest)
         assert place.proxy.gateway.list_version == 2
 
 
-def listed(place, *names, **more):
+def server_specs(place, *names, **more):
     groups = {"n": "numbers", "r": "requests"}
     return [
         ServerSpec(
@@ -470,41 +470,41 @@
     ]
 
 
-def test_ghosts_drains_by_file_then_gone_and_a_return_under_the_old_name(tmp_path):
+def test_unreachable_drained_removed_and_returning_servers(tmp_path):
     from yardbank.testing.audit import judge
 
     with world(start=False) as place:
         file = tmp_path / "list.hcl"
         place.watched = file
-        keeper = None
+        lifecycle = None
 
-        def put(*names, **more):
-            (tmp_path / "new").write_text(render(listed(place, *names, **more)))
-            before = keeper.number if keeper else 0
+        def write_list(*names, **more):
+            (tmp_path / "new").write_text(render(server_specs(place, *names, **more)))
+            before = lifecycle.number if lifecycle else 0
             os.replace(tmp_path / "new", file)
-            if keeper:
-                until(lambda: keeper.number == before + 1)
+            if lifecycle:
+                until(lambda: lifecycle.number == before + 1)
 
-        everyone = ("n1", "n2", "n3", "r1", "r2")
-        put(*everyone, "n9")  # a ghost: nobody answers there
+        all_names = ("n1", "n2", "n3", "r1", "r2")
+        write_list(*all_names, "n9")  # listed, but nothing listens at its address
         run(place.start_gateway)
         until(lambda: place.proxy.gateway.list_version == 1)
-        keeper, desk = place.proxy._fleet.membership, Desk(place)
+        lifecycle, desk = place.proxy._fleet.membership, Desk(place)
 
-        def ask(count):
+        def send_reads(count):
             for _ in range(count):
                 assert desk.read("numbers", "bounded", staleness=0.8).code == 0
 
-        ask(20)
-        put(*everyone, "n9", n3={"state": "draining"})
+        send_reads(20)
+        write_list(*all_names, "n9", n3={"state": "draining"})
         place.record({"kind": "told", "server": "n3", "state": "draining"})
-        ask(20)
-        put("n1", "n2", "r1", "r2", "n9")  # gone
-        ask(20)
+        send_reads(20)
+        write_list("n1", "n2", "r1", "r2", "n9")  # n3 is removed
+        send_reads(20)
         after = [f for f in place.record.facts if f["kind"] == "received" and f["server"] == "n3"]
         told = next(f["at"] for f in place.record.facts if f["kind"] == "told")
         assert not [f for f in after if f["at"] > told + 0.5]
-        put(*everyone, n3={"started": time.time()})  # back under its name, with a new start
+        write_list(*all_names, n3={"started": time.time()})  # returns under its old name with a new start time
         place.record({"kind": "told", "server": "n3", "state": "ready"})
         back = place.proxy.gateway._router.servers[place.proxy.gateway._endpoints.server_numbers["n3"]]
         assert (
@@ -512,26 +512,29 @@
             and place.proxy.gateway._router.table.warmup_fraction(place.proxy.gateway.now(), back) < 1.0
             and not back.draining
         )
-        put(*everyone, n3={"started": 0.0})  # another group and zone is another place for the same name
-        moved = [s for s in listed(place, *everyone) if s.name != "n3"]
+        write_list(*all_names, n3={"started": 0.0})  # the same name then moves to another group and zone
+        moved = [s for s in server_specs(place, *all_names) if s.name != "n3"]
         (tmp_path / "new").write_text(
             render([*moved, ServerSpec("n3", "requests", "sur", "127.0.0.1", place.servers["n3"].port)])
         )
         os.replace(tmp_path / "new", file)
         until(lambda: place.proxy.gateway._endpoints.specs["n3"].group == "requests")
         group = place.proxy.gateway._endpoints.group_numbers["requests"]
-        known = place.proxy.gateway._router.table
-        assert known.servers[place.proxy.gateway._endpoints.server_numbers["n3"]].group == group
+        table = place.proxy.gateway._router.table
+        assert table.servers[place.proxy.gateway._endpoints.server_numbers["n3"]].group == group
         assert all(
             s.id != place.proxy.gateway._endpoints.server_numbers["n3"]
-            for s in known.groups[place.proxy.gateway._endpoints.group_numbers["numbers"]]
+            for s in table.groups[place.proxy.gateway._endpoints.group_numbers["numbers"]]
         )
         verdict = judge(sorted(place.record.facts, key=lambda fact: fact["at"]))
         assert verdict.held
 
 
-def test_a_gateway_that_stops_lets_its_clients_go_before_it_stops_watching(tmp_path):
-    """Where cores are busy the kernel takes seconds to let go of a watch; clients were left without a word meanwhile."""
+def test_stopping_gateway_closes_clients_before_the_observer_has_stopped(tmp_path):
+    """Guards against clients that stay connected without an answer while the file observer stops.
+
+    On a busy machine the kernel takes seconds to remove a watch.
+    """
     file, held, callers = tmp_path / "list.hcl", threading.Event(), []
     with world(start=False) as place:
         file.write_text(render([ServerSpec("n1", "numbers", "norte", "127.0.0.1", place.servers["n1"].port, True)]))
--- a/yardbank/proxy/proxy.py
+++ b/yardbank/proxy/proxy.py
@@ -146,7 +146,7 @@
             self._folder,
             self._worker,
             self.log,
-            take_classes=self._take_classes,
+            apply_classes=self._apply_classes,
             workers=self._workers,
             wall=self._wall,
         )
@@ -187,7 +187,7 @@
         self.addresses.append(address)
         self.log.info("listening", protocol=listener.protocol, address=address[0], port=address[1])
 
-    def _take_classes(self, config: Config) -> None:
+    def _apply_classes(self, config: Config) -> None:
         """Classify new requests by these settings; those accepted before keep their class."""
         self._classified_by = config
         for factory in self._factories:
@@ -203,7 +203,7 @@
             self._peers.reload_keys()
         if self._fleet is None:
             self.gateway.apply_list(build.servers(config))
-            self._take_classes(config)
+            self._apply_classes(config)
         else:
             self._fleet.look()
             self._fleet.reconfigure(config)
--- a/yardbank/server_list/__init__.py
+++ b/yardbank/server_list/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of its fleet: watched files, checked, and applied whole or not at all."""
+"""The list of servers of one gateway: read from watched files, validated, and applied atomically."""
 
 from yardbank.server_list.document import ServerListDocument, ServerListError, read_set
 from yardbank.server_list.lifecycle import Apply, HoldBack, Reject, ServerListLifecycle
--- a/yardbank/server_list/comparison.py
+++ b/yardbank/server_list/comparison.py
@@ -1,4 +1,4 @@
-"""What would change between two lists, and whether that is more than an error is likely to be. No I/O."""
+"""Compares two versions of the server list and decides whether the change is probably a mistake. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from yardbank.gateway.api import ServerSpec
 
-MOST_LOST = 0.5  # a change that takes away more of the servers than this is held back
+MAX_LOST_SHARE = 0.5  # a change that removes or drains a larger share of the ready servers is held back
 
 
 @dataclass(slots=True)
 class Change:
-    """The difference of two lists, by server name."""
+    """Names of the servers that differ between two versions, by kind of change."""
 
     added: list[str] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
@@ -26,8 +26,8 @@
         return any((self.added, self.removed, self.drained, self.moved, self.restarted, self.other))
 
     def lines(self) -> list[str]:
-        """The change in words."""
-        words = {
+        """The change as text, one line per kind."""
+        names_by_kind = {
             "added": self.added,
             "removed": self.removed,
             "drains": self.drained,
@@ -35,33 +35,33 @@
             "started anew": self.restarted,
             "changed": self.other,
         }
-        return [f"{word}: {', '.join(sorted(names))}" for word, names in words.items() if names]
+        return [f"{kind}: {', '.join(sorted(names))}" for kind, names in names_by_kind.items() if names]
 
 
-Changes = Mapping[str, tuple[ServerSpec | None, ServerSpec | None]]  # by name: as it was, as it is
+Changes = Mapping[str, tuple[ServerSpec | None, ServerSpec | None]]  # old and new value by server name
 
 
 def compare(old: Sequence[ServerSpec], new: Sequence[ServerSpec]) -> Change:
-    """What a new list changes."""
+    """The changes from an old to a new list of servers."""
     before, after = {s.name: s for s in old}, {s.name: s for s in new}
     return describe({name: (before.get(name), after.get(name)) for name in (*after, *before)})
 
 
 def describe(changes: Changes) -> Change:
-    """A change in kinds, from each server as it was and as it is."""
+    """Classify changes by kind."""
     change = Change()
-    for name, (was, server) in changes.items():
-        if was == server:
+    for name, (old, new) in changes.items():
+        if old == new:
             continue
-        if was is None:
+        if old is None:
             change.added.append(name)
-        elif server is None:
+        elif new is None:
             change.removed.append(name)
-        elif (was.group, was.zone) != (server.group, server.zone):
+        elif (old.group, old.zone) != (new.group, new.zone):
             change.moved.append(name)
-        elif server.state == "draining" and was.state != "draining":
+        elif new.state == "draining" and old.state != "draining":
             change.drained.append(name)
-        elif server.started > was.started:
+        elif new.started > old.started:
             change.restarted.append(name)
         else:
             change.other.append(name)
@@ -72,14 +72,20 @@
     return server is not None and server.state == "ready"
 
 
-def suspicion_of(changes: Changes, new: Sequence[ServerSpec]) -> str | None:
-    """As ``suspicion``, at the cost of the change; None: the change is large enough for a look at the whole."""
-    lost = [was for was, now in changes.values() if was and was.state == "ready" and not _ready(now)]
-    primaries = any(was and was.primary and not (_ready(now) and now.primary) for was, now in changes.values())
-    if primaries or len(lost) > 2:
+def suspicion_from_changes(changes: Changes, new: Sequence[ServerSpec]) -> str | None:
+    """Like ``suspicion``, but its cost depends on the size of the change.
+
+    None: the change is too large to decide this way, so ``suspicion`` must compare the whole lists.
+    """
+    lost = [before for before, after in changes.values() if before and before.state == "ready" and not _ready(after)]
+    primary_changed = any(
+        before and before.primary and not (_ready(after) and after.primary) for before, after in changes.values()
+    )
+    if primary_changed or len(lost) > 2:
         return None
     for group in sorted(
-        {s.group for s in lost} | {was.group for was, now in changes.values() if was and now and was.group != now.group}
+        {s.group for s in lost}
+        | {before.group for before, after in changes.values() if before and after and before.group != after.group}
     ):
         if not any(s.group == group and s.state == "ready" for s in new):
             return f"group {group!r} would have no server left"
@@ -87,23 +93,23 @@
 
 
 def suspicion(old: Sequence[ServerSpec], new: Sequence[ServerSpec]) -> str:
-    """Why a valid list is held back until an operator says so; empty: it is not.
+    """Why a valid list must be confirmed by an operator before it is applied; empty: it need not be.
 
-    A half-written or empty export looks like a fleet that vanished. Taking it at its word would leave a group
-    with nobody to write to, and a wrong list can be mended at leisure while the old one serves on.
+    A truncated or empty export looks as if most of the fleet had been removed. Applying it could leave a group without
+    a server to write to, whereas the old list can stay in use until a wrong one has been corrected.
     """
     if not old:
         return ""
-    after = {s.name: s for s in new if s.state == "ready"}
-    usable = [s for s in old if s.state == "ready"]
-    lost = [s.name for s in usable if s.name not in after]
-    empty = {s.group for s in usable} - {s.group for s in after.values()}
-    if empty:
-        return f"group {min(empty)!r} would have no server left"
-    primaries = {s.name for s in usable if s.primary}
-    kept = any(s.primary for s in after.values()) or not primaries - after.keys()
-    if primaries and not kept:
-        return "every primary would go, and the list names no other"
-    if len(usable) >= 4 and len(lost) > MOST_LOST * len(usable):
-        return f"{len(lost)} of {len(usable)} servers would go at once"
+    remaining = {s.name: s for s in new if s.state == "ready"}
+    ready = [s for s in old if s.state == "ready"]
+    lost = [s.name for s in ready if s.name not in remaining]
+    emptied_groups = {s.group for s in ready} - {s.group for s in remaining.values()}
+    if emptied_groups:
+        return f"group {min(emptied_groups)!r} would have no server left"
+    primaries = {s.name for s in ready if s.primary}
+    has_primary = any(s.primary for s in remaining.values()) or not primaries - remaining.keys()
+    if primaries and not has_primary:
+        return "every primary would be removed or drained, and the list has no other"
+    if len(ready) >= 4 and len(lost) > MAX_LOST_SHARE * len(ready):
+        return f"{len(lost)} of {len(ready)} servers would be removed or drained at once"
     return ""
--- a/yardbank/server_list/document.py
+++ b/yardbank/server_list/document.py
@@ -1,8 +1,8 @@
-"""A set of list files as one checked value. No I/O: texts come in, a ``ServerListDocument`` or faults go out.
+"""Parses and validates a set of server list files. No I/O: takes texts, returns a ``ServerListDocument`` or raises.
 
-A set is one file or several parts: ``server`` blocks, ``weights`` blocks that name servers, ``class`` blocks,
-and in any part ``set = "..."``, which all parts that carry it must agree on, and ``count = N``, the servers of
-that file. Groups are the settings' own.
+A set is one file or several. Files contain ``server`` blocks, ``weights`` blocks that refer to servers by name,
+``class`` blocks and ``plan`` blocks. Any file may have ``set = "..."``, which must be equal in all files that have it,
+and ``count = N``, the number of servers in that file. Groups are defined by the settings.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class ServerListError(ValueError):
-    """A set that cannot be used; ``faults`` are lines that name file and line."""
+    """An invalid set. Each of ``faults`` is one line naming file and line."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
@@ -33,23 +33,23 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerListDelta:
-    """What a version changes of another: by server name, how it was and how it is (None: not there)."""
+    """Difference between two versions: old and new value of each changed server, by name (None: absent)."""
 
-    base: str  # the digest of the version that it changes
+    base: str  # digest of the old version
     changes: Mapping[str, tuple[ServerSpec | None, ServerSpec | None]]
 
 
 @dataclass(slots=True, frozen=True)
 class ServerListDocument:
-    """One complete, valid version of the list."""
+    """One complete and valid version of the list."""
 
     servers: tuple[ServerSpec, ...]
     digest: str
     set_name: str = ""
-    force: bool = False  # the operator's word that a large change is meant
-    classes: tuple[Class, ...] = ()  # empty: the settings' own stay in force
+    force: bool = False  # the operator confirms that a large change is intended
+    classes: tuple[Class, ...] = ()  # empty: those of the settings apply
     plans: tuple[MadePlan, ...] = ()
-    delta: ServerListDelta | None = field(default=None, compare=False)  # known where it was read by its change
+    delta: ServerListDelta | None = field(default=None, compare=False)  # set if the version was read incrementally
 
     def by_name(self) -> dict[str, ServerSpec]:
         """Servers by name."""
@@ -57,7 +57,7 @@
 
 
 def digest_of(texts: Mapping[str, bytes]) -> str:
-    """A short name of exactly these contents; the order of the files does not matter."""
+    """Hash of the names and contents of the files, independent of their order."""
     hasher = xxhash.xxh3_128()
     for name in sorted(texts):
         hasher.update(f"{len(name)}:{name}:{len(texts[name])}:".encode())
@@ -71,7 +71,7 @@
 
     faults: list[str] = field(default_factory=list)
     servers: dict[str, tuple[ServerSpec, str]] = field(default_factory=dict)  # by name, with file and line
-    places: dict[tuple[str, int], str] = field(default_factory=dict)  # server names by address and port
+    server_by_address: dict[tuple[str, int], str] = field(default_factory=dict)  # server names by address and port
     weights: list[tuple[str, float, str]] = field(default_factory=list)  # server name, weight, file and line
     sets: dict[str, str] = field(default_factory=dict)  # set names by file
     classes: dict[str, Class] = field(default_factory=dict)
@@ -96,7 +96,7 @@
     blocks = blocks or BlockCache()
     known_groups = set(groups)
     if not texts:
-        raise ServerListError(["the list: no file is there"])
+        raise ServerListError(["the list: no files found"])
     contents = _SetContents()
     for name in sorted(texts):
         body = _parse_file(name, texts[name], blocks, contents.faults)
@@ -124,18 +124,18 @@
 
 
 def _parse_file(name: str, text: bytes, blocks: BlockCache, faults: list[str]) -> Body | None:
-    """One file parsed; None, and a fault, if it is not UTF-8 or not HCL."""
+    """Parse one file. Returns None and records a fault if it is not UTF-8 or not HCL."""
     try:
         return blocks.parse(text.decode())
-    except UnicodeDecodeError as problem:
-        faults.append(f"{name}:{text[: problem.start].count(10) + 1}: not UTF-8")
-    except HclError as problem:
-        faults.append(f"{name}:{problem.line}: {problem.reason}")
+    except UnicodeDecodeError as error:
+        faults.append(f"{name}:{text[: error.start].count(10) + 1}: not UTF-8")
+    except HclError as error:
+        faults.append(f"{name}:{error.line}: {error.reason}")
     return None
 
 
 def _read_attributes(name: str, body: Body, contents: _SetContents) -> None:
-    """The attributes of one file: ``force``, ``count`` and ``set``."""
+    """Read the attributes of one file: ``force``, ``count`` and ``set``."""
     for key, line in body.lines.items():
         value = body.attributes[key]
         if key == "force" and isinstance(value, bool):
@@ -145,68 +145,68 @@
         elif key == "set" and isinstance(value, str):
             contents.sets[name] = value
         else:
-            contents.faults.append(f"{name}:{line}: {key}: unknown key, or not a string")
+            contents.faults.append(f"{name}:{line}: {key}: unknown key or wrong type")
 
 
 def _read_blocks(name: str, body: Body, groups: set[str], contents: _SetContents) -> None:
-    """The blocks of one file, kind by kind."""
+    """Read the blocks of one file, kind by kind."""
     for kind, found in body.blocks.items():
         for block in found:
             _read_block(name, kind, block, groups, contents)
 
 
 def _read_block(name: str, kind: str, block: Body, groups: set[str], contents: _SetContents) -> None:
-    """One block of a file, by its kind."""
+    """Read one block of a file according to its kind."""
     if kind == "server":
-        _server(name, block, groups, contents.servers, contents.places, contents.faults)
+        _read_server(name, block, groups, contents.servers, contents.server_by_address, contents.faults)
     elif kind == "class":
-        _class(name, block, contents.classes, contents.faults)
+        _read_class(name, block, contents.classes, contents.faults)
     elif kind == "plan":
-        _plan(name, block, contents.plans, contents.faults)
+        _read_plan(name, block, contents.plans, contents.faults)
     elif kind == "weights" and not block.label and not block.blocks:
-        _weights(name, block, contents.weights, contents.faults)
+        _read_weights(name, block, contents.weights, contents.faults)
     else:
         contents.faults.append(f"{name}:{block.line}: {kind}: unknown block")
 
 
 def _check_counts(contents: _SetContents) -> None:
-    """Each file's ``count`` equals its server blocks: a file cut between two blocks still parses."""
+    """Check ``count`` of each file against its server blocks: a file truncated between two blocks still parses."""
     for name, (declared, line, present) in contents.counts.items():
         if declared != present:
-            contents.faults.append(f"{name}:{line}: count is {declared}, but {present} servers stand in the file")
+            contents.faults.append(f"{name}:{line}: count is {declared}, but the file has {present} servers")
 
 
 def _check_set_names(contents: _SetContents) -> None:
-    """All files that name a set name the same one."""
+    """Check that all files with ``set`` have the same value."""
     if len(set(contents.sets.values())) <= 1:
         return
-    parts = ", ".join(f"{name} is of {value!r}" for name, value in sorted(contents.sets.items()))
-    contents.faults.append(f"the parts belong to different sets: {parts}")
+    parts = ", ".join(f"{name} has {value!r}" for name, value in sorted(contents.sets.items()))
+    contents.faults.append(f"the files belong to different sets: {parts}")
 
 
 def _assign_weights(contents: _SetContents) -> dict[str, float]:
-    """Give servers the weights of the weights blocks; returns these weights by server name."""
+    """Assign the weights of the weights blocks to their servers. Returns these weights by server name."""
     assigned: dict[str, float] = {}
-    for server, weight, where in contents.weights:
+    for server, weight, location in contents.weights:
         if server not in contents.servers:
-            contents.faults.append(f"{where}: weights: no server {server!r}")
+            contents.faults.append(f"{location}: weights: no server {server!r}")
             continue
-        spec, at = contents.servers[server]
-        contents.servers[server] = replace(spec, weight=weight), at
+        spec, server_location = contents.servers[server]
+        contents.servers[server] = replace(spec, weight=weight), server_location
         assigned[server] = weight
     return assigned
 
 
 def _check_server_total(texts: Mapping[str, bytes], contents: _SetContents) -> None:
-    """The set has at least one server and at most ``MAX_SERVERS``."""
+    """Check that the set has between one and ``MAX_SERVERS`` servers."""
     if not contents.servers and not contents.faults:
         contents.faults.append(f"{sorted(texts)[0]}:1: the list names no server")
     if len(contents.servers) > MAX_SERVERS:
         contents.faults.append(f"the list names {len(contents.servers)} servers, {MAX_SERVERS} allowed")
 
 
-def server_of(block: Body, groups: Iterable[str]) -> ServerSpec | None:
-    """A server block by itself; None if anything is wrong with it."""
+def read_server_block(block: Body, groups: Iterable[str]) -> ServerSpec | None:
+    """The server of a single block; None if the block is invalid."""
     if block.blocks or not block.label:
         return None
     try:
@@ -218,85 +218,85 @@
     return ServerSpec(s.name, s.group, s.zone, s.address, s.port, s.primary, s.state, s.started, s.weight)
 
 
-def _server(
+def _read_server(
     name: str,
     block: Body,
     groups: set[str],
     servers: dict[str, tuple[ServerSpec, str]],
-    places: dict[tuple[str, int], str],
+    server_by_address: dict[tuple[str, int], str],
     faults: list[str],
 ) -> None:
-    where = f"{name}:{block.line}"
+    location = f"{name}:{block.line}"
     if block.blocks:
-        faults.append(f"{where}: server {block.label!r}: no block may stand in it")
+        faults.append(f"{location}: server {block.label!r}: nested blocks are not allowed")
         return
     try:
         s = Server.model_validate({"name": block.label, **block.attributes})
-    except ValidationError as problem:
-        for error in problem.errors():
+    except ValidationError as exception:
+        for error in exception.errors():
             key = str(error["loc"][0]) if error["loc"] else ""
             reason = {"extra_forbidden": "unknown key", "missing": "missing"}.get(error["type"], error["msg"])
             faults.append(f"{name}:{block.lines.get(key, block.line)}: server {block.label!r}: {key}: {reason}")
         return
     if not s.name:
-        faults.append(f"{where}: a server without a name")
+        faults.append(f"{location}: server without a name")
     elif s.name in servers:
-        faults.append(f"{where}: server {s.name!r} is listed twice, first at {servers[s.name][1]}")
+        faults.append(f"{location}: server {s.name!r} is listed twice, first at {servers[s.name][1]}")
     elif s.group not in groups:
-        faults.append(f"{where}: server {s.name!r}: no group {s.group!r}")
-    elif (other := places.get((s.address, s.port))) is not None:
-        faults.append(f"{where}: server {s.name!r} has the address of server {other!r}")
+        faults.append(f"{location}: server {s.name!r}: no group {s.group!r}")
+    elif (other := server_by_address.get((s.address, s.port))) is not None:
+        faults.append(f"{location}: server {s.name!r} has the address of server {other!r}")
     else:
-        places[s.address, s.port] = s.name
+        server_by_address[s.address, s.port] = s.name
         spec = ServerSpec(s.name, s.group, s.zone, s.address, s.port, s.primary, s.state, s.started, s.weight)
-        servers[s.name] = spec, where
+        servers[s.name] = spec, location
 
 
-def _class(name: str, block: Body, classes: dict[str, Class], faults: list[str]) -> None:
+def _read_class(name: str, block: Body, classes: dict[str, Class], faults: list[str]) -> None:
     matches = block.blocks.get("match", [])
-    unknown = [inner for kind, blocks in block.blocks.items() if kind != "match" for inner in blocks]
-    if unknown or any(inner.blocks for inner in matches):
-        faults.append(f"{name}:{block.line}: class {block.label!r}: only match blocks may stand in it")
+    unknown = [nested for kind, blocks in block.blocks.items() if kind != "match" for nested in blocks]
+    if unknown or any(nested.blocks for nested in matches):
+        faults.append(f"{name}:{block.line}: class {block.label!r}: only match blocks are allowed in it")
         return
     try:
-        found = Class.model_validate(
-            {"name": block.label, **block.attributes, "match": [inner.attributes for inner in matches]}
+        request_class = Class.model_validate(
+            {"name": block.label, **block.attributes, "match": [nested.attributes for nested in matches]}
         )
-    except ValidationError as problem:
-        for error in problem.errors():
+    except ValidationError as exception:
+        for error in exception.errors():
             key = str(error["loc"][0]) if error["loc"] else ""
             reason = error["msg"].removeprefix("Value error, ")
             faults.append(f"{name}:{block.lines.get(key, block.line)}: class {block.label!r}: {key}: {reason}")
         return
-    if found.name in classes:
-        faults.append(f"{name}:{block.line}: class {found.name!r} is given twice")
-    classes[found.name] = found
+    if request_class.name in classes:
+        faults.append(f"{name}:{block.line}: class {request_class.name!r} is given twice")
+    classes[request_class.name] = request_class
 
 
 def read_plans(texts: Mapping[str, bytes]) -> tuple[MadePlan, ...]:
-    """The plans in files by themselves. Raises ``ServerListError``, also where there is none."""
+    """The plans in files that are read without the rest of a set. Raises ``ServerListError``, also without any plan."""
     plans: list[MadePlan] = []
     faults: list[str] = []
     for name in sorted(texts):
         try:
             body = parse(texts[name].decode())
-        except UnicodeDecodeError as problem:
-            faults.append(f"{name}:{texts[name][: problem.start].count(10) + 1}: not UTF-8")
+        except UnicodeDecodeError as error:
+            faults.append(f"{name}:{texts[name][: error.start].count(10) + 1}: not UTF-8")
             continue
-        except HclError as problem:
-            faults.append(f"{name}:{problem.line}: {problem.reason}")
+        except HclError as error:
+            faults.append(f"{name}:{error.line}: {error.reason}")
             continue
         for block in body.blocks.get("plan", ()):
-            _plan(name, block, plans, faults)
+            _read_plan(name, block, plans, faults)
     if not faults and not plans:
-        faults.append(f"{sorted(texts)[0]}:1: no plan stands there")
+        faults.append(f"{sorted(texts)[0]}:1: no plan block found")
     if faults:
         raise ServerListError(faults)
     return tuple(plans)
 
 
-def _plan(name: str, block: Body, plans: list[MadePlan], faults: list[str]) -> None:
-    """Read one plan block. The plan is added only if ``faults`` is empty, earlier faults of the set included."""
+def _read_plan(name: str, block: Body, plans: list[MadePlan], faults: list[str]) -> None:
+    """Read one plan block. Adds the plan only if ``faults`` is empty, which includes earlier faults of the set."""
     _check_plan_attributes(name, block, faults)
     fade = _plan_fade(name, block, faults)
     weights, switchover = _plan_blocks(name, block, faults)
@@ -317,7 +317,7 @@
 
 
 def _check_plan_attributes(name: str, block: Body, faults: list[str]) -> None:
-    """Keys are known, values have their types, ``list`` and ``made`` are present."""
+    """Check that keys are known, values have the right type, and ``list`` and ``made`` are present."""
     types = {"list": str, "made": (int, float), "fade": str, "proven": bool, "relaxed": str}
     for key, line in block.lines.items():
         value = block.attributes[key]
@@ -331,40 +331,42 @@
 
 
 def _plan_fade(name: str, block: Body, faults: list[str]) -> int:
-    """How long the plan fades, in nanoseconds, one hour by default; 0, and a fault, if it is no duration."""
+    """The plan's ``fade`` in nanoseconds, one hour by default. Returns 0 and records a fault if it is no duration."""
     try:
         return duration(block.attributes.get("fade", "1h"))
-    except ValueError as problem:
-        faults.append(f"{name}:{block.lines.get('fade', block.line)}: plan {block.label!r}: fade: {problem}")
+    except ValueError as error:
+        faults.append(f"{name}:{block.lines.get('fade', block.line)}: plan {block.label!r}: fade: {error}")
         return 0
 
 
 def _plan_blocks(name: str, block: Body, faults: list[str]) -> tuple[dict[str, float], dict[str, str]]:
-    """The blocks inside a plan: weights by server name, and the switchover's names."""
+    """Read the blocks inside a plan: weights by server name, and the server to switch over to by group."""
     weights: list[tuple[str, float, str]] = []
     switchover: dict[str, str] = {}
     for kind, found in block.blocks.items():
-        for inner in found:
+        for nested in found:
             if kind == "weights":
-                _weights(name, inner, weights, faults)
-            elif kind == "switchover" and all(isinstance(value, str) for value in inner.attributes.values()):
-                switchover.update(inner.attributes)
+                _read_weights(name, nested, weights, faults)
+            elif kind == "switchover" and all(isinstance(value, str) for value in nested.attributes.values()):
+                switchover.update(nested.attributes)
             else:
-                faults.append(f"{name}:{inner.line}: plan {block.label!r}: {kind}: unknown block, or not names")
+                faults.append(
+                    f"{name}:{nested.line}: plan {block.label!r}: {kind}: unknown block, or a value that is not a name"
+                )
     return {server: weight for server, weight, _ in weights}, switchover
 
 
-def _weights(name: str, block: Body, weights: list[tuple[str, float, str]], faults: list[str]) -> None:
+def _read_weights(name: str, block: Body, weights: list[tuple[str, float, str]], faults: list[str]) -> None:
     for server, value in block.attributes.items():
-        where = f"{name}:{block.lines[server]}"
+        location = f"{name}:{block.lines[server]}"
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= 1e6:
-            faults.append(f"{where}: weights: {server}: a number above 0 is wanted")
+            faults.append(f"{location}: weights: {server}: must be a number above 0 and at most 1e6")
         else:
-            weights.append((server, float(value), where))
+            weights.append((server, float(value), location))
 
 
 def render(servers: Iterable[ServerSpec], set_name: str = "") -> str:
-    """A list as a file's text."""
+    """The text of a list file with these servers."""
     servers = list(servers)
     parts = [f"count = {len(servers)}"] + ([f'set = "{set_name}"'] if set_name else [])
     for s in servers:
--- a/yardbank/server_list/watcher.py
+++ b/yardbank/server_list/watcher.py
@@ -1,7 +1,7 @@
-"""Tells ``ServerListLifecycle`` what stands on disk: notified by the system (watchdog), and by looking now and then.
+"""Watches files by file system events (watchdog) and polling, and passes their contents to a consumer.
 
-Thin on purpose: it reads files and passes their contents on; nothing is decided here. Polling covers file
-systems without events, replaced directories and swapped links.
+Makes no decisions about the contents; the consumer does, for example ``ServerListLifecycle``. Polling covers file
+systems without events, replaced directories and swapped symbolic links.
 """
 
 from __future__ import annotations
@@ -15,52 +15,52 @@
 from watchdog.events import FileSystemEventHandler
 from watchdog.observers import Observer
 
-MAX_OCTETS = 64 << 20  # of all files together
+MAX_TOTAL_OCTETS = 64 << 20  # of all files together
 
 
 def read_files(path: Path) -> dict[str, bytes]:
     """The contents of a file, or of the ``*.hcl`` files in a directory. Raises ``OSError``."""
-    names = sorted(path.glob("*.hcl")) if path.is_dir() else [path]
-    found, octets = {}, 0
-    for name in names:
-        with name.open("rb") as file:
-            data = file.read(MAX_OCTETS - octets + 1)
+    paths = sorted(path.glob("*.hcl")) if path.is_dir() else [path]
+    contents, octets = {}, 0
+    for file_path in paths:
+        with file_path.open("rb") as file:
+            data = file.read(MAX_TOTAL_OCTETS - octets + 1)
         octets += len(data)
-        if octets > MAX_OCTETS:
-            raise OSError(27, f"more than {MAX_OCTETS} octets")
-        found[str(name)] = data
-    return found
+        if octets > MAX_TOTAL_OCTETS:
+            raise OSError(27, f"more than {MAX_TOTAL_OCTETS} octets")
+        contents[str(file_path)] = data
+    return contents
 
 
-class Watched(Protocol):
-    """What is told of the files: ``ServerListLifecycle``, or the peers' list."""
+class FileConsumer(Protocol):
+    """Consumer of the contents of watched files: ``ServerListLifecycle``, the list of peers, and others."""
 
     def seen(self, now: int, texts: dict[str, bytes]) -> list[Any]:
-        """The files hold these contents; what is to be done."""
+        """Handle the current contents of the files; returns the actions to execute."""
 
     def due(self) -> int | None:
-        """When to look again at the latest, ns."""
+        """Latest time, in nanoseconds, at which the files must be read again; None: no deadline."""
 
     def force(self) -> list[Any]:
-        """The operator's word on what was held back."""
+        """The operator confirms what was held back; returns the actions to execute."""
 
 
-class _Handler(FileSystemEventHandler):
-    def __init__(self, wake: Callable[[], None]) -> None:
-        self._wake = wake
+class _EventHandler(FileSystemEventHandler):
+    def __init__(self, on_event: Callable[[], None]) -> None:
+        self._on_event = on_event
 
     def on_any_event(self, event: Any) -> None:
-        if event.event_type not in ("opened", "closed_no_write"):  # our own reading
-            self._wake()
+        if event.event_type not in ("opened", "closed_no_write"):  # caused by reading the files here
+            self._on_event()
 
 
 class Watcher:
-    """Watches one path for one gateway."""
+    """Watches one file, or the ``*.hcl`` files of one directory, for one gateway."""
 
     def __init__(
         self,
         path: Path,
-        membership: Watched,
+        membership: FileConsumer,
         act: Callable[[Any], None],
         *,
         reactor: Any,
@@ -69,95 +69,95 @@
         every: float = 1.0,
         notify: bool = True,
     ) -> None:
-        self.path, self.membership, self._act = path, membership, act
+        self.path, self.membership, self._execute = path, membership, act
         self._reactor, self._now, self._log, self._every = reactor, now, log, every
         self._notify = notify
         self._observer: Any = None
-        self._timer: Any = None
-        self._poll: Any = None
-        self._woken = False
+        self._due_timer: Any = None
+        self._poll_timer: Any = None
+        self._read_scheduled = False
         self._stopped = False
-        self._problem = ""
-        self._stamp: Any = None
+        self._last_error = ""
+        self._last_stat: Any = None
 
     def start(self) -> None:
-        """Look now, then whenever something may have changed."""
+        """Read the files now and whenever they may have changed."""
         if self._notify:
             try:
                 self._observer = Observer()
                 folder = self.path if self.path.is_dir() else self.path.parent
-                self._observer.schedule(_Handler(self._from_thread), str(folder))
+                self._observer.schedule(_EventHandler(self._on_file_event), str(folder))
                 self._observer.daemon = True
                 self._observer.start()
-            except OSError as problem:  # out of watches, or no such folder yet: polling is enough
+            except OSError as error:  # inotify watches exhausted, or the directory does not exist yet: polling suffices
                 self._observer = None
-                self._log.warning("list_not_notified", path=str(self.path), error=str(problem), every_s=self._every)
+                self._log.warning("list_not_notified", path=str(self.path), error=str(error), every_s=self._every)
         self.look()
-        self._poll = self._reactor.callLater(self._every, self._look_again)
+        self._poll_timer = self._reactor.callLater(self._every, self._poll_files)
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Stop watching."""
         self._stopped = True
         if self._observer is not None:
-            # Not here: where cores are busy the kernel takes seconds to let go of a watch, and requests would wait.
+            # In a thread: on a busy machine the kernel takes seconds to remove a watch, which would delay requests.
             Thread(target=self._observer.stop, daemon=True).start()
             self._observer = None
-        for timer in (self._timer, self._poll):
+        for timer in (self._due_timer, self._poll_timer):
             if timer is not None and timer.active():
                 timer.cancel()
 
-    def _from_thread(self) -> None:
-        if not self._woken and not self._stopped:  # many events, one look
-            self._woken = True
-            self._reactor.callFromThread(self._awake)
+    def _on_file_event(self) -> None:
+        if not self._read_scheduled and not self._stopped:  # coalesces many events into one read
+            self._read_scheduled = True
+            self._reactor.callFromThread(self._read_after_event)
 
-    def _awake(self) -> None:
-        self._woken = False
+    def _read_after_event(self) -> None:
+        self._read_scheduled = False
         if not self._stopped:
             self.look()
 
-    def _look_again(self) -> None:
+    def _poll_files(self) -> None:
         if self._stopped:
             return
-        stamp = self._stamps()
-        if stamp != self._stamp:
+        stat = self._stat_files()
+        if stat != self._last_stat:
             self.look()
-        self._poll = self._reactor.callLater(self._every, self._look_again)
+        self._poll_timer = self._reactor.callLater(self._every, self._poll_files)
 
-    def _stamps(self) -> Any:
+    def _stat_files(self) -> Any:
         try:
-            names = sorted(self.path.glob("*.hcl")) if self.path.is_dir() else [self.path]
-            stats = [(str(name), os.stat(name)) for name in names]
+            paths = sorted(self.path.glob("*.hcl")) if self.path.is_dir() else [self.path]
+            stats = [(str(name), os.stat(name)) for name in paths]
             return [(name, s.st_ino, s.st_size, s.st_mtime_ns) for name, s in stats]
-        except OSError as problem:
-            return str(problem)
+        except OSError as error:
+            return str(error)
 
     def look(self) -> None:
-        """Read the files and tell."""
-        self._stamp = self._stamps()
+        """Read the files and pass their contents on."""
+        self._last_stat = self._stat_files()
         try:
             texts = read_files(self.path)
-        except OSError as problem:
-            reason = f"{self.path}: {problem.strerror or problem}"
-            if reason != self._problem:  # the last good list serves on
-                self._problem = reason
+        except OSError as error:
+            reason = f"{self.path}: {error.strerror or error}"
+            if reason != self._last_error:  # log each reason once; the last valid contents stay in use
+                self._last_error = reason
                 self._log.error("list_unreadable", fault=reason)
             return
-        self._problem = ""
-        self._carry_out(self.membership.seen(self._now(), texts))
+        self._last_error = ""
+        self._execute_all(self.membership.seen(self._now(), texts))
 
-    def _carry_out(self, actions: list[Any]) -> None:
+    def _execute_all(self, actions: list[Any]) -> None:
         for action in actions:
-            self._act(action)
+            self._execute(action)
         due = self.membership.due()
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        if self._due_timer is not None and self._due_timer.active():
+            self._due_timer.cancel()
         if due is not None and not self._stopped:
-            self._timer = self._reactor.callLater(max(0, due - self._now()) / 1e9, self._settled)
+            self._due_timer = self._reactor.callLater(max(0, due - self._now()) / 1e9, self._on_due)
 
-    def _settled(self) -> None:
-        self.look()  # what stands there now is what counts
+    def _on_due(self) -> None:
+        self.look()  # reads again: the current contents count, not those of the last read
 
     def force(self) -> None:
-        """The operator's word on a list that was held back."""
-        self._carry_out(self.membership.force())
+        """Apply what was held back, as confirmed by the operator."""
+        self._execute_all(self.membership.force())
