--- a/tests/cluster/list_distribution/test_files.py
+++ b/tests/cluster/list_distribution/test_files.py
@@ -1,4 +1,4 @@
-"""The distributed list's files: the operator's source, the copy, and the daemon's settings around them."""
+"""Files of the list distribution: the operator's source, the stored copy, and the settings."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 
 from tests.cluster.test_coordination import TOGETHER, Log, made, parts, without
 from yardbank.cluster.list_distribution.document import entries_of, table_of, text_of
-from yardbank.cluster.list_distribution.files import DistributionFiles, Source, stored_table
+from yardbank.cluster.list_distribution.files import DistributionFiles, SourceReader, stored_table
 from yardbank.cluster.list_distribution.table import DoesNotFitError, Table
 from yardbank.cluster.list_distribution.version import NOTHING, Version
 from yardbank.config import ConfigError, load_text
@@ -23,14 +23,14 @@
 BLOCK = 'distribution {\n  file = "list.hcl"\n  source = "source.hcl"\n}\n'
 
 
-def copy_of(servers):
+def table_of_servers(servers):
     table, version = Table(), Version(3, 17)
     table.apply(table.difference(entries_of({"s": render(servers).encode()}, GROUPS), version))
     return table
 
 
-def test_a_copy_is_written_as_the_list_that_was_published_and_read_again_with_its_version():
-    table = copy_of(SERVERS)
+def test_stored_copy_parses_as_the_published_list_and_keeps_its_version():
+    table = table_of_servers(SERVERS)
     text = text_of(table)
     (action,) = ServerListLifecycle(GROUPS, settle=0).seen(1, {"list.hcl": text.encode()})
     assert isinstance(action, Apply) and set(action.fleet.servers) == set(SERVERS)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda t: t[:-20],
         lambda t: t.replace("10.0.0.1", "10.0.0.2", 1),
@@ -48,9 +48,9 @@
         lambda t: "",
     ],
 )
-def test_a_copy_that_is_not_what_its_first_line_says_is_not_trusted(tmp_path, spoil):
+def test_stored_copy_that_does_not_match_its_header_is_rejected(tmp_path, corrupt):
     path, log = tmp_path / "list.hcl", Log()
-    path.write_text(spoil(text_of(copy_of(SERVERS))))
+    path.write_text(corrupt(text_of(table_of_servers(SERVERS))))
     with pytest.raises(DoesNotFitError):
         table_of(path.read_text())
     assert stored_table(path, log).version == NOTHING
@@ -58,13 +58,13 @@
     assert event == "distributed_list_unusable" and facts["path"] == str(path)
 
 
-def test_no_copy_is_an_empty_one_without_a_word(tmp_path):
+def test_missing_copy_is_an_empty_table_without_a_log_line(tmp_path):
     log = Log()
     assert stored_table(tmp_path / "none", log).version == NOTHING and not log.lines
 
 
-def test_a_source_with_faults_names_file_and_line_once_and_a_good_one_is_taken():
-    source = Source(GROUPS)
+def test_source_faults_are_reported_once_with_file_and_line():
+    source = SourceReader(GROUPS)
     good = render(SERVERS).encode()
     (found,) = source.seen(1, {"s.hcl": good})
     assert sorted(found) == [server.name for server in SERVERS]
@@ -79,7 +79,7 @@
     assert source.due() is None and source.force() == []
 
 
-def test_the_block_makes_the_part_and_without_peers_it_is_a_fault(tmp_path):
+def test_distribution_block_creates_the_part_and_needs_peers(tmp_path):
     text = without("rollout", "atlas", "channels", "leases") + BLOCK
     proxy, _ = made(tmp_path, text)
     assert tuple(parts(proxy)) == ("lease", "list")
@@ -92,17 +92,17 @@
     assert "distribution" not in TOGETHER
 
 
-class Holding:
-    """The lease, held for good."""
+class AlwaysHeldLeases:
+    """Leases that this gateway always holds."""
 
     def acquire(self, now, resource):
-        """Held already."""
+        """No-op: the lease is held already."""
 
     def epoch(self, now, resource):
         return 4
 
 
-class Alone:
+class SingleGatewayView:
     name, boot_epoch = "g1", 1
 
     def alive(self):
@@ -112,14 +112,14 @@
         return {"g1": ""}
 
 
-def test_a_source_that_changes_is_published_written_and_logged_and_a_bad_one_leaves_all_as_it_was(tmp_path):
+def test_changed_source_is_published_and_written_and_an_invalid_one_changes_nothing(tmp_path):
     from yardbank.cluster.list_distribution.options import Options
     from yardbank.cluster.list_distribution.part import DistributionPart
     from yardbank.config.blocks import DistributionBlock
 
-    clock, log, asked = Clock(), Log(), []
-    clock.callFromThread = lambda call: None  # the watcher's own look finds the change
-    part = DistributionPart(Alone(), Holding(), Random(1), Options(settle=1))
+    clock, log, prompts = Clock(), Log(), []
+    clock.callFromThread = lambda call: None  # polling by the watcher detects the change
+    part = DistributionPart(SingleGatewayView(), AlwaysHeldLeases(), Random(1), Options(settle=1))
     block = DistributionBlock(file="list.hcl", source="source.hcl")
     files = DistributionFiles(
         block,
@@ -129,12 +129,12 @@
         reactor=clock,
         now=lambda: int(clock.seconds() * 1e9),
         log=log,
-        prompt=lambda: asked.append(1),
+        prompt=lambda: prompts.append(1),
     )
     (tmp_path / "source.hcl").write_text(render(SERVERS))
     files.start()
     try:
-        assert asked == [1]
+        assert prompts == [1]
         for at in (1, 2):
             part.tick(at * 10**9)
         files.after()
--- a/tests/cluster/list_distribution/test_fleet.py
+++ b/tests/cluster/list_distribution/test_fleet.py
@@ -1,4 +1,4 @@
-"""Copies of the published list in whole fleets on a virtual clock: loss, regions apart, restarts, second publishers."""
+"""Replicas in simulated fleets on a virtual clock: message loss, partitions, restarts, change of the publisher."""
 
 import pytest
 from hypothesis import given, settings
@@ -12,7 +12,7 @@
 from yardbank.testing.rig.network import Effect, pairs_of
 
 
-def test_a_change_reaches_all_and_each_knows_its_version():
+def test_change_reaches_all_gateways_with_one_version():
     fleet = ListFleet(40)
     fleet.start()
     assert fleet.run_until(fleet.same, 30)
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("loss", [0.05, 0.3])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_under_loss_doubling_and_overtaking_all_come_to_hold_the_newest(loss, seed):
+def test_all_converge_under_loss_duplication_and_reordering(loss, seed):
     fleet = ListFleet(24, seed)
     fleet.gossip.way = Effect(delay=0.002, jitter=0.05, lose=loss, double=0.1, reorder=0.1)
     fleet.start()
@@ -36,7 +36,7 @@
     assert fleet.run_until(fleet.same, 30)
 
 
-def test_regions_apart_go_on_each_with_what_it_holds_and_come_together():
+def test_partitioned_zones_keep_their_lists_and_converge_afterwards():
     fleet = ListFleet(24)
     fleet.start()
     assert fleet.run_until(fleet.same, 30)
@@ -44,14 +44,14 @@
     far = [name for name in fleet.names if fleet.zones[name] != "z0"]
     fleet.gossip.network.begin("apart", pairs_of(near, far, False), Effect(cut="silent"))
     before = fleet.versions()
-    fleet.want(**{"db-1": "apart"})  # the holder, g000, is near
+    fleet.want(**{"db-1": "apart"})  # the lease holder, g000, is in the near zone
     fleet.run(10)
     assert fleet.same(near) and {fleet.parts[name].replica.table.version for name in far} == before
     fleet.gossip.network.end("apart")
     assert fleet.run_until(fleet.same, 60)
 
 
-def test_a_second_publisher_goes_on_from_what_it_holds_and_the_first_is_fenced():
+def test_second_publisher_continues_the_list_and_the_first_is_fenced():
     fleet = ListFleet(12)
     fleet.start()
     assert fleet.run_until(fleet.same, 30)
@@ -60,7 +60,7 @@
     fleet.want(**{"db-9": "second"})
     assert fleet.run_until(lambda: fleet.same([name for name in fleet.names if name != "g000"]), 20)
     fleet.gossip.resume("g000")
-    fleet.parts["g000"]._leases.epoch = lambda now, resource: 1  # it has not heard that its lease is over
+    fleet.parts["g000"]._leases.epoch = lambda now, resource: 1  # g000 does not know that its lease has ended
     fleet.want(**{"db-9": "third"})
     fleet.holder = "g001"
     assert fleet.run_until(fleet.same, 20)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("lost", [False, True])
-def test_all_restart_at_once_and_a_change_comes_meanwhile(lost):
+def test_change_during_restart_of_all_gateways_reaches_all(lost):
     fleet = ListFleet(30)
     fleet.start()
     assert fleet.run_until(fleet.same, 30)
@@ -80,7 +80,7 @@
     assert fleet.run_until(fleet.same, 30)
 
 
-def test_who_was_away_for_long_catches_up_by_increments_and_who_lost_its_copy_by_a_snapshot():
+def test_absent_gateway_catches_up_by_increments_and_one_without_copy_by_snapshot():
     fleet = ListFleet(12)
     fleet.start()
     fleet.want(**{f"db-{number}": str(number) for number in range(200)})
@@ -107,7 +107,7 @@
     )
 )
 @settings(max_examples=25, deadline=None)
-def test_whatever_happens_to_gateways_the_invariants_hold_and_all_agree_in_the_end(steps):
+def test_invariants_hold_and_gateways_converge_under_random_events(steps):
     fleet = ListFleet(8)
     fleet.start()
     fleet.run(4)
@@ -136,7 +136,7 @@
     assert fleet.run_until(fleet.same, 120)
 
 
-def test_bounds_of_the_options_are_checked():
+def test_options_must_be_positive():
     with pytest.raises(ValueError, match="fan_out"):
         Options(fan_out=0)
     assert DistributionPart.topic == "list" and Increment(NOTHING, NOTHING, b"", ()).is_snapshot
--- a/yardbank/cluster/list_distribution/__init__.py
+++ b/yardbank/cluster/list_distribution/__init__.py
@@ -1,4 +1,4 @@
-"""Distribution of the list of servers: one publisher, ordered and verified increments, a copy at every gateway.
+"""Replicates the server list to all gateways: one publisher, ordered and verified increments, a copy at each gateway.
 
-Off unless the settings have a ``distribution`` block; never imported by ``run`` of the operators' platform.
+Disabled unless the settings have a ``distribution`` block. Never imported by the ``run`` command of the platform.
 """
--- a/yardbank/cluster/list_distribution/history.py
+++ b/yardbank/cluster/list_distribution/history.py
@@ -1,4 +1,4 @@
-"""The last increments that one gateway has applied, for those that are behind. No I/O; bounded."""
+"""The last increments that a gateway has applied, kept for gateways with older versions. No I/O; bounded."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from yardbank.cluster.list_distribution.version import Version
 
 MAX_INCREMENTS = 1024
-MAX_OCTETS = 512 << 10  # of their entries' keys and values
+MAX_OCTETS = 512 << 10  # of keys and values of all entries
 
 
 class History:
-    """Increments that follow each other without a gap; the oldest give way."""
+    """Consecutive increments without a gap. The oldest are removed first."""
 
     __slots__ = ("_bases", "_increments", "_octets")
 
     def __init__(self) -> None:
         self._increments: deque[Increment] = deque()
-        self._bases: dict[Version, bytes] = {}  # versions that an increment here begins from, and their digests
+        self._bases: dict[Version, bytes] = {}  # digest by base version of the increments kept
         self._octets = 0
 
     def __len__(self) -> int:
         return len(self._increments)
 
     def add(self, increment: Increment, base_digest: bytes) -> None:
-        """One that was applied now. A snapshot begins anew: nothing leads to it."""
+        """Add an increment that has just been applied. A snapshot clears the history: no increment leads to it."""
         if increment.is_snapshot or (self._increments and self._increments[-1].version != increment.base):
             self._clear()
         if increment.is_snapshot:
@@ -39,7 +39,7 @@
             self._octets -= _size(oldest)
 
     def since(self, version: Version, digest: bytes) -> Increment | None:
-        """One increment from a version to the newest; None: that version with that digest is not known here."""
+        """The merged increment from a version to the newest; None if that version with that digest is unknown."""
         if self._bases.get(version) != digest or not self._increments:
             return None
         merged: dict[str, str | None] = {}
--- a/yardbank/cluster/list_distribution/options.py
+++ b/yardbank/cluster/list_distribution/options.py
@@ -1,4 +1,4 @@
-"""Times and bounds of the distribution. Times in nanoseconds."""
+"""Timing and limits of the list distribution. Times in nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """How one gateway takes part."""
+    """Options of one gateway."""
 
-    heartbeat: int = SECOND  # between two announcements of the version that is held
-    round: int = 100 * MS  # between two rounds of handing a new version on
-    rounds: int = 4  # so often each gateway hands a new version on
-    fan_out: int = 3  # gateways that are told in each round
-    pushed: int = 3  # pieces: a larger increment is announced and fetched
-    window: int = 32  # pieces asked for at once
-    retry: int = 400 * MS  # of a fetch that brings nothing; doubles
-    tries: int = 6  # of a fetch without progress, before the next announcement begins it anew
-    settle: int = 2 * SECOND  # a new publisher listens so long for newer versions before it publishes
+    heartbeat: int = SECOND  # between two announcements of the version held
+    round: int = 100 * MS  # between two rounds of announcing a new version
+    rounds: int = 4  # rounds in which each gateway announces a new version
+    fan_out: int = 3  # gateways notified per round
+    pushed: int = 3  # pieces; a larger increment is only announced, and fetched by the others
+    window: int = 32  # pieces requested at once
+    retry: int = 400 * MS  # timeout of a fetch without progress; doubles with each retry
+    tries: int = 6  # retries without progress before a fetch is given up; the next announcement starts a new one
+    settle: int = 2 * SECOND  # how long a new publisher waits for newer versions before it publishes
 
     def __post_init__(self) -> None:
         for name in self.__slots__:
--- a/yardbank/cluster/list_distribution/serving.py
+++ b/yardbank/cluster/list_distribution/serving.py
@@ -1,4 +1,4 @@
-"""Documents for those who are behind: what leads from their version to this copy's, in pieces. No I/O; bounded."""
+"""Serves documents in pieces to gateways with older versions. No I/O; bounded."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from yardbank.cluster.list_distribution.transfer import split
 from yardbank.cluster.list_distribution.version import Version
 
-MAX_DOCUMENTS = 4  # that are kept in pieces
+MAX_DOCUMENTS = 4  # documents cached in pieces
 
 Pieces = tuple[Piece, ...]
 
 
-class Documents:
-    """The documents asked for last. One that was begun stays to be had for a while after the copy has gone on."""
+class DocumentCache:
+    """LRU cache of requested documents, so that a started transfer can complete after a newer version is applied."""
 
-    __slots__ = ("_kept",)
+    __slots__ = ("_cache",)
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[tuple[Version, bytes, Version], Pieces] = OrderedDict()
+        self._cache: OrderedDict[tuple[Version, bytes, Version], Pieces] = OrderedDict()
 
-    def pieces(self, asked: Fetch, table: Table, history: History) -> Pieces | None:
-        """What leads to the version that is asked for; None: it is not to be had here.
+    def pieces(self, request: Fetch, table: Table, history: History) -> Pieces | None:
+        """The pieces of the document that leads to the requested version; None if it is not available.
 
-        The increments since the asker's version, merged; a snapshot where that version is not known here.
+        The document merges the increments since the requester's version. It is a snapshot if that version is unknown.
         """
-        key = asked.base, asked.base_digest, asked.version
-        if (kept := self._kept.get(key)) is not None:
-            self._kept.move_to_end(key)
-            return kept
-        if asked.version != table.version or asked.base >= asked.version:
+        key = request.base, request.base_digest, request.version
+        if (cached := self._cache.get(key)) is not None:
+            self._cache.move_to_end(key)
+            return cached
+        if request.version != table.version or request.base >= request.version:
             return None
-        increment = history.since(asked.base, asked.base_digest) or table.snapshot()
-        pieces = self._kept[key] = split(increment)
-        if len(self._kept) > MAX_DOCUMENTS:
-            self._kept.popitem(last=False)
+        increment = history.since(request.base, request.base_digest) or table.snapshot()
+        pieces = self._cache[key] = split(increment)
+        if len(self._cache) > MAX_DOCUMENTS:
+            self._cache.popitem(last=False)
         return pieces
 
     def keys(self) -> list[tuple[Version, bytes, Version]]:
-        """What is kept: base, its digest, and version of each."""
-        return sorted(self._kept)
+        """Base, digest of the base, and version of each cached document."""
+        return sorted(self._cache)
