--- a/tests/config/test_broken_input.py
+++ b/tests/config/test_broken_input.py
@@ -1,4 +1,4 @@
-"""Broken input of every kind the program reads: faults in words with file and line, never an exception of a library."""
+"""Broken input of every format that is read gives faults naming file and line, never an exception of a library."""
 
 import random
 
@@ -32,7 +32,7 @@
   z = 0.5
 }
 """
-PIECES = [
+FRAGMENTS = [
     "-",
     "--",
     '"',
@@ -88,35 +88,35 @@
 
 
 def mutations(text, seed, count):
-    """Texts near a valid one: pieces put in, cut out, doubled or swapped, at seeded places."""
-    chance = random.Random(seed)
+    """Variants of a valid text with fragments inserted, removed, duplicated or replaced at seeded positions."""
+    rng = random.Random(seed)
     for _ in range(count):
         changed = text
-        for _ in range(chance.randint(1, 3)):
-            at, size = chance.randrange(len(changed) + 1), chance.randint(1, 12)
-            match chance.randrange(5):
+        for _ in range(rng.randint(1, 3)):
+            at, size = rng.randrange(len(changed) + 1), rng.randint(1, 12)
+            match rng.randrange(5):
                 case 0:
-                    changed = changed[:at] + chance.choice(PIECES) + changed[at:]
+                    changed = changed[:at] + rng.choice(FRAGMENTS) + changed[at:]
                 case 1:
                     changed = changed[:at] + changed[at + size :]
                 case 2:
-                    changed = changed[:at] + chance.choice(PIECES) + changed[at + size :]
+                    changed = changed[:at] + rng.choice(FRAGMENTS) + changed[at + size :]
                 case 3:
                     changed = changed[:at] + changed[at : at + size] + changed[at:]
-                case 4:  # the value of a line
+                case 4:  # replace the value of a line
                     lines = changed.split("\n")
-                    row = chance.randrange(len(lines))
-                    lines[row] = lines[row].partition("=")[0] + "=" + chance.choice(PIECES)
+                    row = rng.randrange(len(lines))
+                    lines[row] = lines[row].partition("=")[0] + "=" + rng.choice(FRAGMENTS)
                     changed = "\n".join(lines)
         yield changed
 
 
-def located(faults, name):
+def assert_located(faults, name):
     assert faults and all(fault.startswith(f"{name}") or fault.startswith("the list") for fault in faults), faults
 
 
 @pytest.mark.parametrize("value", ['-"v7"', "-true", "-null", "-[1]", "-{}", "--1", "!1", '-""', "-(1)", "-f(1)"])
-def test_a_minus_before_what_is_no_number_is_a_fault_with_its_line(value):
+def test_minus_before_a_non_number_is_a_fault_with_its_line(value):
     with pytest.raises(HclError) as caught:
         parse(f"a = 1\n\nset ={value}\n")
     assert caught.value.line == 3
@@ -124,64 +124,64 @@
         read_set({"list.hcl": f"set ={value}\n{LIST}".encode()}, {"numbers"})
 
 
-def test_mutated_settings_end_in_faults_or_in_settings():
-    good = bad = 0
+def test_mutated_settings_give_faults_or_settings():
+    valid = invalid = 0
     for text in mutations(TEXT, 1, 400):
         try:
             load_text(text, "gateway.hcl")
-            good += 1
+            valid += 1
         except ConfigError as problem:
-            located(problem.faults, "gateway.hcl")
-            bad += 1
-    assert good > 20 and bad > 20
+            assert_located(problem.faults, "gateway.hcl")
+            invalid += 1
+    assert valid > 20 and invalid > 20
 
 
-def test_mutated_lists_end_in_faults_or_in_a_list_by_either_reader():
-    good = bad = 0
+def test_mutated_lists_give_the_same_faults_or_list_from_both_readers():
+    valid = invalid = 0
     cache = BlockCache()
     for text in mutations(LIST, 2, 800):
-        ends = []
+        results = []
         for blocks in (cache, None):
             try:
-                ends.append(read_set({"list.hcl": text.encode()}, {"numbers"}, blocks).servers)
+                results.append(read_set({"list.hcl": text.encode()}, {"numbers"}, blocks).servers)
             except ServerListError as problem:
-                located(problem.faults, "list.hcl")
-                ends.append(problem.faults)
-        assert ends[0] == ends[1]
-        good, bad = good + isinstance(ends[0], tuple), bad + isinstance(ends[0], list)
-    assert good > 20 and bad > 20
+                assert_located(problem.faults, "list.hcl")
+                results.append(problem.faults)
+        assert results[0] == results[1]
+        valid, invalid = valid + isinstance(results[0], tuple), invalid + isinstance(results[0], list)
+    assert valid > 20 and invalid > 20
 
 
-def test_mutated_models_end_in_faults_or_in_a_problem():
-    good = bad = 0
+def test_mutated_models_give_faults_or_a_problem():
+    valid = invalid = 0
     for text in mutations(MODEL, 3, 400):
         try:
             read_problem(text, "model.hcl")
-            good += 1
+            valid += 1
         except PlanError as problem:
-            located(problem.faults, "model.hcl")
-            bad += 1
-    assert good > 0 and bad > 20
+            assert_located(problem.faults, "model.hcl")
+            invalid += 1
+    assert valid > 0 and invalid > 20
 
 
-def test_mutated_state_is_refused_in_words():
+def test_mutated_state_is_rejected_with_a_message():
     servers = [ServerState("a", "g", "z", "127.0.0.1", 1, marks={"1": [5, "x"]})]
     whole = encode(Snapshot(1.0, 3, "d", True, servers, [GroupState("g", {"1": [9]})]))
-    chance, bad = random.Random(4), 0
+    rng, invalid = random.Random(4), 0
     for _ in range(2000):
         changed = bytearray(whole)
-        for _ in range(chance.randint(1, 4)):
-            match chance.randrange(3):
+        for _ in range(rng.randint(1, 4)):
+            match rng.randrange(3):
                 case 0:
-                    changed[chance.randrange(len(changed))] ^= 1 << chance.randrange(8)
+                    changed[rng.randrange(len(changed))] ^= 1 << rng.randrange(8)
                 case 1:
-                    del changed[chance.randrange(len(changed)) :]
+                    del changed[rng.randrange(len(changed)) :]
                     changed += b"\x00"
                 case 2:
-                    changed.insert(chance.randrange(len(changed) + 1), chance.randrange(256))
+                    changed.insert(rng.randrange(len(changed) + 1), rng.randrange(256))
         try:
             assert decode(bytes(changed)) == decode(whole) and bytes(changed) == whole
         except SnapshotError as problem:
             assert str(problem)
-            bad += 1
-    assert bad > 1900
+            invalid += 1
+    assert invalid > 1900
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every fault is one plain line that names file and line, and what is checked is what is routed."""
+"""Settings: each fault is one line naming file and line, and checked settings determine how operations are classified."""
 
 import subprocess
 import sys
@@ -20,7 +20,7 @@
     ("port    = 3891", 'port    = "x"', 'server "norte-1": port'),
     ("port    = 3891", "port    = 99999", 'server "norte-1": port'),
     ('  deadline  = "1500ms"\n', "", 'class "route-lookup": deadline: missing'),
-    ('deadline  = "1500ms"', 'deadline  = "1500"', "no duration"),
+    ('deadline  = "1500ms"', 'deadline  = "1500"', "is not a duration such as"),
     ('deadline  = "1500ms"', "deadline  = 1500", "a duration such as"),
     ('deadline  = "1500ms"', 'deadline  = "100ms"', "aim is longer than deadline"),
     ('zone    = "sur"', 'zoe     = "sur"', "zoe: unknown key"),
@@ -30,7 +30,7 @@
     ("worth     = 2", "worth     = -2", "worth"),
     ("worth     = 2", "worth     = 2\n  worth = 3", "'worth' is given twice"),
     ('staleness = "800ms"', "", "a bounded read needs staleness"),
-    ('effect    = "safe"', 'effect    = "unsafe"', "a read is safe"),
+    ('effect    = "safe"', 'effect    = "unsafe"', 'the effect of a read must be "safe"'),
     ('server "sur-1"', 'server "norte-1"', 'server "norte-1" is given twice'),
     ('group   = "numbers"', 'group   = "none"', 'no group "none"'),
     ("port    = 3892", "port    = 3891", "has the address of server"),
@@ -39,7 +39,7 @@
     ('operation = ["search", "compare"]', 'operation = "modify"', "cannot be of a class"),
     ('listener "ldap"', 'listener "smtp"', 'listener "smtp": protocol'),
     ("gateway {", "gateway {\n}\ngateway {", "'gateway' is given twice"),
-    ('class "route-lookup"', 'class "strict-x"', "strict- are taken"),
+    ('class "route-lookup"', 'class "strict-x"', "strict- are reserved"),
     ('level   = "info"', 'level   = "${x}"', "interpolation"),
 ]
 
@@ -57,18 +57,18 @@
     assert first - 10 <= int(line) <= first + 40 and int(line) <= text.count("\n") + 1
 
 
-def test_a_file_cut_anywhere_is_refused_or_whole():
-    whole = 0
-    for cut in range(0, TEXT.index("# Gateways that go together"), 23):  # what follows is comment
+def test_truncated_file_is_rejected_or_has_complete_blocks():
+    accepted = 0
+    for length in range(0, TEXT.index("# Gateways that go together"), 23):  # only comments follow
         try:
-            load_text(TEXT[:cut])
-            whole += 1
+            load_text(TEXT[:length])
+            accepted += 1
         except ConfigError as problem:
             assert all(fault.startswith("settings:") for fault in problem.faults)
-    assert whole <= 12  # only where a cut leaves complete blocks, and enough of them
+    assert accepted <= 12  # accepted only if all required blocks are complete
 
 
-def test_check_prints_what_is_routed_how_and_exits_2_on_a_fault(tmp_path):
+def test_check_prints_classes_and_exits_2_on_a_fault(tmp_path):
     runner = CliRunner()
     done = runner.invoke(main, ["check", str(EXAMPLE)])
     assert done.exit_code == 0
@@ -84,22 +84,24 @@
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1
 
 
-def test_an_address_in_use_is_one_line_and_exit_2(tmp_path):
+def test_address_in_use_is_one_line_and_exit_2(tmp_path):
     import socket
 
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
         file = tmp_path / "g.hcl"
-        file.write_text(TEXT.replace("3890", str(taken.getsockname()[1])))
-        done = subprocess.run([sys.executable, "-m", "yardbank", "serve", str(file)], capture_output=True, check=False)
-    assert done.returncode == 2 and b"cannot listen" in done.stderr
+        file.write_text(TEXT.replace("3890", str(occupied.getsockname()[1])))
+        process = subprocess.run(
+            [sys.executable, "-m", "yardbank", "serve", str(file)], capture_output=True, check=False
+        )
+    assert process.returncode == 2 and b"cannot listen" in process.stderr
 
 
-def test_settings_of_the_module():
-    made = build.settings(load_text(TEXT), workers=3)
-    assert made.gateways == 6 and made.cold == 18 * 10**9 and made.zone == "norte"
-    assert [kind.name for kind in made.classes] == [
+def test_settings_of_the_router():
+    router_settings = build.settings(load_text(TEXT), workers=3)
+    assert router_settings.gateways == 6 and router_settings.cold == 18 * 10**9 and router_settings.zone == "norte"
+    assert [kind.name for kind in router_settings.classes] == [
         "route-lookup",
         "request-status",
         "port-commit",
@@ -122,11 +124,11 @@
 
 
 @pytest.mark.parametrize(("operation", "identity", "wanted"), CASES)
-def test_each_operation_lands_in_its_class(operation, identity, wanted):
+def test_operation_is_classified(operation, identity, wanted):
     assert ldap_parts.classifier(load_text(TEXT)).place(operation, identity).class_name == wanted
 
 
-def test_the_narrowest_rule_wins_and_two_alike_fall_to_the_strictest():
+def test_most_specific_rule_wins_and_equal_rules_give_the_strictest_class():
     search = frozenset(["search"])
     rules = (
         Rule("wide", search),
@@ -136,10 +138,10 @@
         Rule("by-scope-2", search, base="ou=b,dc=x", scopes=frozenset([0, 2])),
         Rule("of-desk", search, identities=frozenset(["cn=desk"])),
     )
-    made = Classifier(rules, {"x": "dc=x", "deep": "ou=deep,dc=x"}, "strict-read", "strict-write")
+    classifier = Classifier(rules, {"x": "dc=x", "deep": "ou=deep,dc=x"}, "strict-read", "strict-write")
 
     def place(base, text="(cn=1)", scope=0, identity=""):
-        return made.place(m.SearchRequest(base, scope, filters.parse(text)), identity)
+        return classifier.place(m.SearchRequest(base, scope, filters.parse(text)), identity)
 
     assert place("dc=x").class_name == "wide"
     assert place("cn=1,ou=a,dc=x").class_name == "below"
@@ -153,13 +155,13 @@
     assert operation_name(m.ExtendedRequest("1.2.3")) == "extended"
 
 
-def test_what_is_written_and_only_read_as_it_was_is_warned_of():
+def test_subtree_written_but_only_read_with_staleness_gives_a_warning():
     result = CliRunner().invoke(main, ["check", str(EXAMPLE)])
     assert result.exit_code == 0 and result.output.count("Warning:") == 1
     assert 'class "route-lookup": ou=numbers,dc=porting is written as port-commit' in result.output.replace("\n", " ")
-    quiet = TEXT.replace('read      = "bounded"\n  staleness = "800ms"', 'read      = "session"')
-    assert advice.warnings(load_text(quiet)) == []
-    apart = TEXT.replace('base      = "dc=porting"', 'base      = "ou=requests,dc=porting"')
-    assert advice.warnings(load_text(apart)) == []
+    without_warning = TEXT.replace('read      = "bounded"\n  staleness = "800ms"', 'read      = "session"')
+    assert advice.warnings(load_text(without_warning)) == []
+    separate_subtrees = TEXT.replace('base      = "dc=porting"', 'base      = "ou=requests,dc=porting"')
+    assert advice.warnings(load_text(separate_subtrees)) == []
     any_member = TEXT.replace('read      = "bounded"\n  staleness = "800ms"', 'read      = "any"')
     assert "from any member" in advice.warnings(load_text(any_member))[0]
--- a/yardbank/config/__init__.py
+++ b/yardbank/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings as HCL: read, checked against a schema, and turned into what the parts are made with."""
+"""Settings in HCL: parsed, validated against a schema, and converted to the parameters of the components."""
 
 from yardbank.config.load import ConfigError, load, load_text
 from yardbank.config.schema import Config
--- a/yardbank/config/advice.py
+++ b/yardbank/config/advice.py
@@ -1,42 +1,61 @@
-"""What settings allow and an operator may not have meant: said, never refused. No I/O."""
+"""Warnings about valid settings that may be unintended. No I/O."""
 
 from __future__ import annotations
 
 from yardbank.config.schema import Class, Config, Match
 from yardbank.directory import naming
 
-READS = frozenset(("search", "compare"))
+READ_OPERATIONS = frozenset(("search", "compare"))
 
 
-def _meet(a: str, b: str) -> bool:
+def _overlap(a: str, b: str) -> bool:
     a, b = naming.fold(a), naming.fold(b)
     return naming.under(a, b) or naming.under(b, a)
 
 
 def subtrees(config: Config) -> list[tuple[str, Class]]:
-    """Each base that reads are matched by, with the class of those reads, in the settings' order."""
-    return [(match.base, kind) for kind in config.classes for match in kind.match if READS & set(match.operation)]
+    """Bases in the match blocks of reads, each with its class, in the order of the settings."""
+    return [
+        (match.base, request_class)
+        for request_class in config.classes
+        for match in request_class.match
+        if READ_OPERATIONS & set(match.operation)
+    ]
 
 
 def warnings(config: Config) -> list[str]:
-    """Subtrees that are written and only read as they were a while ago: a client may not see its own writes."""
-    reads = [(kind, match) for kind in config.classes for match in kind.match if READS & set(match.operation)]
-    writes = [(kind, match) for kind in config.classes for match in kind.match if kind.read == "write"]
-    found: list[str] = []
-    for kind, match in reads:
-        if kind.read not in ("bounded", "any"):
+    """Warn of subtrees that are written but only read with staleness: a client may not see its own writes there."""
+    reads = [
+        (request_class, match)
+        for request_class in config.classes
+        for match in request_class.match
+        if READ_OPERATIONS & set(match.operation)
+    ]
+    writes = [
+        (request_class, match)
+        for request_class in config.classes
+        for match in request_class.match
+        if request_class.read == "write"
+    ]
+    messages: list[str] = []
+    for request_class, match in reads:
+        if request_class.read not in ("bounded", "any"):
             continue
-        writers = sorted({writer.name for writer, where in writes if _meet(where.base, match.base)})
-        if writers and not any(_covers(other, where, match) for other, where in reads):
-            age = f"up to {kind.staleness / 1e6:.0f} ms behind" if kind.read == "bounded" else "from any member"
+        writers = sorted({writer.name for writer, rule in writes if _overlap(rule.base, match.base)})
+        if writers and not any(_sees_own_writes(other, rule, match) for other, rule in reads):
+            age = (
+                f"up to {request_class.staleness / 1e6:.0f} ms behind"
+                if request_class.read == "bounded"
+                else "from any member"
+            )
             base = match.base or "everything"
-            found.append(
-                f'class "{kind.name}": {base} is written as {", ".join(writers)}, and read only {age}: a client may '
-                'not see there what it has just written (a class with read = "session" would show it)'
+            messages.append(
+                f'class "{request_class.name}": {base} is written as {", ".join(writers)}, and read only {age}: '
+                'a client may not see there what it has just written (a class with read = "session" would show it)'
             )
-    return found
+    return messages
 
 
-def _covers(kind: Class, where: Match, match: Match) -> bool:
-    """Whether some reads of the same entries see a session's writes."""
-    return kind.read in ("session", "fresh") and _meet(where.base, match.base)
+def _sees_own_writes(kind: Class, rule: Match, match: Match) -> bool:
+    """Whether reads of this class see the writes of their session in an overlapping subtree."""
+    return kind.read in ("session", "fresh") and _overlap(rule.base, match.base)
--- a/yardbank/config/base.py
+++ b/yardbank/config/base.py
@@ -1,4 +1,4 @@
-"""What every checked file is made of: blocks that take no unknown keys, durations, lists of words."""
+"""Building blocks of the schemas of HCL files: strict models, durations, lists of strings."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 def duration(value: Any) -> int:
-    """Nanoseconds from words such as "500ms". Raises ``ValueError``."""
+    """Parse text such as "500ms" into nanoseconds. Raises ``ValueError``."""
     if not isinstance(value, str):
-        raise ValueError('a duration such as "500ms" or "3s" is wanted')  # noqa: TRY004  # pydantic takes ValueError as a fault of the text
-    found = _DURATION.fullmatch(value)
-    if found is None:
-        raise ValueError(f'\'{value}\' is no duration such as "500ms" or "3s"')
-    return round(float(found[1]) * _UNITS[found[2]])
+        raise ValueError('a duration such as "500ms" or "3s" is wanted')  # noqa: TRY004  # pydantic reports only ValueError as a validation error
+    match = _DURATION.fullmatch(value)
+    if match is None:
+        raise ValueError(f'\'{value}\' is not a duration such as "500ms" or "3s"')
+    return round(float(match[1]) * _UNITS[match[2]])
 
 
-def _list(value: Any) -> Any:
+def _as_list(value: Any) -> Any:
     return [value] if isinstance(value, str) else value
 
 
 Duration = Annotated[int, BeforeValidator(duration)]  # nanoseconds
-StringTuple = Annotated[tuple[str, ...], BeforeValidator(_list)]
+StringTuple = Annotated[tuple[str, ...], BeforeValidator(_as_list)]
 
 
 class Model(BaseModel):
-    """A block: unknown keys are errors, and no type is bent into another."""
+    """Base of all blocks. Unknown keys are errors; values are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
--- a/yardbank/config/build.py
+++ b/yardbank/config/build.py
@@ -1,4 +1,4 @@
-"""From checked settings to what the gateway is made with; what a protocol needs is made where the proxy is."""
+"""Builds the parameters of the gateway from validated settings; ``yardbank.proxy`` builds those of the protocols."""
 
 from __future__ import annotations
 
@@ -14,18 +14,29 @@
 
 def request_classes(config: Config) -> tuple[RequestClass, ...]:
     """The configured classes and the two strictest ones."""
-    found = [
-        RequestClass(k.name, k.aim, k.deadline, k.worth, k.late_worth, k.effect, k.scope, k.window, k.read, k.staleness)
-        for k in config.classes
+    classes = [
+        RequestClass(
+            configured.name,
+            configured.aim,
+            configured.deadline,
+            configured.worth,
+            configured.late_worth,
+            configured.effect,
+            configured.scope,
+            configured.window,
+            configured.read,
+            configured.staleness,
+        )
+        for configured in config.classes
     ]
-    times = config.strict
-    found.append(RequestClass(STRICT_READ, times.aim, times.deadline, 1.0, 0.2, "safe", read="fresh"))
-    found.append(RequestClass(STRICT_WRITE, times.aim, times.deadline, 1.0, 0.5, "unsafe", read="write"))
-    return tuple(found)
+    strict = config.strict
+    classes.append(RequestClass(STRICT_READ, strict.aim, strict.deadline, 1.0, 0.2, "safe", read="fresh"))
+    classes.append(RequestClass(STRICT_WRITE, strict.aim, strict.deadline, 1.0, 0.5, "unsafe", read="write"))
+    return tuple(classes)
 
 
 def settings(config: Config, workers: int = 1) -> Settings:
-    """The decision module's settings; each worker is a gateway of its own."""
+    """Settings of the router. Each worker counts as one gateway."""
     gateway, limits = config.gateway, config.limits
     return Settings(
         seed=gateway.seed if gateway.seed is not None else secrets.randbits(48),
@@ -48,20 +59,20 @@
 
 
 def limits(config: Config) -> Limits:
-    """Bounds of one gateway."""
+    """Limits of one gateway."""
     return Limits(**config.limits.model_dump())
 
 
 def servers(config: Config) -> tuple[ServerSpec, ...]:
-    """The list of servers."""
+    """Servers listed in the settings."""
     return tuple(
         ServerSpec(s.name, s.group, s.zone, s.address, s.port, s.primary, s.state, s.started, s.weight)
         for s in config.server
     )
 
 
-def place(config: Config, worker: int, workers: int) -> FleetPosition:
-    """This gateway's place among all, for plans and subsets; each worker is a gateway of its own."""
+def fleet_position(config: Config, worker: int, workers: int) -> FleetPosition:
+    """Position of this gateway in the fleet, for plans and subsets. Each worker counts as one gateway."""
     block = config.membership
     index = config.gateway.index * workers + worker
     total = config.gateway.gateways * workers
--- a/yardbank/config/checked.py
+++ b/yardbank/config/checked.py
@@ -1,4 +1,4 @@
-"""An HCL file checked by a schema, for settings and for whatever else is written the same way.
+"""Parses HCL files and validates them against a schema: settings and all other files in the same format.
 
 Each fault is one line that names file and line.
 """
@@ -14,13 +14,13 @@
 
 from yardbank.config.hcl import Body, HclError, parse
 
-MAX_OCTETS = 16 << 20
+MAX_OCTETS = 16 << 20  # of one file
 Checked = TypeVar("Checked", bound=BaseModel)
-Faults = list[tuple[tuple[Any, ...], str]]  # where in the value, and what is wrong there
+Faults = list[tuple[tuple[Any, ...], str]]  # path in the value, and the reason
 
 
 class ConfigError(ValueError):
-    """Settings that cannot be used; ``faults`` are lines such as ``file.hcl:12: server a: ...``."""
+    """Invalid settings. ``faults`` are lines such as ``file.hcl:12: server a: ...``."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
@@ -29,51 +29,51 @@
 
 @dataclass(slots=True, frozen=True)
 class Shape(Generic[Checked]):
-    """What a file must look like."""
+    """Schema of a file."""
 
     model: type[Checked]
-    labels: Mapping[str, str]  # by kind of block: the field that its label stands for
-    single: Collection[str]  # blocks that are there once at most
-    cross: Callable[[Checked], Faults] = lambda value: []  # faults that no single field shows
+    labels: Mapping[str, str]  # field set by the label, by kind of block
+    single: Collection[str]  # kinds of top-level blocks that may occur at most once
+    cross: Callable[[Checked], Faults] = lambda value: []  # checks that involve several fields
 
 
 def read_text(path: Path) -> str:
-    """A file's text. Raises ``ConfigError``."""
+    """Read a file as text. Raises ``ConfigError``."""
     try:
         data = path.read_bytes()
-    except OSError as problem:
-        raise ConfigError([f"{path}: {problem.strerror or problem}"]) from None
+    except OSError as error:
+        raise ConfigError([f"{path}: {error.strerror or error}"]) from None
     if len(data) > MAX_OCTETS:
         raise ConfigError([f"{path}: {len(data)} octets, {MAX_OCTETS} allowed"])
     try:
         return data.decode()
-    except UnicodeDecodeError as problem:
-        line = data[: problem.start].count(b"\n") + 1
+    except UnicodeDecodeError as error:
+        line = data[: error.start].count(b"\n") + 1
         raise ConfigError([f"{path}:{line}: not UTF-8"]) from None
 
 
 def check_text(text: str, name: str, shape: Shape[Checked]) -> Checked:
-    """The checked value of a text; ``name`` stands for the file in faults. Raises ``ConfigError``."""
+    """Parse and validate a text; ``name`` names the file in faults. Raises ``ConfigError``."""
     try:
         body = parse(text)
-    except HclError as problem:
-        raise ConfigError([f"{name}:{problem.line}: {problem.reason}"]) from None
+    except HclError as error:
+        raise ConfigError([f"{name}:{error.line}: {error.reason}"]) from None
     lines: dict[tuple[Any, ...], int] = {}
     faults: list[str] = []
-    plain = _plain(body, lines, (), faults, name, shape)
+    plain = _plain_values(body, lines, (), faults, name, shape)
     if faults:
         raise ConfigError(faults)
     try:
         value = shape.model.model_validate(plain)
-    except ValidationError as problem:
-        raise ConfigError([_fault(error, lines, plain, name, shape) for error in problem.errors()]) from None
+    except ValidationError as exception:
+        raise ConfigError([_format_fault(error, lines, plain, name, shape) for error in exception.errors()]) from None
     faults = [f"{name}:{lines.get(path, 1)}: {reason}" for path, reason in shape.cross(value)]
     if faults:
         raise ConfigError(faults)
     return value
 
 
-def _plain(
+def _plain_values(
     body: Body,
     lines: dict[tuple[Any, ...], int],
     path: tuple[Any, ...],
@@ -81,8 +81,11 @@
     name: str,
     shape: Shape[Any],
 ) -> Any:
-    """Attributes and blocks as the schema wants them; labels become the field that they stand for."""
-    found: dict[str, Any] = dict(body.attributes)
+    """Convert a body to the plain values that the schema validates. Labels become the fields that they set.
+
+    Records the line of each path in ``lines``.
+    """
+    values: dict[str, Any] = dict(body.attributes)
     lines[path] = body.line
     for key, line in body.lines.items():
         lines[(*path, key)] = line
@@ -90,32 +93,34 @@
         if kind in shape.single and not path:
             if len(blocks) > 1:
                 faults.append(f"{name}:{blocks[1].line}: '{kind}' is given twice")
-            found[kind] = _plain(blocks[0], lines, (kind,), faults, name, shape)
+            values[kind] = _plain_values(blocks[0], lines, (kind,), faults, name, shape)
             continue
         items = []
         for index, block in enumerate(blocks):
-            item = _plain(block, lines, (*path, kind, index), faults, name, shape)
+            item = _plain_values(block, lines, (*path, kind, index), faults, name, shape)
             label = shape.labels.get(kind) if not path else None
             if block.label and label is None:
-                faults.append(f"{name}:{block.line}: '{kind}' takes no label")
+                faults.append(f"{name}:{block.line}: '{kind}' does not take a label")
             elif label is not None and label in item:
-                faults.append(f"{name}:{lines[*path, kind, index, label]}: '{label}' is the block's label")
+                faults.append(
+                    f"{name}:{lines[*path, kind, index, label]}: '{label}' is already set by the block's label"
+                )
             elif label is not None and block.label:
                 item[label] = block.label
             items.append(item)
-        found[kind] = items
-    return found
+        values[kind] = items
+    return values
 
 
-def _fault(error: Any, lines: dict[tuple[Any, ...], int], plain: Any, name: str, shape: Shape[Any]) -> str:
+def _format_fault(error: Any, lines: dict[tuple[Any, ...], int], plain: Any, name: str, shape: Shape[Any]) -> str:
     path = tuple(error["loc"])
-    line = next((lines[path[:cut]] for cut in range(len(path), -1, -1) if path[:cut] in lines), 1)
+    line = next((lines[path[:length]] for length in range(len(path), -1, -1) if path[:length] in lines), 1)
     reason = {"extra_forbidden": "unknown key", "missing": "missing"}.get(error["type"], error["msg"])
     reason = reason.removeprefix("Value error, ")
-    where = ""
+    block = ""
     if len(path) >= 2 and isinstance(path[1], int):
         label = plain[path[0]][path[1]].get(shape.labels.get(path[0], ""), "")
-        where = f'{path[0]} "{label}": ' if label else f"{path[0]}: "
+        block = f'{path[0]} "{label}": ' if label else f"{path[0]}: "
         path = path[2:]
     field = ".".join(str(part) for part in path if not isinstance(part, int))
-    return f"{name}:{line}: {where}{field}: {reason}" if field else f"{name}:{line}: {where}{reason}"
+    return f"{name}:{line}: {block}{field}: {reason}" if field else f"{name}:{line}: {block}{reason}"
--- a/yardbank/config/fleet_position.py
+++ b/yardbank/config/fleet_position.py
@@ -1,4 +1,4 @@
-"""Where one gateway stands among all."""
+"""Position of one gateway in the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetPosition:
-    """This gateway's place among all, and its bound of servers a group (0: none)."""
+    """Index of this gateway in the fleet, and how many servers of a group it uses.
+
+    ``most``: maximum number of servers per group (0: all); ``spares``: further servers for when those fail.
+    """
 
     index: int = 0
     gateways: int = 1
--- a/yardbank/config/hcl.py
+++ b/yardbank/config/hcl.py
@@ -1,4 +1,4 @@
-"""HCL text as plain values, each with the line it stands on (python-hcl2 parses)."""
+"""Parses HCL (with python-hcl2) into plain values with their line numbers. Only constant values are allowed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HclError(ValueError):
-    """Text that is no HCL, or uses a part of it that settings have no use for."""
+    """Text that is not valid HCL or uses an unsupported feature of it."""
 
     def __init__(self, line: int, reason: str) -> None:
         super().__init__(reason)
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Body:
-    """A block's attributes and blocks; ``lines`` tells where each attribute stands."""
+    """Attributes and nested blocks of a block. ``lines`` has the line of each attribute."""
 
     line: int
     label: str = ""
@@ -30,25 +30,25 @@
 
 
 def parse(text: str) -> Body:
-    """Read a whole text. Raises ``HclError`` naming the line."""
+    """Parse a complete text. Raises ``HclError`` naming the line."""
     try:
         tree = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
-    except UnexpectedInput as problem:
-        line = problem.line if isinstance(problem.line, int) and problem.line > 0 else text.count("\n") + 1
+    except UnexpectedInput as error:
+        line = error.line if isinstance(error.line, int) and error.line > 0 else text.count("\n") + 1
         raise HclError(line, "this is not HCL") from None
     except RecursionError:
         raise HclError(1, "nested too deep") from None
-    except Exception as problem:  # noqa: BLE001  # whatever the library stumbles over is a fault of the text
-        told = getattr(problem, "line", None)
-        raise HclError(told if isinstance(told, int) and told > 0 else 1, "this is not HCL") from None
+    except Exception as error:  # noqa: BLE001  # any exception of the library on this text is a fault of the text
+        error_line = getattr(error, "line", None)
+        raise HclError(error_line if isinstance(error_line, int) and error_line > 0 else 1, "this is not HCL") from None
     body = next((child for child in tree.children if isinstance(child, Tree) and child.data == "body"), None)
-    found = Body(1)
+    result = Body(1)
     if body is not None:
         try:
-            _fill(body, found)
+            _read_body(body, result)
         except RecursionError:
             raise HclError(1, "nested too deep") from None
-    return found
+    return result
 
 
 def _line(tree: Any, default: int) -> int:
@@ -61,68 +61,68 @@
     return default
 
 
-def _fill(tree: Tree[Token], into: Body) -> None:
+def _read_body(tree: Tree[Token], target: Body) -> None:
     for child in tree.children:
         if not isinstance(child, Tree):
             continue
         if child.data == "attribute":
-            name, line = _word(child.children[0]), _line(child, into.line)
-            if name in into.attributes or name in into.blocks:
+            name, line = _source_text(child.children[0]), _line(child, target.line)
+            if name in target.attributes or name in target.blocks:
                 raise HclError(line, f"'{name}' is given twice")
-            into.attributes[name] = _value(child.children[-1], line)
-            into.lines[name] = line
+            target.attributes[name] = _constant(child.children[-1], line)
+            target.lines[name] = line
         elif child.data == "block":
-            name, line = _word(child.children[0]), _line(child, into.line)
-            if name in into.attributes:
+            name, line = _source_text(child.children[0]), _line(child, target.line)
+            if name in target.attributes:
                 raise HclError(line, f"'{name}' is given twice")
             labels = [
                 part for part in child.children[1:] if isinstance(part, Tree) and part.data in ("string", "identifier")
             ]
             if len(labels) > 1:
                 raise HclError(line, f"'{name}' has more than one label")
-            block = Body(line, _value(labels[0], line) if labels and labels[0].data == "string" else "")
+            block = Body(line, _constant(labels[0], line) if labels and labels[0].data == "string" else "")
             inner = next((part for part in child.children if isinstance(part, Tree) and part.data == "body"), None)
             if inner is not None:
-                _fill(inner, block)
-            into.blocks.setdefault(name, []).append(block)
+                _read_body(inner, block)
+            target.blocks.setdefault(name, []).append(block)
 
 
-def _word(tree: Any) -> str:
+def _source_text(tree: Any) -> str:
     return str(tree) if isinstance(tree, Token) else "".join(str(token) for token in tree.scan_values(lambda _: True))
 
 
-def _value(tree: Any, line: int) -> Any:
-    """A constant: string, number, boolean, null, or a list of those."""
+def _constant(tree: Any, line: int) -> Any:
+    """Convert a constant: string, number, boolean, null, or a list of those."""
     if isinstance(tree, Token):
-        return _token(str(tree), line)
+        return _keyword_constant(str(tree), line)
     match tree.data:
-        case "expr_term" | "expression" if len(_meaningful(tree)) == 1:
-            return _value(_meaningful(tree)[0], line)
+        case "expr_term" | "expression" if len(_operands(tree)) == 1:
+            return _constant(_operands(tree)[0], line)
         case "string":
             parts = [part for part in tree.children if isinstance(part, Tree)]
             if any(not all(isinstance(token, Token) for token in part.children) for part in parts):
-                raise HclError(_line(tree, line), "a string with an interpolation; only constants are allowed")
-            return _unescape("".join(_word(part) for part in parts))
+                raise HclError(_line(tree, line), "string interpolation is not allowed; only constants are allowed")
+            return _unescape("".join(_source_text(part) for part in parts))
         case "int_lit" | "float_lit":
-            return _number(_word(tree), tree.data == "int_lit", _line(tree, line))
+            return _number(_source_text(tree), tree.data == "int_lit", _line(tree, line))
         case "literal_value" | "identifier":
-            return _token(_word(tree), line)
+            return _keyword_constant(_source_text(tree), line)
         case "tuple":
             return [
-                _value(item, line)
+                _constant(item, line)
                 for item in tree.children
                 if isinstance(item, Tree) and item.data != "new_line_or_comment"
             ]
-        case "unary_op" if _word(tree).startswith("-"):
-            value = _value(_meaningful(tree)[-1], line)
+        case "unary_op" if _source_text(tree).startswith("-"):
+            value = _constant(_operands(tree)[-1], line)
             if isinstance(value, bool) or not isinstance(value, int | float):
-                raise HclError(_line(tree, line), "a minus before what is no number")
+                raise HclError(_line(tree, line), "a minus sign before a value that is not a number")
             return -value
         case _:
-            raise HclError(_line(tree, line), "an expression; only constants are allowed")
+            raise HclError(_line(tree, line), "an expression is not allowed; only constants are allowed")
 
 
-def _meaningful(tree: Tree[Token]) -> list[Any]:
+def _operands(tree: Tree[Token]) -> list[Any]:
     return [
         child
         for child in tree.children
@@ -132,33 +132,33 @@
     ]
 
 
-def _number(word: str, whole: bool, line: int) -> int | float:
+def _number(text: str, is_integer: bool, line: int) -> int | float:
     try:
-        value = int(word) if whole else float(word)
+        value = int(text) if is_integer else float(text)
     except ValueError:
-        raise HclError(line, f"'{word[:20]}' is no number that can be used") from None
+        raise HclError(line, f"'{text[:20]}' is not a usable number") from None
     if not -1e18 <= value <= 1e18:
-        raise HclError(line, "a number beyond 1e18")
+        raise HclError(line, "the number is out of range, -1e18 to 1e18 allowed")
     return value
 
 
-def _token(word: str, line: int) -> Any:
+def _keyword_constant(text: str, line: int) -> Any:
     constants = {"true": True, "false": False, "null": None}
-    if word not in constants:
-        raise HclError(line, f"'{word}' is a name; only constants are allowed (strings need quotes)")
-    return constants[word]
+    if text not in constants:
+        raise HclError(line, f"'{text}' is a name; only constants are allowed (strings need quotes)")
+    return constants[text]
 
 
 def _unescape(text: str) -> str:
     if "\\" not in text:
         return text
-    table = {"n": "\n", "t": "\t", '"': '"', "\\": "\\", "r": "\r"}
-    out, at = [], 0
-    while at < len(text):
-        if text[at] == "\\" and at + 1 < len(text) and text[at + 1] in table:
-            out.append(table[text[at + 1]])
-            at += 2
+    escapes = {"n": "\n", "t": "\t", '"': '"', "\\": "\\", "r": "\r"}
+    characters, position = [], 0
+    while position < len(text):
+        if text[position] == "\\" and position + 1 < len(text) and text[position + 1] in escapes:
+            characters.append(escapes[text[position + 1]])
+            position += 2
         else:
-            out.append(text[at])
-            at += 1
-    return "".join(out)
+            characters.append(text[position])
+            position += 1
+    return "".join(characters)
--- a/yardbank/config/load.py
+++ b/yardbank/config/load.py
@@ -1,4 +1,4 @@
-"""A settings file to a checked ``Config``; each fault is one line that names file and line."""
+"""Loads and validates a settings file. Each fault is one line that names file and line."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 def load(path: Path) -> Config:
-    """Read and check a file. Raises ``ConfigError``."""
+    """Load a settings file. Raises ``ConfigError``."""
     return load_text(read_text(path), str(path))
 
 
 def load_text(text: str, name: str = "settings") -> Config:
-    """Check settings given as text."""
+    """Load settings from text. Raises ``ConfigError``."""
     return check_text(text, name, Shape(Config, LABELS, SINGLE, cross_faults))
 
 
 def cross_faults(config: Config) -> Faults:
-    """What no single field shows: names given twice, names that lead nowhere, classes that match alike."""
+    """Faults that involve several fields: duplicate names, unknown groups, missing blocks, ambiguous classes."""
     return [
-        *_repeated_names(config),
-        *_blocks_that_need_others(config),
-        *_groups_with_one_suffix(config),
-        *_servers_that_do_not_fit(config),
-        *_classes_that_match_alike(config),
+        *_duplicate_names(config),
+        *_missing_blocks(config),
+        *_duplicate_suffixes(config),
+        *_invalid_servers(config),
+        *_ambiguous_classes(config),
     ]
 
 
-def _repeated_names(config: Config) -> Faults:
-    found: Faults = []
+def _duplicate_names(config: Config) -> Faults:
+    faults: Faults = []
     for kind, items in (
         ("group", config.group),
         ("server", config.server),
@@ -48,61 +48,61 @@
             if kind == "identity":
                 label = naming.fold(label)
             if label in seen:
-                found.append(((kind, index), f'{kind} "{label}" is given twice'))
+                faults.append(((kind, index), f'{kind} "{label}" is given twice'))
             seen.add(label)
-    return found
+    return faults
 
 
-def _blocks_that_need_others(config: Config) -> Faults:
-    found: Faults = []
+def _missing_blocks(config: Config) -> Faults:
+    faults: Faults = []
     for name in ("leases", "channels", "rollout", "atlas", "distribution"):
         if getattr(config, name) is not None and config.peers is None:
-            found.append(((name,), f"{name}: needs a peers block"))
+            faults.append(((name,), f"{name}: needs a peers block"))
     if bool(config.server) == bool(config.membership):
-        found.append(((), "servers are listed here, or a membership block says where: one of both"))
+        faults.append(((), "exactly one is needed: server blocks, or a membership block"))
     if config.gateway.index >= config.gateway.gateways:
         reason = f"gateway: index {config.gateway.index} is not below gateways = {config.gateway.gateways}"
-        found.append((("gateway", "index"), reason))
-    return found
+        faults.append((("gateway", "index"), reason))
+    return faults
 
 
-def _groups_with_one_suffix(config: Config) -> Faults:
-    found: Faults = []
-    group_of_suffix: dict[str, str] = {}
+def _duplicate_suffixes(config: Config) -> Faults:
+    faults: Faults = []
+    group_by_suffix: dict[str, str] = {}
     for index, group in enumerate(config.group):
         suffix = naming.fold(group.suffix)
-        if other := group_of_suffix.get(suffix):
-            found.append((("group", index, "suffix"), f'group "{group.name}" has the suffix of group "{other}"'))
-        group_of_suffix[suffix] = group.name
-    return found
+        if other := group_by_suffix.get(suffix):
+            faults.append((("group", index, "suffix"), f'group "{group.name}" has the suffix of group "{other}"'))
+        group_by_suffix[suffix] = group.name
+    return faults
 
 
-def _servers_that_do_not_fit(config: Config) -> Faults:
-    found: Faults = []
+def _invalid_servers(config: Config) -> Faults:
+    faults: Faults = []
     groups = {group.name for group in config.group}
-    server_at: dict[tuple[str, int], str] = {}
+    server_by_address: dict[tuple[str, int], str] = {}
     for index, server in enumerate(config.server):
         if server.group not in groups:
-            found.append((("server", index, "group"), f'server "{server.name}": no group "{server.group}"'))
-        if other := server_at.get((server.address, server.port)):
-            found.append((("server", index, "port"), f'server "{server.name}" has the address of server "{other}"'))
-        server_at[server.address, server.port] = server.name
-    return found
+            faults.append((("server", index, "group"), f'server "{server.name}": no group "{server.group}"'))
+        if other := server_by_address.get((server.address, server.port)):
+            faults.append((("server", index, "port"), f'server "{server.name}" has the address of server "{other}"'))
+        server_by_address[server.address, server.port] = server.name
+    return faults
 
 
-def _classes_that_match_alike(config: Config) -> Faults:
-    found: Faults = []
-    class_of_rule: dict[Any, str] = {}
+def _ambiguous_classes(config: Config) -> Faults:
+    faults: Faults = []
+    class_by_rule: dict[Any, str] = {}
     for index, request_class in enumerate(config.classes):
         name = request_class.name
         if name.startswith("strict-"):
-            found.append((("class", index), f'class "{name}": names that begin with strict- are taken'))
+            faults.append((("class", index), f'class "{name}": names that begin with strict- are reserved'))
         for number, match in enumerate(request_class.match):
             for operation in match.operation:
                 key = match_key(match, operation)
-                other = class_of_rule.get(key, name)
+                other = class_by_rule.get(key, name)
                 if other != name:
                     reason = f'class "{name}" and class "{other}" match alike ({operation})'
-                    found.append((("class", index, "match", number), reason))
-                class_of_rule[key] = name
-    return found
+                    faults.append((("class", index, "match", number), reason))
+                class_by_rule[key] = name
+    return faults
--- a/yardbank/config/schema.py
+++ b/yardbank/config/schema.py
@@ -1,4 +1,4 @@
-"""The schema of the settings (pydantic); every field's default is the one that is in force."""
+"""Schema of the settings (pydantic), including the default of every field."""
 
 from __future__ import annotations
 
@@ -32,12 +32,14 @@
     max_outstanding: Annotated[int, Field(gt=0, strict=True)] = 1000
     max_unread: Annotated[int, Field(gt=0, strict=True)] = 4 << 20
     max_connections: Annotated[int, Field(gt=0, strict=True)] = 50_000
-    parts: Annotated[int, Field(gt=0, le=1000, strict=True)] = 16  # of searches that span groups, out at once
-    parts_memory: Annotated[int, Field(ge=4096, strict=True)] = 4 << 20  # octets kept of all parts together
+    # Concurrent partial searches of searches that span groups.
+    parts: Annotated[int, Field(gt=0, le=1000, strict=True)] = 16
+    # Octets buffered for all partial searches together.
+    parts_memory: Annotated[int, Field(ge=4096, strict=True)] = 4 << 20
 
 
 class BackendBlock(Model):
-    """How servers are spoken to."""
+    """Protocol and credentials for connections to servers."""
 
     protocol: Literal["ldap"]
     bind_dn: str = ""
@@ -47,11 +49,11 @@
 
 
 class GatewayBlock(Model):
-    """One gateway's place in the fleet."""
+    """Position of this gateway in the fleet, and its routing parameters."""
 
     zone: str = ""
     gateways: Annotated[int, Field(gt=0, strict=True)] = 1
-    index: Annotated[int, Field(ge=0, strict=True)] = 0  # this one's place among ``gateways``, counted from 0
+    index: Annotated[int, Field(ge=0, strict=True)] = 0  # of this gateway among ``gateways``, counted from 0
     seed: Annotated[int, Field(ge=0, strict=True)] | None = None
     cold: Duration = 0
     cold_share: Annotated[float, Field(gt=0, le=1)] = 1.0
@@ -61,7 +63,7 @@
 
 
 class LimitsBlock(Model):
-    """Bounds of one gateway."""
+    """Limits of one gateway. Durations are in nanoseconds."""
 
     max_open: Annotated[int, Field(gt=0, strict=True)] = 10_000
     connections: Annotated[int, Field(gt=0, strict=True)] = 8
@@ -75,15 +77,15 @@
 
 
 class Logging(Model):
-    """What is logged, and how."""
+    """Log level and format."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     format: Literal["console", "json"] = "console"
-    answers: bool = False  # one line for each final answer
+    answers: bool = False  # log one line per final answer
 
 
 class Group(Model):
-    """A primary and its copies, holding one part of the tree."""
+    """A primary and its replicas, which hold one subtree."""
 
     name: str
     suffix: str
@@ -99,12 +101,12 @@
     zone: str = ""
     primary: bool = False
     state: Literal["ready", "draining"] = "ready"
-    started: float = 0.0  # wall clock, seconds since 1970; 0: long ago
+    started: float = 0.0  # wall clock time, seconds since 1970; 0: long ago, so the server is not cold
     weight: Annotated[float, Field(gt=0)] = 1.0
 
 
 class Match(Model):
-    """What a class's operations look like; what is left out matches all."""
+    """Conditions on the operations of a class. Omitted conditions match everything."""
 
     operation: StringTuple
     base: str = ""
@@ -113,7 +115,7 @@
     identity: StringTuple = ()
 
     @model_validator(mode="after")
-    def _words(self) -> Match:
+    def _check_keywords(self) -> Match:
         known = {"search", "compare", "add", "delete", "modify", "modifydn", "passwd"}
         for word in self.operation:
             if word not in known:
@@ -140,19 +142,19 @@
     match: tuple[Match, ...] = ()
 
     @model_validator(mode="after")
-    def _whole(self) -> Class:
+    def _check_consistency(self) -> Class:
         if self.aim <= 0 or self.deadline <= 0:
-            raise ValueError("aim and deadline must be longer than nothing")
+            raise ValueError("aim and deadline must be positive")
         if self.aim > self.deadline:
             raise ValueError("aim is longer than deadline")
         if self.read == "bounded" and self.staleness <= 0:
             raise ValueError("a bounded read needs staleness")
         if self.read != "bounded" and self.staleness:
-            raise ValueError("staleness is for bounded reads only")
+            raise ValueError("staleness is allowed for bounded reads only")
         if self.read == "write" and self.effect == "safe" and self.name != "":
-            raise ValueError("a write is keyed or unsafe")
+            raise ValueError('the effect of a write must be "keyed" or "unsafe"')
         if self.read != "write" and self.effect != "safe":
-            raise ValueError("a read is safe")
+            raise ValueError('the effect of a read must be "safe"')
         if self.effect == "keyed" and self.window <= 0:
             raise ValueError("a keyed class needs window")
         operations = {word for match in self.match for word in match.operation}
@@ -164,21 +166,21 @@
 
 
 class Identity(Model):
-    """Who may bind."""
+    """Credentials of a client that may bind."""
 
     name: str
     password: Annotated[str, Field(min_length=1)]
 
 
 class Strict(Model):
-    """Times of the strictest classes, which take what matches no rule, or two alike."""
+    """Times of the two strictest classes, used for operations that match no rule or several equally specific ones."""
 
     aim: Duration = 1_000_000_000
     deadline: Duration = 5_000_000_000
 
 
 class Config(Model):
-    """A whole settings file."""
+    """A complete settings file."""
 
     listener: tuple[Listener, ...] = Field(min_length=1)
     backend: tuple[BackendBlock, ...] = Field(min_length=1)
@@ -225,7 +227,7 @@
 
 
 def match_key(match: Match, operation: str) -> tuple[Any, ...]:
-    """What makes two matches alike for one operation."""
+    """Key that is equal for two match blocks with the same conditions on one operation."""
     return (
         operation,
         naming.fold(match.base),
--- a/yardbank/proxy/__init__.py
+++ b/yardbank/proxy/__init__.py
@@ -1,13 +1,13 @@
-"""The library's entry: one gateway with its listeners, made from settings, embedded in any Twisted process.
+"""Entry point of the library: one gateway with its listeners, built from settings, to embed in a Twisted process.
 
     proxy = Proxy(load(Path("gateway.hcl")), reactor)
     proxy.start()
     ...
     proxy.stop()
 
-The daemon is this and a few signals; it adds nothing. ``proxy.py`` owns the gateway, the listeners and the optional
-parts; ``lifecycle.py`` says in which order parts start and stop; ``reloading.py`` which settings a running gateway
-cannot change; ``ldap_parts.py`` makes what LDAP needs from the settings.
+The daemon adds only signal handling to this. ``proxy.py`` owns the gateway, the listeners and the optional parts;
+``lifecycle.py`` defines the order in which parts start and stop; ``reloading.py`` defines which settings cannot change
+at run time; ``ldap_parts.py`` builds the LDAP components from the settings.
 """
 
 from yardbank.proxy.listening import listening_socket
--- a/yardbank/proxy/ldap_parts.py
+++ b/yardbank/proxy/ldap_parts.py
@@ -1,4 +1,4 @@
-"""What LDAP needs, made from the settings: classification, options of the front end and of the backend."""
+"""Builds the LDAP components from the settings: classifier, front end options, backend options."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def classifier(config: Config) -> Classifier:
-    """What puts operations into classes: rules from the classes' matches."""
+    """The classifier of operations, with rules from the match blocks of the classes."""
     rules = tuple(
         Rule(
             request_class.name,
@@ -30,7 +30,7 @@
 
 
 def front_options(config: Config, listener: Listener) -> FrontOptions:
-    """How one listener serves its clients: identities, session binding, limits."""
+    """Options of one listener: identities, session binding, limits."""
     return FrontOptions(
         identities={naming.fold(identity.name): identity.password for identity in config.identity},
         anonymous=listener.anonymous,
@@ -46,7 +46,7 @@
 
 
 def backend_options(config: Config) -> BackendOptions:
-    """How servers are bound to, and how the primary is told from its replicas."""
+    """Credentials for binding to servers, and the attribute that identifies the primary."""
     block = config.backend[0]
     return BackendOptions(
         bind_dn=block.bind_dn,
--- a/yardbank/proxy/lifecycle.py
+++ b/yardbank/proxy/lifecycle.py
@@ -1,4 +1,4 @@
-"""In which order the optional parts of a proxy start and stop.
+"""Order in which the optional parts of a proxy start and stop.
 
 Invariant: parts stop in the order in which they were added; within a phase they start in that order too.
 """
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ManagedPart:
-    """One part. ``stop`` is told whether the end is clean: every request was answered."""
+    """One part. The argument of ``stop`` tells whether every request was answered."""
 
     phase: StartPhase
     start: Callable[[], None]
@@ -28,17 +28,17 @@
 
 
 class Lifecycle:
-    """The parts that one proxy starts and stops."""
+    """The optional parts of one proxy."""
 
     def __init__(self) -> None:
         self._parts: list[ManagedPart] = []
 
     def add(self, phase: StartPhase, start: Callable[[], None], stop: Callable[[bool], None]) -> None:
-        """One more part; it stops after those that were added before it."""
+        """Add a part. It stops after the parts that were added before it."""
         self._parts.append(ManagedPart(phase, start, stop))
 
     def start(self, phase: StartPhase) -> None:
-        """Start the parts of one phase. Raises what a part raises; the parts after it are not started then."""
+        """Start the parts of one phase. An exception of a part propagates, and the parts after it are not started."""
         for part in self._parts:
             if part.phase is phase:
                 part.start()
--- a/yardbank/proxy/proxy.py
+++ b/yardbank/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""One gateway with its listeners and the parts that the settings ask for.
+"""One gateway with its listeners and the optional parts that the settings enable.
 
-``Proxy`` owns the gateway, the listening ports and the front ends' factories; nothing else may start or stop them.
-Listeners are fixed from the start on. Invariant: clients are answered, and told of the end, before any part stops.
+``Proxy`` owns the gateway, the listening ports and the front end factories; nothing else may start or stop them.
+Listeners are fixed at start. Invariant: before any part stops, pending requests are answered and clients are notified.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Proxy:
-    """A gateway and its listeners. Several in one process share nothing."""
+    """A gateway and its listeners. Several instances in one process share no state."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         worker: int = 0,
         started: Started | None = None,
     ) -> None:
-        """``started``: by a daemon, which version a rollout has active, and how to be restarted."""
+        """``started``: set by a daemon; the version that a rollout has activated, and how to request a restart."""
         self.started = started
         self.config = config
         self._reactor = reactor
@@ -66,7 +66,7 @@
         self._factories: list[LdapFrontFactory] = []
         self.addresses: list[tuple[str, int]] = []
         self.gateway = self._make_gateway(seconds, record, router)
-        self._classified_by = config  # whose classes' matches are in force
+        self._classified_by = config  # the settings whose match blocks classify new requests
         self._lifecycle = Lifecycle()
         self._fleet: ServerListService | None = None
         self._peers: Peers | None = None
@@ -96,7 +96,7 @@
         )
 
     def _make_peers(self) -> None:
-        # Imported here: a gateway without the block never loads the packages of the cluster.
+        # Imported here so that a gateway without the block never loads the cluster packages.
         from yardbank.cluster.peers.sharing import Sharing
         from yardbank.cluster.peers.transport import Peers
 
@@ -123,7 +123,7 @@
 
         if not coordination.wanted(self.config):
             return
-        made = coordination.Coordination(
+        service = coordination.Coordination(
             self.config,
             self.gateway,
             peers,
@@ -135,8 +135,8 @@
             started=self.started,
             folder=self._folder,
         )
-        self._coordination = made
-        self._lifecycle.add(StartPhase.LISTENING, made.start, lambda clean: made.stop())
+        self._coordination = service
+        self._lifecycle.add(StartPhase.LISTENING, service.start, lambda clean: service.stop())
 
     def _make_server_list(self) -> None:
         service = ServerListService(
@@ -155,13 +155,13 @@
 
     @property
     def channels(self) -> Channels:
-        """Feeds that one gateway carries for all. Raises ``RuntimeError`` where the settings have no such block."""
+        """The channels, feeds shared by the fleet. Raises ``RuntimeError`` if the settings do not enable them."""
         if self._coordination is None or self._coordination.channels is None:
             raise RuntimeError("channels: the settings have no peers block, or no channels block")
         return self._coordination.channels
 
     def start(self) -> None:
-        """Listen. Raises ``OSError`` if an address cannot be had; then nothing listens."""
+        """Start all parts and listen. Raises ``OSError`` if an address is not available; then nothing listens."""
         sockets: list[socket.socket] = []
         try:
             for listener in self.config.listener:
@@ -177,7 +177,7 @@
         self._lifecycle.start(StartPhase.LISTENING)
 
     def _listen(self, listener: Listener, opened: socket.socket) -> None:
-        """Accept connections on a socket; the reactor duplicates it, so this copy is closed."""
+        """Accept connections on a socket. The reactor duplicates the descriptor, so the original is closed."""
         options = ldap_parts.front_options(self.config, listener)
         factory = LdapFrontFactory(self.gateway, ldap_parts.classifier(self._classified_by), options)
         self._factories.append(factory)
@@ -188,15 +188,15 @@
         self.log.info("listening", protocol=listener.protocol, address=address[0], port=address[1])
 
     def _apply_classes(self, config: Config) -> None:
-        """Classify new requests by these settings; those accepted before keep their class."""
+        """Classify new requests by these settings. Requests accepted before keep their class."""
         self._classified_by = config
         for factory in self._factories:
             factory.classifier = ldap_parts.classifier(config)
 
     def reload(self, config: Config) -> None:
-        """Take other settings: servers, classes' matches, identities.
+        """Apply changed settings: servers, match blocks of classes, identities.
 
-        Raises ``ValueError`` naming a block that cannot change in service, and changes nothing then.
+        Raises ``ValueError`` naming a block that cannot change at run time, and then changes nothing.
         """
         check_reload(self.config, config)
         if self._peers is not None:
@@ -218,7 +218,7 @@
             maybeDeferred(port.stopListening)
 
     def kill(self) -> None:
-        """End as a killed process does: every socket is cut, nothing is answered."""
+        """Stop like a killed process: close every socket without answering."""
         self._stop_listening()
         self.gateway.kill()
         self._lifecycle.stop(clean=False)
@@ -226,15 +226,15 @@
             factory.abort_all()
 
     def stop(self, grace: int | None = None) -> Deferred[None]:
-        """Stop listening, answer what was accepted (at the latest after ``grace`` ns), close."""
+        """Stop listening, answer accepted requests within ``grace`` nanoseconds, then close."""
         self._stop_listening()
         done: Deferred[Any] = self.gateway.stop(grace)
-        if self._coordination is not None:  # channels move to other gateways while this one answers what it accepted
+        if self._coordination is not None:  # transfers channels to other gateways in the meantime
             done = DeferredList([done, self._coordination.stopping()])
         return done.addCallback(self._close).addCallback(lambda _: None)
 
     def _close(self, _: Any) -> Deferred[Any]:
-        """Close clients first: nobody answers them any more, and they should know at once."""
+        """Close client connections before stopping the parts, so that clients know at once that nothing follows."""
         closing = DeferredList([factory.close_all(self._reactor) for factory in self._factories])
         self._lifecycle.stop(clean=True)
         return closing
--- a/yardbank/proxy/reloading.py
+++ b/yardbank/proxy/reloading.py
@@ -1,4 +1,4 @@
-"""Which settings a gateway in service cannot change. Everything else takes effect on a reload."""
+"""Checks which settings cannot change at run time. All others take effect on a reload."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def check_reload(old: Config, new: Config) -> None:
-    """Raise ``ValueError`` naming the first block that differs and cannot change in service."""
+    """Raise ``ValueError`` naming the first changed block that cannot change at run time."""
     for block in FIXED_BLOCKS:
         if getattr(old, block) != getattr(new, block):
-            raise _fixed(block)
+            raise _restart_required(block)
     if build.request_classes(old) != build.request_classes(new):
-        raise _fixed("class times")
+        raise _restart_required("class times")
 
 
-def _fixed(name: str) -> ValueError:
+def _restart_required(name: str) -> ValueError:
     return ValueError(f"{name}: cannot change in service; restart to apply it")
--- a/yardbank/server_list/service.py
+++ b/yardbank/server_list/service.py
@@ -51,7 +51,7 @@
         block = config.membership
         self._gateway, self._log, self._wall = gateway, log, wall
         self._config, self._apply_classes = config, apply_classes
-        self._fleet_position = build.place(config, worker, workers)
+        self._fleet_position = build.fleet_position(config, worker, workers)
         self._warming = Warming(config.gateway.cold / 1e9, config.gateway.cold_share)
         self._plan_model: Problem | None = None
         self._own: MadePlan | None = None  # computed by this gateway
