--- a/tests/cluster/list_distribution/test_processes.py
+++ b/tests/cluster/list_distribution/test_processes.py
@@ -55,9 +55,8 @@
     "goes_back": "g1 goes back",
     "appoints_itself": "with other contents",
 }
-ALL_SCENARIOS = (
-    "YARDBANK_EVERY_SCENARIO" in os.environ
-)  # set by ``make rig``; running all scenarios on every change takes too long
+# Set by ``make rig``; running all scenarios on every change takes too long.
+ALL_SCENARIOS = "YARDBANK_EVERY_SCENARIO" in os.environ
 DEFAULT_FAULTS = ["deaf_to_lists", "alters_entries"]
 
 
--- a/tests/cluster/list_distribution/test_replica.py
+++ b/tests/cluster/list_distribution/test_replica.py
@@ -90,7 +90,7 @@
         (msgspec.structs.replace(FIRST_INCREMENT, base=Version(1, 7), version=Version(1, 8)), "begins from 1.7"),
         (msgspec.structs.replace(FIRST_INCREMENT, digest=bytes(16)), "digest"),
         (msgspec.structs.replace(FIRST_INCREMENT, entries=(Entry("a", "2"),)), "digest"),
-        (msgspec.structs.replace(FIRST_INCREMENT, entries=FIRST_INCREMENT.entries * 2), "comes twice"),
+        (msgspec.structs.replace(FIRST_INCREMENT, entries=FIRST_INCREMENT.entries * 2), "is repeated"),
         (msgspec.structs.replace(FIRST_INCREMENT, entries=(Entry("", "1"),)), "a key has"),
         (msgspec.structs.replace(FIRST_INCREMENT, entries=(Entry("a", "x" * 9000),)), "more than 8192"),
     ],
@@ -173,9 +173,8 @@
 def test_inapplicable_increment_is_reported_and_a_snapshot_requested():
     sound, other = Replica("a", checker.FixedChoice()), Replica("b", checker.FixedChoice())
     sound.publish(0, 1, {"a": "1"})
-    other.table.apply(
-        Table().difference({"a": "1", "b": "other"}, Version(1, 1))
-    )  # as published by a gateway without a lease
+    # As published by a gateway without a lease.
+    other.table.apply(Table().difference({"a": "1", "b": "other"}, Version(1, 1)))
     base, digest = sound.table.version, sound.table.digest
     sound.publish(0, 1, {"a": "2"})
     other.receive(0, "a", Have(sound.table.version, sound.table.digest))
--- a/yardbank/cluster/list_distribution/table.py
+++ b/yardbank/cluster/list_distribution/table.py
@@ -121,7 +121,7 @@
         if entry.value is not None and len(entry.value.encode()) > MAX_VALUE_OCTETS:
             raise DoesNotFitError(f"entry {entry.key!r}: more than {MAX_VALUE_OCTETS} octets")
         if entry.key in seen:
-            raise DoesNotFitError(f"entry {entry.key!r} comes twice")
+            raise DoesNotFitError(f"entry {entry.key!r} is repeated")
         seen.add(entry.key)
     if len(seen) > MAX_ENTRIES:
         raise DoesNotFitError(f"{len(seen)} entries, {MAX_ENTRIES} allowed")
--- a/yardbank/config/base.py
+++ b/yardbank/config/base.py
@@ -1,4 +1,4 @@
-"""Building blocks of the schemas of HCL files: strict models, durations, lists of strings."""
+"""Building blocks of the schemas of HCL files: models that reject unknown keys, durations, lists of strings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def duration(value: Any) -> int:
     """Parse text such as "500ms" into nanoseconds. Raises ``ValueError``."""
     if not isinstance(value, str):
-        raise ValueError('a duration such as "500ms" or "3s" is wanted')  # noqa: TRY004  # pydantic reports only ValueError as a validation error
+        raise ValueError('a duration such as "500ms" or "3s" is wanted')  # noqa: TRY004  # pydantic turns ValueError, not TypeError, into a validation error
     match = _DURATION.fullmatch(value)
     if match is None:
         raise ValueError(f'\'{value}\' is not a duration such as "500ms" or "3s"')
--- a/yardbank/server_list/service.py
+++ b/yardbank/server_list/service.py
@@ -117,10 +117,8 @@
         snapshot, fault, stored_generation = None, "", 0
         try:
             self._store = Store(path)
-        except (
-            StoreError
-        ) as error:  # disk full, read-only, or locked by another process: serve without it, as after a crash
-            fault = str(error.strerror)
+        except StoreError as error:  # disk full, read-only or locked by another process: serve without the store
+            fault = str(error.strerror)  # handled like the state after a crash
         else:
             snapshot = self._store.read()
             fault, stored_generation = self._store.fault, self._store.apart
