--- a/tests/cluster/lease/test_electorate.py
+++ b/tests/cluster/lease/test_electorate.py
@@ -10,7 +10,7 @@
 from yardbank.cluster.lease.model_check.nodes import MemoryStore
 from yardbank.cluster.lease.model_check.scenes import SCENARIOS
 from yardbank.cluster.lease.quorum import majority, voters_of
-from yardbank.cluster.lease.timing import long_lease
+from yardbank.cluster.lease.timing import max_lease_duration
 from yardbank.cluster.peers.datagram import DroppedError
 
 
@@ -73,7 +73,7 @@
     assert bus.holders() == ["a"] and len(bus.parts["b"].electorate.voter_sets(bus.now, R)) == 2
     for name in "ade":
         take_new_list(name)
-    bus.run(4 * long_lease(TERMS))
+    bus.run(4 * max_lease_duration(TERMS))
     assert bus.holders() == ["a"] and all(
         len(part.electorate.voter_sets(bus.now, R)) == 1 for part in bus.parts.values()
     )
@@ -101,13 +101,13 @@
     bus, stores = Bus("abc"), {name: MemoryStore(None) for name in "abc"}
     for name in "abc":
         bus.start(name, keep=stores[name])
-    bus.run(2 * long_lease(TERMS))
+    bus.run(2 * max_lease_duration(TERMS))
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
     bus.terms = LeaseTerms(term=SECOND, overlap=SECOND // 10)
     for name in "bc":
         bus.start(name, keep=stores[name])
-        assert bus.parts[name].voter.silent_until == bus.now + long_lease(TERMS)
+        assert bus.parts[name].voter.silent_until == bus.now + max_lease_duration(TERMS)
     bus.parts["b"].acquire(bus.now, R)
     for _ in range(100):
         bus.run(SECOND // 10)
--- a/tests/cluster/lease/test_fleet.py
+++ b/tests/cluster/lease/test_fleet.py
@@ -7,7 +7,7 @@
 
 from yardbank.cluster.lease import LeaseTerms
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.lease.timing import long_lease, vote_time
+from yardbank.cluster.lease.timing import max_lease_duration, vote_time
 from yardbank.cluster.peers.parts import NullStore
 from yardbank.testing.rig.gossip import GossipFleet
 from yardbank.testing.rig.network import Effect, pairs_of
@@ -202,7 +202,7 @@
         fleet.run(fleet.now + 31 * SECOND)
     healed = fleet.now  # voters that start now are silent for a lease, and the rate limit is used up
     took = fleet.run_until(lambda: not fleet.unheld(resources), 20 * SECOND)
-    assert took is not None and took - healed <= 2 * long_lease(TERMS) + SECOND
+    assert took is not None and took - healed <= 2 * max_lease_duration(TERMS) + SECOND
     assert len(fleet.owned) > 2 * len(resources) and max(fleet.overlaps, default=0) <= TERMS.overlap
     fleet.run(fleet.now + 3 * SECOND)
     assert not fleet.unheld(resources)
@@ -212,7 +212,7 @@
     fleet = Fleet(200, 3)
     resources = [f"channel/{number}" for number in range(200)]
     acquire_all(fleet, resources, lambda number: [fleet.names[number], fleet.names[(number + 1) % 200]])
-    assert fleet.run_until(lambda: not fleet.unheld(resources), 2 * long_lease(TERMS)) is not None
+    assert fleet.run_until(lambda: not fleet.unheld(resources), 2 * max_lease_duration(TERMS)) is not None
     start = [node.outbox.octets for node in fleet.nodes.values()]
     assert max(start) < 24 * 1024
     fleet.run(fleet.now + 6 * SECOND)
@@ -224,7 +224,7 @@
     at, gone = fleet.now, fleet.unheld(resources)
     assert len(gone) > 50
     took = fleet.run_until(lambda: not fleet.unheld(resources), 20 * SECOND)
-    assert took is not None and took - at <= long_lease(TERMS) + TERMS.term // 8 + 2 * vote_time(TERMS)
+    assert took is not None and took - at <= max_lease_duration(TERMS) + TERMS.term // 8 + 2 * vote_time(TERMS)
     print(
         f"start: {max(start)} octets at most, {steady:.0f} a second; {len(gone)} lost, held again in {(took - at) / SECOND}"
     )
--- a/tests/cluster/lease/test_lease.py
+++ b/tests/cluster/lease/test_lease.py
@@ -8,7 +8,7 @@
 from yardbank.cluster.lease.epochs import BOOT_EPOCH_SHIFT
 from yardbank.cluster.lease.messages import LeaseRequest, LeaseTaken, encode
 from yardbank.cluster.lease.model_check.nodes import MemoryStore
-from yardbank.cluster.lease.timing import long_lease, short_overlap, vote_time
+from yardbank.cluster.lease.timing import max_lease_duration, min_overlap_duration, vote_time
 
 
 def test_lease_is_acquired_renewed_released_and_acquired_by_the_next_candidate():
@@ -40,7 +40,7 @@
     bus.cut.add("a")
     bus.run(TERMS.holding_time() + 1)
     assert bus.parts["a"].epoch(bus.now, R) is None  # expired on query, without a tick before
-    bus.run(long_lease(TERMS) - TERMS.holding_time() + TERMS.term // 8 + 2 * vote_time(TERMS))
+    bus.run(max_lease_duration(TERMS) - TERMS.holding_time() + TERMS.term // 8 + 2 * vote_time(TERMS))
     assert bus.holders() == ["b"]
 
 
@@ -77,7 +77,7 @@
     bus.parts["b"].acquire(bus.now, R)
     bus.flush()
     assert bus.holders() == ["a", "b"]
-    bus.now += short_overlap(TERMS)
+    bus.now += min_overlap_duration(TERMS)
     assert bus.holders() == ["b"]
     a.tick(bus.now)
     assert a.take_events("")[-1].why == "handed on, unanswered"
@@ -97,12 +97,12 @@
     bus.cut.add("a")
     for name in "bc":
         bus.parts[name].acquire(bus.now, R)
-        bus.run(long_lease(TERMS) + SECOND)
+        bus.run(max_lease_duration(TERMS) + SECOND)
         assert bus.holders() == [name]
         bus.parts[name].release(bus.now, R) if name == "b" else None
     bus.cut.clear()
     assert a.epoch(bus.now, R) is None and bus.parts["c"].epoch(bus.now, R) >= epoch + 2
-    bus.run(3 * long_lease(TERMS))
+    bus.run(3 * max_lease_duration(TERMS))
     assert bus.holders() == ["c"] and len(a.take_events("")) == 2 and len(a.take_log_events()) == 2
 
 
@@ -118,7 +118,7 @@
     bus.parts[new].acquire(bus.now, R)
     bus.flush()
     bus.cut |= {old, new}
-    bus.run(long_lease(TERMS) + TERMS.term // 8 + 2 * vote_time(TERMS))
+    bus.run(max_lease_duration(TERMS) + TERMS.term // 8 + 2 * vote_time(TERMS))
     assert bus.holders() == [third]
 
 
@@ -129,7 +129,7 @@
     bus.run(SECOND)
     assert bus.holders() == ["a"]
     bus.cut.add(names[-1])
-    bus.run(2 * long_lease(TERMS))
+    bus.run(2 * max_lease_duration(TERMS))
     assert bus.holders() == []  # a is stopped itself, or has no majority
 
 
@@ -150,7 +150,7 @@
     for number, resource in enumerate(resources):
         for more in (0, 7):
             bus.parts[f"g{(number + more) % 20}"].acquire(bus.now, resource)
-    bus.run(2 * long_lease(TERMS))
+    bus.run(2 * max_lease_duration(TERMS))
     assert all(len(bus.holders(resource)) == 1 for resource in resources)
     requests = sum(isinstance(message, LeaseRequest) for _, _, message in bus.said)
     assert requests < 100 * 2 * 3 * 20
@@ -168,7 +168,7 @@
     bus.start("c", keep=store)
     bus.cut.add("a")
     bus.parts["b"].acquire(bus.now, R)
-    bus.run(long_lease(TERMS) - 2)
+    bus.run(max_lease_duration(TERMS) - 2)
     assert bus.holders() in ([], ["a"])
     bus.run(SECOND)
     assert bus.holders() == ["b"]
@@ -183,7 +183,7 @@
     last, owner = 0, "a"
     for name, what in events:
         bus.parts[owner].acquire(bus.now, R)
-        bus.run(long_lease(TERMS) + SECOND)
+        bus.run(max_lease_duration(TERMS) + SECOND)
         epoch = bus.parts[owner].epoch(bus.now, R)
         assert epoch is not None and epoch > last
         last = epoch
@@ -200,12 +200,12 @@
     bus = Bus("abc")
     for name in "abc":
         bus.start(name, boot_epoch=1_800_000_000)
-    bus.run(long_lease(TERMS) + 1)
+    bus.run(max_lease_duration(TERMS) + 1)
     bus.parts["a"].acquire(bus.now, R)
     bus.run(SECOND)
     before = bus.parts["a"].epoch(bus.now, R)
     for name in "abc":
         bus.start(name, boot_epoch=1_800_000_001)
     bus.parts["c"].acquire(bus.now, R)
-    bus.run(2 * long_lease(TERMS))
+    bus.run(2 * max_lease_duration(TERMS))
     assert bus.parts["c"].epoch(bus.now, R) > before >= 1_800_000_000 << BOOT_EPOCH_SHIFT
--- a/tests/gateway/test_race_attempts.py
+++ b/tests/gateway/test_race_attempts.py
@@ -5,7 +5,7 @@
 from tests.support.delayed_gateway import COPY, LONE, Place, Scripted
 from tests.support.virtual_gateway import FakeConnection
 from yardbank.gateway import Reply
-from yardbank.gateway.api import BROKE_OPENING, MS, NotSentError
+from yardbank.gateway.api import LOST_DURING_CONNECT, MS, NotSentError
 from yardbank.interface import ClientCancelled, Fail, Outcome, Refuse, Send, SetTimer, Timer
 
 
@@ -14,7 +14,7 @@
     harness = Place()
     sink = harness.ask()
     if reopened:
-        harness.backend.waiting[0][2](BROKE_OPENING)
+        harness.backend.waiting[0][2](LOST_DURING_CONNECT)
     harness.gateway.leave(harness.number)
     assert harness.statuses() == ["moot"] and harness.told(Outcome)[0].closed
     assert [type(event) for event in harness.router.events[-2:]] == [ClientCancelled, Outcome]
--- a/tests/gateway/test_request_counters.py
+++ b/tests/gateway/test_request_counters.py
@@ -11,8 +11,8 @@
     LIMIT_POWER,
     ClassCounters,
     RequestCounters,
-    beyond,
     bucket_index,
+    bucket_upper_bound,
 )
 
 ANSWERS = st.tuples(
@@ -23,9 +23,9 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.integers(1 << FIRST_POWER, (1 << LIMIT_POWER) - 1), st.integers(0, 1 << 50))
 def test_bucket_bound_is_at_most_an_eighth_above_latency(ns, other):
-    assert ns < beyond(bucket_index(ns)) <= ns * 1.125 + 1
+    assert ns < bucket_upper_bound(bucket_index(ns)) <= ns * 1.125 + 1
     assert 0 <= bucket_index(other) < BUCKET_COUNT and (bucket_index(ns) <= bucket_index(other)) == (
-        beyond(bucket_index(ns)) <= beyond(bucket_index(other))
+        bucket_upper_bound(bucket_index(ns)) <= bucket_upper_bound(bucket_index(other))
     )
 
 
@@ -51,9 +51,9 @@
             ended_class is request_class and answer != "served" for ended_class, answer, _ in ends
         )
         if served:
-            assert class_counters.quantile(1.0) == beyond(bucket_index(served[-1])) and class_counters.quantile(
-                0.5
-            ) == beyond(bucket_index(served[(len(served) - 1) // 2]))
+            assert class_counters.quantile(1.0) == bucket_upper_bound(
+                bucket_index(served[-1])
+            ) and class_counters.quantile(0.5) == bucket_upper_bound(bucket_index(served[(len(served) - 1) // 2]))
         if earlier is not None:
             after = class_counters.since(earlier[request_class.name])
             assert sum(after.latencies) == sum(
--- a/tests/gateway/test_view.py
+++ b/tests/gateway/test_view.py
@@ -32,7 +32,7 @@
             12345 * MS,
         )
     for group in range(20):
-        router.selection.cautious_until[group] = 1 << 62
+        router.selection.load_probes_until[group] = 1 << 62
     for number in range(64):
         harness.gateway._attempts.failure_counts[
             f"error: a rather long reason that was seen once and number {number:02} of it"
@@ -48,7 +48,7 @@
     worst = router.servers[harness.gateway._endpoints.server_numbers["s-00000007"]]
     worst.silent = True
     router.servers[harness.gateway._endpoints.server_numbers["s-00000010"]].lag = 5000 * MS
-    router.shed["share"] += 3
+    router.shed_counts["share"] += 3
     view = harness.gateway.view()
     assert list(view["servers"]) == ["s-00000007", "s-00000010"]
     assert view["servers"]["s-00000007"]["silent"] and view["shed"] == {"share": 3}
--- a/tests/gateway/test_zone_latencies.py
+++ b/tests/gateway/test_zone_latencies.py
@@ -4,7 +4,7 @@
 
 from tests.support.virtual_gateway import SERVERS, FakeConnection, Place
 from yardbank.gateway import ServerSpec
-from yardbank.gateway.api import BROKE_OPENING, MS, ProbeResult
+from yardbank.gateway.api import LOST_DURING_CONNECT, MS, ProbeResult
 from yardbank.interface import ZoneLatencies
 
 
@@ -44,7 +44,7 @@
     seen = recorded_latencies(harness)
     harness.backend.mode = "slow"
     harness.gateway.ask("c", lambda *args: None)
-    harness.backend.waiting[0][2](BROKE_OPENING)
+    harness.backend.waiting[0][2](LOST_DURING_CONNECT)
     server, ready, lost = harness.backend.waiting[1]
     ready(FakeConnection(harness.backend, server, lost))
     assert [kind for *_, kind in seen] == ["probe"]  # how long the second connect took is not known
--- a/tests/platform/test_server_links.py
+++ b/tests/platform/test_server_links.py
@@ -9,7 +9,7 @@
 
 from tests.support.platform import AUTHENTICATED, KINDS, READ, READY, WRITE, Backend, Log, row
 from yardbank.gateway import Call, Gateway, Limits, Reply, ServerSpec
-from yardbank.gateway.api import BROKE_OPENING, MS, SECOND
+from yardbank.gateway.api import LOST_DURING_CONNECT, MS, SECOND
 from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.deadlines import Deadlines
 from yardbank.gateway.positions import ClockPositions
@@ -155,7 +155,7 @@
 
 def test_a_connection_that_breaks_while_opening_is_opened_again_for_the_same_attempt():
     _, ends, backend, link = connecting_link()
-    backend.tries[0][1](BROKE_OPENING)
+    backend.tries[0][1](LOST_DURING_CONNECT)
     sent = []
     connection = SimpleNamespace(submit=lambda operation, receiver: sent.append(receiver) or 0, fit=lambda: True)
     backend.tries[1][0](connection)
@@ -164,7 +164,9 @@
     assert ends == ["ok"] and len(backend.tries) == 2
 
 
-@pytest.mark.parametrize("reasons", [["refused"], [BROKE_OPENING, BROKE_OPENING], [BROKE_OPENING, "refused"]])
+@pytest.mark.parametrize(
+    "reasons", [["refused"], [LOST_DURING_CONNECT, LOST_DURING_CONNECT], [LOST_DURING_CONNECT, "refused"]]
+)
 def test_a_connect_that_is_refused_or_breaks_twice_fails(reasons):
     _, ends, backend, link = connecting_link()
     for reason in reasons:
@@ -189,7 +191,7 @@
 
 # Guards against an attempt that waits until its deadline on a connection that was lost before the attempt was
 # registered with it.
-@pytest.mark.parametrize(("reason", "tries"), [("refused", 1), (BROKE_OPENING, 2), (None, 1)])
+@pytest.mark.parametrize(("reason", "tries"), [("refused", 1), (LOST_DURING_CONNECT, 2), (None, 1)])
 def test_attempts_and_probes_fail_at_once_if_their_connection_is_lost_while_opening(reason, tries):
     clock, ends, probed = Clock(), [], []
     backend = FailingBackend(reason)
@@ -213,7 +215,7 @@
 def test_a_second_connect_has_only_the_remaining_time():
     clock, ends, backend, _ = connecting_link()
     clock.advance(0.2)
-    backend.tries[0][1](BROKE_OPENING)
+    backend.tries[0][1](LOST_DURING_CONNECT)
     clock.advance(0.04)
     assert not ends
     clock.advance(0.02)
@@ -222,7 +224,7 @@
 
 def test_a_connection_that_ends_while_opening_is_reported_as_broken_unless_the_server_gave_a_reason():
     for octets, reason in (
-        (b"", BROKE_OPENING),
+        (b"", LOST_DURING_CONNECT),
         (pg.error("53300", "too many").encode(), "the server refused: 53300 too many"),
     ):
         lost = []
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -149,7 +149,10 @@
         world.ask(f"s{number}", "lookup", after=0)
         for send in world.of(Send):
             world.feed(ClientCancelled(send.id))
-    assert router.shed["share"] > 150 and (router.admission.recent_attempts, router.admission.recent_successes) == (
+    assert router.shed_counts["share"] > 150 and (
+        router.admission.recent_attempts,
+        router.admission.recent_successes,
+    ) == (
         40.0,
         0.0,
     )
--- a/tests/support/lease_bus.py
+++ b/tests/support/lease_bus.py
@@ -6,7 +6,7 @@
 from yardbank.cluster.lease.messages import decode
 from yardbank.cluster.lease.model_check.nodes import MembershipView
 from yardbank.cluster.lease.part import LeasePart
-from yardbank.cluster.lease.timing import long_lease
+from yardbank.cluster.lease.timing import max_lease_duration
 from yardbank.cluster.peers.parts import NullStore
 
 SECOND = 1_000_000_000
@@ -22,7 +22,7 @@
         for name in names:
             self.start(name)
         if not fresh:
-            self.run(long_lease(terms) + 1)
+            self.run(max_lease_duration(terms) + 1)
 
     def start(self, name, boot_epoch=None, keep=None):
         self.boot_epochs += 1
--- a/tests/support/soak_program.py
+++ b/tests/support/soak_program.py
@@ -46,7 +46,7 @@
     from yardbank.platform.connection import ClientConnection
 
     ClientConnection.present = lambda self: True
-    ClientConnection._withdraw = lambda self: None
+    ClientConnection._withdraw_requests = lambda self: None
 
 
 FAULTS = {
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -251,7 +251,7 @@
 
     def _figures(self) -> Metrics:
         from yardbank.cluster.rollout.metrics import of_gateway, resident
-        from yardbank.gateway.request_counters import beyond
+        from yardbank.gateway.request_counters import bucket_upper_bound
 
         promises = {
             kind.name: (
@@ -268,7 +268,7 @@
             memory = resident(Path("/proc/self/statm").read_text(encoding="ascii"), resource.getpagesize())
         except OSError:
             memory = 0
-        return of_gateway(self._gateway.request_counters.by_class, promises, beyond, memory)
+        return of_gateway(self._gateway.request_counters.by_class, promises, bucket_upper_bound, memory)
 
     def start(self) -> None:
         """Begin; the transport is up."""
--- a/yardbank/cluster/lease/claims.py
+++ b/yardbank/cluster/lease/claims.py
@@ -19,7 +19,7 @@
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.ownership_log import OwnershipLog
 from yardbank.cluster.lease.proposer import Proposer
-from yardbank.cluster.lease.timing import long_lease
+from yardbank.cluster.lease.timing import max_lease_duration
 from yardbank.cluster.lease.transfer_offers import TransferOffers
 
 MS = 1_000_000
@@ -61,7 +61,7 @@
         self._terms = terms
         self._electorate = electorate
         self._outbox = outbox
-        self.longest_lease = long_lease(terms)  # ns
+        self.longest_lease = max_lease_duration(terms)  # ns
         self.offers = TransferOffers(terms.overlap)
         self.log = OwnershipLog(name)
         self.proposer = Proposer(name, boot_epoch, terms, random, electorate, epochs, outbox, self.offers)
--- a/yardbank/cluster/lease/electorate.py
+++ b/yardbank/cluster/lease/electorate.py
@@ -19,7 +19,7 @@
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.messages import MAX_LISTS, LeaseRequest
 from yardbank.cluster.lease.quorum import majority, voters_of
-from yardbank.cluster.lease.timing import long_lease
+from yardbank.cluster.lease.timing import max_lease_duration
 
 ANNOUNCEMENTS_PER_TICK = 1
 MAX_CACHED = 4096  # resources whose voters are cached
@@ -75,7 +75,8 @@
     def __init__(self, name: str, terms: LeaseTerms) -> None:
         self.name = name
         self._terms = terms
-        self.longest_lease = long_lease(terms)  # ns; longer if the terms before this start allowed longer leases
+        # ns; longer if the terms before this start allowed longer leases
+        self.longest_lease = max_lease_duration(terms)
         self.hash = 0
         self.zones: dict[str, str] = {}
         self.older_lists: list[OlderList] = []  # still binding, newest first
--- a/yardbank/cluster/lease/holder.py
+++ b/yardbank/cluster/lease/holder.py
@@ -15,7 +15,7 @@
 from yardbank.cluster.lease.outbox import Outbox
 from yardbank.cluster.lease.ownership_log import OwnershipLog
 from yardbank.cluster.lease.proposer import Proposer
-from yardbank.cluster.lease.timing import short_overlap
+from yardbank.cluster.lease.timing import min_overlap_duration
 from yardbank.cluster.lease.transfer_offers import TransferOffers
 
 MAX_CLAIMS = 1024
@@ -57,7 +57,7 @@
         self._offers = offers
         self._log = log
         self._proposer = proposer
-        self._transfer_time = short_overlap(terms)
+        self._transfer_time = min_overlap_duration(terms)
         self.claims: dict[str, Claim] = {}
 
     def add(self, resource: str) -> Claim | None:
--- a/yardbank/cluster/lease/model_check/bugs.py
+++ b/yardbank/cluster/lease/model_check/bugs.py
@@ -46,7 +46,7 @@
 
 
 def _unlimited_transfer() -> Any:
-    return patch.object(holder, "short_overlap", lambda terms: terms.term)
+    return patch.object(holder, "min_overlap_duration", lambda terms: terms.term)
 
 
 BUGS: dict[str, tuple[str, Callable[[], Any]]] = {
--- a/yardbank/cluster/lease/timing.py
+++ b/yardbank/cluster/lease/timing.py
@@ -7,12 +7,12 @@
 from yardbank.cluster.lease.api import LeaseTerms
 
 
-def long_lease(terms: LeaseTerms) -> int:
+def max_lease_duration(terms: LeaseTerms) -> int:
     """A duration after which, by any clock, every grant given before has expired by every clock."""
     return math.ceil(terms.term * (1 + terms.drift) / (1 - terms.drift))
 
 
-def short_overlap(terms: LeaseTerms) -> int:
+def min_overlap_duration(terms: LeaseTerms) -> int:
     """A duration that, by any clock, is no longer than the overlap by any other clock."""
     return int(terms.overlap * (1 - terms.drift) / (1 + terms.drift))
 
--- a/yardbank/cluster/lease/voter.py
+++ b/yardbank/cluster/lease/voter.py
@@ -12,7 +12,7 @@
 from yardbank.cluster.lease.api import LeaseTerms
 from yardbank.cluster.lease.epochs import Epochs
 from yardbank.cluster.lease.messages import LeaseRequest, Release, SuccessorNotice, Verdict
-from yardbank.cluster.lease.timing import long_lease, vote_time
+from yardbank.cluster.lease.timing import max_lease_duration, vote_time
 
 MAX_RESOURCES = 4096
 MS = 1_000_000
@@ -56,7 +56,7 @@
 
     def begin(self, now: int, longest: int) -> None:
         """After a start: stay silent until all earlier promises have expired. ``longest``: the longest lease before."""
-        self.silent_until = now + max(longest, long_lease(self._terms))
+        self.silent_until = now + max(longest, max_lease_duration(self._terms))
 
     def decide(self, now: int, sender: str, request: LeaseRequest) -> Decision | None:
         """Decide on a request; None: it is late or a duplicate and gets no reply."""
--- a/yardbank/gateway/api.py
+++ b/yardbank/gateway/api.py
@@ -159,7 +159,7 @@
         """Close the connection gracefully."""
 
 
-BROKE_OPENING = "the connection broke while it was opening"
+LOST_DURING_CONNECT = "the connection broke while it was opening"
 
 
 class Backend(Protocol):
@@ -173,8 +173,8 @@
     ) -> Callable[[], None]:
         """Open a connection; returns a function that aborts it.
 
-        ``ready`` is called at most once, then ``lost`` exactly once. ``lost`` receives ``BROKE_OPENING`` if the peer
-        accepted the connection and then dropped it without a response, as opposed to refusing it.
+        ``ready`` is called at most once, then ``lost`` exactly once. ``lost`` receives ``LOST_DURING_CONNECT`` if
+        the peer accepted the connection and then dropped it without a response, as opposed to refusing it.
         """
 
     def describe(self, operation: Any) -> str:
--- a/yardbank/gateway/attempt_runner.py
+++ b/yardbank/gateway/attempt_runner.py
@@ -127,11 +127,11 @@
         self._events.handle(api.ClientCancelled(number))
         self._responder.withdraw(request)
 
-    def shorten(self, request: InFlightRequest, expires: int) -> None:
+    def shorten_deadline(self, request: InFlightRequest, expires: int) -> None:
         """Shorten the deadline of a request's attempts to ``expires`` (ns)."""
         for attempt in list(request.outstanding.values()):
             if attempt.link is not None:
-                attempt.link.shorten(attempt, expires)
+                attempt.link.shorten_deadline(attempt, expires)
 
     def cancel(self, action: api.Cancel, cause: api.Event) -> None:
         """Stop waiting for an attempt, if it is still outstanding."""
--- a/yardbank/gateway/connection_pool.py
+++ b/yardbank/gateway/connection_pool.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any
 
-from yardbank.gateway.api import BROKE_OPENING, Backend, Connection, Limits, ServerSpec
+from yardbank.gateway.api import LOST_DURING_CONNECT, Backend, Connection, Limits, ServerSpec
 from yardbank.gateway.attempt import Attempt
 from yardbank.gateway.deadlines import Deadlines
 from yardbank.gateway.slots import SlotAssignment, SlotTable
@@ -212,7 +212,7 @@
             return
         if pooled.timer is not None:
             self._deadlines.cancel(pooled.timer)
-        if pooled.connection is None and reason == BROKE_OPENING and self._slots.claim_reopen(number):
+        if pooled.connection is None and reason == LOST_DURING_CONNECT and self._slots.claim_reopen(number):
             self.open(number, pooled)
             return
         self._slots.remove(number)
--- a/yardbank/gateway/dial.py
+++ b/yardbank/gateway/dial.py
@@ -10,16 +10,16 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.python.failure import Failure
 
-from yardbank.gateway.api import BROKE_OPENING, ServerSpec
+from yardbank.gateway.api import LOST_DURING_CONNECT, ServerSpec
 
 Lost = Callable[[str], None]
 REACTOR_TIMEOUT_SECONDS = 30  # timeout of the reactor; the gateway's own connect timeout expires long before
 
 
 def connect_failure_reason(reason: Failure) -> str:
-    """Why a connection failed: ``BROKE_OPENING`` if it was reset or closed rather than refused."""
+    """Why a connection failed: ``LOST_DURING_CONNECT`` if it was reset or closed rather than refused."""
     broke = reason.check(ConnectionLost, ConnectionDone) or getattr(reason.value, "osError", None) == ECONNRESET
-    return BROKE_OPENING if broke else reason.getErrorMessage()
+    return LOST_DURING_CONNECT if broke else reason.getErrorMessage()
 
 
 class _ConnectionFactory(ClientFactory):
--- a/yardbank/gateway/gateway.py
+++ b/yardbank/gateway/gateway.py
@@ -250,7 +250,7 @@
         """
         self._attempts.leave(number)
 
-    def shorten(self, number: str, expires: int) -> None:
+    def shorten_deadline(self, number: str, expires: int) -> None:
         """Move the deadline of a request forward to ``expires`` (ns); a later time has no effect."""
         request = self._requests.get_open(number)
         if request is None or request.answering_attempt is not None or request.event is None:
@@ -259,7 +259,7 @@
             return
         request.event = replace(request.event, expires=expires)
         self._events.handle(api.Deadline(request.event))
-        self._attempts.shorten(request, expires)
+        self._attempts.shorten_deadline(request, expires)
 
     def stop(self, grace: int | None = None) -> Deferred[None]:
         """Accept no more requests; fires when all accepted ones are answered, at the latest after ``grace`` ns."""
--- a/yardbank/gateway/request_counters.py
+++ b/yardbank/gateway/request_counters.py
@@ -24,7 +24,7 @@
     return ((power - FIRST_POWER) << BUCKET_BITS) + (clamped >> (power - BUCKET_BITS)) - (1 << BUCKET_BITS)
 
 
-def beyond(index: int) -> int:
+def bucket_upper_bound(index: int) -> int:
     """Return the exclusive upper bound (ns) of a bucket."""
     power, offset = divmod(index, 1 << BUCKET_BITS)
     return ((1 << BUCKET_BITS) + offset + 1) << (power + FIRST_POWER - BUCKET_BITS)
@@ -50,7 +50,7 @@
         for index, count in enumerate(self.latencies):
             remaining -= count
             if count and remaining <= 0:
-                return beyond(index)
+                return bucket_upper_bound(index)
         return 0
 
     def since(self, earlier: ClassCounters) -> ClassCounters:
--- a/yardbank/gateway/server_link.py
+++ b/yardbank/gateway/server_link.py
@@ -125,7 +125,7 @@
         if pooled.connection is not None:
             self._write(pooled, attempt)
 
-    def shorten(self, attempt: Attempt, valid_until: int) -> None:
+    def shorten_deadline(self, attempt: Attempt, valid_until: int) -> None:
         """Move an attempt's deadline forward to ``valid_until`` (ns); a later time has no effect."""
         if attempt.ended or valid_until >= attempt.valid_until:
             return
--- a/yardbank/gateway/view.py
+++ b/yardbank/gateway/view.py
@@ -38,10 +38,10 @@
     suspicion = (
         100.0 * server.silent + 50.0 * (server.failures > 0) + 20.0 * (server.draining or server.overload_backoff > 0)
     )
-    reported_load = server.load if router.table.load_of(router.now, server) is not None else 0.0
+    known_load = server.load if router.table.reported_load(router.now, server) is not None else 0.0
     latency = server.latency_ratio if server.latency_ratio > FULL_LATENCY_RATIO else 0.0
     behind = 5.0 if server.lag > NOTABLE_LAG and not server.is_primary() else 0.0
-    return suspicion + 10.0 * (reported_load > 1.0) + behind + latency + len(server.in_flight) / max(server.limit, 1.0)
+    return suspicion + 10.0 * (known_load > 1.0) + behind + latency + len(server.in_flight) / max(server.limit, 1.0)
 
 
 def _totals(servers: list[Server], router: Router) -> dict[str, Any]:
@@ -69,7 +69,7 @@
     ranked = sorted(((_notability(server, router), name) for name, server in known.items()), reverse=True)
     notable = [name for weight, name in ranked[:MAX_SERVERS] if weight > 0]
     cautious_groups = [
-        name for name, number in groups.items() if router.selection.cautious_until.get(number, 0) > router.now
+        name for name, number in groups.items() if router.selection.load_probes_until.get(number, 0) > router.now
     ]
     primaries = [server for server in known.values() if server.is_primary()]
     return {
@@ -80,7 +80,7 @@
             round(router.admission.recent_successes, 1),
         ],
         "positions_ahead": router.sessions.positions_ahead,
-        "shed": {str(reason): count for reason, count in router.shed.items()},
+        "shed": {str(reason): count for reason, count in router.shed_counts.items()},
         "share": round(router.admission.admitted_share(), 2),  # share of requests that is admitted; 1 or more: all
         "looked_at_first": len(cautious_groups),
         "groups_looked_at": cautious_groups[:MAX_GROUPS],
--- a/yardbank/platform/backend.py
+++ b/yardbank/platform/backend.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from yardbank.gateway.api import (
-    BROKE_OPENING,
+    LOST_DURING_CONNECT,
     SECOND,
     Connection,
     NotSentError,
@@ -83,7 +83,7 @@
             return
         self._is_closed = True
         if not self._session.open and not self._session.broken:
-            reason = BROKE_OPENING
+            reason = LOST_DURING_CONNECT
         if (reply := self._session.ended()) is not None:
             self._deliver(reply)
         receiver, self._receiver = self._receiver, None
--- a/yardbank/platform/connection.py
+++ b/yardbank/platform/connection.py
@@ -85,19 +85,19 @@
         if received.output:
             self.transport.write(received.output)
         if self._session.client_left:
-            self._withdraw()
+            self._withdraw_requests()
         for command in received.expedited:
             if command.request is not None and command.operation is not None:
-                self.factory.gateway.shorten(command.request, command.operation.expires)
+                self.factory.gateway.shorten_deadline(command.request, command.operation.expires)
         self._advance()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008, N802
         """The client has disconnected: its open requests are withdrawn."""
         self._closing.on_event(Event.CONNECTION_LOST)
         self.factory.connection_lost(self)
-        self._withdraw()
+        self._withdraw_requests()
 
-    def _withdraw(self) -> None:
+    def _withdraw_requests(self) -> None:
         """Withdraws everything that the client waits for."""
         for command in self._session.leave():
             if command.request is not None:
@@ -166,7 +166,7 @@
             return
         self.factory.connection_state_changed(self, State.STUCK if self._writing_paused else self._session.state())
         if self._session.client_left:
-            self._withdraw()
+            self._withdraw_requests()
             self.close(b"")
             return
         if self.factory.stopping and not self._writing_paused:
@@ -238,7 +238,7 @@
         """Passes a command to the gateway, unless its client has disconnected meanwhile."""
         operation, gateway = command.operation, self.factory.gateway
         if operation is None or not self.present():
-            self._withdraw()
+            self._withdraw_requests()
             return
         statement, request_class = operation.statement, operation.statement.request_class
         call = Call(
--- a/yardbank/policy/router.py
+++ b/yardbank/policy/router.py
@@ -50,7 +50,7 @@
         self._timer_is_set = False
         self.requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, including those of requests already answered
-        self.shed: Counter[str] = Counter()  # number of requests given up by ``ShedReason``, for the log
+        self.shed_counts: Counter[str] = Counter()  # number of requests given up by ``ShedReason``, for the log
         self.connection_shortage_until = 0  # until when servers are assumed to be short of connections
         self.table = ServerTable(settings, self.random, self._emit)
         self.admission = Admission(settings, self.table, self.sweep_interval)
@@ -212,7 +212,7 @@
         if event.status in (Status.OK, Status.FULL) or timed_out:
             self.admission.record_attempt(self.now, in_time)
         if event.status in (Status.MISS, Status.FULL, Status.TIMEOUT) or (is_ok and not in_time):
-            self.selection.be_cautious(self.now, server.group)
+            self.selection.start_load_probes(self.now, server.group)
 
     def _finish_attempt(self, event: api.Outcome, attempt: Attempt) -> None:
         """Finish or reroute an attempt's request; a write's answer sets its session's token."""
@@ -247,7 +247,7 @@
         self._cancel_lost(server)
         for attempt in server.in_flight.values():
             if self.now - attempt.sent_at > attempt.pending.request_class.latency_objective:
-                self.selection.be_cautious(self.now, server.group)  # it has certainly missed its objective
+                self.selection.start_load_probes(self.now, server.group)  # it has certainly missed its objective
                 break
 
     def _sweep_waiting(self, pending: PendingRequest) -> None:
@@ -307,7 +307,7 @@
         """Whether a server's load must be known first and a probe for it is in flight."""
         if not self.selection.needs_load_probe(self.now, server, pending):
             return False
-        return self.table.load_of(self.now, server) is None and self.table.probe(self.now, server)
+        return self.table.reported_load(self.now, server) is None and self.table.probe(self.now, server)
 
     def _send(self, pending: PendingRequest, server: Server) -> None:
         self.queue.remove(pending)
@@ -337,7 +337,7 @@
 
     def _give_up(self, pending: PendingRequest, reason: ShedReason) -> None:
         """Give the final answer now: a refusal if a retry is certainly harmless, otherwise a failure."""
-        self.shed[reason] += 1
+        self.shed_counts[reason] += 1
         self.requests.pop(pending.request.id, None)
         self.queue.remove(pending)
         request_class = pending.request_class
--- a/yardbank/policy/selection.py
+++ b/yardbank/policy/selection.py
@@ -40,11 +40,11 @@
         self._random = rng
         self._primary_classes = [c.name for c in settings.classes if c.read in api.NEEDS_PRIMARY]
         self._replica_classes = [c.name for c in settings.classes if c.read not in api.NEEDS_PRIMARY]
-        self.cautious_until: dict[int, int] = {}  # by group
+        self.load_probes_until: dict[int, int] = {}  # by group
 
-    def be_cautious(self, now: int, group: int) -> None:
+    def start_load_probes(self, now: int, group: int) -> None:
         """Probe a group's load before sending for a while, as its servers were late or did not answer."""
-        self.cautious_until[group] = now + CAUTION_PERIOD
+        self.load_probes_until[group] = now + CAUTION_PERIOD
 
     def cost(self, now: int, server: Server, primary: Server | None) -> float:
         """Return the expected wait of one more request at a server, as a latency ratio with jitter."""
@@ -82,13 +82,13 @@
         if not self._table.probes_before_sending:
             return False
         spills_to_primary = server.is_primary() and not pending.needs_primary
-        return spills_to_primary or now < self.cautious_until.get(pending.request.group, 0)
+        return spills_to_primary or now < self.load_probes_until.get(pending.request.group, 0)
 
     def is_overloaded(self, now: int, server: Server, pending: PendingRequest) -> bool:
         """Whether a server's load reserves it for requests of more weight; the share sent falls as the load rises."""
         if not self.needs_load_probe(now, server, pending):
             return False
-        load = self._table.load_of(now, server)
+        load = self._table.reported_load(now, server)
         if load is None:
             return False
         shedding_load = SHEDDING_LOAD
--- a/yardbank/policy/servers.py
+++ b/yardbank/policy/servers.py
@@ -280,7 +280,7 @@
             return None
         return latest
 
-    def load_of(self, now: int, server: Server) -> float | None:
+    def reported_load(self, now: int, server: Server) -> float | None:
         """Return a server's recently reported load, else that of one with its role in its group, else None."""
         if now - server.load_at < LOAD_MAX_AGE:
             return server.load
