--- a/tests/cluster/channels/test_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -19,9 +19,9 @@
     channel = found.channels[0]
     old = found.owner(channel)[0]
     part, now = found.running[old].part, found.gossip.own(old)
-    own = part.ownership.channels[channel]
-    new = part.ownership.succession.successors(channel, own, part.ownership.loads())[0]
-    assert part.ownership.transfers.begin(now, channel, own, new)
+    owner_state = part.ownership.channels[channel]
+    new = part.ownership.succession.successors(channel, owner_state, part.ownership.loads())[0]
+    assert part.ownership.transfers.begin(now, channel, owner_state, new)
     found.gossip.prompt(old)
     return channel, old, new
 
@@ -53,7 +53,7 @@
     found.gossip.resume(new)
     found.run(TERM + 2 * SECOND)
     assert found.all_owned() and OwnershipPhase.TRANSFERRING not in {
-        own.state for own in found.running[old].part.ownership.channels.values()
+        owner_state.phase for owner_state in found.running[old].part.ownership.channels.values()
     }
     sound(found)
 
@@ -195,10 +195,10 @@
 def test_odd_letters_change_nothing(body: bytes) -> None:
     found = fleet(3, 1)
     part = found.running["g0"].part
-    before = part.feed.known["notices-0"].epoch, part.members.changes
+    before = part.feed.known["notices-0"].epoch, part.members.revision
     try:
         part.receive(found.gossip.own("g0"), "g1", 1, body)
     except DroppedError:
         pass
-    assert (part.feed.known["notices-0"].epoch, part.members.changes) == before
+    assert (part.feed.known["notices-0"].epoch, part.members.revision) == before
     assert resource("notices-0") == "channel/notices-0"
--- a/tests/cluster/channels/test_fleet.py
+++ b/tests/cluster/channels/test_fleet.py
@@ -6,7 +6,7 @@
 
 from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels.api import Delivered
-from yardbank.cluster.channels.placement import bound
+from yardbank.cluster.channels.placement import load_bound
 from yardbank.testing.rig.network import Effect
 
 TERM = 3 * SECOND
@@ -29,7 +29,7 @@
 def test_a_fleet_that_starts_at_once_settles_with_one_move_a_channel_and_even_loads() -> None:
     found = fleet(12, 24, every=500 * MS)
     assert found.moved() <= 24 + 4  # nobody takes all at first
-    assert max(found.loads().values()) <= bound(24, 12)
+    assert max(found.loads().values()) <= load_bound(24, 12)
     found.run(10 * SECOND)
     sound(found)
     assert found.gaps() == []
@@ -114,7 +114,7 @@
     for name in victims:
         found.start(name)
     found.run(15 * SECOND)
-    assert found.all_owned() and max(found.loads().values()) <= bound(60, 16)
+    assert found.all_owned() and max(found.loads().values()) <= load_bound(60, 16)
     sound(found)
 
 
--- a/tests/cluster/channels/test_items.py
+++ b/tests/cluster/channels/test_items.py
@@ -9,10 +9,10 @@
 
 from yardbank.cluster.channels import placement, tree
 from yardbank.cluster.channels.api import MS, SECOND, Delivered, Gap
-from yardbank.cluster.channels.items import MAX_EARLY, REORDER_WAIT, Queue, Recent, Stream
+from yardbank.cluster.channels.items import MAX_OUT_OF_ORDER, REORDER_WAIT, ListenerQueue, RecentItems, Stream
 from yardbank.cluster.channels.members import Members
 from yardbank.cluster.channels.messages import InterestDigest, InterestQuery, InterestSet, Item
-from yardbank.cluster.channels.placement import Placement, bound, place, successors
+from yardbank.cluster.channels.placement import Placement, assign, load_bound, successors
 
 GIVEN = [(1, 5), (2, 3), (5, 4)]  # epochs, and how many items each had
 
@@ -44,7 +44,7 @@
 def test_in_order_once_and_what_is_missing_is_told(drawn) -> None:
     told, items, came, pauses = drawn
     stream, now = Stream("c"), SECOND
-    stream.heard(now, 1, 0, None)
+    stream.note_newest(now, 1, 0, None)
     for one, pause in zip(came, pauses):
         now += pause * MS
         stream.tick(now)
@@ -52,7 +52,7 @@
     for _ in range(20):
         now += REORDER_WAIT
         stream.tick(now)
-    assert not stream.waits() and not stream._early
+    assert not stream.is_waiting() and not stream._out_of_order
     places = [(one.epoch, one.sequence) for one in stream.out if isinstance(one, Item)]
     assert places == sorted(set(places))
     if not came:
@@ -91,32 +91,32 @@
 def test_what_waits_is_bounded_by_count() -> None:
     stream = Stream("c")
     stream.take(0, item(1, 1))
-    for sequence in range(3, MAX_EARLY + 10):
+    for sequence in range(3, MAX_OUT_OF_ORDER + 10):
         stream.take(1, item(1, sequence))
-    assert Gap("c", 1, 1) in stream.out and len(stream.out) > MAX_EARLY
+    assert Gap("c", 1, 1) in stream.out and len(stream.out) > MAX_OUT_OF_ORDER
 
 
 def test_the_newest_only_waits_for_nothing() -> None:
     stream = Stream("c", latest=True)
     for one in (item(1, 1), item(1, 5), item(1, 3), item(2, 9), item(1, 6)):
         stream.take(0, one)
-    stream.heard(0, 2, 10, None)
+    stream.note_newest(0, 2, 10, None)
     stream.take(0, item(2, 10))  # that it has been given out is known already: it is no less new
     assert [(one.epoch, one.sequence) for one in stream.out] == [(1, 1), (1, 5), (2, 9), (2, 10)]
 
 
 def test_recent_items_are_bounded_and_in_order() -> None:
-    recent = Recent()
+    recent = RecentItems()
     for sequence in range(1, 1000):
         recent.add(Item("c", 1, sequence, bytes(400), "g", 1))
-    kept = recent.beyond((0, 0), 10_000)
+    kept = recent.newer_than((0, 0), 10_000)
     assert sum(len(one.data) for one in kept) <= 64 * 1024 and kept[-1].sequence == 999
-    assert [one.sequence for one in recent.some(1, 990, 1 << 60)] == list(range(990, 1000))
+    assert [one.sequence for one in recent.between(1, 990, 1 << 60)] == list(range(990, 1000))
 
 
 @given(st.integers(2, 20), st.lists(st.booleans(), max_size=60))
 def test_a_slow_listener_loses_the_oldest_and_is_told_how_many(most: int, puts: list[bool]) -> None:
-    queue, taken, lost, number = Queue(most), [], 0, 0
+    queue, taken, lost, number = ListenerQueue(most), [], 0, 0
     for put in puts:
         if put:
             number += 1
@@ -142,8 +142,8 @@
     two.listed(dict.fromkeys(sorted(names, reverse=True), ""))
     orders = {f"c{number}": one.order(f"c{number}", names) for number in range(channels)}
     assert orders == {channel: two.order(channel, names) for channel in reversed(orders)}
-    most = bound(channels, gateways)
-    queues = place(orders, {}, most)
+    most = load_bound(channels, gateways)
+    queues = assign(orders, {}, most)
     assert all(sorted(queue) == sorted(names) for queue in queues.values())
     assert max(Counter(queue[0] for queue in queues.values()).values(), default=0) <= most
 
@@ -203,9 +203,9 @@
 
 def test_two_that_meet_know_of_each_other_by_few_letters_and_a_hash_that_does_not_fit_is_not_believed() -> None:
     one, two = Members("one"), Members("two")
-    one.here(["two"])
-    two.here(["one"])
-    one.change([f"own-{number}" for number in range(200)], ["x"])
+    one.set_present(["two"])
+    two.set_present(["one"])
+    one.set_own_interests([f"own-{number}" for number in range(200)], ["x"])
     assert [type(found) for found in two.on_interest_digest("one", 1, one.digest_for("two"))] == [
         InterestQuery,
         InterestDigest,
@@ -220,6 +220,6 @@
     assert two.on_interest_digest("one", 1, InterestDigest(1, 5, 0)) == [] and two.knows_interests(
         "one"
     )  # an earlier version
-    two.here([])
+    two.set_present([])
     assert not two.candidates("own-7")
-    assert placement.turns(["a", "b"], {"a": 1}, 1) == ["b", "a"]
+    assert placement.candidacy_order(["a", "b"], {"a": 1}, 1) == ["b", "a"]
--- a/tests/golden/test_golden_channels.py
+++ b/tests/golden/test_golden_channels.py
@@ -25,7 +25,7 @@
 def state(channel, epoch, sequence, age, owner, boot_epoch, after):
     place = after and tuple(after)
     return ChannelState(
-        channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, boot_epoch=boot_epoch, after=place
+        channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, boot_epoch=boot_epoch, previous_end=place
     )
 
 
@@ -37,7 +37,7 @@
         data=bytes.fromhex(data),
         owner=owner,
         boot_epoch=boot_epoch,
-        after=after and tuple(after),
+        previous_end=after and tuple(after),
     ),
     "heartbeat": lambda states: Heartbeat(states=tuple(state(*values) for values in states)),
     "subscribe": lambda channels: Subscribe(
@@ -52,10 +52,12 @@
     "end query": lambda channel, epoch: EndQuery(channel=channel, epoch=epoch),
     "handover": lambda channel: TransferNotice(channel=channel),
     "holder query": lambda channels: OwnerQuery(channels=tuple(channels)),
-    "interest digest": lambda number, own, other: InterestDigest(version=number, sets=own, yours=other),
-    "interest query": lambda digest: InterestQuery(sets=digest),
+    "interest digest": lambda number, own, other: InterestDigest(
+        version=number, interests_hash=own, receiver_hash=other
+    ),
+    "interest query": lambda digest: InterestQuery(interests_hash=digest),
     "interest set": lambda digest, part, parts, owns, follows: InterestSet(
-        sets=digest, part=part, parts=parts, owns=tuple(owns), follows=tuple(follows)
+        interests_hash=digest, part=part, parts=parts, owns=tuple(owns), follows=tuple(follows)
     ),
 }
 
@@ -71,5 +73,5 @@
     assert ChannelPart.topic == load("channels")["topic"]
     for owns, follows, digest in load("channels")["interests"]:
         members = Members("g1")
-        members.change(owns, follows)
+        members.set_own_interests(owns, follows)
         assert members.hash == digest
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -116,7 +116,7 @@
     take = Stream.take
 
     def both(self, now, item):
-        if not (new := take(self, now, item)) and item.epoch == self.place[0]:
+        if not (new := take(self, now, item)) and item.epoch == self.position[0]:
             self.out.append(item)
         return new
 
--- a/yardbank/cluster/channels/__init__.py
+++ b/yardbank/cluster/channels/__init__.py
@@ -1,7 +1,8 @@
-"""Named live feeds, each carried by one gateway for the whole fleet. Deciders without I/O, and one thin shell.
+"""Named live feeds, each published by one gateway for the whole fleet.
 
-Who carries a channel holds its lease; who follows takes items by epoch and sequence. Off unless the settings have a
-``channels`` block; the operators' platform never imports it.
+The gateway that holds a channel's lease owns it and publishes items; followers order items by epoch and sequence
+number. All modules except ``service`` and ``position_polling`` are free of I/O. The feature is off unless the settings
+have a ``channels`` block, and ``yardbank.platform`` never imports it.
 """
 
 from yardbank.cluster.channels.api import Delivered, Ended, Gap, Options, Owned
--- a/yardbank/cluster/channels/api.py
+++ b/yardbank/cluster/channels/api.py
@@ -1,42 +1,45 @@
-"""What users of channels see: options, and what happens to a channel here. Times in nanoseconds of one's own clock."""
+"""Public types of channels: options and events. Times are nanoseconds on the gateway's own clock."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 MS, SECOND = 1_000_000, 1_000_000_000
-PREFIX = "channel/"  # of a channel's resource
-MAX_DATA = 900  # octets of an item: it fits one datagram with its head
-MAX_CHANNELS = 512  # that one gateway would own or follows
+PREFIX = "channel/"  # of the lease resource of a channel
+MAX_DATA = 900  # octets of one item, so that it fits in one datagram together with its header
+MAX_CHANNELS = 512  # that one gateway owns, is a candidate for, or follows
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """How channels run; the same over the whole fleet."""
+    """How channels run; must be the same on all gateways of the fleet."""
 
-    fan_out: int = 4  # gateways that each forwards a feed to
-    most_queued: int = 1000  # items queued for a slow listener
-    every: int = 100 * MS  # between two polls by the positions' owner
-    alone_after: int = SECOND  # without positions for so long a gateway polls for itself again
-    term: int = 3 * SECOND  # of a lease
-    overlap: int = 500 * MS  # of two owners, at a planned transfer
-    rate: int = 64 * 1024  # octets of feeds that one gateway sends in a second
-    burst: int = 256 * 1024  # and at once
+    fan_out: int = 4  # gateways to which each gateway forwards a feed
+    most_queued: int = 1000  # items queued for a slow listener before the oldest are dropped
+    every: int = 100 * MS  # interval at which the owner of a positions channel polls the servers
+    alone_after: int = SECOND  # without positions for this long, a gateway polls the servers itself
+    term: int = 3 * SECOND  # lease term
+    overlap: int = 500 * MS  # time for which both owners may be active during a planned transfer
+    rate: int = 64 * 1024  # octets of feeds that one gateway sends per second
+    burst: int = 256 * 1024  # octets of feeds that one gateway sends in one burst
 
     def __post_init__(self) -> None:
         times = min(self.every, self.alone_after, self.term, self.overlap)
         if times <= 0 or self.fan_out < 2 or min(self.most_queued, self.rate, self.burst) < 1:
-            raise ValueError(f"options of channels do not fit together: {self}")
+            raise ValueError(f"channel options are out of range or inconsistent: {self}")
 
     @property
     def heartbeat(self) -> int:
-        """Between two heartbeats of an owner to its heirs and children, ns."""
+        """Interval between an owner's heartbeats to its standbys and children, in ns."""
         return max(20 * MS, min(500 * MS, self.term // 6))
 
 
 @dataclass(slots=True, frozen=True)
 class Delivered:
-    """An item of a channel that is followed here: in order, each once. ``owner`` and ``boot_epoch``: who carried it."""
+    """An item of a followed channel; items arrive in order, each once.
+
+    ``owner`` and ``boot_epoch`` identify the gateway process that published it.
+    """
 
     channel: str
     epoch: int
@@ -48,7 +51,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Gap:
-    """Items are missing before the next one of ``epoch``. ``missing``: how many; None: perhaps some, nobody knows."""
+    """Items before the next one of ``epoch`` are missing.
+
+    ``missing`` is their number; None means that some may be missing but the number is unknown.
+    """
 
     channel: str
     epoch: int
@@ -57,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Owned:
-    """This gateway owns the channel from now on."""
+    """This gateway has become the owner of the channel."""
 
     channel: str
     epoch: int
@@ -65,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """It owns it no longer, and why."""
+    """This gateway has stopped being the owner, with the reason."""
 
     channel: str
     epoch: int
@@ -76,5 +82,5 @@
 
 
 def resource(channel: str) -> str:
-    """The name under which a channel is leased."""
+    """Returns the lease resource name of a channel."""
     return PREFIX + channel
--- a/yardbank/cluster/channels/channel_table.py
+++ b/yardbank/cluster/channels/channel_table.py
@@ -1,7 +1,7 @@
-"""The channels that this gateway would own, and the phase of each. No I/O; times (ns) come in.
+"""The channels that this gateway owns or would own, and the phase of each. No I/O; times are passed in (ns).
 
-Owns all ``OwnerState``; phases change through ``move`` alone, so the sets kept beside them always agree. Its bound is
-``MAX_CHANNELS``, which ``ChannelPart`` checks.
+The table owns every ``OwnerState``. Phases change only through ``move``, which keeps the derived sets consistent. The
+number of channels is bounded by ``MAX_CHANNELS``, which ``ChannelPart`` checks.
 """
 
 from __future__ import annotations
@@ -9,58 +9,62 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from yardbank.cluster.channels.outgoing import Known
+from yardbank.cluster.channels.outgoing import KnownChannel
 from yardbank.cluster.channels.states import CHANGING, LEASED, OwnershipPhase, OwnerState
 
 
 class ChannelTable:
-    """Phases by channel. ``stopping``: this gateway is about to end and takes no channel any more."""
+    """Phases by channel. ``stopping`` is set while this gateway shuts down; it then takes no more channels."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.channels: dict[str, OwnerState] = {}
         self.stopping = False
-        self.moves: Counter[tuple[OwnershipPhase, OwnershipPhase]] = Counter()  # of ``states.TABLE``
+        self.moves: Counter[tuple[OwnershipPhase, OwnershipPhase]] = Counter()  # by (old, new), see ``TRANSITIONS``
         self._changing: set[str] = set()
         self._leased: set[str] = set()
 
-    def move(self, now: int, channel: str, own: OwnerState, phase: OwnershipPhase) -> None:
-        """Enter a phase, and count the change."""
-        self.moves[own.state, phase] += 1
-        own.state = phase
-        own.at = now
-        _mark(self._changing, channel, phase in CHANGING)
-        _mark(self._leased, channel, phase in LEASED)
+    def move(self, now: int, channel: str, owner_state: OwnerState, new_phase: OwnershipPhase) -> None:
+        """Change a channel's phase and count the transition."""
+        self.moves[owner_state.phase, new_phase] += 1
+        owner_state.phase = new_phase
+        owner_state.phase_since = now
+        _mark(self._changing, channel, new_phase in CHANGING)
+        _mark(self._leased, channel, new_phase in LEASED)
 
     def forget(self, channel: str) -> None:
-        """It is of no interest any more."""
+        """Remove a channel that this gateway no longer wants to own."""
         self.channels.pop(channel, None)
         self._changing.discard(channel)
         self._leased.discard(channel)
 
     def changing(self) -> list[str]:
-        """Channels of which something is to happen soon, by name."""
+        """Channels in a transient phase, sorted by name."""
         return sorted(self._changing)
 
     def changing_count(self) -> int:
-        """How many these are."""
+        """Number of channels in a transient phase."""
         return len(self._changing)
 
     def leased(self) -> list[str]:
-        """Channels that are owned here, or about to be, by name."""
+        """Channels whose lease this gateway holds, sorted by name."""
         return sorted(self._leased)
 
     def owned(self) -> list[tuple[str, OwnerState]]:
         """Channels owned here that are not being transferred."""
-        return [(channel, own) for channel, own in self.channels.items() if own.state == OwnershipPhase.OWNER]
+        return [
+            (channel, owner_state)
+            for channel, owner_state in self.channels.items()
+            if owner_state.phase == OwnershipPhase.OWNER
+        ]
 
     def transferring_count(self) -> int:
-        """How many channels are being transferred to successors."""
-        return sum(own.state == OwnershipPhase.TRANSFERRING for own in self.channels.values())
+        """Number of channels being transferred to successors."""
+        return sum(owner_state.phase == OwnershipPhase.TRANSFERRING for owner_state in self.channels.values())
 
-    def loads(self, known: Iterable[Known]) -> Counter[str]:
-        """How many channels each gateway owns, as far as is known here."""
-        found = Counter(one.owner for one in known if not one.over)
+    def loads(self, known: Iterable[KnownChannel]) -> Counter[str]:
+        """Number of channels that each gateway owns, as far as this gateway knows."""
+        found = Counter(one.owner for one in known if not one.ended)
         found[self.name] = len(self._leased)
         return found
 
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -1,7 +1,8 @@
-"""When a gateway becomes a candidate for a channel without an owner. No I/O; times (ns) come in.
+"""When this gateway becomes a candidate for a channel without an owner. No I/O; times are passed in (ns).
 
-Safety is the lease's. Candidates come one after another by rank: the first by placement as soon as the owner is silent,
-the others later. So a fleet that starts at once, or loses many owners, does not request all leases at the same time.
+Safety comes from the lease alone. Candidates take turns by rank: the first in placement order requests the lease as
+soon as the owner counts as silent, the others later. This keeps a fleet that starts all at once, or loses many owners,
+from requesting all leases at the same time.
 """
 
 from __future__ import annotations
@@ -17,25 +18,27 @@
 from yardbank.cluster.channels.members import Members
 from yardbank.cluster.channels.placement import Placement
 from yardbank.cluster.channels.states import NOT_REQUESTED, OwnershipPhase, OwnerState
-from yardbank.cluster.channels.succession import DIRECT_HEIRS
+from yardbank.cluster.channels.succession import DIRECT_STANDBYS
 from yardbank.cluster.lease.api import Leases
 from yardbank.cluster.peers.parts import MembershipView
 
-CANDIDACY_STEP = 300 * MS  # between the candidacies of two ranks
-FAR_RANK_DELAY = 1500 * MS  # beyond the heirs: they hear the owner over the tree, so they wait longer for its heartbeat
-MAX_RANK = 12  # beyond, all wait alike
-STARTUP_PERIOD = 15 * SECOND  # so long after a start whom nothing is known of counts as a candidate too
-MAX_CANDIDACIES = 8  # at a time
-PATIENCE = 2  # leases: how long one is a candidate
-MISSED_HEARTBEATS = 3  # after so many an owner counts as silent
+CANDIDACY_RANK_DELAY = 300 * MS  # delay between the candidacies of two consecutive ranks
+# Extra delay of candidates that are not standbys: they hear the owner's heartbeats only through the tree, which takes
+# longer.
+NON_STANDBY_DELAY = 1500 * MS
+MAX_CANDIDACY_RANK = 12  # higher ranks all wait equally long
+STARTUP_PERIOD = 15 * SECOND  # in which gateways whose interests are unknown count as candidates
+MAX_CANDIDACIES = 8  # channels being acquired or transferred at a time
+MAX_CANDIDACY_TERMS = 2  # lease terms after which an unsuccessful candidacy ends
+MISSED_HEARTBEATS = 3  # after which an owner counts as silent
 
 
 @dataclass(slots=True, frozen=True)
-class Orphans:
-    """Channels without an owner for which the first rank is due."""
+class OwnerlessChannels:
+    """Channels without an owner for which the first-ranked candidate is due."""
 
-    candidates: dict[str, list[str]]  # by channel, the best first
-    most: int  # channels that one gateway may have
+    candidates: dict[str, list[str]]  # by channel, best first
+    max_per_gateway: int  # limit on the channels of one gateway
 
 
 class Election:
@@ -60,106 +63,108 @@
         self._feed = feed
         self._options = options
         self._random = random
-        self._began = 0  # when the first channel became of interest; 0: none has
+        self._started_at = 0  # when the first channel was added; 0: none yet
 
-    def begin(self, now: int) -> None:
-        """A channel is of interest."""
-        self._began = self._began or now
+    def channel_added(self, now: int) -> None:
+        """Record when the first channel was added."""
+        self._started_at = self._started_at or now
 
-    def stand(self, now: int, channel: str, own: OwnerState) -> None:
-        """Request the lease."""
+    def become_candidate(self, now: int, channel: str, owner_state: OwnerState) -> None:
+        """Request the lease of a channel."""
         self._leases.acquire(now, resource(channel))
-        self._table.move(now, channel, own, OwnershipPhase.CANDIDATE)
+        self._table.move(now, channel, owner_state, OwnershipPhase.CANDIDATE)
 
-    def end_hopeless(self, now: int) -> None:
-        """Give up candidacies for channels that others took, or that lasted too long."""
+    def withdraw_candidacies(self, now: int) -> None:
+        """End candidacies for channels that another gateway took, or that have lasted too long."""
         for channel in self._table.changing():
-            own = self._table.channels[channel]
-            if own.state != OwnershipPhase.CANDIDATE:
+            owner_state = self._table.channels[channel]
+            if owner_state.phase != OwnershipPhase.CANDIDATE:
                 continue
-            taken = self._taken(channel, own)
-            expired = now - own.at > self._patience(own)
-            if not ((taken and not own.source) or expired or self._table.stopping):
+            owner_appeared = self._owner_appeared(channel, owner_state)
+            expired = now - owner_state.phase_since > self._candidacy_timeout(owner_state)
+            if not ((owner_appeared and not owner_state.offered_by) or expired or self._table.stopping):
                 continue
             self._leases.release(now, resource(channel))
-            own.source = ""
-            own.not_before = now
-            if not taken:
-                own.not_before += round(self._random.uniform(0.2, 1) * self._options.term)
-            self._table.move(now, channel, own, OwnershipPhase.IDLE)
+            owner_state.offered_by = ""
+            owner_state.no_candidacy_before = now
+            if not owner_appeared:
+                owner_state.no_candidacy_before += round(self._random.uniform(0.2, 1) * self._options.term)
+            self._table.move(now, channel, owner_state, OwnershipPhase.IDLE)
 
-    def _taken(self, channel: str, own: OwnerState) -> bool:
+    def _owner_appeared(self, channel: str, owner_state: OwnerState) -> bool:
         """Whether another owner was heard since the candidacy began."""
         known = self._feed.known.get(channel)
-        if known is None or known.over:
+        if known is None or known.ended:
             return False
-        return known.owner != self._membership_view.name and known.heard_at > own.at
+        return known.owner != self._membership_view.name and known.heard_at > owner_state.phase_since
 
-    def _patience(self, own: OwnerState) -> int:
-        if own.source:
+    def _candidacy_timeout(self, owner_state: OwnerState) -> int:
+        if owner_state.offered_by:
             return self._options.overlap * 2
-        return self._options.term * PATIENCE
+        return self._options.term * MAX_CANDIDACY_TERMS
 
     def replace_silent_owners(self, now: int, loads: Counter[str]) -> None:
-        """Stand for channels without an owner, once this gateway's rank is due."""
-        orphans = self._orphans(now)
-        for channel, queue in placing.place(orphans.candidates, loads, orphans.most).items():
-            if self._membership_view.name not in queue:
+        """Become a candidate for channels without an owner once this gateway's rank is due."""
+        ownerless = self._ownerless_channels(now)
+        for channel, ranking in placing.assign(ownerless.candidates, loads, ownerless.max_per_gateway).items():
+            if self._membership_view.name not in ranking:
                 continue
-            own = self._table.channels[channel]
-            if own.state == OwnershipPhase.IDLE:
-                self._table.move(now, channel, own, OwnershipPhase.WAITING)
-            own.candidacy_at = self._candidacy_time(channel, own, queue.index(self._membership_view.name))
-            if now >= own.candidacy_at and self._table.changing_count() < MAX_CANDIDACIES:
-                self.stand(now, channel, own)
-
-    def _orphans(self, now: int) -> Orphans:
-        strangers: frozenset[str] = frozenset()
-        if now < self._began + STARTUP_PERIOD:  # at a start nobody knows who else there is
-            strangers = self._members.strangers(self._membership_view.zones())
+            owner_state = self._table.channels[channel]
+            if owner_state.phase == OwnershipPhase.IDLE:
+                self._table.move(now, channel, owner_state, OwnershipPhase.WAITING)
+            owner_state.candidacy_at = self._candidacy_time(
+                channel, owner_state, ranking.index(self._membership_view.name)
+            )
+            if now >= owner_state.candidacy_at and self._table.changing_count() < MAX_CANDIDACIES:
+                self.become_candidate(now, channel, owner_state)
+
+    def _ownerless_channels(self, now: int) -> OwnerlessChannels:
+        unknown_gateways: frozenset[str] = frozenset()
+        if now < self._started_at + STARTUP_PERIOD:  # at startup no gateway knows the interests of the others yet
+            unknown_gateways = self._members.unknown_gateways(self._membership_view.zones())
         found: dict[str, list[str]] = {}
-        most = 1
-        for channel, own in self._table.channels.items():
-            if own.state not in NOT_REQUESTED:
+        max_per_gateway = 1
+        for channel, owner_state in self._table.channels.items():
+            if owner_state.phase not in NOT_REQUESTED:
                 continue
-            if not self._silent(now, channel):
-                if own.state == OwnershipPhase.WAITING:
-                    self._table.move(now, channel, own, OwnershipPhase.IDLE)
+            if not self._owner_is_silent(now, channel):
+                if owner_state.phase == OwnershipPhase.WAITING:
+                    self._table.move(now, channel, owner_state, OwnershipPhase.IDLE)
                 continue
-            if now >= self._candidacy_time(channel, own, 0):
-                names = self._candidates(channel, strangers)
+            if now >= self._candidacy_time(channel, owner_state, 0):
+                names = self._candidates(channel, unknown_gateways)
                 found[channel] = self._placement.order(channel, names, self._members.followers(channel))
-                most = max(most, placing.bound(len(self._table.channels), len(names)))
-        return Orphans(found, most)
+                max_per_gateway = max(max_per_gateway, placing.load_bound(len(self._table.channels), len(names)))
+        return OwnerlessChannels(found, max_per_gateway)
 
-    def _candidates(self, channel: str, strangers: frozenset[str]) -> frozenset[str]:
+    def _candidates(self, channel: str, unknown_gateways: frozenset[str]) -> frozenset[str]:
         names = self._members.candidates(channel)
         known = self._feed.known.get(channel)
         if known is None:
-            return names | strangers
-        if known.over:
+            return names | unknown_gateways
+        if known.ended:
             return names
         return names - {known.owner}
 
-    def _silent(self, now: int, channel: str) -> bool:
+    def _owner_is_silent(self, now: int, channel: str) -> bool:
         known = self._feed.known.get(channel)
-        if known is None or known.over:
+        if known is None or known.ended:
             return True
         return now - known.heard_at > MISSED_HEARTBEATS * self._options.heartbeat
 
-    def _candidacy_time(self, channel: str, own: OwnerState, rank: int) -> int:
-        """When the candidate of a rank stands."""
+    def _candidacy_time(self, channel: str, owner_state: OwnerState, rank: int) -> int:
+        """When the candidate of a rank requests the lease."""
         known = self._feed.known.get(channel)
         term = self._options.term
-        rank = min(rank, MAX_RANK)
-        if known is None:  # voters that have just started are silent for one lease
-            begin = own.since + term + SECOND
-        elif known.over:
-            begin = max(own.at, known.heard_at)
-        elif rank == 0:  # alone until the lease must be over: several that ask as it ends take votes from each other
-            begin = known.heard_at + MISSED_HEARTBEATS * self._options.heartbeat
-        elif rank < DIRECT_HEIRS:
-            begin = known.heard_at + term
+        rank = min(rank, MAX_CANDIDACY_RANK)
+        if known is None:  # voters that have just started do not vote for one lease term
+            earliest = owner_state.interested_since + term + SECOND
+        elif known.ended:
+            earliest = max(owner_state.phase_since, known.heard_at)
+        elif rank == 0:  # alone until the lease must have expired: requests made at that moment would split the vote
+            earliest = known.heard_at + MISSED_HEARTBEATS * self._options.heartbeat
+        elif rank < DIRECT_STANDBYS:
+            earliest = known.heard_at + term
         else:
-            begin = known.heard_at + term + FAR_RANK_DELAY
-        return max(begin + rank * CANDIDACY_STEP, own.not_before)
+            earliest = known.heard_at + term + NON_STANDBY_DELAY
+        return max(earliest + rank * CANDIDACY_RANK_DELAY, owner_state.no_candidacy_before)
--- a/yardbank/cluster/channels/items.py
+++ b/yardbank/cluster/channels/items.py
@@ -1,10 +1,10 @@
-"""One channel as one follower takes it: in order, each item once, what is missing told. No I/O; times (ns) come in.
+"""One channel as one follower receives it: in order, each item once, gaps reported. No I/O; times are passed in (ns).
 
-An item's place is (epoch, sequence). Places that were passed never come back, so an owner that was stopped and woken, a
-duplicate and a late datagram change nothing. Items that come early wait, few and not for long, for those before them;
-what has not come by then is told as a gap. Where an epoch ended is known only if its owner said so and the next one
-passed it on (``after``); then a planned handing on shows no gap. Otherwise "perhaps some" is told, with the first word
-of the next epoch.
+An item's position is (epoch, sequence). A position that was passed is never delivered again, so a former owner that was
+paused and resumes, a duplicate and a late datagram have no effect. Items that arrive out of order wait, bounded in
+number and time, for those before them; what is still missing then is reported as a gap. Where an epoch ended is known
+only if its owner said so and the next owner passed it on (``previous_end``); then a planned transfer shows no gap.
+Otherwise a gap of unknown size is reported as soon as anything of the next epoch arrives.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from yardbank.cluster.channels.api import MS, Delivered, Gap
 from yardbank.cluster.channels.messages import Item, ItemPosition
 
-REORDER_WAIT = 600 * MS  # so long the next item in order is waited for before it counts as a gap
-RETRANSMIT_INTERVAL = 60 * MS  # between two requests for the same items
-MAX_EARLY = 128  # items of a channel that wait for one before them
-RECENT, RECENT_OCTETS = 256, 64 * 1024  # kept of a channel, for those who missed some
+REORDER_WAIT = 600 * MS  # wait for the next item in order before it is reported as a gap
+RETRANSMIT_INTERVAL = 60 * MS  # interval between two requests for the same items
+MAX_OUT_OF_ORDER = 128  # items of a channel that wait for an earlier one
+MAX_RECENT_ITEMS, MAX_RECENT_OCTETS = 256, 64 * 1024  # kept per channel for retransmission
 
 
 @dataclass(slots=True, frozen=True)
 class Missing:
-    """Items that have not come; the last one included."""
+    """A range of items that have not arrived; ``last`` is included."""
 
     epoch: int
     first: int
@@ -31,205 +31,216 @@
 
 
 class Stream:
-    """What one follower received of a channel. ``latest``: only newer items count, none is waited for."""
+    """What one follower received of a channel. ``latest``: only newer items count, and missing ones are not awaited."""
 
     def __init__(self, channel: str, latest: bool = False) -> None:
         self.channel, self.latest = channel, latest
-        self.place: ItemPosition = (0, 0)  # of the last one delivered; (0, 0): none yet
+        self.position: ItemPosition = (0, 0)  # of the last item delivered; (0, 0): none yet
         self.out: list[Item | Gap] = []
-        self.doubled = self.overtaken = 0
-        self.seen = 0  # the highest epoch that was heard of
-        self._newest = 0  # the highest sequence that was heard of under it
-        self._early: dict[ItemPosition, Item] = {}
-        self._after: dict[int, ItemPosition] = {}  # by epoch: where the one before it ended
-        self._ends: ItemPosition | None = None  # where an epoch ends, as its owner said
-        self._waits_since = 0
-        self._asked_at = -RETRANSMIT_INTERVAL
+        self.duplicates = self.outdated = 0
+        self.highest_epoch = 0  # the highest epoch known
+        self._highest_sequence = 0  # the highest sequence known of that epoch
+        self._out_of_order: dict[ItemPosition, Item] = {}
+        self._previous_ends: dict[int, ItemPosition] = {}  # by epoch: where the previous epoch ended
+        self._announced_end: ItemPosition | None = None  # the end of an epoch as its owner announced it
+        self._waiting_since = 0
+        self._requested_at = -RETRANSMIT_INTERVAL
 
     def take(self, now: int, item: Item) -> bool:
-        """An item came, from whomever; whether it is new here."""
-        place = item.epoch, item.sequence
-        if place <= self.place or place in self._early:
-            self.doubled += 1
+        """Handle an item from any sender; returns whether it is new here."""
+        position = item.epoch, item.sequence
+        if position <= self.position or position in self._out_of_order:
+            self.duplicates += 1
             return False
-        if item.epoch < self.seen and not self._within(place):
-            self.overtaken += 1
+        if item.epoch < self.highest_epoch and not self._within_announced_end(position):
+            self.outdated += 1
             return False
-        if self.place == (0, 0):
-            self.place = item.epoch, item.sequence - 1  # following begins with what comes first
-        self._heard(item.epoch, item.sequence, item.after)
-        self._early[place] = item
+        if self.position == (0, 0):
+            self.position = item.epoch, item.sequence - 1  # the first item received is the start of the stream
+        self._update_newest(item.epoch, item.sequence, item.previous_end)
+        self._out_of_order[position] = item
         self._advance(now)
         return True
 
-    def heard(self, now: int, epoch: int, newest: int, after: ItemPosition | None) -> None:
-        """A heartbeat said which item is the newest."""
-        if self.place == (0, 0) and not self._early:
-            self.place = epoch, newest
-        self._heard(epoch, 0 if self.latest else newest, after)  # the newest itself is still to come
+    def note_newest(self, now: int, epoch: int, newest: int, previous_end: ItemPosition | None) -> None:
+        """A heartbeat reported the newest item."""
+        if self.position == (0, 0) and not self._out_of_order:
+            self.position = epoch, newest
+        # With ``latest`` the newest item must not count as outdated: it is still to arrive.
+        self._update_newest(epoch, 0 if self.latest else newest, previous_end)
         self._advance(now)
 
-    def ended(self, now: int, place: ItemPosition) -> None:
-        """The owner of an epoch said where it ended."""
-        if self._ends is None or place > self._ends:
-            self._ends = place
-        if self.place != (0, 0):
-            self.heard(now, *place, None)
+    def on_epoch_end(self, now: int, position: ItemPosition) -> None:
+        """The owner of an epoch reported where it ended."""
+        if self._announced_end is None or position > self._announced_end:
+            self._announced_end = position
+        if self.position != (0, 0):
+            self.note_newest(now, *position, None)
 
     def tick(self, now: int) -> None:
-        """What was waited for long enough is given up."""
+        """Give up items that have been missing for too long."""
         self._advance(now)
 
-    def waits(self) -> bool:
-        """Whether ``tick`` has something to do soon."""
-        return self._waits_since != 0
+    def is_waiting(self) -> bool:
+        """Whether ``tick`` will have something to do soon."""
+        return self._waiting_since != 0
 
     def missing(self, now: int) -> Missing | None:
-        """What to ask for now; the same is asked for again only after a while."""
-        if not self._waits_since:
+        """Items to request now; the same items are requested again only after ``RETRANSMIT_INTERVAL``."""
+        if not self._waiting_since:
             return None
-        if now < self._waits_since + RETRANSMIT_INTERVAL // 4:
-            return None  # most of what is missing has only been overtaken
-        if now < self._asked_at + RETRANSMIT_INTERVAL:
+        if now < self._waiting_since + RETRANSMIT_INTERVAL // 4:
+            return None  # most missing items are only reordered in transit
+        if now < self._requested_at + RETRANSMIT_INTERVAL:
             return None
-        epoch, sequence = self.place
-        known = [early[1] - 1 for early in self._early if early[0] == epoch]
-        last = min(known) if known else self._end_of(epoch)
-        self._asked_at = now
+        epoch, sequence = self.position
+        known = [pending[1] - 1 for pending in self._out_of_order if pending[0] == epoch]
+        last = min(known) if known else self._last_known_sequence(epoch)
+        self._requested_at = now
         return Missing(epoch, sequence + 1, last) if last > sequence else None
 
-    def _heard(self, epoch: int, newest: int, after: ItemPosition | None) -> None:
-        if after is not None and after[0] < epoch:
-            self._after[epoch] = after
-        if epoch > self.seen:
-            self.seen, self._newest = epoch, newest
-        elif epoch == self.seen:
-            self._newest = max(self._newest, newest)
-
-    def _within(self, place: ItemPosition) -> bool:
-        """Whether it is of the epoch being delivered, whose end is known and not reached yet."""
-        return place[0] == self.place[0] and place[1] <= self._told_end(place[0])
-
-    def _told_end(self, epoch: int) -> int:
-        """Where an epoch is said to have ended; 0: nobody said."""
-        told = [after[1] for after in self._after.values() if after[0] == epoch]
-        if self._ends is not None and self._ends[0] == epoch:
-            told.append(self._ends[1])
-        return max(told, default=0)
-
-    def _end_of(self, epoch: int) -> int:
-        """The highest sequence of an epoch that is known to have been given out; 0: none is known."""
-        return max(self._told_end(epoch), self._newest if epoch == self.seen else 0)
+    def _update_newest(self, epoch: int, newest: int, previous_end: ItemPosition | None) -> None:
+        if previous_end is not None and previous_end[0] < epoch:
+            self._previous_ends[epoch] = previous_end
+        if epoch > self.highest_epoch:
+            self.highest_epoch, self._highest_sequence = epoch, newest
+        elif epoch == self.highest_epoch:
+            self._highest_sequence = max(self._highest_sequence, newest)
+
+    def _within_announced_end(self, position: ItemPosition) -> bool:
+        """Whether it belongs to the epoch being delivered, whose announced end is not passed."""
+        return position[0] == self.position[0] and position[1] <= self._announced_end_of(position[0])
+
+    def _announced_end_of(self, epoch: int) -> int:
+        """The announced last sequence of an epoch; 0: none was announced."""
+        announced = [previous_end[1] for previous_end in self._previous_ends.values() if previous_end[0] == epoch]
+        if self._announced_end is not None and self._announced_end[0] == epoch:
+            announced.append(self._announced_end[1])
+        return max(announced, default=0)
+
+    def _last_known_sequence(self, epoch: int) -> int:
+        """The highest sequence of an epoch that is known to have been published; 0: none is known."""
+        return max(self._announced_end_of(epoch), self._highest_sequence if epoch == self.highest_epoch else 0)
 
     def _next_epoch(self) -> int:
-        """The lowest epoch beyond the present one that anything is known of."""
-        known = [epoch for epoch, _ in self._early if epoch > self.place[0]]
-        return min([*known, self.seen] if self.seen > self.place[0] else known, default=0)
+        """The lowest known epoch above the current one; 0: none."""
+        known = [epoch for epoch, _ in self._out_of_order if epoch > self.position[0]]
+        return min([*known, self.highest_epoch] if self.highest_epoch > self.position[0] else known, default=0)
 
     def _advance(self, now: int) -> None:
         while self._step(now):
             pass
-        if not self._behind():
-            self._waits_since = 0
-        elif not self._waits_since:
-            self._waits_since = now
-        if len(self._after) > 4:
-            for epoch in sorted(self._after)[:-4]:
-                del self._after[epoch]
-
-    def _behind(self) -> bool:
-        return bool(self._early) or self.seen > self.place[0] or self._end_of(self.place[0]) > self.place[1]
+        if not self._is_behind():
+            self._waiting_since = 0
+        elif not self._waiting_since:
+            self._waiting_since = now
+        if len(self._previous_ends) > 4:
+            for epoch in sorted(self._previous_ends)[:-4]:
+                del self._previous_ends[epoch]
+
+    def _is_behind(self) -> bool:
+        return (
+            bool(self._out_of_order)
+            or self.highest_epoch > self.position[0]
+            or self._last_known_sequence(self.position[0]) > self.position[1]
+        )
 
     def _step(self, now: int) -> bool:
-        """Pass one place, or one gap; whether that was possible."""
-        epoch, sequence = self.place
-        if (item := self._early.pop((epoch, sequence + 1), None)) is not None:
-            self.place = epoch, sequence + 1
+        """Advance by one item or one gap; returns whether that was possible."""
+        epoch, sequence = self.position
+        if (item := self._out_of_order.pop((epoch, sequence + 1), None)) is not None:
+            self.position = epoch, sequence + 1
             self.out.append(item)
-            self._waits_since = 0
+            self._waiting_since = 0
             return True
-        if not self._behind():
+        if not self._is_behind():
             return False
-        following = self._next_epoch()
-        joined = following and self._after.get(following, (0, 0))[0] == epoch
-        if joined and self._after[following][1] <= sequence:
-            self._enter(following)  # it was taken to its end
+        next_epoch = self._next_epoch()
+        end_is_known = next_epoch and self._previous_ends.get(next_epoch, (0, 0))[0] == epoch
+        if end_is_known and self._previous_ends[next_epoch][1] <= sequence:
+            self._start_epoch(next_epoch)  # the current epoch was delivered to its end
             return True
-        here = [early[1] for early in self._early if early[0] == epoch]
-        if following and not joined and not here:
-            return self._leap(following)
-        patient = not self.latest and len(self._early) <= MAX_EARLY
-        if patient and (not self._waits_since or now < self._waits_since + REORDER_WAIT):
+        pending_sequences = [pending[1] for pending in self._out_of_order if pending[0] == epoch]
+        if next_epoch and not end_is_known and not pending_sequences:
+            return self._skip_to_epoch(next_epoch)
+        may_wait = not self.latest and len(self._out_of_order) <= MAX_OUT_OF_ORDER
+        if may_wait and (not self._waiting_since or now < self._waiting_since + REORDER_WAIT):
             return False
-        self._waits_since = 0
-        to = min(here) - 1 if here else self._end_of(epoch)
-        if to <= sequence:
-            return self._leap(following) if following else False
-        return self._give_up(epoch, to)
-
-    def _give_up(self, epoch: int, to: int) -> bool:
-        self._gap(epoch, to - self.place[1])
-        self.place = epoch, to
+        self._waiting_since = 0
+        last_missing = min(pending_sequences) - 1 if pending_sequences else self._last_known_sequence(epoch)
+        if last_missing <= sequence:
+            return self._skip_to_epoch(next_epoch) if next_epoch else False
+        return self._skip_missing(epoch, last_missing)
+
+    def _skip_missing(self, epoch: int, last_missing: int) -> bool:
+        self._emit_gap(epoch, last_missing - self.position[1])
+        self.position = epoch, last_missing
         return True
 
-    def _leap(self, epoch: int) -> bool:
-        """On to an epoch of which nobody knows where the one before it ended."""
-        self._gap(epoch, None)
-        self._enter(epoch)
+    def _skip_to_epoch(self, epoch: int) -> bool:
+        """Continue with an epoch when the end of the one before it is not known."""
+        self._emit_gap(epoch, None)
+        self._start_epoch(epoch)
         return True
 
-    def _enter(self, epoch: int) -> None:
-        self.place = epoch, 0
-        self._waits_since = 0
-        for place in [place for place in self._early if place[0] < epoch]:
-            del self._early[place]
+    def _start_epoch(self, epoch: int) -> None:
+        self.position = epoch, 0
+        self._waiting_since = 0
+        for position in [position for position in self._out_of_order if position[0] < epoch]:
+            del self._out_of_order[position]
 
-    def _gap(self, epoch: int, missing: int | None) -> None:
+    def _emit_gap(self, epoch: int, missing: int | None) -> None:
         if not self.latest:
             self.out.append(Gap(self.channel, epoch, missing))
 
 
-class Recent:
-    """The last items of one channel, for those who missed some: at most ``RECENT``, and ``RECENT_OCTETS``."""
+class RecentItems:
+    """The last items of a channel, kept for retransmission.
+
+    At most ``MAX_RECENT_ITEMS``, and ``MAX_RECENT_OCTETS`` of data.
+    """
 
     def __init__(self) -> None:
         self._items: OrderedDict[ItemPosition, Item] = OrderedDict()
         self._octets = 0
 
     def add(self, item: Item) -> None:
-        """One more."""
+        """Add an item and drop the oldest beyond the bounds."""
         self._items[item.epoch, item.sequence] = item
         self._octets += len(item.data)
-        while len(self._items) > RECENT or self._octets > RECENT_OCTETS:
+        while len(self._items) > MAX_RECENT_ITEMS or self._octets > MAX_RECENT_OCTETS:
             _, oldest = self._items.popitem(last=False)
             self._octets -= len(oldest.data)
 
-    def some(self, epoch: int, first: int, last: int, most: int = 32) -> list[Item]:
-        """Those of a stretch that are still there, in order, the first ones if they are many."""
-        sequences = range(first, min(last, first + RECENT) + 1)
+    def between(self, epoch: int, first: int, last: int, max_items: int = 32) -> list[Item]:
+        """The kept items of a range, in order; at most ``max_items``, the first ones."""
+        sequences = range(first, min(last, first + MAX_RECENT_ITEMS) + 1)
         found = [item for sequence in sequences if (item := self._items.get((epoch, sequence))) is not None]
-        return found[:most]
+        return found[:max_items]
+
+    def newer_than(self, position: ItemPosition, max_items: int = 32) -> list[Item]:
+        """The kept items after a position, in order; at most ``max_items``."""
+        return [self._items[key] for key in sorted(key for key in self._items if key > position)[:max_items]]
 
-    def beyond(self, place: ItemPosition, most: int = 32) -> list[Item]:
-        """Those after a place, in order."""
-        return [self._items[key] for key in sorted(key for key in self._items if key > place)[:most]]
 
+class ListenerQueue:
+    """Items for one listener, at most ``max_items``.
 
-class Queue:
-    """Items for one listener, at most ``most``: beyond, the oldest are lost, and it is told how many."""
+    Beyond that the oldest are dropped, and the listener gets a gap with their number.
+    """
 
-    def __init__(self, most: int) -> None:
-        self._most, self._items = most, deque[Delivered | Gap]()
-        self.lost = 0  # of those, since ever
+    def __init__(self, max_items: int) -> None:
+        self._max_items, self._items = max_items, deque[Delivered | Gap]()
+        self.lost = 0  # items dropped since the start
 
     def put(self, one: Delivered | Gap) -> None:
-        """One more at the end."""
+        """Append an item or gap."""
         self._items.append(one)
-        while len(self._items) > max(2, self._most):
-            self._lose()
+        while len(self._items) > max(2, self._max_items):
+            self._merge_oldest()
 
-    def _lose(self) -> None:
-        """The two oldest become one gap."""
+    def _merge_oldest(self) -> None:
+        """Merge the two oldest entries into one gap."""
         first, second = self._items.popleft(), self._items.popleft()
         counts = [one.missing if isinstance(one, Gap) else 1 for one in (first, second)]
         self.lost += sum(isinstance(one, Delivered) for one in (first, second))
@@ -237,7 +248,7 @@
         self._items.appendleft(Gap(second.channel, second.epoch, None if unknown else sum(c or 0 for c in counts)))
 
     def take(self) -> Delivered | Gap | None:
-        """The oldest; None: nothing waits."""
+        """Remove and return the oldest entry; None if the queue is empty."""
         return self._items.popleft() if self._items else None
 
     def __len__(self) -> int:
--- a/yardbank/cluster/channels/members.py
+++ b/yardbank/cluster/channels/members.py
@@ -1,7 +1,8 @@
 """Which gateways would own which channels, and which follow them. No I/O.
 
-Each sends the others a hash of its interests itself, and on request what the hash stands for. Most have the same, so
-that one small message a pair is enough. Nobody speaks for another. Bound: ``MOST_PARTIAL`` incomplete sets.
+Each gateway sends the others a hash of its own interests, and on request the channels that the hash stands for. Most
+gateways have the same interests, so one small message per pair is enough. No gateway reports the interests of another.
+At most ``MAX_PARTIAL_SETS`` incomplete sets are kept.
 """
 
 from __future__ import annotations
@@ -14,23 +15,23 @@
 
 from yardbank.cluster.channels.messages import InterestDigest, InterestQuery, InterestSet, name_batches
 
-MOST_PARTIAL = 16  # sets of which some parts have come
+MAX_PARTIAL_SETS = 16  # sets of which only some parts have arrived
 
 
 @dataclass(slots=True)
-class _Interest:
+class _PeerDigest:
     boot_epoch: int
     version: int
-    sets: int
+    interests_hash: int
 
 
 @dataclass(slots=True, frozen=True)
-class _Channels:
+class _Interests:
     owns: frozenset[str] = frozenset()
     follows: frozenset[str] = frozenset()
 
 
-_NOBODY: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()
+_NO_GATEWAYS: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()
 
 
 def _hash(owns: Iterable[str], follows: Iterable[str]) -> int:
@@ -38,152 +39,155 @@
 
 
 class Members:
-    """Interests of all gateways of the list, as each sent them."""
+    """Interests of all listed gateways, as each reported them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.version, self.hash = 1, _hash((), ())
-        self.changes = 0  # rises whenever an answer of this may have changed
-        self._own = _Channels()
-        self._others: dict[str, _Interest] = {}
-        self._sets: dict[int, _Channels] = {self.hash: self._own}
+        self.revision = 0  # rises whenever a result of this class may have changed
+        self._own = _Interests()
+        self._peers: dict[str, _PeerDigest] = {}
+        self._interests_by_hash: dict[int, _Interests] = {self.hash: self._own}
         self._partial: dict[int, dict[int, InterestSet]] = {}
         self._present: frozenset[str] = frozenset()
-        self._wide: tuple[int, dict[str, tuple[frozenset[str], frozenset[str]]]] = -1, {}
+        self._index_cache: tuple[int, dict[str, tuple[frozenset[str], frozenset[str]]]] = -1, {}
 
     def listed(self, names: Collection[str]) -> None:
-        """Who is not in the list any more is forgotten."""
-        for name in self._others.keys() - set(names):
-            del self._others[name]
-        self.changes += 1
-
-    def change(self, owns: Iterable[str], follows: Iterable[str]) -> bool:
-        """The interests of this gateway; whether they changed."""
-        found = _Channels(frozenset(owns), frozenset(follows))
+        """Forget gateways that are no longer listed."""
+        for name in self._peers.keys() - set(names):
+            del self._peers[name]
+        self.revision += 1
+
+    def set_own_interests(self, owns: Iterable[str], follows: Iterable[str]) -> bool:
+        """Set the interests of this gateway; returns whether they changed."""
+        found = _Interests(frozenset(owns), frozenset(follows))
         if found == self._own:
             return False
         self._own, self.hash = found, _hash(found.owns, found.follows)
         self.version += 1
-        self.changes += 1
-        self._sets[self.hash] = found
-        self._tidy()
+        self.revision += 1
+        self._interests_by_hash[self.hash] = found
+        self._drop_unreferenced()
         return True
 
     def digest_for(self, to: str) -> InterestDigest:
         """The digest to send to another gateway."""
-        other = self._others.get(to)
-        return InterestDigest(self.version, self.hash, other.sets if other is not None else 0)
+        peer = self._peers.get(to)
+        return InterestDigest(self.version, self.hash, peer.interests_hash if peer is not None else 0)
 
     def on_interest_digest(
-        self, sender: str, boot_epoch: int, told: InterestDigest
+        self, sender: str, boot_epoch: int, digest: InterestDigest
     ) -> list[InterestDigest | InterestQuery]:
-        """A gateway sent its hash: the answers to it."""
-        other = self._others.get(sender)
-        if other is None or (boot_epoch, told.version) > (other.boot_epoch, other.version):
-            if other is None or other.sets != told.sets:
-                self.changes += 1
-            self._others[sender] = _Interest(boot_epoch, told.version, told.sets)
-        elif (boot_epoch, told.version) < (other.boot_epoch, other.version):
+        """Handle a gateway's digest; returns the replies."""
+        peer = self._peers.get(sender)
+        if peer is None or (boot_epoch, digest.version) > (peer.boot_epoch, peer.version):
+            if peer is None or peer.interests_hash != digest.interests_hash:
+                self.revision += 1
+            self._peers[sender] = _PeerDigest(boot_epoch, digest.version, digest.interests_hash)
+        elif (boot_epoch, digest.version) < (peer.boot_epoch, peer.version):
             return []
         found: list[InterestDigest | InterestQuery] = []
-        if told.sets not in self._sets:
-            found.append(InterestQuery(told.sets))
-        if told.yours != self.hash:
+        if digest.interests_hash not in self._interests_by_hash:
+            found.append(InterestQuery(digest.interests_hash))
+        if digest.receiver_hash != self.hash:
             found.append(self.digest_for(sender))
         return found
 
-    def on_interest_query(self, wanted: InterestQuery) -> list[InterestSet]:
-        """A gateway asks what a hash stands for: the answers."""
-        found = self._sets.get(wanted.sets)
+    def on_interest_query(self, query: InterestQuery) -> list[InterestSet]:
+        """Handle a query for the channels that a hash stands for; returns the replies."""
+        found = self._interests_by_hash.get(query.interests_hash)
         if found is None:
             return []
         owns, follows = name_batches(sorted(found.owns)), name_batches(sorted(found.follows))
         none: list[str] = []
         parts = [(some, none) for some in owns] + [(none, some) for some in follows] or [(none, none)]
         return [
-            InterestSet(wanted.sets, number, len(parts), tuple(own), tuple(follow))
+            InterestSet(query.interests_hash, number, len(parts), tuple(own), tuple(follow))
             for number, (own, follow) in enumerate(parts)
         ]
 
     def on_interest_set(self, part: InterestSet) -> None:
-        """A part of an answer; it counts once all parts are there and fit the hash."""
-        if part.sets in self._sets or part.part >= part.parts:
+        """Handle a part of a reply; the set is accepted once all parts are there and match the hash."""
+        if part.interests_hash in self._interests_by_hash or part.part >= part.parts:
             return
-        parts = self._partial.setdefault(part.sets, {})
+        parts = self._partial.setdefault(part.interests_hash, {})
         parts[part.part] = part
         if len(parts) == part.parts:
-            del self._partial[part.sets]
+            del self._partial[part.interests_hash]
             owns = frozenset(name for one in parts.values() for name in one.owns)
             follows = frozenset(name for one in parts.values() for name in one.follows)
-            if _hash(owns, follows) == part.sets:
-                self._sets[part.sets] = _Channels(owns, follows)
-                self._tidy()
-                self.changes += 1
-        elif len(self._partial) > MOST_PARTIAL:
+            if _hash(owns, follows) == part.interests_hash:
+                self._interests_by_hash[part.interests_hash] = _Interests(owns, follows)
+                self._drop_unreferenced()
+                self.revision += 1
+        elif len(self._partial) > MAX_PARTIAL_SETS:
             del self._partial[next(iter(self._partial))]
 
-    def _tidy(self) -> None:
-        """Keep only what somebody refers to."""
-        used = {self.hash, *(one.sets for one in self._others.values())}
-        self._sets = {key: value for key, value in self._sets.items() if key in used}
+    def _drop_unreferenced(self) -> None:
+        """Keep only sets that some gateway's digest refers to."""
+        used = {self.hash, *(one.interests_hash for one in self._peers.values())}
+        self._interests_by_hash = {key: value for key, value in self._interests_by_hash.items() if key in used}
 
-    def unknown(self, name: str) -> int:
-        """The hash that a gateway sent and that is not resolved yet; 0: none."""
-        other = self._others.get(name)
-        return other.sets if other is not None and other.sets not in self._sets else 0
+    def unresolved_hash(self, name: str) -> int:
+        """The hash that a gateway sent and whose channels are not known yet; 0: none."""
+        peer = self._peers.get(name)
+        return peer.interests_hash if peer is not None and peer.interests_hash not in self._interests_by_hash else 0
 
     def knows_interests(self, name: str) -> bool:
-        """Whether it is known what one is interested in."""
-        other = self._others.get(name)
-        return other is not None and other.sets in self._sets
+        """Whether the interests of a gateway are known."""
+        peer = self._peers.get(name)
+        return peer is not None and peer.interests_hash in self._interests_by_hash
 
-    def here(self, names: Iterable[str]) -> None:
-        """Who is there now, this gateway apart."""
+    def set_present(self, names: Iterable[str]) -> None:
+        """Set the gateways that are present, other than this one."""
         found = frozenset(names)
         if found != self._present:
             self._present = found
-            self.changes += 1
+            self.revision += 1
 
-    def strangers(self, names: Iterable[str]) -> frozenset[str]:
-        """Those of whom nothing is known yet: they may be candidates too."""
+    def unknown_gateways(self, names: Iterable[str]) -> frozenset[str]:
+        """Gateways whose interests are not known yet: they may be candidates too."""
         return frozenset(name for name in names if name != self.name and not self.knows_interests(name))
 
     def candidates(self, channel: str) -> frozenset[str]:
-        """Who of those that are there would carry it, this gateway perhaps among them."""
-        return self._index().get(channel, _NOBODY)[0]
+        """Present gateways that would own a channel, possibly including this one."""
+        return self._index().get(channel, _NO_GATEWAYS)[0]
 
     def followers(self, channel: str) -> frozenset[str]:
-        """Who of them takes its items: those that follow it, and those that would carry it."""
-        return self._index().get(channel, _NOBODY)[1]
+        """Present gateways that receive a channel's items: its followers and its candidates."""
+        return self._index().get(channel, _NO_GATEWAYS)[1]
 
     def channels(self) -> list[str]:
-        """All that somebody would carry."""
+        """All channels that some gateway would own."""
         return [channel for channel, (candidates, _) in self._index().items() if candidates]
 
     def _index(self) -> dict[str, tuple[frozenset[str], frozenset[str]]]:
-        """By channel: who would carry it, who takes it. Channels of the same gateways share the same sets."""
-        if self._wide[0] == self.changes:
-            return self._wide[1]
-        alike: dict[int, list[str]] = {self.hash: [self.name]}
-        for name, other in self._others.items():
-            if name in self._present and other.sets in self._sets:
-                alike.setdefault(other.sets, []).append(name)
-        carriers: dict[str, list[int]] = {}
-        takers: dict[str, list[int]] = {}
-        for key in alike:
-            channels = self._sets[key]
+        """Candidates and followers by channel. Channels of the same gateways share the same sets."""
+        if self._index_cache[0] == self.revision:
+            return self._index_cache[1]
+        names_by_hash: dict[int, list[str]] = {self.hash: [self.name]}
+        for name, peer in self._peers.items():
+            if name in self._present and peer.interests_hash in self._interests_by_hash:
+                names_by_hash.setdefault(peer.interests_hash, []).append(name)
+        candidate_hashes: dict[str, list[int]] = {}
+        follower_hashes: dict[str, list[int]] = {}
+        for key in names_by_hash:
+            channels = self._interests_by_hash[key]
             for channel in channels.owns:
-                carriers.setdefault(channel, []).append(key)
+                candidate_hashes.setdefault(channel, []).append(key)
             for channel in channels.owns | channels.follows:
-                takers.setdefault(channel, []).append(key)
+                follower_hashes.setdefault(channel, []).append(key)
         shared: dict[tuple[int, ...], frozenset[str]] = {}
 
         def names(keys: list[int]) -> frozenset[str]:
             known = tuple(keys)
             if known not in shared:
-                shared[known] = frozenset(name for key in known for name in alike[key])
+                shared[known] = frozenset(name for key in known for name in names_by_hash[key])
             return shared[known]
 
-        found = {channel: (names(carriers.get(channel, [])), names(keys)) for channel, keys in takers.items()}
-        self._wide = self.changes, found
+        found = {
+            channel: (names(candidate_hashes.get(channel, [])), names(keys))
+            for channel, keys in follower_hashes.items()
+        }
+        self._index_cache = self.revision, found
         return found
--- a/yardbank/cluster/channels/messages.py
+++ b/yardbank/cluster/channels/messages.py
@@ -1,7 +1,7 @@
-"""Messages about channels: MessagePack arrays whose first element names the kind. No I/O.
+"""Messages about channels: MessagePack arrays whose first element is the message tag. No I/O.
 
-Elements beyond those known here are ignored, so that a later version may add some. Tags and the order of fields are
-what crosses between versions and stay as they are.
+Additional elements at the end of an array are ignored, so later versions may add fields. Tags and the order of fields
+are shared between versions and must not change.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from yardbank.cluster.channels.api import MAX_DATA
 from yardbank.cluster.peers.datagram import DroppedError
 
-BATCH_OCTETS = 900  # of a message with many entries, approximately
+BATCH_OCTETS = 900  # approximate size of a message with many entries
 Entry = TypeVar("Entry")
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -25,7 +25,7 @@
 
 
 class Item(Struct, array_like=True, frozen=True, tag="item"):
-    """One item, as its owner made it. ``after``: where the owner before ended, if that is known."""
+    """One item as its owner published it. ``previous_end``: where the previous owner's epoch ended, if known."""
 
     channel: Name
     epoch: Number
@@ -33,11 +33,11 @@
     data: Annotated[bytes, Meta(max_length=MAX_DATA)]
     owner: Name
     boot_epoch: Number
-    after: ItemPosition | None = None
+    previous_end: ItemPosition | None = None
 
 
 class ChannelState(Struct, array_like=True, frozen=True):
-    """The newest that is known of a channel; ``age``: ms since its owner said something."""
+    """The newest known state of a channel. ``age``: ms since its owner was heard."""
 
     channel: Name
     epoch: Number
@@ -45,11 +45,11 @@
     age: Number
     owner: Name
     boot_epoch: Number
-    after: ItemPosition | None = None
+    previous_end: ItemPosition | None = None
 
 
 class Heartbeat(Struct, array_like=True, frozen=True, tag="beat"):
-    """States of channels, from a parent to those that it feeds and from an owner to its successors."""
+    """States of channels, sent by a parent to its children and by an owner to its standbys."""
 
     states: Annotated[tuple[ChannelState, ...], Meta(max_length=64)]
 
@@ -63,13 +63,13 @@
 
 
 class Subscribe(Struct, array_like=True, frozen=True, tag="sub"):
-    """A subscription to the receiver, from the items given on; it expires unless it is renewed."""
+    """A subscription to the receiver, starting after the given items; it expires unless it is renewed."""
 
     channels: Annotated[tuple[FollowerProgress, ...], Meta(max_length=64)]
 
 
 class Retransmit(Struct, array_like=True, frozen=True, tag="again"):
-    """A request to retransmit items, the last one included."""
+    """A request to retransmit a range of items; ``last`` is included."""
 
     channel: Name
     epoch: Number
@@ -78,7 +78,7 @@
 
 
 class EndedAt(Struct, array_like=True, frozen=True, tag="ended"):
-    """The last item of an epoch, from its owner itself."""
+    """The last item of an epoch, reported by its owner."""
 
     channel: Name
     epoch: Number
@@ -93,35 +93,35 @@
 
 
 class TransferNotice(Struct, array_like=True, frozen=True, tag="take"):
-    """The sender begins to transfer its lease to the receiver."""
+    """The sender starts transferring its lease to the receiver."""
 
     channel: Name
 
 
 class OwnerQuery(Struct, array_like=True, frozen=True, tag="who"):
-    """Asks who owns these channels. Answered by a heartbeat of what is known."""
+    """Asks who owns these channels; answered by a heartbeat with the known states."""
 
     channels: Annotated[tuple[Name, ...], Meta(max_length=64)]
 
 
 class InterestDigest(Struct, array_like=True, frozen=True, tag="me"):
-    """The hash of the sender's interests, and the one that it has of the receiver's (0: none)."""
+    """The hash of the sender's interests, and the hash it has of the receiver's (0: none)."""
 
     version: Number
-    sets: Hash
-    yours: Hash
+    interests_hash: Hash
+    receiver_hash: Hash
 
 
 class InterestQuery(Struct, array_like=True, frozen=True, tag="what"):
     """Asks which channels a hash of interests stands for."""
 
-    sets: Hash
+    interests_hash: Hash
 
 
 class InterestSet(Struct, array_like=True, frozen=True, tag="sets"):
-    """The channels that a hash stands for; in several parts if they are many."""
+    """The channels that a hash stands for, split into parts if there are many."""
 
-    sets: Hash
+    interests_hash: Hash
     part: Annotated[int, Meta(ge=0, lt=64)]
     parts: Annotated[int, Meta(ge=1, le=64)]
     owns: tuple[Name, ...]
@@ -145,12 +145,12 @@
 
 
 def encode(message: ChannelMessage) -> bytes:
-    """A message as octets."""
+    """Encode a message."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(body: bytes) -> ChannelMessage:
-    """A message from octets. Raises ``DroppedError`` if they are none."""
+    """Decode a message. Raises ``DroppedError`` if it is malformed."""
     try:
         return _decoder.decode(body)
     except msgspec.DecodeError:
@@ -158,33 +158,33 @@
 
 
 def encode_heartbeats(states: Iterable[ChannelState]) -> list[bytes]:
-    """Heartbeats with these states, as few as hold them."""
-    return [encode(Heartbeat(tuple(some))) for some in _batches(states)]
+    """Heartbeats with these states, in as few messages as possible."""
+    return [encode(Heartbeat(tuple(batch))) for batch in _batches(states)]
 
 
 def encode_subscriptions(channels: Iterable[FollowerProgress]) -> list[bytes]:
-    """Subscriptions to these channels, as few as hold them."""
-    return [encode(Subscribe(tuple(some))) for some in _batches(channels)]
+    """Subscriptions to these channels, in as few messages as possible."""
+    return [encode(Subscribe(tuple(batch))) for batch in _batches(channels)]
 
 
 def encode_owner_queries(channels: Iterable[str]) -> list[bytes]:
-    """Queries for the owners of these channels, as few as hold them."""
-    return [encode(OwnerQuery(tuple(some))) for some in _batches(channels)]
+    """Queries for the owners of these channels, in as few messages as possible."""
+    return [encode(OwnerQuery(tuple(batch))) for batch in _batches(channels)]
 
 
 def name_batches(names: Iterable[str]) -> list[list[str]]:
-    """Names in parts that fit a message each."""
+    """Split names into batches that each fit into one message."""
     return _batches(names)
 
 
 def _batches(entries: Iterable[Entry]) -> list[list[Entry]]:
-    found: list[list[Entry]] = []
-    left = 0
+    batches: list[list[Entry]] = []
+    octets_left = 0
     for entry in entries:
         size = len(msgspec.msgpack.encode(entry))
-        if size > left or len(found[-1]) >= 64:
-            found.append([])
-            left = BATCH_OCTETS
-        found[-1].append(entry)
-        left -= size
-    return found
+        if size > octets_left or len(batches[-1]) >= 64:
+            batches.append([])
+            octets_left = BATCH_OCTETS
+        batches[-1].append(entry)
+        octets_left -= size
+    return batches
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -1,7 +1,7 @@
-"""What one gateway sends of its channels by itself: heartbeats, subscriptions, requests to retransmit. No I/O.
+"""Messages that a gateway sends about channels on its own: heartbeats, subscriptions, retransmission requests. No I/O.
 
-A heartbeat says which item is the newest, so that the loss of the last item is noticed too, and how long ago the owner
-was heard: a broken path is not taken for a living owner.
+A heartbeat names the newest item, so that the loss of the last item is detected too, and how long ago the owner was
+heard, so that a gateway behind a broken path does not take the owner for alive.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import MS, Delivered, Event, Gap, Options
-from yardbank.cluster.channels.items import Recent, Stream
+from yardbank.cluster.channels.items import RecentItems, Stream
 from yardbank.cluster.channels.messages import ChannelState, FollowerProgress, Item, ItemPosition, Retransmit
 from yardbank.cluster.channels.subscriptions import Subscriptions
 from yardbank.cluster.peers.parts import Message
 
 
 @dataclass(slots=True)
-class Known:
-    """The newest that is known of a channel; ``heard_at``: when its owner was heard, on this gateway's clock (ns)."""
+class KnownChannel:
+    """The newest known state of a channel; ``heard_at``: when its owner was heard, on the local clock (ns)."""
 
     epoch: int
     sequence: int
     owner: str
     boot_epoch: int
     heard_at: int
-    after: ItemPosition | None = None
-    over: bool = False  # the owner said itself that it is none any more
+    previous_end: ItemPosition | None = None
+    ended: bool = False  # the owner itself reported the end of its epoch
 
 
 @dataclass(slots=True)
@@ -37,37 +37,37 @@
 
     epoch: int
     sequence: int
-    after: ItemPosition | None
+    previous_end: ItemPosition | None
 
 
 class Outgoing:
-    """What is known of channels here, and the messages that follow from it."""
+    """Known states of channels, and the messages derived from them."""
 
     def __init__(self, name: str, options: Options, random: Random) -> None:
         self.name, self.boot_epoch = name, 0
-        self.known: dict[str, Known] = {}
-        self.above: dict[str, int] = {}  # channels carried here of which others have seen a higher epoch
-        self.heirs: dict[str, list[str]] = {}  # by channel carried here: who would be next
+        self.known: dict[str, KnownChannel] = {}
+        self.higher_epochs: dict[str, int] = {}  # channels owned here of which others have seen a higher epoch
+        self.standbys: dict[str, list[str]] = {}  # by channel owned here: the gateways next in line
         self.subscriptions = Subscriptions(name, options.fan_out, random)
         self.outgoing_messages: list[Message] = []
         self.events: list[Event] = []
-        self.waiting: set[str] = set()  # channels of which something is missing
-        self.followed: Collection[str] = ()  # here, by listeners: the others only pass through
+        self.incomplete: set[str] = set()  # channels with missing items
+        self.followed: Collection[str] = ()  # channels with local listeners; items of the others are only forwarded
         self.owned_channels: dict[str, OwnedChannel] = {}
-        self.ends: dict[str, ItemPosition] = {}  # where an owner said that it ended, the latest
-        self.rejected_leaps = 0  # items and states too far beyond what is known
-        self._random, self._beat = random, options.heartbeat
+        self.epoch_ends: dict[str, ItemPosition] = {}  # the latest end of an epoch reported by an owner
+        self.rejected_leaps = 0  # items and states too far above the known ones
+        self._random, self._heartbeat_interval = random, options.heartbeat
         self.streams: dict[str, Stream] = {}
-        self.recent: dict[str, Recent] = {}
-        self._beats = 0
+        self.recent: dict[str, RecentItems] = {}
+        self._heartbeat_count = 0
 
-    def targets(self, now: int, channel: str, heirs: bool = False) -> list[str]:
-        """Who gets items of a channel from this gateway; ``heirs``: whoever may own it next, too."""
+    def targets(self, now: int, channel: str, standbys: bool = False) -> list[str]:
+        """Gateways that receive items of a channel from this one, optionally with the standbys."""
         found = {*self.subscriptions.children(now, channel)}
         if channel in self.owned_channels:
             found.update(self.subscriptions.roots(channel, self.name))
-            if heirs:
-                found.update(self.heirs.get(channel, ()))
+            if standbys:
+                found.update(self.standbys.get(channel, ()))
         return sorted(found - {self.name})
 
     def send_item(self, item: Item, to: Iterable[str]) -> None:
@@ -76,79 +76,84 @@
         self.outgoing_messages += [Message(name, body) for name in to]
 
     def send_urgent(self, to: str, message: wire.ChannelMessage) -> None:
-        """A message that does not wait for the next batch."""
+        """Send a message without waiting for the next batch."""
         self.outgoing_messages.append(Message(to, wire.encode(message), urgent=True))
 
     def tick(self, now: int) -> None:
-        """A heartbeat is due: choose parents, renew subscriptions, send states to children and heirs."""
-        self._beats += 1
-        owners = {channel: "" if known.over else known.owner for channel, known in self.known.items()}
-        changed = self.subscriptions.choose(now, owners)
-        self._subscribe(self.streams if self._beats % 4 == 0 else changed)
+        """A heartbeat is due: choose parents, renew subscriptions, send states to children and standbys."""
+        self._heartbeat_count += 1
+        owners = {channel: "" if known.ended else known.owner for channel, known in self.known.items()}
+        changed = self.subscriptions.update_parents(now, owners)
+        self._subscribe(self.streams if self._heartbeat_count % 4 == 0 else changed)
         to: dict[str, list[str]] = {}
         for channel in self.streams:
             if channel in self.owned_channels:
-                for name in self.targets(now, channel, heirs=True):
+                for name in self.targets(now, channel, standbys=True):
                     to.setdefault(name, []).append(channel)
-            elif self._beats % 2 == 0 and channel in self.known:
+            elif self._heartbeat_count % 2 == 0 and channel in self.known:
                 for name in self.targets(now, channel):
                     to.setdefault(name, []).append(channel)
-        self.tell(now, to)
+        self.send_states(now, to)
 
-    def mend(self, now: int) -> None:
+    def request_missing(self, now: int) -> None:
         """Request missing items again, or give them up."""
-        for channel in sorted(self.waiting):
+        for channel in sorted(self.incomplete):
             stream = self.streams[channel]
             stream.tick(now)
             self.flush(stream)
-            if (missing := stream.missing(now)) is not None and (to := self._helper(channel)):
+            if (missing := stream.missing(now)) is not None and (to := self._retransmit_source(channel)):
                 body = wire.encode(Retransmit(channel, missing.epoch, missing.first, missing.last))
                 self.outgoing_messages.append(Message(to, body))
 
-    def _helper(self, channel: str) -> str:
-        """The parent or the owner, by chance, so that one of them that lacks it or is lost does not matter."""
+    def _retransmit_source(self, channel: str) -> str:
+        """The parent or the owner, at random.
+
+        If one of them lacks the items or is unreachable, a later request goes to the other.
+        """
         known = self.known.get(channel)
         names = [name for name in (self.subscriptions.parent(channel), known.owner if known else "") if name]
         names = [name for name in names if name != self.name]
         return self._random.choice(names) if names else ""
 
-    def waits(self) -> bool:
-        """Whether ``mend`` has something to do."""
-        return bool(self.waiting)
+    def has_incomplete(self) -> bool:
+        """Whether ``request_missing`` has something to do."""
+        return bool(self.incomplete)
 
     def _subscribe(self, channels: Iterable[str]) -> None:
-        by: dict[str, list[FollowerProgress]] = {}
+        by_parent: dict[str, list[FollowerProgress]] = {}
         for channel in channels:
             if parent := self.subscriptions.parent(channel):
-                by.setdefault(parent, []).append(FollowerProgress(channel, *self.streams[channel].place))
-        for parent, haves in by.items():
-            self.outgoing_messages += [Message(parent, body) for body in wire.encode_subscriptions(haves)]
+                by_parent.setdefault(parent, []).append(FollowerProgress(channel, *self.streams[channel].position))
+        for parent, progress in by_parent.items():
+            self.outgoing_messages += [Message(parent, body) for body in wire.encode_subscriptions(progress)]
 
-    def answer(self, now: int, asker: str, channels: Iterable[str]) -> None:
-        """A gateway asks who owns some channels."""
-        self.tell(now, {asker: [channel for channel in channels if channel in self.streams]})
+    def on_owner_query(self, now: int, requester: str, channels: Iterable[str]) -> None:
+        """Answer a query for the owners of channels."""
+        self.send_states(now, {requester: [channel for channel in channels if channel in self.streams]})
 
-    def tell(self, now: int, channels: Mapping[str, Iterable[str]], urgent: bool = False) -> None:
-        """Send states of channels to gateways; ``urgent``: beside the rate."""
+    def send_states(self, now: int, channels: Mapping[str, Iterable[str]], urgent: bool = False) -> None:
+        """Send states of channels to gateways; ``urgent`` messages are exempt from the rate limit."""
         for to, some in channels.items():
             states = [state for channel in some if (state := self._state(now, channel)) is not None]
             self.outgoing_messages += [Message(to, body, urgent) for body in wire.encode_heartbeats(states)]
 
     def _state(self, now: int, channel: str) -> ChannelState | None:
-        mine, known = self.owned_channels.get(channel), self.known.get(channel)
-        if mine is not None and (known is None or known.epoch <= mine.epoch):
-            return ChannelState(channel, mine.epoch, mine.sequence, 0, self.name, self.boot_epoch, mine.after)
-        if known is None or known.over:
+        owned, known = self.owned_channels.get(channel), self.known.get(channel)
+        if owned is not None and (known is None or known.epoch <= owned.epoch):
+            return ChannelState(channel, owned.epoch, owned.sequence, 0, self.name, self.boot_epoch, owned.previous_end)
+        if known is None or known.ended:
             return None
         age = max(0, now - known.heard_at) // MS
-        return ChannelState(channel, known.epoch, known.sequence, age, known.owner, known.boot_epoch, known.after)
+        return ChannelState(
+            channel, known.epoch, known.sequence, age, known.owner, known.boot_epoch, known.previous_end
+        )
 
     def flush(self, stream: Stream) -> None:
-        """Hand a stream's items on, or wait for what is missing of it."""
-        if stream.waits():
-            self.waiting.add(stream.channel)
+        """Pass on the items that a stream has ready, and track whether it misses any."""
+        if stream.is_waiting():
+            self.incomplete.add(stream.channel)
         else:
-            self.waiting.discard(stream.channel)
+            self.incomplete.discard(stream.channel)
         for one in stream.out:
             if stream.channel not in self.followed:
                 continue
--- a/yardbank/cluster/channels/ownership.py
+++ b/yardbank/cluster/channels/ownership.py
@@ -1,8 +1,9 @@
-"""Who owns a channel, as one gateway sees it. No I/O; times (ns) come in.
+"""Who owns a channel, as seen by one gateway. No I/O; times are passed in (ns).
 
-``Ownership`` holds the parts: ``ChannelTable`` (phases), ``Election`` (candidacies), ``Tenure`` (from grant to end),
-``Succession`` (who is next) and ``Transfers`` (planned ends); it passes on what leases and other gateways say. An owner
-keeps a channel until it has too many, another place is much better for long, or it stops.
+``Ownership`` combines ``ChannelTable`` (phases), ``Election`` (candidacies), ``Tenure`` (from grant to end of a lease),
+``Succession`` (who is next) and ``Transfers`` (planned ends), and dispatches lease events and messages of other
+gateways to them. An owner keeps a channel until it has too many, another gateway has been much better placed for a
+while, or it stops.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 from yardbank.cluster.lease.api import OWNED, Leases
 from yardbank.cluster.peers.parts import MembershipView
 
-POLL = 20 * MS  # between two polls of the leases while something changes
-CONTEST_INTERVAL = SECOND  # between two requests of a lease above an epoch that others have seen
-PLACEMENT_HEARTBEATS = 4  # between two looks at heirs and better places
-TRANSFER_SLACK = 250 * MS  # beyond the overlap, before a successor counts as one that does not take it
-SOON = 10 * MS  # after an owner's end
+POLL_INTERVAL = 20 * MS  # interval between polls of the leases while a channel changes its owner
+CONTEST_INTERVAL = SECOND  # between two requests for a lease above an epoch that others have seen
+PLACEMENT_HEARTBEATS = 4  # between two updates of standbys and checks for better places
+TRANSFER_SLACK = 250 * MS  # time beyond the overlap before a transfer to a successor counts as failed
+EPOCH_END_CHECK_DELAY = 10 * MS  # after an owner reported the end of its epoch
 
 
 class Ownership:
-    """All channels that this gateway would own."""
+    """All channels that this gateway owns or would own."""
 
     def __init__(
         self,
@@ -45,8 +46,8 @@
         options: Options,
         random: Random,
     ) -> None:
-        self.heard_epoch: Callable[[int, int], object] | None = None  # tells the leases to grant above an epoch
-        self.soon = 0  # an owner said that it ended: when to look who is next; 0: nothing
+        self.heard_epoch: Callable[[int, int], object] | None = None  # makes the leases grant only epochs above one
+        self.check_at = 0  # when to check for the next owner after one reported its end; 0: not due
         self.table = ChannelTable(membership_view.name)
         self.succession = Succession(self.table, membership_view, members, placement)
         self.tenure = Tenure(self.table, leases, self.succession, feed, options)
@@ -55,34 +56,34 @@
         self._leases = leases
         self._feed = feed
         self._options = options
-        self._expects_until = 0  # a transfer to this gateway was announced
+        self._expects_transfer_until = 0  # set when a transfer to this gateway was announced
         self._heartbeats = 0
 
     @property
     def channels(self) -> dict[str, OwnerState]:
-        """Those of interest, with their phases."""
+        """These channels, with their phases."""
         return self.table.channels
 
     @property
     def stopping(self) -> bool:
-        """Whether this gateway is about to end."""
+        """Whether this gateway is shutting down."""
         return self.table.stopping
 
     def acquire(self, now: int, channel: str) -> None:
-        """Own it whenever that is this gateway's turn."""
-        self.election.begin(now)
-        self.channels.setdefault(channel, OwnerState(now, at=now))
+        """Own a channel whenever it is this gateway's turn."""
+        self.election.channel_added(now)
+        self.channels.setdefault(channel, OwnerState(now, phase_since=now))
 
     def withdraw(self, now: int, channel: str) -> None:
-        """Own it no more; the next candidate takes it."""
-        own = self.channels.pop(channel, None)
-        if own is not None and own.state not in NOT_REQUESTED:
+        """Stop owning a channel; the next candidate takes it."""
+        owner_state = self.channels.pop(channel, None)
+        if owner_state is not None and owner_state.phase not in NOT_REQUESTED:
             self._leases.release(now, resource(channel))
-            self.tenure.end(now, channel, own, "given up")
+            self.tenure.end(now, channel, owner_state, "given up")
         self.table.forget(channel)
 
     def stop(self, now: int) -> None:
-        """This gateway is about to end: all it has goes to others."""
+        """This gateway is shutting down: transfer all its channels."""
         self.table.stopping = True
         self.check_all(now)
 
@@ -91,132 +92,135 @@
         return self.table.leased()
 
     def loads(self) -> Counter[str]:
-        """How many channels each gateway owns, as far as is known here."""
+        """Number of channels that each gateway owns, as far as this gateway knows."""
         return self.table.loads(self._feed.known.values())
 
     def epoch(self, now: int, channel: str) -> int | None:
-        """Under which epoch an item may go out at this very time; None: none may."""
-        own = self.channels.get(channel)
-        if own is None or own.state not in PUBLISHING:
+        """The epoch under which an item may be published right now; None if none may."""
+        owner_state = self.channels.get(channel)
+        if owner_state is None or owner_state.phase not in PUBLISHING:
             return None
         epoch = self._leases.epoch(now, resource(channel))
-        return epoch if epoch == own.epoch else None
+        return epoch if epoch == owner_state.epoch else None
 
-    # Time
+    # Timers
 
     def check_all(self, now: int) -> None:
-        """Look after everything, at each heartbeat and whenever an owner said that it ended."""
-        self.soon = 0
+        """Check all channels; called at each heartbeat and soon after an owner reported its end."""
+        self.check_at = 0
         self._heartbeats += 1
         self.poll(now)
         loads = self.loads()
-        self.election.end_hopeless(now)
+        self.election.withdraw_candidacies(now)
         if not self.stopping:
             self.election.replace_silent_owners(now, loads)
         self._check_owned(now, loads)
 
-    def busy(self, now: int) -> bool:
-        """Whether ``poll`` should come soon again."""
-        if now < self._expects_until or self.table.changing_count():
+    def needs_poll(self, now: int) -> bool:
+        """Whether ``poll`` should be called again soon."""
+        if now < self._expects_transfer_until or self.table.changing_count():
             return True
         return self.stopping and bool(self.held_channels())
 
     def poll(self, now: int) -> None:
-        """Take in what the leases say; at a stop, offer the next successors what the last ones did not take."""
+        """Process lease offers and events; while stopping, offer unclaimed channels to the next successors."""
         self._take_offers(now)
         self._take_lease_events(now)
         self._check_changing(now)
         if self.stopping:
-            self.transfers.all(now)
+            self.transfers.transfer_all(now)
 
     def _take_offers(self, now: int) -> None:
         for name, source in self._leases.offered(PREFIX):
             channel = name.removeprefix(PREFIX)
-            own = self.channels.get(channel)
-            if own is None or own.state in LEASED or self.stopping:
+            owner_state = self.channels.get(channel)
+            if owner_state is None or owner_state.phase in LEASED or self.stopping:
                 continue
-            if own.state != OwnershipPhase.CANDIDATE:
-                self.election.stand(now, channel, own)
-            own.source = source
-            own.at = now
+            if owner_state.phase != OwnershipPhase.CANDIDATE:
+                self.election.become_candidate(now, channel, owner_state)
+            owner_state.offered_by = source
+            owner_state.phase_since = now
 
     def _take_lease_events(self, now: int) -> None:
         for event in self._leases.take_events(PREFIX):
             channel = event.resource.removeprefix(PREFIX)
-            own = self.channels.get(channel)
+            owner_state = self.channels.get(channel)
             if event.what == OWNED:
-                self.tenure.granted(now, channel, own, event.epoch)
-            elif own is not None and own.epoch == event.epoch and own.state in LEASED:
-                self.tenure.lost(now, channel, own, event.why or "the lease ended")
+                self.tenure.granted(now, channel, owner_state, event.epoch)
+            elif owner_state is not None and owner_state.epoch == event.epoch and owner_state.phase in LEASED:
+                self.tenure.lost(now, channel, owner_state, event.why or "the lease ended")
 
     def _check_changing(self, now: int) -> None:
         for channel in self.table.changing():
-            own = self.channels[channel]
-            if own.state == OwnershipPhase.TAKING_OVER:
-                self.tenure.take_over(now, channel, own)
-            elif own.state == OwnershipPhase.TRANSFERRING and now - own.at > self._options.overlap + TRANSFER_SLACK:
-                own.tried.add(own.to)
-                self.table.move(now, channel, own, OwnershipPhase.OWNER)
+            owner_state = self.channels[channel]
+            if owner_state.phase == OwnershipPhase.TAKING_OVER:
+                self.tenure.take_over(now, channel, owner_state)
+            elif (
+                owner_state.phase == OwnershipPhase.TRANSFERRING
+                and now - owner_state.phase_since > self._options.overlap + TRANSFER_SLACK
+            ):
+                owner_state.failed_successors.add(owner_state.successor)
+                self.table.move(now, channel, owner_state, OwnershipPhase.OWNER)
 
     def _check_owned(self, now: int, loads: Counter[str]) -> None:
         owned = self.table.owned()
-        for channel, own in owned:
-            if self._leases.epoch(now, resource(channel)) is not None:  # else its end comes as a lease event
-                self._contest(now, channel, own)
+        for channel, owner_state in owned:
+            if self._leases.epoch(now, resource(channel)) is not None:  # otherwise a lease event reports its end
+                self._request_above_highest_epoch(now, channel, owner_state)
         if self.stopping or self._heartbeats % PLACEMENT_HEARTBEATS:
             return
         for channel, _ in owned:
-            self._feed.heirs[channel] = self.succession.heirs(channel, loads)
-        self.transfers.surplus(now, loads)
+            self._feed.standbys[channel] = self.succession.standbys(channel, loads)
+        self.transfers.rebalance(now, loads)
         self.transfers.to_better(now, loads)
 
-    def _contest(self, now: int, channel: str, own: OwnerState) -> None:
-        """Request a lease above a higher epoch that others have seen: they drop items of this one."""
+    def _request_above_highest_epoch(self, now: int, channel: str, owner_state: OwnerState) -> None:
+        """Request a lease above a higher epoch that others have seen: they drop items of the current one."""
         highest = self._highest_epoch(channel)
-        if highest <= own.epoch or now < own.contested_at + CONTEST_INTERVAL:
+        if highest <= owner_state.epoch or now < owner_state.contested_at + CONTEST_INTERVAL:
             return
-        own.contested_at = now
+        owner_state.contested_at = now
         if self.heard_epoch is not None:
             self.heard_epoch(now, highest)
         self._leases.release(now, resource(channel))
-        self.tenure.end(now, channel, own, "others have seen a higher epoch")
-        self._feed.above.pop(channel, None)
-        self.election.stand(now, channel, own)
+        self.tenure.end(now, channel, owner_state, "others have seen a higher epoch")
+        self._feed.higher_epochs.pop(channel, None)
+        self.election.become_candidate(now, channel, owner_state)
 
     def _highest_epoch(self, channel: str) -> int:
-        """The highest epoch that anybody here has heard of."""
+        """The highest epoch that this gateway has heard of, directly or from its children."""
         known = self._feed.known.get(channel)
-        return max(self._feed.above.get(channel, 0), known.epoch if known is not None else 0)
+        return max(self._feed.higher_epochs.get(channel, 0), known.epoch if known is not None else 0)
 
-    # What other gateways say
+    # Messages from other gateways
 
     def expect_transfer(self, now: int) -> None:
-        """An owner transfers a channel to this gateway; the lease's offer may come a little later."""
-        self._expects_until = now + self._options.overlap
+        """An owner is transferring a channel to this gateway; the lease offer may arrive a little later."""
+        self._expects_transfer_until = now + self._options.overlap
         self.poll(now)
 
-    def ended(self, now: int, sender: str, told: EndedAt) -> None:
-        """An owner said where it ended."""
-        own = self.channels.get(told.channel)
-        expected = own is not None and own.source == sender
-        self._feed.ended(now, sender, told, expected)
+    def on_epoch_end(self, now: int, sender: str, message: EndedAt) -> None:
+        """An owner reported the end of its epoch."""
+        owner_state = self.channels.get(message.channel)
+        expected = owner_state is not None and owner_state.offered_by == sender
+        self._feed.on_epoch_end(now, sender, message, expected)
         if expected:
             self.poll(now)
-        elif own is not None and own.state == OwnershipPhase.IDLE and not self.soon:
-            self.soon = now + SOON
-
-    def on_end_query(self, now: int, sender: str, asked: EndQuery) -> None:
-        """A successor has the lease: this gateway ends at once, and says where."""
-        own = self.channels.get(asked.channel)
-        if own is not None and self._transfers_to(own, sender) and asked.epoch > own.epoch:
-            self._leases.release(now, resource(asked.channel))
+        elif owner_state is not None and owner_state.phase == OwnershipPhase.IDLE and not self.check_at:
+            self.check_at = now + EPOCH_END_CHECK_DELAY
+
+    def on_end_query(self, now: int, sender: str, query: EndQuery) -> None:
+        """A successor has the lease: end this gateway's ownership at once and report where it ended."""
+        owner_state = self.channels.get(query.channel)
+        if owner_state is not None and self._transfers_to(owner_state, sender) and query.epoch > owner_state.epoch:
+            self._leases.release(now, resource(query.channel))
             self.poll(now)
-            if own.state == OwnershipPhase.TRANSFERRING:
-                self.tenure.lost(now, asked.channel, own, "handed on")
+            if owner_state.phase == OwnershipPhase.TRANSFERRING:
+                self.tenure.lost(now, query.channel, owner_state, "handed on")
             return
-        end = self._feed.end(asked.channel, asked.epoch)
+        end = self._feed.own_epoch_end(query.channel, query.epoch)
         if end is not None:
             self._feed.send_urgent(sender, end)
 
-    def _transfers_to(self, own: OwnerState, name: str) -> bool:
-        return own.state == OwnershipPhase.TRANSFERRING and own.to == name
+    def _transfers_to(self, owner_state: OwnerState, name: str) -> bool:
+        return owner_state.phase == OwnershipPhase.TRANSFERRING and owner_state.successor == name
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -1,4 +1,4 @@
-"""The positions' feeds between the gateway and its channels. Thin: ``positions`` decides."""
+"""Connects the position feeds to the gateway and its channels. All decisions are made in ``positions``."""
 
 from __future__ import annotations
 
@@ -14,17 +14,23 @@
 
 
 class Gateway(Protocol):
-    """What is used of ``gateway.Gateway``."""
+    """The methods of ``gateway.Gateway`` used here."""
 
     def ask(self, server: str, then: Callable[[ProbeResult | None, int, str], None]) -> None:
-        """Ask a server where it stands."""
+        """Poll a server for its position."""
 
     def apply_gossiped_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
-        """Marks that another gateway passed on; ``checked``: by questions of one's own, as ``verifier`` does."""
+        """Apply a position reported by another gateway.
+
+        ``checked``: this gateway has verified the reports by polls of its own, as ``verifier`` does.
+        """
 
 
 class PositionFeeds:
-    """Asks for all what this gateway owns, hands on what others ask. From ``start`` to ``stop``."""
+    """Polls the servers of groups owned here and passes on positions from other owners.
+
+    Runs from ``start`` to ``stop``.
+    """
 
     def __init__(
         self,
@@ -47,14 +53,14 @@
         self._alone: list[str] = []
 
     def start(self) -> None:
-        """Begin; ``listed`` may have been called before."""
+        """Start; ``listed`` may have been called before."""
         self._running = True
-        self._step()
+        self._run()
 
     def listed(self, servers: Iterable[ServerSpec]) -> None:
-        """The list of servers has changed: those that may be sent to."""
-        places = [ListedServer(spec.name, spec.group, spec.start) for spec in servers if spec.state == "ready"]
-        new, gone = self.decider.listed(self._now(), places)
+        """The list of servers has changed; only servers in state ready are polled."""
+        listed_servers = [ListedServer(spec.name, spec.group, spec.start) for spec in servers if spec.state == "ready"]
+        new, gone = self.decider.listed(self._now(), listed_servers)
         for group in new:
             channel = channel_of(group)
             try:
@@ -64,18 +70,18 @@
                 self._log.error("positions_feed_failed", group=group, reason=str(problem))
         for group in gone:
             self._channels.disown(channel_of(group))
-            if (end := self._ends.pop(group, None)) is not None:
-                end()
-        self._step()
+            if (unfollow := self._ends.pop(group, None)) is not None:
+                unfollow()
+        self._run()
 
     def stop(self) -> None:
-        """No more questions."""
+        """Stop polling."""
         self._running = False
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def view(self) -> dict[str, Any]:
-        """What an operator should see."""
+        """State shown to operators."""
         verifier = self.decider.verifier
         return {
             "alone": self.decider.alone(),
@@ -86,26 +92,26 @@
 
     def _owned(self, channel: str, epoch: int) -> None:
         self.decider.owned(self._now(), channel.removeprefix(PREFIX))
-        self._step()
+        self._run()
 
     def _ended(self, channel: str, epoch: int) -> None:
         self.decider.ended(channel.removeprefix(PREFIX))
 
     def _on_item(self, item: Delivered) -> None:
         self.decider.on_item(self._now(), item)
-        self._carry_out()
+        self._execute()
 
-    def _step(self) -> None:
+    def _run(self) -> None:
         if not self._running:
             return
         self.decider.tick(self._now())
-        self._carry_out()
+        self._execute()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._timer = self._reactor.callLater(max(0, self.decider.next_at() - self._now()) / SECOND, self._step)
+        self._timer = self._reactor.callLater(max(0, self.decider.next_at() - self._now()) / SECOND, self._run)
 
-    def _carry_out(self) -> None:
-        """Carry out what the decider said."""
+    def _execute(self) -> None:
+        """Execute what the decider has decided."""
         asks, self.decider.asks = self.decider.asks, []
         for server in asks:
             self._gateway.ask(
@@ -116,9 +122,10 @@
             )
         items, self.decider.items = self.decider.items, []
         for channel, data in items:
-            self._channels.publish(channel, data)  # not the owner any more, or full: the next one stands for itself
-        told, self.decider.verified_positions = self.decider.verified_positions, []
-        for one in told:
+            # A refusal (no longer the owner, or full) is ignored: the next item does not depend on this one.
+            self._channels.publish(channel, data)
+        verified, self.decider.verified_positions = self.decider.verified_positions, []
+        for one in verified:
             self._gateway.apply_gossiped_position(one.server, one.started, one.marks, checked=True)
         for report in self.decider.false_reports():
             self._log.warning(
@@ -135,4 +142,4 @@
     def _answered(self, server: str, position: ProbeResult | None, sent_at: int) -> None:
         self.decider.answered(self._now(), server, position.marks if position is not None else None, sent_at)
         if self.decider.items:
-            self._carry_out()
+            self._execute()
--- a/yardbank/cluster/channels/states.py
+++ b/yardbank/cluster/channels/states.py
@@ -1,7 +1,7 @@
-"""Phases of a channel at a gateway that would own it, and what moves it from one to another.
+"""Phases of a channel at a gateway that owns or would own it, and the transitions between them.
 
-Invariant: a phase changes only as ``TABLE`` says; ``Election`` counts every change. Values of the phases are what
-operators see in ``view`` and stay as they are.
+Invariant: a phase changes only as listed in ``TRANSITIONS``; ``ChannelTable.move`` counts every change. The values of
+the phases are shown to operators in ``view`` and must not change.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 
 
 class OwnershipPhase(StrEnum):
-    """How far this gateway is with a channel."""
+    """Phase of a channel at this gateway."""
 
-    IDLE = "apart"  # another owns it
-    WAITING = "waiting"  # its owner is silent; to become a candidate at ``candidacy_at``
-    CANDIDATE = "bidding"  # the lease is requested
-    TAKING_OVER = "entering"  # the lease is granted; the former owner is to say where it ended
+    IDLE = "apart"  # another gateway owns it
+    WAITING = "waiting"  # its owner is silent; becomes a candidate at ``candidacy_at``
+    CANDIDATE = "bidding"  # the lease has been requested
+    TAKING_OVER = "entering"  # the lease is granted; waits until the former owner reports the end of its epoch
     OWNER = "carrying"
     TRANSFERRING = "handing"  # still the owner, until the successor has the lease
 
 
-# From, by, to.
-TABLE = (
-    (OwnershipPhase.IDLE, "its owner is silent, or said that it ended", OwnershipPhase.WAITING),
-    (OwnershipPhase.WAITING, "an owner speaks", OwnershipPhase.IDLE),
+# From, cause, to.
+TRANSITIONS = (
+    (OwnershipPhase.IDLE, "its owner is silent, or reported the end of its epoch", OwnershipPhase.WAITING),
+    (OwnershipPhase.WAITING, "an owner is heard", OwnershipPhase.IDLE),
     (OwnershipPhase.WAITING, "its candidacy is due", OwnershipPhase.CANDIDATE),
     (OwnershipPhase.IDLE, "its owner transfers it to this gateway", OwnershipPhase.CANDIDATE),
     (OwnershipPhase.WAITING, "its owner transfers it to this gateway", OwnershipPhase.CANDIDATE),
-    (OwnershipPhase.CANDIDATE, "another has it, or not granted for long", OwnershipPhase.IDLE),
-    (OwnershipPhase.CANDIDATE, "granted", OwnershipPhase.OWNER),
-    (OwnershipPhase.CANDIDATE, "granted, and the former owner is to say where it ended", OwnershipPhase.TAKING_OVER),
-    (OwnershipPhase.TAKING_OVER, "that was said, or the overlap is over", OwnershipPhase.OWNER),
+    (OwnershipPhase.CANDIDATE, "another gateway owns it, or the lease was not granted in time", OwnershipPhase.IDLE),
+    (OwnershipPhase.CANDIDATE, "the lease is granted", OwnershipPhase.OWNER),
+    (OwnershipPhase.CANDIDATE, "the lease is granted, the former owner is yet to end", OwnershipPhase.TAKING_OVER),
+    (OwnershipPhase.TAKING_OVER, "the former owner reported its end, or the overlap is over", OwnershipPhase.OWNER),
     (OwnershipPhase.OWNER, "a planned transfer has begun", OwnershipPhase.TRANSFERRING),
-    (OwnershipPhase.TRANSFERRING, "not taken in time", OwnershipPhase.OWNER),
+    (OwnershipPhase.TRANSFERRING, "the successor did not take it in time", OwnershipPhase.OWNER),
     (OwnershipPhase.OWNER, "others have seen a higher epoch", OwnershipPhase.CANDIDATE),
     (OwnershipPhase.TAKING_OVER, "the lease ended", OwnershipPhase.CANDIDATE),
     (OwnershipPhase.OWNER, "the lease ended", OwnershipPhase.CANDIDATE),
@@ -47,17 +47,17 @@
 
 @dataclass(slots=True)
 class OwnerState:
-    """One channel that this gateway would own. Times in ns."""
+    """State of one channel that this gateway owns or would own. Times in ns."""
 
-    since: int  # when it became of interest
-    state: OwnershipPhase = OwnershipPhase.IDLE
+    interested_since: int  # when this gateway was told to own it
+    phase: OwnershipPhase = OwnershipPhase.IDLE
     epoch: int = 0
-    at: int = 0  # when the phase began
+    phase_since: int = 0  # when the phase began
     candidacy_at: int = 0  # when WAITING ends
-    not_before: int = 0  # no candidacy earlier
-    source: str = ""  # who transfers it to this gateway
-    asked_at: int = 0  # when that one was last asked where it ended
-    to: str = ""  # whom it is transferred to
-    tried: set[str] = field(default_factory=set)  # successors that did not take it
+    no_candidacy_before: int = 0  # no candidacy before this time
+    offered_by: str = ""  # the owner that transfers it to this gateway
+    end_queried_at: int = 0  # when that owner was last asked for the end of its epoch
+    successor: str = ""  # the gateway that it is transferred to
+    failed_successors: set[str] = field(default_factory=set)  # successors that did not take it in time
     contested_at: int = 0
-    better_since: int = 0  # another gateway would be a better owner; 0: none
+    better_since: int = 0  # since when another gateway would be a better owner; 0: none would
--- a/yardbank/cluster/channels/subscriptions.py
+++ b/yardbank/cluster/channels/subscriptions.py
@@ -1,13 +1,13 @@
-"""The parent and the children of this gateway in each channel's tree. No I/O; times (ns) come in.
+"""The parent and the children of this gateway in each channel's tree. No I/O; times are passed in (ns).
 
-Bounds: ``MAX_CHILDREN`` times the fan-out children of a channel, ``MAX_RANKS`` ranks kept.
+Bounds: per channel ``MAX_CHILDREN`` times the fan-out children; ``MAX_RANKS`` ranks cached.
 
-| state of a parent | by | to |
+| state of a parent | on | to |
 | --- | --- | --- |
 | NONE | the channel is followed, and there is an ancestor | ASKED |
-| ASKED | it spoke of the channel | FED |
+| ASKED | it sent a message of the channel | FED |
 | ASKED, FED | silent for ``PARENT_TIMEOUT``, or no ancestor any more | ASKED, of the next ancestor |
-| any | the channel is owned here, or no more followed | NONE |
+| any | the channel is owned here, or no longer followed | NONE |
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from yardbank.cluster.channels import tree
 from yardbank.cluster.channels.api import MS, SECOND
 
-PARENT_TIMEOUT = 2500 * MS  # without a message of the channel its parent counts as broken
-FIRST_CHOICE_RETRY = 30 * SECOND  # so long a gateway stays with another parent than its first choice
-SUBSCRIPTION_LIFETIME = 6 * SECOND  # unless it is renewed
-MAX_RANKS = 10_000  # kept
-MAX_CHILDREN = 4  # times the fan-out, of one channel: room for children of parents that broke
+PARENT_TIMEOUT = 2500 * MS  # without a message of the channel for this long, its parent counts as broken
+FIRST_CHOICE_RETRY = 30 * SECOND  # after which a gateway returns to its first-choice parent
+SUBSCRIPTION_LIFETIME = 6 * SECOND  # unless renewed
+MAX_RANKS = 10_000  # cached
+MAX_CHILDREN = 4  # times the fan-out, per channel: leaves room for children whose parent broke
 
 
 @dataclass(slots=True)
 class _Parent:
     name: str
     since: int
-    heard_at: int  # 0: not yet
+    heard_at: int  # 0: not heard yet
     attempt: int = 0
 
 
@@ -39,18 +39,18 @@
 
     def __init__(self, name: str, fan_out: int, random: Random) -> None:
         self.name, self._fan_out, self._random = name, fan_out, random
-        self.refused = 0  # subscriptions beyond the bound
-        self.broken = 0  # times that a parent fell silent
+        self.refused = 0  # subscriptions rejected because of the bound
+        self.broken = 0  # parents that timed out
         self._followers: Mapping[str, frozenset[str]] = {}
         self._parents: dict[str, _Parent] = {}
-        self._children: dict[str, dict[str, int]] = {}  # by channel and child: until when
+        self._children: dict[str, dict[str, int]] = {}  # by channel and child: expiry of the subscription
         self._orders: dict[tuple[int, frozenset[str]], tuple[list[str], dict[str, int]]] = {}
         self._ranks: dict[tuple[int, str], int] = {}
         self._trees: dict[str, int] = {}  # by channel
-        self._ancestors: dict[str, tuple[str, list[str]]] = {}  # by channel: for which owner, the ways
+        self._ancestors: dict[str, tuple[str, list[str]]] = {}  # by channel: the owner and the resulting ancestors
 
-    def joined(self, followers: Mapping[str, frozenset[str]]) -> None:
-        """The channels that this gateway takes part in, and who that is there follows each."""
+    def set_followers(self, followers: Mapping[str, frozenset[str]]) -> None:
+        """Set the channels of this gateway and the present followers of each."""
         self._followers = followers
         self._orders.clear()
         if len(self._ranks) > MAX_RANKS:
@@ -66,27 +66,30 @@
         found = self._orders.get(key)
         if found is None:
             names = tree.order(*key, self._ranks)
-            found = self._orders[key] = names, {name: place for place, name in enumerate(names)}
+            found = self._orders[key] = names, {name: index for index, name in enumerate(names)}
         return found
 
     def _ancestors_of(self, channel: str, owner: str) -> list[str]:
         known = self._ancestors.get(channel)
         if known is not None and known[0] == owner:
             return known[1]
-        names, places = self._order(channel)
-        place = places.get(self.name)
-        found = [] if place is None else tree.ancestors(names, place, self._fan_out, owner)
-        if place:  # where all of these are out of reach, anybody that stands before
-            found.append(names[self._random.randrange(place)])
+        names, indexes = self._order(channel)
+        index = indexes.get(self.name)
+        found = [] if index is None else tree.ancestors(names, index, self._fan_out, owner)
+        if index:  # if all of these are unreachable: any gateway earlier in the order
+            found.append(names[self._random.randrange(index)])
         self._ancestors[channel] = owner, found
         return found
 
     def roots(self, channel: str, owner: str) -> list[str]:
-        """Whom the owner feeds whether they subscribed or not."""
+        """Followers to which the owner sends items whether or not they subscribed."""
         return tree.roots(self._order(channel)[0], self._fan_out, owner)
 
-    def choose(self, now: int, owners: Mapping[str, str]) -> list[str]:
-        """Look after all parents; channels that were given another one. ``owners``: as far as they are known."""
+    def update_parents(self, now: int, owners: Mapping[str, str]) -> list[str]:
+        """Check all parents; returns the channels that were given a new one.
+
+        ``owners``: as far as they are known.
+        """
         changed = []
         for channel in self._followers:
             owner = owners.get(channel, "")
@@ -108,21 +111,21 @@
         return changed
 
     def parent(self, channel: str) -> str:
-        """The parent of a channel; "": none."""
+        """The parent of a channel; "" if there is none."""
         found = self._parents.get(channel)
         return found.name if found is not None else ""
 
-    def heard(self, now: int, channel: str, sender: str) -> None:
+    def note_message(self, now: int, channel: str, sender: str) -> None:
         """A gateway sent a message of a channel."""
         found = self._parents.get(channel)
         if found is not None and found.name == sender:
             found.heard_at = now
 
-    def adopt(self, now: int, channel: str, child: str) -> bool:
-        """A gateway subscribes; whether it is accepted."""
+    def add_child(self, now: int, channel: str, child: str) -> bool:
+        """Add or renew a child's subscription; returns whether it is accepted."""
         known = self._children.setdefault(channel, {})
         if child not in known and len(known) >= MAX_CHILDREN * self._fan_out:
-            for name in [name for name, until in known.items() if until < now]:
+            for name in [name for name, expires_at in known.items() if expires_at < now]:
                 del known[name]
             if len(known) >= MAX_CHILDREN * self._fan_out:
                 self.refused += 1
@@ -131,10 +134,10 @@
         return True
 
     def children(self, now: int, channel: str) -> list[str]:
-        """The children of a channel here."""
+        """The current children of a channel."""
         known = self._children.get(channel)
         if not known:
             return []
-        for name in [name for name, until in known.items() if until < now]:
+        for name in [name for name, expires_at in known.items() if expires_at < now]:
             del known[name]
         return list(known)
--- a/yardbank/cluster/channels/succession.py
+++ b/yardbank/cluster/channels/succession.py
@@ -1,4 +1,4 @@
-"""Who comes after the owner of a channel: its heirs if it dies, its successors at a planned end. No I/O."""
+"""Who follows the owner of a channel: its standbys if it fails, its successors at a planned end. No I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 from yardbank.cluster.channels.states import OwnerState
 from yardbank.cluster.peers.parts import MembershipView
 
-DIRECT_HEIRS = 3  # so many hear from the owner directly that it lives
+DIRECT_STANDBYS = 3  # gateways that receive the owner's heartbeats directly
 
 
 class Succession:
-    """Orders of the gateways that come next. ``prefer``: of some gateways those to prefer, the best first."""
+    """Orders of the gateways next in line.
+
+    ``prefer`` returns the preferred ones of some gateways, best first.
+    """
 
     def __init__(
         self, table: ChannelTable, membership_view: MembershipView, members: Members, placement: Placement
@@ -27,18 +30,18 @@
         self._members = members
         self._placement = placement
 
-    def heirs(self, channel: str, loads: Counter[str]) -> list[str]:
-        """The first candidates if this gateway died; they are told directly that it lives."""
+    def standbys(self, channel: str, loads: Counter[str]) -> list[str]:
+        """The first candidates if this gateway failed; they receive its heartbeats directly."""
         names = self._members.candidates(channel) - {self._membership_view.name}
-        most = placing.bound(len(self._table.channels), len(names) + 1)
+        max_channels = placing.load_bound(len(self._table.channels), len(names) + 1)
         order = self._placement.order(channel, names, self._members.followers(channel))
-        return placing.turns(order, loads, most)[:DIRECT_HEIRS]
+        return placing.candidacy_order(order, loads, max_channels)[:DIRECT_STANDBYS]
 
-    def successors(self, channel: str, own: OwnerState, loads: Counter[str]) -> list[str]:
-        """Who may take it at a planned end, the best first; those that did not take it are left out."""
+    def successors(self, channel: str, owner_state: OwnerState, loads: Counter[str]) -> list[str]:
+        """Gateways that may take a channel at a planned end, best first, without those that did not take it."""
         alive = self._members.candidates(channel) & self._membership_view.alive()
-        names = alive - own.tried - {self._membership_view.name}
+        names = alive - owner_state.failed_successors - {self._membership_view.name}
         sharing = len(names) if self._table.stopping else len(names) + 1
-        most = placing.bound(len(self._table.channels), sharing)
+        max_channels = placing.load_bound(len(self._table.channels), sharing)
         order = self._placement.order(channel, names, self._members.followers(channel))
-        return placing.successors(order, loads, most, self.prefer)
+        return placing.successors(order, loads, max_channels, self.prefer)
--- a/yardbank/cluster/channels/tenure.py
+++ b/yardbank/cluster/channels/tenure.py
@@ -1,6 +1,7 @@
-"""A channel from the grant of its lease to the end of it. No I/O; times (ns) come in.
+"""A channel from the grant of its lease to the end of it. No I/O; times are passed in (ns).
 
-Invariant: items go out only in phases of ``PUBLISHING``; whoever leaves them says where the epoch ended.
+Invariant: items are published only in the phases of ``PUBLISHING``; a gateway that leaves them reports where its epoch
+ended.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from yardbank.cluster.channels.succession import Succession
 from yardbank.cluster.lease.api import Leases
 
-END_QUERY_INTERVAL = 50 * MS  # between two questions to the former owner
+END_QUERY_INTERVAL = 50 * MS  # between two queries to the former owner
 
 
 class Tenure:
-    """What a gateway does with a lease that it was granted."""
+    """What a gateway does with a granted lease."""
 
     def __init__(
         self, table: ChannelTable, leases: Leases, succession: Succession, feed: Feed, options: Options
@@ -28,63 +29,68 @@
         self._feed = feed
         self._options = options
 
-    def granted(self, now: int, channel: str, own: OwnerState | None, epoch: int) -> None:
-        """The lease is granted, perhaps too late."""
-        if own is None or own.state in NOT_REQUESTED or self._table.stopping:
+    def granted(self, now: int, channel: str, owner_state: OwnerState | None, epoch: int) -> None:
+        """The lease was granted, possibly too late."""
+        if owner_state is None or owner_state.phase in NOT_REQUESTED or self._table.stopping:
             self._leases.release(now, resource(channel))
             return
-        if own.state != OwnershipPhase.CANDIDATE:
-            self.end(now, channel, own, "granted anew")
-        own.epoch = epoch
-        own.tried = set()
-        if own.source:
-            self._table.move(now, channel, own, OwnershipPhase.TAKING_OVER)
-            self.take_over(now, channel, own)
+        if owner_state.phase != OwnershipPhase.CANDIDATE:
+            self.end(now, channel, owner_state, "granted anew")
+        owner_state.epoch = epoch
+        owner_state.failed_successors = set()
+        if owner_state.offered_by:
+            self._table.move(now, channel, owner_state, OwnershipPhase.TAKING_OVER)
+            self.take_over(now, channel, owner_state)
         else:
-            self._begin(now, channel, own)
+            self._become_owner(now, channel, owner_state)
 
-    def take_over(self, now: int, channel: str, own: OwnerState) -> None:
-        """Begin once the former owner is known to have ended: then no item is missed at the change."""
-        if self._former_ended(channel, own) or now - own.at >= self._options.overlap:
-            self._begin(now, channel, own)
-        elif now - own.asked_at >= END_QUERY_INTERVAL:
-            own.asked_at = now
-            self._feed.send_urgent(own.source, EndQuery(channel, own.epoch))
+    def take_over(self, now: int, channel: str, owner_state: OwnerState) -> None:
+        """Start once the former owner is known to have ended, so that no item is lost in the change."""
+        if self._former_ended(channel, owner_state) or now - owner_state.phase_since >= self._options.overlap:
+            self._become_owner(now, channel, owner_state)
+        elif now - owner_state.end_queried_at >= END_QUERY_INTERVAL:
+            owner_state.end_queried_at = now
+            self._feed.send_urgent(owner_state.offered_by, EndQuery(channel, owner_state.epoch))
 
-    def _former_ended(self, channel: str, own: OwnerState) -> bool:
-        end = self._feed.ends.get(channel)
+    def _former_ended(self, channel: str, owner_state: OwnerState) -> bool:
+        end = self._feed.epoch_ends.get(channel)
         known = self._feed.known.get(channel)
-        if end is None or known is None or not known.over:
+        if end is None or known is None or not known.ended:
             return False
-        return end[0] == known.epoch < own.epoch
+        return end[0] == known.epoch < owner_state.epoch
 
-    def _begin(self, now: int, channel: str, own: OwnerState) -> None:
-        own.source = ""
-        self._table.move(now, channel, own, OwnershipPhase.OWNER)
+    def _become_owner(self, now: int, channel: str, owner_state: OwnerState) -> None:
+        owner_state.offered_by = ""
+        self._table.move(now, channel, owner_state, OwnershipPhase.OWNER)
         loads = self._table.loads(self._feed.known.values())
-        self._feed.heirs[channel] = self._succession.heirs(channel, loads)
-        self._feed.carry(now, channel, own.epoch)
-        self._feed.events.append(Owned(channel, own.epoch))
+        self._feed.standbys[channel] = self._succession.standbys(channel, loads)
+        self._feed.start_ownership(now, channel, owner_state.epoch)
+        self._feed.events.append(Owned(channel, owner_state.epoch))
 
-    def lost(self, now: int, channel: str, own: OwnerState, why: str) -> None:
-        """The lease is over; where that was not planned it is still wanted."""
-        if own.state != OwnershipPhase.TRANSFERRING:
-            self.end(now, channel, own, why, OwnershipPhase.CANDIDATE)
+    def lost(self, now: int, channel: str, owner_state: OwnerState, why: str) -> None:
+        """The lease has ended; request it again unless the end was planned."""
+        if owner_state.phase != OwnershipPhase.TRANSFERRING:
+            self.end(now, channel, owner_state, why, OwnershipPhase.CANDIDATE)
             return
         self._leases.release(now, resource(channel))
-        own.not_before = now + 2 * self._options.overlap
-        self.end(now, channel, own, why)
+        owner_state.no_candidacy_before = now + 2 * self._options.overlap
+        self.end(now, channel, owner_state, why)
 
     def end(
-        self, now: int, channel: str, own: OwnerState, why: str, phase: OwnershipPhase = OwnershipPhase.IDLE
+        self,
+        now: int,
+        channel: str,
+        owner_state: OwnerState,
+        why: str,
+        next_phase: OwnershipPhase = OwnershipPhase.IDLE,
     ) -> None:
-        """Leave it for another phase; if items went out, say where the epoch ended."""
-        published = own.state in PUBLISHING
-        self._table.move(now, channel, own, phase)
+        """Enter another phase; if this gateway was publishing, report where the epoch ended."""
+        published = owner_state.phase in PUBLISHING
+        self._table.move(now, channel, owner_state, next_phase)
         if published:
-            self._feed.stop(now, channel, [own.to] if own.to else [])
-            self._feed.events.append(Ended(channel, own.epoch, why))
-        own.source = ""
-        own.to = ""
-        own.better_since = 0
-        self._feed.heirs.pop(channel, None)
+            self._feed.end_ownership(now, channel, [owner_state.successor] if owner_state.successor else [])
+            self._feed.events.append(Ended(channel, owner_state.epoch, why))
+        owner_state.offered_by = ""
+        owner_state.successor = ""
+        owner_state.better_since = 0
+        self._feed.standbys.pop(channel, None)
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -25,7 +25,7 @@
 from yardbank.gateway.gateway import Gateway
 
 if TYPE_CHECKING:
-    from yardbank.cluster.channels.placement import Distance
+    from yardbank.cluster.channels.placement import LatencyLookup
     from yardbank.cluster.channels.position_polling import PositionFeeds
     from yardbank.cluster.channels.service import Channels
     from yardbank.cluster.latency_map.part import LatencyMapPart
@@ -99,7 +99,7 @@
         if config.atlas is not None:
             self._make_map(config)
         if config.channels is not None:
-            self._make_channels(config, self._distance())
+            self._make_channels(config, self._latency_lookup())
         if config.rollout is not None:
             self._make_rollout(config, started)
         if config.distribution is not None:
@@ -117,7 +117,7 @@
         node.add(leases)
         return leases
 
-    def _distance(self) -> Distance:
+    def _latency_lookup(self) -> LatencyLookup:
         """Round trips between zones, for placement; without a map none is known."""
         if self._map is None:
             return lambda one, other: None
@@ -145,7 +145,7 @@
         self._gateway.latency_listeners.append(part.saw_server)
         self._map = part
 
-    def _make_channels(self, config: Config, distance: Distance) -> None:
+    def _make_channels(self, config: Config, latency_lookup: LatencyLookup) -> None:
         from yardbank.cluster.channels.api import Options
         from yardbank.cluster.channels.part import ChannelPart
         from yardbank.cluster.channels.position_polling import PositionFeeds
@@ -163,7 +163,7 @@
         )
         node = self._peers.node
         now = self._gateway.now
-        part = ChannelPart(node.membership_view, self.leases, self._random("channels"), options, distance)
+        part = ChannelPart(node.membership_view, self.leases, self._random("channels"), options, latency_lookup)
         node.add(part)
         part.ownership.heard_epoch = self.leases.epochs.hear
         self.channels = Channels(part, reactor=self._reactor, now=now, prompt=self._peers.prompt, log=self._log)
