--- a/tests/cluster/channels/test_faults.py
+++ b/tests/cluster/channels/test_faults.py
@@ -1,11 +1,11 @@
-"""Handing on with deaths and stops in its midst, ways that flap, lists that differ, two of one name, liars."""
+"""Transfers interrupted by deaths and pauses, flapping networks, differing lists, duplicate names, false claims."""
 
 from __future__ import annotations
 
 import msgspec
 import pytest
 
-from tests.cluster.channels.test_fleet import LOSSY, TERM, cut, fleet, sound
+from tests.cluster.channels.test_fleet import LOSSY, TERM, assert_sound, cut_off, start_fleet
 from tests.support.channels_fleet import MS, SECOND, ChannelFleet
 from yardbank.cluster.channels import messages as wire
 from yardbank.cluster.channels.api import Delivered, resource
@@ -14,170 +14,169 @@
 from yardbank.testing.rig.network import Effect
 
 
-def hand_on(found: ChannelFleet) -> tuple[str, str, str]:
-    """Begin to hand one on: the channel, from whom, to whom."""
-    channel = found.channels[0]
-    old = found.owner(channel)[0]
-    part, now = found.running[old].part, found.gossip.own(old)
+def begin_transfer(fleet: ChannelFleet) -> tuple[str, str, str]:
+    """Begin to transfer a channel; returns the channel, its owner and the successor."""
+    channel = fleet.channels[0]
+    old = fleet.owner(channel)[0]
+    part, now = fleet.running[old].part, fleet.gossip.own(old)
     owner_state = part.ownership.channels[channel]
     new = part.ownership.succession.successors(channel, owner_state, part.ownership.loads())[0]
     assert part.ownership.transfers.begin(now, channel, owner_state, new)
-    found.gossip.prompt(old)
+    fleet.gossip.prompt(old)
     return channel, old, new
 
 
 @pytest.mark.parametrize("dead", ["old", "new", "both"])
 @pytest.mark.parametrize("after", [0, 1, 3, 10])
-def test_deaths_in_mid_handing(dead: str, after: int) -> None:
-    found = fleet(7, 2)
-    _, old, new = hand_on(found)
-    found.run(after * MS)
+def test_transfer_survives_death_of_either_gateway(dead: str, after: int) -> None:
+    fleet = start_fleet(7, 2)
+    _, old, new = begin_transfer(fleet)
+    fleet.run(after * MS)
     for name in {"old": [old], "new": [new], "both": [old, new]}[dead]:
-        found.kill(name)
-    found.run(50 * MS)
-    assert found.run_until(found.votable_owned, TERM + 3 * SECOND)
+        fleet.kill(name)
+    fleet.run(50 * MS)
+    assert fleet.run_until(fleet.votable_owned, TERM + 3 * SECOND)
     for name in (old, new):
-        if name not in found.running:
-            found.start(name)
-    found.run(8 * SECOND)
-    assert found.all_owned()
-    sound(found)
-
-
-def test_a_handing_that_nobody_takes_stays_with_the_owner() -> None:
-    found = fleet()
-    channel, old, new = hand_on(found)
-    found.gossip.pause(new)
-    found.run(2 * SECOND)
-    assert found.owner(channel) in ((old,), ()) or found.owner(channel) != (new,)
-    found.gossip.resume(new)
-    found.run(TERM + 2 * SECOND)
-    assert found.all_owned() and OwnershipPhase.TRANSFERRING not in {
-        owner_state.phase for owner_state in found.running[old].part.ownership.channels.values()
+        if name not in fleet.running:
+            fleet.start(name)
+    fleet.run(8 * SECOND)
+    assert fleet.all_owned()
+    assert_sound(fleet)
+
+
+def test_channel_stays_owned_when_the_successor_does_not_take_it() -> None:
+    fleet = start_fleet()
+    channel, old, new = begin_transfer(fleet)
+    fleet.gossip.pause(new)
+    fleet.run(2 * SECOND)
+    assert fleet.owner(channel) in ((old,), ()) or fleet.owner(channel) != (new,)
+    fleet.gossip.resume(new)
+    fleet.run(TERM + 2 * SECOND)
+    assert fleet.all_owned() and OwnershipPhase.TRANSFERRING not in {
+        owner_state.phase for owner_state in fleet.running[old].part.ownership.channels.values()
     }
-    sound(found)
+    assert_sound(fleet)
 
 
 @pytest.mark.parametrize("after", [1, 10, 100])
-def test_an_owner_stopped_in_mid_handing_and_woken_after_two_epochs(after: int) -> None:
-    found = fleet(7, 2)
-    channel, old, _ = hand_on(found)
-    found.run(after * MS)
-    found.gossip.pause(old)
-    found.run(TERM + 2 * SECOND)
-    assert found.run_until(found.all_owned, TERM)
-    second = found.owner(channel)[0]
-    found.stop(second)  # the second epoch ends as well
-    found.start(second)
-    found.run(3 * SECOND)
-    assert (
-        found.publish(old, channel) == "not the owner"
-    )  # the program wakes first: whatever it thinks, the lease is asked
-    found.gossip.resume(old)
-    found.run(5 * SECOND)
-    assert found.all_owned()
-    sound(found)
-    heard = [event for _, event in found.running[old].heard[channel] if isinstance(event, Delivered)]
-    assert heard[-1].epoch == max(epoch for name, epoch in found.published if name == channel)
+def test_owner_paused_during_transfer_resumes_after_two_epochs(after: int) -> None:
+    fleet = start_fleet(7, 2)
+    channel, old, _ = begin_transfer(fleet)
+    fleet.run(after * MS)
+    fleet.gossip.pause(old)
+    fleet.run(TERM + 2 * SECOND)
+    assert fleet.run_until(fleet.all_owned, TERM)
+    second = fleet.owner(channel)[0]
+    fleet.stop(second)  # the second epoch ends as well
+    fleet.start(second)
+    fleet.run(3 * SECOND)
+    # The program runs before the gateway has heard of the new owner: the lease refuses.
+    assert fleet.publish(old, channel) == "not the owner"
+    fleet.gossip.resume(old)
+    fleet.run(5 * SECOND)
+    assert fleet.all_owned()
+    assert_sound(fleet)
+    heard = [event for _, event in fleet.running[old].heard[channel] if isinstance(event, Delivered)]
+    assert heard[-1].epoch == max(epoch for name, epoch in fleet.published if name == channel)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ways_that_flap_each_second(seed: int) -> None:
-    found = fleet(7, 4, seed)
-    victim = found.owner(found.channels[0])[0]
+def test_network_that_flaps_every_second(seed: int) -> None:
+    fleet = start_fleet(7, 4, seed)
+    victim = fleet.owner(fleet.channels[0])[0]
     for number in range(12):
-        cut(found, [victim], oneway=number % 3 == 0)
-        found.run(SECOND)
-        found.gossip.network.end("cut")
-        found.run(SECOND)
-    assert found.run_until(found.all_owned, TERM + 3 * SECOND)
-    found.run(2 * SECOND)
-    sound(found)
-
-
-def test_loss_doubling_and_reordering_throughout() -> None:
-    found = fleet(9, 4, 5)
-    found.gossip.way = LOSSY
-    found.run(10 * SECOND)
-    owner = found.owner(found.channels[0])[0]
-    found.stop(owner)
-    found.start(owner)
-    found.run(10 * SECOND)
-    assert found.all_owned()
-    sound(found)
-    told = sum(gap.missing or 0 for gap in found.gaps())
-    heard = sum(
-        isinstance(event, Delivered) for one in found.listeners for some in one.heard.values() for _, event in some
+        cut_off(fleet, [victim], oneway=number % 3 == 0)
+        fleet.run(SECOND)
+        fleet.gossip.network.end("cut")
+        fleet.run(SECOND)
+    assert fleet.run_until(fleet.all_owned, TERM + 3 * SECOND)
+    fleet.run(2 * SECOND)
+    assert_sound(fleet)
+
+
+def test_continuous_loss_duplication_and_reordering() -> None:
+    fleet = start_fleet(9, 4, 5)
+    fleet.gossip.way = LOSSY
+    fleet.run(10 * SECOND)
+    owner = fleet.owner(fleet.channels[0])[0]
+    fleet.stop(owner)
+    fleet.start(owner)
+    fleet.run(10 * SECOND)
+    assert fleet.all_owned()
+    assert_sound(fleet)
+    reported = sum(gap.missing or 0 for gap in fleet.gaps())
+    delivered = sum(
+        isinstance(event, Delivered) for one in fleet.listeners for some in one.heard.values() for _, event in some
     )
-    assert told < heard / 200  # a tenth is lost on each way; nearly all of that is mended
+    assert reported < delivered / 200  # a tenth of the datagrams is lost; nearly all items are retransmitted
 
 
-def test_an_inner_one_that_hands_nothing_on_cuts_its_subtree_for_a_moment_only() -> None:
-    found = fleet(24, 1, every=200 * MS)
-    channel = found.channels[0]
+def test_inner_node_that_forwards_nothing_interrupts_its_subtree_only_briefly() -> None:
+    fleet = start_fleet(24, 1, every=200 * MS)
+    channel = fleet.channels[0]
 
     def fed(name: str) -> list[str]:
-        return found.running[name].part.feed.subscriptions.children(found.gossip.own(name), channel)
+        return fleet.running[name].part.feed.subscriptions.children(fleet.gossip.own(name), channel)
 
-    others = [name for name in found.names if (name,) != found.owner(channel)]
+    others = [name for name in fleet.names if (name,) != fleet.owner(channel)]
     inner = max(others, key=lambda name: len(fed(name)))
     assert len(fed(inner)) >= 3
-    found.gossip.network.begin("deaf", {(inner, child) for child in fed(inner)}, Effect("silent"))
-    found.run(8 * SECOND)
+    fleet.gossip.network.begin("deaf", {(inner, child) for child in fed(inner)}, Effect("silent"))
+    fleet.run(8 * SECOND)
     for name in others:
-        at, _ = [one for one in found.running[name].heard[channel] if isinstance(one[1], Delivered)][-1]
-        assert found.gossip.now - at < SECOND, name
-    assert not found.gaps()  # what was missed meanwhile came from the next one's store
-    sound(found)
-
-
-def test_lists_that_differ() -> None:
-    found = fleet(9, 4)
-    shorter = [name for name in found.names if name != found.names[-1]]
-    for name in found.names[:4]:  # these have heard already that one leaves
-        found.gossip.nodes[name].listed(found.gossip.own(name), shorter)
-    found.run(12 * SECOND)
-    sound(found)
-    for name in found.names[4:-1]:
-        found.gossip.nodes[name].listed(found.gossip.own(name), shorter)
-    found.kill(found.names[-1])
-    found.run(3 * TERM)
-    assert found.all_owned()
-    sound(found)
-
-
-def test_two_processes_of_one_name() -> None:
-    found = fleet()
-    channel = found.channels[0]
-    twin = found.owner(channel)[0]
-    before = found.gossip.nodes[twin]
-    found.collect(twin)
-    found.start(twin)  # the list sends both names' datagrams here from now on; the older one still talks
+        at, _ = [one for one in fleet.running[name].heard[channel] if isinstance(one[1], Delivered)][-1]
+        assert fleet.gossip.now - at < SECOND, name
+    assert not fleet.gaps()  # missed items were retransmitted by the next parent
+    assert_sound(fleet)
+
+
+def test_gateways_with_differing_lists() -> None:
+    fleet = start_fleet(9, 4)
+    shorter = [name for name in fleet.names if name != fleet.names[-1]]
+    for name in fleet.names[:4]:  # these have the new list, without one gateway, already
+        fleet.gossip.nodes[name].listed(fleet.gossip.own(name), shorter)
+    fleet.run(12 * SECOND)
+    assert_sound(fleet)
+    for name in fleet.names[4:-1]:
+        fleet.gossip.nodes[name].listed(fleet.gossip.own(name), shorter)
+    fleet.kill(fleet.names[-1])
+    fleet.run(3 * TERM)
+    assert fleet.all_owned()
+    assert_sound(fleet)
+
+
+def test_two_processes_with_the_same_name() -> None:
+    fleet = start_fleet()
+    channel = fleet.channels[0]
+    reused_name = fleet.owner(channel)[0]
+    before = fleet.gossip.nodes[reused_name]
+    fleet.collect(reused_name)
+    fleet.start(reused_name)  # datagrams to this name now reach the new process; the old one still sends
     for _ in range(100):
-        for to, data in before.tick(found.gossip.own(twin)):
-            found.gossip._send(twin, to, data)
-        found.run(100 * MS)
-    assert found.run_until(found.all_owned, 2 * TERM)
-    sound(found)
-
-
-def test_one_who_claims_a_channel_holds_it_up_only_while_it_lies() -> None:
-    found = fleet()
-    channel = found.channels[0]
-    owner = found.owner(channel)[0]
-    liar = next(name for name in found.names if name != owner)
-    epoch = found.running[owner].part.feed.owned_channels[channel].epoch + 1000
-    lie = wire.Heartbeat((wire.ChannelState(channel, epoch, 0, 0, liar, 1),))
-    for name in found.names:
-        if name != liar:
-            found.running[liar].part._send(name, lie)
-    found.gossip.prompt(liar)
-    found.run(5 * SECOND)
-    mine = found.running[found.owner(channel)[0]].part.feed.owned_channels[channel]
-    assert mine.epoch > epoch  # the owner asked the voters for one above
-    for listener in found.running.values():
+        for to, data in before.tick(fleet.gossip.own(reused_name)):
+            fleet.gossip._send(reused_name, to, data)
+        fleet.run(100 * MS)
+    assert fleet.run_until(fleet.all_owned, 2 * TERM)
+    assert_sound(fleet)
+
+
+def test_false_claim_of_ownership_delays_a_channel_only_briefly() -> None:
+    fleet = start_fleet()
+    channel = fleet.channels[0]
+    owner = fleet.owner(channel)[0]
+    false_claimant = next(name for name in fleet.names if name != owner)
+    epoch = fleet.running[owner].part.feed.owned_channels[channel].epoch + 1000
+    false_claim = wire.Heartbeat((wire.ChannelState(channel, epoch, 0, 0, false_claimant, 1),))
+    for name in fleet.names:
+        if name != false_claimant:
+            fleet.running[false_claimant].part._send(name, false_claim)
+    fleet.gossip.prompt(false_claimant)
+    fleet.run(5 * SECOND)
+    mine = fleet.running[fleet.owner(channel)[0]].part.feed.owned_channels[channel]
+    assert mine.epoch > epoch  # the owner requested an epoch above the claimed one
+    for listener in fleet.running.values():
         assert isinstance(listener.heard[channel][-1][1], Delivered)
-        assert listener.heard[channel][-1][0] > found.gossip.now - SECOND
+        assert listener.heard[channel][-1][0] > fleet.gossip.now - SECOND
 
 
 @pytest.mark.parametrize(
@@ -192,12 +191,12 @@
         msgspec.msgpack.encode(["item", "notices-0", 1 << 60, (1 << 62), b"", "g", 1, None, "later"]),
     ],
 )
-def test_odd_letters_change_nothing(body: bytes) -> None:
-    found = fleet(3, 1)
-    part = found.running["g0"].part
+def test_malformed_or_unexpected_messages_change_nothing(body: bytes) -> None:
+    fleet = start_fleet(3, 1)
+    part = fleet.running["g0"].part
     before = part.feed.known["notices-0"].epoch, part.members.revision
     try:
-        part.receive(found.gossip.own("g0"), "g1", 1, body)
+        part.receive(fleet.gossip.own("g0"), "g1", 1, body)
     except DroppedError:
         pass
     assert (part.feed.known["notices-0"].epoch, part.members.revision) == before
--- a/tests/cluster/channels/test_items.py
+++ b/tests/cluster/channels/test_items.py
@@ -1,4 +1,4 @@
-"""What one follower takes of one channel, and who is placed where: properties over drawn arrivals."""
+"""Properties of streams, listener queues, placement, trees and interest exchange, over generated inputs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from yardbank.cluster.channels.messages import InterestDigest, InterestQuery, InterestSet, Item
 from yardbank.cluster.channels.placement import Placement, assign, load_bound, successors
 
-GIVEN = [(1, 5), (2, 3), (5, 4)]  # epochs, and how many items each had
+EPOCH_LENGTHS = [(1, 5), (2, 3), (5, 4)]  # (epoch, number of items)
 
 
 def item(epoch: int, sequence: int, after: tuple[int, int] | None = None) -> Item:
@@ -23,16 +23,18 @@
 
 @st.composite
 def arrivals(draw):
-    """Items of three owners, each perhaps lost, doubled, in any order nearby; whether ends are told."""
-    told = draw(st.booleans())
-    ends = dict(GIVEN)
-    after = {2: (1, ends[1]), 5: (2, ends[2])} if told else {}
-    items = [item(epoch, sequence, after.get(epoch)) for epoch, count in GIVEN for sequence in range(1, count + 1)]
+    """Items of three owners, each possibly lost or duplicated, reordered nearby, with or without known epoch ends."""
+    ends_known = draw(st.booleans())
+    ends = dict(EPOCH_LENGTHS)
+    after = {2: (1, ends[1]), 5: (2, ends[2])} if ends_known else {}
+    items = [
+        item(epoch, sequence, after.get(epoch)) for epoch, count in EPOCH_LENGTHS for sequence in range(1, count + 1)
+    ]
     kept = [one for one in items for _ in range(draw(st.integers(0, 2)))]
     order = draw(st.lists(st.integers(0, 6), min_size=len(kept), max_size=len(kept)))
     ranked = sorted(range(len(kept)), key=lambda number: number + order[number])
     return (
-        told,
+        ends_known,
         items,
         [kept[number] for number in ranked],
         draw(st.lists(st.integers(0, 300), min_size=len(kept), max_size=len(kept))),
@@ -41,11 +43,11 @@
 
 @given(arrivals())
 @settings(max_examples=300, deadline=None)
-def test_in_order_once_and_what_is_missing_is_told(drawn) -> None:
-    told, items, came, pauses = drawn
+def test_items_are_delivered_once_in_order_and_missing_ones_reported(drawn) -> None:
+    ends_known, items, arrived, pauses = drawn
     stream, now = Stream("c"), SECOND
     stream.note_newest(now, 1, 0, None)
-    for one, pause in zip(came, pauses):
+    for one, pause in zip(arrived, pauses):
         now += pause * MS
         stream.tick(now)
         stream.take(now, one)
@@ -55,40 +57,40 @@
     assert not stream.is_waiting() and not stream._out_of_order
     places = [(one.epoch, one.sequence) for one in stream.out if isinstance(one, Item)]
     assert places == sorted(set(places))
-    if not came:
+    if not arrived:
         return
-    every = [(one.epoch, one.sequence) for one in items]
+    all_positions = [(one.epoch, one.sequence) for one in items]
     gaps = [one for one in stream.out if isinstance(one, Gap)]
-    last = max((one.epoch, one.sequence) for one in came)
-    lacking = [one for one in every if one <= last and one not in places]
-    assert not lacking or gaps  # whatever is missing before the last one that came is told
-    if told and all(gap.missing is not None for gap in gaps):
-        assert sum(gap.missing for gap in gaps) >= len(lacking)
-    if told and not lacking:
+    last = max((one.epoch, one.sequence) for one in arrived)
+    missing_positions = [one for one in all_positions if one <= last and one not in places]
+    assert not missing_positions or gaps  # whatever is missing before the last arrived item is reported
+    if ends_known and all(gap.missing is not None for gap in gaps):
+        assert sum(gap.missing for gap in gaps) >= len(missing_positions)
+    if ends_known and not missing_positions:
         assert sum(gap.missing or 0 for gap in gaps) == 0
 
 
-def test_a_planned_change_is_no_gap_and_an_unplanned_one_says_perhaps() -> None:
+def test_planned_owner_change_shows_no_gap_and_unplanned_one_an_unknown_gap() -> None:
     for after, gaps in (((1, 2), []), (None, [Gap("c", 4, None)])):
         stream = Stream("c")
         for one in (item(1, 1), item(1, 2), item(4, 1, after)):
             stream.take(SECOND, one)
         assert [one for one in stream.out if isinstance(one, Gap)] == gaps
-        assert not stream.take(SECOND, item(1, 3)) and not stream.take(SECOND, item(3, 1))  # of an owner before
+        assert not stream.take(SECOND, item(1, 3)) and not stream.take(SECOND, item(3, 1))  # of former owners
 
 
-def test_the_end_told_late_items_of_the_epoch_before_are_waited_for() -> None:
+def test_late_items_of_the_previous_epoch_are_awaited_when_its_end_is_known() -> None:
     stream = Stream("c")
     stream.take(0, item(1, 1))
     stream.take(MS, item(2, 1, (1, 3)))
-    assert stream.missing(2 * MS) is None  # it may only have been overtaken
-    assert stream.missing(20 * MS).first == 2 and stream.missing(30 * MS) is None  # asked once a while
+    assert stream.missing(2 * MS) is None  # it may only be reordered
+    assert stream.missing(20 * MS).first == 2 and stream.missing(30 * MS) is None  # requested once per interval
     stream.take(40 * MS, item(1, 3, None))
     stream.take(50 * MS, item(1, 2, None))
     assert [(one.epoch, one.sequence) for one in stream.out] == [(1, 1), (1, 2), (1, 3), (2, 1)]
 
 
-def test_what_waits_is_bounded_by_count() -> None:
+def test_out_of_order_items_are_bounded_by_count() -> None:
     stream = Stream("c")
     stream.take(0, item(1, 1))
     for sequence in range(3, MAX_OUT_OF_ORDER + 10):
@@ -96,12 +98,12 @@
     assert Gap("c", 1, 1) in stream.out and len(stream.out) > MAX_OUT_OF_ORDER
 
 
-def test_the_newest_only_waits_for_nothing() -> None:
+def test_latest_stream_does_not_wait_for_missing_items() -> None:
     stream = Stream("c", latest=True)
     for one in (item(1, 1), item(1, 5), item(1, 3), item(2, 9), item(1, 6)):
         stream.take(0, one)
     stream.note_newest(0, 2, 10, None)
-    stream.take(0, item(2, 10))  # that it has been given out is known already: it is no less new
+    stream.take(0, item(2, 10))  # a heartbeat has announced it already; it still counts as new
     assert [(one.epoch, one.sequence) for one in stream.out] == [(1, 1), (1, 5), (2, 9), (2, 10)]
 
 
@@ -115,7 +117,7 @@
 
 
 @given(st.integers(2, 20), st.lists(st.booleans(), max_size=60))
-def test_a_slow_listener_loses_the_oldest_and_is_told_how_many(most: int, puts: list[bool]) -> None:
+def test_full_listener_queue_drops_the_oldest_and_reports_how_many(most: int, puts: list[bool]) -> None:
     queue, taken, lost, number = ListenerQueue(most), [], 0, 0
     for put in puts:
         if put:
@@ -135,7 +137,7 @@
 
 @given(st.integers(1, 40), st.integers(0, 120), st.integers(0, 10**6))
 @settings(max_examples=50, deadline=None)
-def test_loads_are_bounded_and_all_compute_alike(gateways: int, channels: int, salt: int) -> None:
+def test_assigned_loads_are_bounded_and_independent_of_input_order(gateways: int, channels: int, salt: int) -> None:
     names = frozenset(f"{salt}-{number}" for number in range(gateways))
     one, two = Placement(lambda a, b: None), Placement(lambda a, b: None)
     one.listed(dict.fromkeys(sorted(names), ""))
@@ -148,7 +150,7 @@
     assert max(Counter(queue[0] for queue in queues.values()).values(), default=0) <= most
 
 
-def test_one_gateway_less_moves_only_its_own_channels() -> None:
+def test_removing_a_gateway_moves_only_its_own_channels() -> None:
     names = frozenset(f"g{number}" for number in range(10))
     found = Placement(lambda a, b: None)
     found.listed(dict.fromkeys(names, ""))
@@ -157,19 +159,19 @@
         assert found.order(channel, names - {"g3"}) == [name for name in order if name != "g3"]
 
 
-def test_the_owner_goes_where_the_worst_way_is_shortest_unless_a_way_is_unknown() -> None:
-    ancestors = {frozenset("ab"): 20, frozenset("bc"): 20, frozenset("ac"): 90}
+def test_order_prefers_lowest_worst_latency_unless_a_latency_is_unknown() -> None:
+    latencies = {frozenset("ab"): 20, frozenset("bc"): 20, frozenset("ac"): 90}
     zones = {f"g{number}": "abc"[number % 3] for number in range(9)}
     for known in ("abc", "ab"):
         found = Placement(
-            lambda a, b, known=known: ancestors[frozenset((a, b))] * MS if a in known and b in known else None
+            lambda a, b, known=known: latencies[frozenset((a, b))] * MS if a in known and b in known else None
         )
         found.listed(zones)
         order = found.order("x", frozenset(zones), frozenset(zones))
         assert ({zones[name] for name in order[:3]} == {"b"}) is (known == "abc")
 
 
-def test_who_is_preferred_comes_first_but_not_beyond_twice_the_bound() -> None:
+def test_preferred_successors_come_first_up_to_twice_the_bound() -> None:
     order = ["a", "b", "c", "d"]
     assert successors(order, {}, 2, None) == order
     assert successors(order, {"a": 2}, 2, None) == ["b", "c", "d", "a"]
@@ -177,31 +179,33 @@
     assert successors(order, {"d": 4}, 2, lambda names: ["d", "c"])[0] == "c"
 
 
-# The tree
+# Trees
 
 
 @given(st.integers(1, 300), st.integers(2, 16), st.integers(0, 299))
 @settings(max_examples=60, deadline=None)
-def test_each_is_fed_by_one_before_it_within_few_steps(gateways: int, fan_out: int, owner: int) -> None:
+def test_parent_comes_earlier_in_the_order_and_depth_and_fan_out_are_bounded(
+    gateways: int, fan_out: int, owner: int
+) -> None:
     names = tree.order(3, [f"g{number}" for number in range(gateways)])
     root = names[owner % gateways]
-    fed = Counter()
+    child_counts = Counter()
     for at, name in enumerate(names):
         ancestors = tree.ancestors(names, at, fan_out, root)
         assert name not in ancestors
         if name != root:
             parent = ancestors[0]
-            fed[parent] += 1
+            child_counts[parent] += 1
             assert parent == root or names.index(parent) < at
             assert len(ancestors) <= tree.depth(gateways, fan_out)
-    assert all(count <= fan_out for name, count in fed.items() if name != root)
-    assert fed[root] <= 2 * fan_out
+    assert all(count <= fan_out for name, count in child_counts.items() if name != root)
+    assert child_counts[root] <= 2 * fan_out
 
 
-# Who is interested in what
+# Interests
 
 
-def test_two_that_meet_know_of_each_other_by_few_letters_and_a_hash_that_does_not_fit_is_not_believed() -> None:
+def test_peers_exchange_interests_and_reject_sets_that_do_not_match_the_hash() -> None:
     one, two = Members("one"), Members("two")
     one.set_present(["two"])
     two.set_present(["one"])
@@ -217,9 +221,8 @@
     for part in [*reversed(parts), *parts]:
         two.on_interest_set(part)
     assert two.candidates("own-7") == {"one"} and two.followers("x") == {"one"} and len(two.channels()) == 200
-    assert two.on_interest_digest("one", 1, InterestDigest(1, 5, 0)) == [] and two.knows_interests(
-        "one"
-    )  # an earlier version
+    # An earlier version is ignored.
+    assert two.on_interest_digest("one", 1, InterestDigest(1, 5, 0)) == [] and two.knows_interests("one")
     two.set_present([])
     assert not two.candidates("own-7")
     assert placement.candidacy_order(["a", "b"], {"a": 1}, 1) == ["b", "a"]
--- a/tests/cluster/channels/test_large_fleet.py
+++ b/tests/cluster/channels/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Two hundred gateways: they settle without a storm, and what dies or leaves is followed, through a tree of bounded fan-out."""
+"""Two hundred gateways: few grants at startup, bounded fan-out, and owners that leave or die are replaced."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 from yardbank.cluster.channels.api import Delivered
 
 
-def test_two_hundred_gateways() -> None:
-    found = ChannelFleet(200, 4, every=SECOND)
-    found.start()
-    assert found.run_until(found.all_owned, 30 * SECOND)
-    assert found.moved() == 4
-    found.run(3 * SECOND)
+def test_two_hundred_gateways_settle_and_replace_owners_that_leave_or_die() -> None:
+    fleet = ChannelFleet(200, 4, every=SECOND)
+    fleet.start()
+    assert fleet.run_until(fleet.all_owned, 30 * SECOND)
+    assert fleet.moved() == 4
+    fleet.run(3 * SECOND)
     children = [
-        len(listener.part.feed.subscriptions.children(found.gossip.own(name), channel))
-        for name, listener in found.running.items()
-        for channel in found.channels
+        len(listener.part.feed.subscriptions.children(fleet.gossip.own(name), channel))
+        for name, listener in fleet.running.items()
+        for channel in fleet.channels
     ]
-    assert max(children) <= 4 * found.options.fan_out
+    assert max(children) <= 4 * fleet.options.fan_out
     leaving, dying = (
-        found.owner("notices-0")[0],
-        next(owner for channel in found.channels if (owner := found.owner(channel)[0]) != found.owner("notices-0")[0]),
+        fleet.owner("notices-0")[0],
+        next(owner for channel in fleet.channels if (owner := fleet.owner(channel)[0]) != fleet.owner("notices-0")[0]),
     )
-    found.stop(leaving)
-    assert found.all_owned()
-    found.kill(dying)
-    found.run(100 * MS)
-    assert found.run_until(found.votable_owned, 6 * SECOND)
-    found.run(3 * SECOND)
-    assert found.faults() == [] and found.two_owners() <= found.options.overlap
-    newest = {channel: max(epoch for name, epoch in found.published if name == channel) for channel in found.channels}
-    for listener in found.running.values():
-        for channel in found.channels:
+    fleet.stop(leaving)
+    assert fleet.all_owned()
+    fleet.kill(dying)
+    fleet.run(100 * MS)
+    assert fleet.run_until(fleet.votable_owned, 6 * SECOND)
+    fleet.run(3 * SECOND)
+    assert fleet.faults() == [] and fleet.two_owners() <= fleet.options.overlap
+    newest = {channel: max(epoch for name, epoch in fleet.published if name == channel) for channel in fleet.channels}
+    for listener in fleet.running.values():
+        for channel in fleet.channels:
             at, last = [one for one in listener.heard[channel] if isinstance(one[1], Delivered)][-1]
-            assert last.epoch == newest[channel] and at > found.gossip.now - 3 * SECOND
+            assert last.epoch == newest[channel] and at > fleet.gossip.now - 3 * SECOND
