--- a/benchmarks/atlas.py
+++ b/benchmarks/atlas.py
@@ -29,10 +29,10 @@
     def __init__(self, fleet: Fleet) -> None:
         self.seconds = 0.0
         for part in fleet.parts.values():
-            for name in ("tick", "receive", "saw_peer", "saw_server", "letters"):
+            for name in ("tick", "receive", "record_peer_round_trip", "record_server_round_trip", "letters"):
                 setattr(part, name, self._clocked(getattr(part, name)))
         for name, node in fleet.gossip.nodes.items():
-            node.on_round_trip[:] = [fleet.parts[name].saw_peer]
+            node.on_round_trip[:] = [fleet.parts[name].record_peer_round_trip]
 
     def _clocked(self, what: Callable[..., object]) -> Callable[..., object]:
         def call(*given: object) -> object:
--- a/benchmarks/atlas_fleet.py
+++ b/benchmarks/atlas_fleet.py
@@ -50,7 +50,7 @@
 
         def made(node: GossipNode, random: Random) -> list[LatencyMapPart]:
             part = LatencyMapPart(node.membership_view, random, options)
-            node.on_round_trip.append(part.saw_peer)
+            node.on_round_trip.append(part.record_peer_round_trip)
             self.parts[node.name] = part
             return [part]
 
@@ -81,7 +81,7 @@
                 trip = self.trips.get(pair_of(here, there))
                 if trip is not None:
                     ns = round(trip * MS * (1 + self._random.uniform(0, self.jitter))) + self.slow.get(name, 0)
-                    self.parts[name].saw_server(gossip.own(name), there, ns, "probe")
+                    self.parts[name].record_server_round_trip(gossip.own(name), there, ns, "probe")
         gossip.at(gossip.now + round(SECOND / self.probes * self._random.uniform(0.5, 1.5)), lambda: self._probe(name))
 
     def run(self, seconds: float) -> None:
@@ -90,7 +90,7 @@
 
     def figure(self, name: str, one: str, other: str) -> float | None:
         """A way as one gateway has it, ms."""
-        ns = self.parts[name].distance(one, other)
+        ns = self.parts[name].round_trip(one, other)
         return None if ns is None else ns / MS
 
     def errors(self, own: bool) -> tuple[list[float], int]:
@@ -99,7 +99,7 @@
         for name, part in self.parts.items():
             for pair, trip in self.trips.items():
                 if own == (self.zones[name] in pair) and pair[0] != pair[1]:
-                    ns = part.distance(*pair)
+                    ns = part.round_trip(*pair)
                     if ns is None:
                         unknown += 1
                     else:
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -16,11 +16,11 @@
 
 @each("atlas", "letters")
 def test_a_letter_keeps_its_octets(octets, meaning):
-    number, state, given, read = meaning
+    number, health, given, read = meaning
     zones = {zone for own, row in given for zone in (own, *row)}
     told = decode(octets, {digest(zone): zone for zone in zones})
-    assert told == ReceivedRows(number=number, state=state, own=given[0][0], rows=rows(read))
-    assert encode(number, state, rows(given)) == octets
+    assert told == ReceivedRows(number=number, health=health, own_zone=given[0][0], rows=rows(read))
+    assert encode(number, health, rows(given)) == octets
 
 
 def test_topic_and_states_stay_the_same():
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -170,9 +170,9 @@
 
 def all_near():
     """Finds every zone as near as a measurement can say."""
-    from yardbank.cluster.latency_map.options import LEAST
+    from yardbank.cluster.latency_map.options import MIN_ROUND_TRIP
 
-    _measures_always(LEAST)
+    _measures_always(MIN_ROUND_TRIP)
 
 
 def measures_out_of_range():
@@ -184,9 +184,9 @@
     """Whatever a round trip took; and it never finds itself slow, when it would go by others' reports."""
     from yardbank.cluster.latency_map.measurements import Measurements
 
-    saw, ticked = Measurements.saw, Measurements.ticked
-    Measurements.saw = lambda self, now, zone, ns, *more: saw(self, now, zone, round_trip, *more)
-    Measurements.ticked = lambda self, now, late, slowness: ticked(self, now, 0, 0)
+    saw, ticked = Measurements.record, Measurements.on_tick
+    Measurements.record = lambda self, now, zone, ns, *more: saw(self, now, zone, round_trip, *more)
+    Measurements.on_tick = lambda self, now, late, slowness: ticked(self, now, 0, 0)
 
 
 BUGS = {made.__name__: made for made in (keeps_on, takes_twice, mute, restless, eager, deaf_to_stop)}
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -121,7 +121,7 @@
         """Round trips between zones, for placement; without a map none is known."""
         if self._map is None:
             return lambda one, other: None
-        return self._map.distance
+        return self._map.round_trip
 
     def _random(self, part: str) -> Random:
         return Random(f"{self._gateway.settings.seed}/{self._peers.node.detector.boot_epoch}/{part}")
@@ -141,8 +141,8 @@
             self._peers.node.membership_view, self._random("map"), Options(block.life, block.taken_up, block.step)
         )
         self._peers.node.add(part)
-        self._peers.node.on_round_trip.append(part.saw_peer)
-        self._gateway.latency_listeners.append(part.saw_server)
+        self._peers.node.on_round_trip.append(part.record_peer_round_trip)
+        self._gateway.latency_listeners.append(part.record_server_round_trip)
         self._map = part
 
     def _make_channels(self, config: Config, latency_lookup: LatencyLookup) -> None:
@@ -290,7 +290,7 @@
             return
         for change in self._map.changes():
             ms = None if change.ns is None else round(change.ns / 1e6, 3)
-            self._log.info("map", **{"from": change.pair[0]}, to=change.pair[1], ms=ms, how=change.how)
+            self._log.info("map", **{"from": change.pair[0]}, to=change.pair[1], ms=ms, how=change.basis)
         self._gateway.apply_zone_latencies(self._map.zone_latencies(now))
 
     def _update_feeds(self, now: int) -> None:
