--- a/tests/cluster/test_coordination.py
+++ b/tests/cluster/test_coordination.py
@@ -1,4 +1,4 @@
-"""Parts made from settings and joined: the blocks that are asked for and no others, imports, what reaches the log."""
+"""Parts created from settings: only configured blocks, faults in settings, imports, refused reloads."""
 
 import subprocess
 import sys
@@ -16,7 +16,7 @@
 
 
 class Log:
-    """Lines by event."""
+    """Collects log events with their fields."""
 
     def __init__(self):
         self.lines = []
@@ -43,10 +43,11 @@
     return proxy._peers.node.outbox.parts
 
 
-def test_the_example_s_blocks_are_whole_settings_with_and_without_their_bars(tmp_path):
+def test_example_settings_are_valid_with_and_without_commented_blocks(tmp_path):
     assert load_text(EXAMPLE).peers is None
     proxy, log = made(tmp_path, TOGETHER)
-    assert tuple(parts(proxy)) == ("lease", "map", "feed")  # a rollout wants a settings file that was started from
+    # A rollout requires a process that was started from a settings file.
+    assert tuple(parts(proxy)) == ("lease", "map", "feed")
     assert ("rollout_disabled", {"why": "this process was not started from a settings file"}) in log.lines
     assert proxy.channels.part.topic == "feed"
 
@@ -59,7 +60,7 @@
     return text
 
 
-def test_only_what_is_asked_for_is_made(tmp_path):
+def test_only_configured_parts_are_created(tmp_path):
     proxy, _ = made(tmp_path, without("rollout", "atlas", "channels", "leases"))
     assert not parts(proxy) and proxy._coordination is None
     with pytest.raises(RuntimeError, match="no channels block"):
@@ -69,7 +70,7 @@
 
 
 @pytest.mark.parametrize("block", ["leases", "channels", "rollout", "atlas"])
-def test_a_block_without_peers_is_a_fault_with_its_line(block):
+def test_block_without_peers_block_is_reported_with_its_line(block):
     others = [name for name in ("leases", "channels", "rollout", "atlas") if name != block]
     with pytest.raises(ConfigError) as caught:
         load_text(without("peers", *others), "g.hcl")
@@ -86,13 +87,13 @@
         (('young = "30s"', "young = 30"), 'rollout.young: a duration such as "500ms" or "3s" is wanted'),
     ],
 )
-def test_what_does_not_fit_is_one_fault_with_its_field(change, fault):
+def test_invalid_value_is_one_fault_with_its_field(change, fault):
     with pytest.raises(ConfigError) as caught:
         load_text(TOGETHER.replace(*change), "g.hcl")
     assert len(caught.value.faults) == 1 and fault in caught.value.faults[0], caught.value.faults
 
 
-def test_without_the_blocks_their_packages_are_not_imported(tmp_path):
+def test_packages_of_unconfigured_parts_are_not_imported(tmp_path):
     code = (
         "import sys\nfrom pathlib import Path\nfrom twisted.internet.task import Clock\n"
         "from yardbank.config import load\nfrom yardbank.proxy import Proxy\n"
@@ -107,7 +108,7 @@
         assert f"'{name}'" not in done.stdout, done.stdout
 
 
-def test_what_cannot_change_in_service_says_so(tmp_path):
+def test_reload_refuses_changes_that_need_a_restart(tmp_path):
     proxy, _ = made(tmp_path, without("rollout"))
     with pytest.raises(ValueError, match="leases: cannot change in service"):
         proxy.reload(load_text(without("rollout").replace('term    = "3s"', 'term    = "4s"')))
--- a/yardbank/cluster/coordination.py
+++ b/yardbank/cluster/coordination.py
@@ -1,8 +1,8 @@
-"""The cluster's parts of one gateway, made from settings and joined to transport and gateway. Thin: the parts decide.
+"""Creates a gateway's cluster parts from its settings and connects them to transport and gateway. No decisions here.
 
-Leases, channels, rollouts, the latency map and list distribution send and receive as parts of the peers' node. Only
-those whose blocks are in the settings are made, and only their packages are imported. ``Coordination`` owns them from
-construction to ``stop`` and adds them to the node in one order: leases, map, channels, rollout, distribution.
+Leases, channels, rollouts, the latency map and list distribution send and receive as parts of the gossip node. Only
+parts with a block in the settings are created, and only their packages are imported. ``Coordination`` owns them from
+construction to ``stop`` and adds them to the node in a fixed order: leases, map, channels, rollout, distribution.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     from yardbank.cluster.rollout.part import RolloutPart
 
 SECOND = 1_000_000_000
-SERVER_LIST_CHECK_INTERVAL = SECOND // 2  # between two comparisons of the gateway's servers with the positions' feeds
+SERVER_LIST_CHECK_INTERVAL = SECOND // 2  # between comparisons of the gateway's servers with the feeds'
 
 
 def wanted(config: Config) -> bool:
@@ -47,17 +47,20 @@
 
 
 class Service(Protocol):
-    """What runs while the gateway serves. ``stop`` may be called twice."""
+    """A service that runs while the gateway serves. ``stop`` may be called twice."""
 
     def start(self) -> None:
-        """Begin; the transport is up."""
+        """Start; the transport is up."""
 
     def stop(self) -> None:
-        """End."""
+        """Stop."""
 
 
 class Coordination:
-    """One gateway's parts. ``reload`` takes other settings in service or raises ``ValueError``; all times in ns."""
+    """One gateway's parts.
+
+    ``reload`` applies other settings in service or raises ``ValueError``. All times are in ns.
+    """
 
     def __init__(
         self,
@@ -82,22 +85,22 @@
         self._log = log
         self._reload = reload
         self._specs: Mapping[str, ServerSpec] = gateway.shared(lambda router, specs, *rest: specs)
-        self._listed_specs: dict[str, ServerSpec] = {}  # as the positions' feeds were last given them
+        self._last_specs: dict[str, ServerSpec] = {}  # the servers last passed to the position feeds
         self._next_list_check = 0
         self.channels: Channels | None = None
-        self._feeds: PositionFeeds | None = None
-        self._map: LatencyMapPart | None = None
+        self._position_feeds: PositionFeeds | None = None
+        self._latency_map: LatencyMapPart | None = None
         self._distribution: DistributionFiles | None = None
         self._services: list[Service] = []  # in the order in which they start and stop
         self._terms = self._lease_terms(config)
         self.leases = self._make_leases()
         self._make_parts(config, started, folder)
-        peers.after.append(self._after)
+        peers.after.append(self._after_turn)
 
     def _make_parts(self, config: Config, started: Started | None, folder: Path) -> None:
-        """The optional parts, in the order in which the node has them."""
+        """Create the optional parts, in the order in which the node has them."""
         if config.atlas is not None:
-            self._make_map(config)
+            self._make_latency_map(config)
         if config.channels is not None:
             self._make_channels(config, self._latency_lookup())
         if config.rollout is not None:
@@ -118,10 +121,10 @@
         return leases
 
     def _latency_lookup(self) -> LatencyLookup:
-        """Round trips between zones, for placement; without a map none is known."""
-        if self._map is None:
+        """Round trips between zones, for placement; all unknown without a latency map."""
+        if self._latency_map is None:
             return lambda one, other: None
-        return self._map.round_trip
+        return self._latency_map.round_trip
 
     def _random(self, part: str) -> Random:
         return Random(f"{self._gateway.settings.seed}/{self._peers.node.detector.boot_epoch}/{part}")
@@ -131,7 +134,7 @@
             return NullStore()
         return FileStore(self._state / f"{part}-kept", self._log)
 
-    def _make_map(self, config: Config) -> None:
+    def _make_latency_map(self, config: Config) -> None:
         from yardbank.cluster.latency_map.options import Options
         from yardbank.cluster.latency_map.part import LatencyMapPart
 
@@ -143,7 +146,7 @@
         self._peers.node.add(part)
         self._peers.node.on_round_trip.append(part.record_peer_round_trip)
         self._gateway.latency_listeners.append(part.record_server_round_trip)
-        self._map = part
+        self._latency_map = part
 
     def _make_channels(self, config: Config, latency_lookup: LatencyLookup) -> None:
         from yardbank.cluster.channels.api import Options
@@ -169,7 +172,7 @@
         self.channels = Channels(part, reactor=self._reactor, now=now, prompt=self._peers.prompt, log=self._log)
         if not block.positions:
             return
-        self._feeds = PositionFeeds(
+        self._position_feeds = PositionFeeds(
             node.name,
             self._gateway,
             self.channels,
@@ -179,7 +182,7 @@
             now=now,
             log=self._log,
         )
-        self._services.append(self._feeds)
+        self._services.append(self._position_feeds)
 
     def _make_rollout(self, config: Config, started: Started | None) -> None:
         from yardbank.cluster.rollout.actuator import Actuator, name_of
@@ -188,12 +191,12 @@
 
         block = config.rollout
         assert block is not None
-        if started is None:  # an embedding program: there is no settings file that could be changed for another
+        if started is None:  # an embedding program has no settings file that could be replaced
             self._log.warning("rollout_disabled", why="this process was not started from a settings file")
             return
         version = started.active_version.now
         name = name_of(version.file(started.given), version.program)
-        options = Options(self._figures, started.active_version, name, block.beat)
+        options = Options(self._rollout_metrics, started.active_version, name, block.beat)
         node = self._peers.node
         part = RolloutPart(node.membership_view, self.leases, self._random("rollout"), self._store("rollout"), options)
         node.add(part)
@@ -212,7 +215,7 @@
         )
         self._services.append(actuator)
         if self.channels is not None:
-            self.channels.part.prefer(lambda names: self._changed_first(part, names))
+            self.channels.part.prefer(lambda names: self._updated_first(part, names))
 
     def _make_distribution(self, config: Config, folder: Path) -> None:
         from yardbank.cluster.list_distribution.files import DistributionFiles, stored_table
@@ -244,75 +247,78 @@
         )
         self._services.append(self._distribution)
 
-    def _changed_first(self, part: RolloutPart, names: Iterable[str]) -> Sequence[str]:
-        """Prefer owners that run the new version already: else channels would be transferred at each stage."""
-        changed = part.changed()
-        return sorted(names, key=lambda name: (name not in changed, name))
+    def _updated_first(self, part: RolloutPart, names: Iterable[str]) -> Sequence[str]:
+        """Prefer owners that already run the new version; otherwise channels would move at each stage."""
+        updated = part.changed()
+        return sorted(names, key=lambda name: (name not in updated, name))
 
-    def _figures(self) -> Metrics:
+    def _rollout_metrics(self) -> Metrics:
         from yardbank.cluster.rollout.metrics import of_gateway, resident
         from yardbank.gateway.request_counters import beyond
 
-        promises = {
-            kind.name: (
-                kind.latency_objective,
-                kind.deadline,
-                kind.priority_weight,
-                kind.late_weight,
-                kind.effect,
-                kind.read,
+        class_objectives = {
+            request_class.name: (
+                request_class.latency_objective,
+                request_class.deadline,
+                request_class.priority_weight,
+                request_class.late_weight,
+                request_class.effect,
+                request_class.read,
             )
-            for kind in self._gateway.settings.classes
+            for request_class in self._gateway.settings.classes
         }
         try:
             memory = resident(Path("/proc/self/statm").read_text(encoding="ascii"), resource.getpagesize())
         except OSError:
             memory = 0
-        return of_gateway(self._gateway.request_counters.by_class, promises, beyond, memory)
+        return of_gateway(self._gateway.request_counters.by_class, class_objectives, beyond, memory)
 
     def start(self) -> None:
-        """Begin; the transport is up."""
+        """Start all services; the transport is up."""
         for service in self._services:
             service.start()
 
-    def _after(self, now: int) -> None:
-        """The node has had a turn: pass on what the parts found."""
+    def _after_turn(self, now: int) -> None:
+        """Handle what the parts found in a turn of the node."""
         for lease in self.leases.take_log_events():
             self._log.info("lease", resource=lease.resource, what=lease.what, epoch=lease.epoch, why=lease.why)
         if self._distribution is not None:
             self._distribution.after()
-        self._apply_map(now)
-        self._update_feeds(now)
+        self._apply_latency_map(now)
+        self._update_position_feeds(now)
 
-    def _apply_map(self, now: int) -> None:
-        """Log latencies that changed; give the gateway those in force."""
-        if self._map is None:
+    def _apply_latency_map(self, now: int) -> None:
+        """Log changed latencies; pass those in force to the gateway."""
+        if self._latency_map is None:
             return
-        for change in self._map.changes():
+        for change in self._latency_map.changes():
             ms = None if change.ns is None else round(change.ns / 1e6, 3)
             self._log.info("map", **{"from": change.pair[0]}, to=change.pair[1], ms=ms, how=change.basis)
-        self._gateway.apply_zone_latencies(self._map.zone_latencies(now))
+        self._gateway.apply_zone_latencies(self._latency_map.zone_latencies(now))
 
-    def _update_feeds(self, now: int) -> None:
-        """Give the positions' feeds the gateway's servers, when these have changed."""
-        if self._feeds is None or now < self._next_list_check:
+    def _update_position_feeds(self, now: int) -> None:
+        """Pass the gateway's servers to the position feeds when they have changed."""
+        if self._position_feeds is None or now < self._next_list_check:
             return
         self._next_list_check = now + SERVER_LIST_CHECK_INTERVAL
-        if self._listed_specs == self._specs:
+        if self._last_specs == self._specs:
             return
-        self._listed_specs = dict(self._specs)
-        self._feeds.listed(self._listed_specs.values())
+        self._last_specs = dict(self._specs)
+        self._position_feeds.listed(self._last_specs.values())
 
     def stopping(self) -> Deferred[None]:
-        """The gateway is about to end: transfer its channels; fires when that is done, or has had its time."""
+        """The gateway is about to stop: transfer its channels.
+
+        Fires when that is done or its time is up.
+        """
         if self.channels is None:
             return succeed(None)
-        if self._feeds is not None:
-            self._feeds.stop()
+        if self._position_feeds is not None:
+            self._position_feeds.stop()
         return self.channels.stopping()
 
     def stop(self) -> None:
-        """End all parts; the channels last, which the others publish to."""
+        """Stop all parts; the channels last, because the others publish to them."""
         for service in self._services:
             service.stop()
         if self.channels is not None:
