--- a/tests/cluster/channels/test_positions.py
+++ b/tests/cluster/channels/test_positions.py
@@ -65,12 +65,12 @@
 def test_owner_polls_for_all_and_followers_poll_only_to_verify() -> None:
     feed = SimulatedFeed(40)
     feed.run(60 * SECOND)
-    owner_polls = sum(who == "o" for _, who, _ in feed.polls)
+    owner_polls = sum(poller == "o" for _, poller, _ in feed.polls)
     follower_polls = len(feed.polls) - owner_polls
     assert owner_polls > 3 * 550 and follower_polls < 40 * 3 * 8
     verified = feed.verified_positions()
     assert {one.server for one in verified} == {"n0", "n1", "n2"} and all(one.started == 7 for one in verified)
-    first = [at for at, who, _ in feed.polls if who != "o"]
+    first = [at for at, poller, _ in feed.polls if poller != "o"]
     # First polls are spread over time.
     assert max(sum(at // SECOND == second for at in first) for second in range(100)) < 80
 
@@ -153,7 +153,7 @@
     feed.drop_items, feed.polls = True, []
     feed.run(3 * SECOND)
     assert all(one.alone() == ["n0", "n1", "n2"] for one in feed.others)
-    times = [at for at, who, name in feed.polls if who != "o" and name == "n0"]
+    times = [at for at, poller, name in feed.polls if poller != "o" and name == "n0"]
     assert len(set(times)) > 10  # spread over time
     feed.drop_items = False
     feed.run(SECOND)
--- a/tests/cluster/channels/test_service.py
+++ b/tests/cluster/channels/test_service.py
@@ -74,8 +74,8 @@
     ends, heard = [], {name: [] for name in programs.channels_by_name}
     for name, channels in programs.channels_by_name.items():
         channels.follow("news", lambda item, name=name: heard[name].append(item.data))
-    who, channels = owned(programs, on_ended=lambda channel, epoch: ends.append((channel, epoch)))
-    other = next(one for name, one in programs.channels_by_name.items() if name != who)
+    owner_name, channels = owned(programs, on_ended=lambda channel, epoch: ends.append((channel, epoch)))
+    other = next(one for name, one in programs.channels_by_name.items() if name != owner_name)
     assert other.publish("news", b"x") == "not the owner" and channels.publish("news", bytes(MAX_DATA + 1)).startswith(
         "too long"
     )
@@ -86,7 +86,7 @@
     channels.stopping().addCallback(done.append)
     programs.run(SECOND)
     assert done == [None] and channels.part.held_channels() == [] and [channel for channel, _ in ends] == ["news"]
-    lines = [fields for event, fields in programs.logs[who].lines if event == "channel"]
+    lines = [fields for event, fields in programs.logs[owner_name].lines if event == "channel"]
     assert [line["what"] for line in lines] == ["owned", "ended"] and lines[0]["epoch"] == lines[1]["epoch"] == ends[0][
         1
     ]
@@ -160,46 +160,46 @@
     """The gateway calls used by feeds, with servers that answer after 5 ms."""
 
     def __init__(self, clock: Clock, now) -> None:
-        self.clock, self.now, self.asked, self.told = clock, now, 0, []
+        self.clock, self.now, self.poll_count, self.applied = clock, now, 0, []
 
     def ask(self, server, then) -> None:
-        self.asked += 1
+        self.poll_count += 1
         at = self.now()
         self.clock.callLater(0.005, then, ProbeResult({"a": (at // MS, "x")}, False), at, "ok")
 
     def apply_gossiped_position(self, server, started, marks, checked) -> bool:
         assert checked  # the feed verifies reports by its own polls
-        self.told.append((server, started, marks))
+        self.applied.append((server, started, marks))
         return True
 
 
 def test_positions_reach_other_gateways_from_the_owner() -> None:
     programs = ProgramFleet()
     servers = [ServerSpec(f"n{number}", "numbers", "z", "h", 1, started=7.0) for number in range(3)]
-    groups, feeds = {}, {}
+    gateways, feeds = {}, {}
     for name, channels in programs.channels_by_name.items():
-        group = groups[name] = FakeGateway(programs.clock, lambda: round(programs.clock.seconds() * SECOND))
+        gateway = gateways[name] = FakeGateway(programs.clock, lambda: round(programs.clock.seconds() * SECOND))
         feeds[name] = PositionFeeds(
             name,
-            group,
+            gateway,
             channels,
             programs.options,
             Random(name),
             reactor=programs.clock,
-            now=group.now,
+            now=gateway.now,
             log=programs.logs[name],
         )
         feeds[name].listed(servers)
         feeds[name].start()
     programs.run(12 * SECOND)
-    by_asked = sorted(groups.values(), key=lambda group: group.asked)
-    assert by_asked[-1].asked > 100 and all(group.asked < 20 for group in by_asked[:2])
+    by_poll_count = sorted(gateways.values(), key=lambda gateway: gateway.poll_count)
+    assert by_poll_count[-1].poll_count > 100 and all(gateway.poll_count < 20 for gateway in by_poll_count[:2])
     assert (
         all(
-            {(server, started) for server, started, _ in group.told} == {(f"n{n}", 7000) for n in range(3)}
-            for group in by_asked[:2]
+            {(server, started) for server, started, _ in gateway.applied} == {(f"n{n}", 7000) for n in range(3)}
+            for gateway in by_poll_count[:2]
         )
-        and not by_asked[-1].told
+        and not by_poll_count[-1].applied
     )
     for feed in feeds.values():
         feed.listed(servers[:0])
--- a/tests/cluster/latency_map/test_fleet_faults.py
+++ b/tests/cluster/latency_map/test_fleet_faults.py
@@ -84,8 +84,8 @@
             for sums in shares.values():
                 sums.append(sums[-1])
             for name, part in fleet.parts.items():
-                ways = part.zone_latencies(fleet.gossip.own(name))
-                shares[min(ways, key=lambda way: way[1])[0] if ways else ""][-1] += 1 / gateways
+                latencies = part.zone_latencies(fleet.gossip.own(name))
+                shares[min(latencies, key=lambda latency: latency[1])[0] if latencies else ""][-1] += 1 / gateways
         assert number == 0 or not inaccurate_pairs(fleet, own=True)
     for sums in shares.values():
         second = [
--- a/yardbank/cluster/channels/election.py
+++ b/yardbank/cluster/channels/election.py
@@ -27,7 +27,8 @@
 # longer.
 NON_STANDBY_DELAY = 1500 * MS
 MAX_CANDIDACY_RANK = 12  # higher ranks all wait equally long
-STARTUP_PERIOD = 15 * SECOND  # in which gateways whose interests are unknown count as candidates
+# For this time after the first channel was added, gateways whose interests are unknown count as candidates too.
+STARTUP_PERIOD = 15 * SECOND
 MAX_CANDIDACIES = 8  # channels being acquired or transferred at a time
 MAX_CANDIDACY_TERMS = 2  # lease terms after which an unsuccessful candidacy ends
 MISSED_HEARTBEATS = 3  # after which an owner counts as silent
--- a/yardbank/cluster/channels/feed.py
+++ b/yardbank/cluster/channels/feed.py
@@ -129,7 +129,7 @@
         return epoch > known.epoch + MAX_EPOCH_LEAP
 
     def on_heartbeat(self, now: int, sender: str, states: Iterable[ChannelState]) -> None:
-        """Handle a heartbeat; a new epoch is forwarded at once."""
+        """Handle a heartbeat; a new owner or epoch is forwarded at once."""
         changed: dict[str, list[str]] = {}
         for state in states:
             stream, known = self.streams.get(state.channel), self.known.get(state.channel)
--- a/yardbank/cluster/channels/outgoing.py
+++ b/yardbank/cluster/channels/outgoing.py
@@ -106,10 +106,7 @@
                 self.outgoing_messages.append(Message(to, body))
 
     def _retransmit_source(self, channel: str) -> str:
-        """The parent or the owner, at random.
-
-        If one of them lacks the items or is unreachable, a later request goes to the other.
-        """
+        """The parent or the owner, chosen at random, in case one of them lacks the items or is unreachable."""
         known = self.known.get(channel)
         names = [name for name in (self.subscriptions.parent(channel), known.owner if known else "") if name]
         names = [name for name in names if name != self.name]
--- a/yardbank/cluster/channels/placement.py
+++ b/yardbank/cluster/channels/placement.py
@@ -19,8 +19,8 @@
 
 LatencyLookup = Callable[[str, str], "int | None"]
 MAX_LOAD_FACTOR = 1.25  # maximum load of a gateway, relative to an even share
-# A channel moves to another gateway only if that multiplies its worst latency by at most this ratio, and lowers it by
-# at least this gain.
+# A channel moves to a better placed gateway only if its worst latency there is at most this ratio of the present one,
+# and lower by at least this gain.
 RELOCATION_COST_RATIO, RELOCATION_MIN_GAIN = 0.7, 2 * MS
 BUCKETS_PER_DOUBLING = 2  # latency buckets; latencies in one bucket count as equal
 
@@ -31,13 +31,13 @@
 
 
 class Placement:
-    """Orders gateways by channel."""
+    """Orders the gateways for each channel."""
 
     def __init__(self, latency_lookup: LatencyLookup) -> None:
         self._latency_lookup = latency_lookup
         self._zones: Mapping[str, str] = {}
         self._base_orders: dict[str, list[str]] = {}  # by channel: all listed gateways, by hash
-        self._zones_by_followers: dict[frozenset[str], frozenset[str]] = {}  # by followers: their zones
+        self._zones_by_followers: dict[frozenset[str], frozenset[str]] = {}
 
     def listed(self, zones: Mapping[str, str]) -> None:
         """Set the listed gateways and their zones."""
--- a/yardbank/cluster/channels/position_polling.py
+++ b/yardbank/cluster/channels/position_polling.py
@@ -22,7 +22,7 @@
     def apply_gossiped_position(self, server: str, started: int, marks: Vector, checked: bool = False) -> bool:
         """Apply a position reported by another gateway.
 
-        ``checked``: this gateway has verified the reports by polls of its own, as ``verifier`` does.
+        ``checked``: the reports were verified by polls of this gateway's own, as ``PositionVerifier`` does.
         """
 
 
--- a/yardbank/cluster/channels/states.py
+++ b/yardbank/cluster/channels/states.py
@@ -30,7 +30,7 @@
     (OwnershipPhase.WAITING, "its owner transfers it to this gateway", OwnershipPhase.CANDIDATE),
     (OwnershipPhase.CANDIDATE, "another gateway owns it, or the lease was not granted in time", OwnershipPhase.IDLE),
     (OwnershipPhase.CANDIDATE, "the lease is granted", OwnershipPhase.OWNER),
-    (OwnershipPhase.CANDIDATE, "the lease is granted, the former owner is yet to end", OwnershipPhase.TAKING_OVER),
+    (OwnershipPhase.CANDIDATE, "granted; the former owner has yet to report its end", OwnershipPhase.TAKING_OVER),
     (OwnershipPhase.TAKING_OVER, "the former owner reported its end, or the overlap is over", OwnershipPhase.OWNER),
     (OwnershipPhase.OWNER, "a planned transfer has begun", OwnershipPhase.TRANSFERRING),
     (OwnershipPhase.TRANSFERRING, "the successor did not take it in time", OwnershipPhase.OWNER),
@@ -49,12 +49,12 @@
 class OwnerState:
     """State of one channel that this gateway owns or would own. Times in ns."""
 
-    interested_since: int  # when this gateway was told to own it
+    interested_since: int  # since when this gateway would own it
     phase: OwnershipPhase = OwnershipPhase.IDLE
     epoch: int = 0
-    phase_since: int = 0  # when the phase began
+    phase_since: int = 0
     candidacy_at: int = 0  # when WAITING ends
-    no_candidacy_before: int = 0  # no candidacy before this time
+    no_candidacy_before: int = 0
     offered_by: str = ""  # the owner that transfers it to this gateway
     end_queried_at: int = 0  # when that owner was last asked for the end of its epoch
     successor: str = ""  # the gateway that it is transferred to
--- a/yardbank/cluster/channels/transfers.py
+++ b/yardbank/cluster/channels/transfers.py
@@ -59,7 +59,7 @@
         return True
 
     def transfer_all(self, now: int) -> None:
-        """All channels, because this gateway is stopping."""
+        """Transfer all channels because this gateway is stopping."""
         transferring = self._table.transferring_count()
         loads: Counter[str] | None = None
         for channel, owner_state in self._table.channels.items():
@@ -80,7 +80,7 @@
                 self._tenure.end(now, channel, owner_state, "given up")
 
     def rebalance(self, now: int, loads: Counter[str]) -> None:
-        """From an overloaded gateway to those below an even share, a few at a time."""
+        """Transfer channels from an overloaded gateway to those below an even share, a few at a time."""
         owned = self._table.owned()
         left = len(owned)
         transferring = self._table.transferring_count()
@@ -101,7 +101,10 @@
                 left -= 1
 
     def to_better(self, now: int, loads: Counter[str]) -> None:
-        """To a gateway whose worst latency to the followers has been much lower for a while; one channel at a time."""
+        """Transfer a channel to a much better placed gateway, one channel at a time.
+
+        The other gateway's worst latency to the followers must have been much lower for ``RELOCATION_DELAY``.
+        """
         for channel, owner_state in self._table.channels.items():
             if owner_state.phase != OwnershipPhase.OWNER:
                 continue
