--- a/tests/ldap/test_cross_group_search.py
+++ b/tests/ldap/test_cross_group_search.py
@@ -11,8 +11,8 @@
 from yardbank.interface import RequestClass
 from yardbank.ldap import messages as m
 from yardbank.ldap.classify import Classifier, Rule
-from yardbank.ldap.spread import spans
-from yardbank.spread import Budget, CookieError, Pages, Part, Spread, Tree, Verdict, identity_of
+from yardbank.ldap.spread import cross_group_coverage
+from yardbank.spread import Budget, CookieError, MergedSearch, Pages, Part, Tree, Verdict, search_identity
 from yardbank.spread.tree import glue_attributes
 from yardbank.testing.standin.directory import Directory, Entry
 
@@ -20,43 +20,47 @@
 PRESENT = m.Present("objectClass")
 
 
-def spread(count=3, deadline=SECOND, worth=(), **more):
-    parts = [Part(f"ou=g{i},dc=x", f"ou=g{i},dc=x", worth[i] if worth else 1.0) for i in range(count)]
-    made = Spread(parts, 0, deadline, **more)
-    made.begin()
+def spread(count=3, deadline=SECOND, priorities=(), **more):
+    parts = [Part(f"ou=g{i},dc=x", f"ou=g{i},dc=x", priorities[i] if priorities else 1.0) for i in range(count)]
+    made = MergedSearch(parts, 0, deadline, **more)
+    made.glue_entries_done()
     return made
 
 
 def send_all(search, now=0):
-    return [ask.index for ask in iter(lambda: search.next(now, False), None)]
+    return [ask.index for ask in iter(lambda: search.next_part(now, False), None)]
 
 
 def test_names_of_the_tree_and_their_holders():
     tree = Tree({"top": "dc=Porting", "deep": "ou=a,ou=B,dc=porting", "far": "o=X,c=ec"})
-    assert tree.holder("cn=1,ou=a,ou=b,dc=porting") == "deep" and tree.holder("ou=b,dc=porting") == "top"
-    assert tree.holder("c=ec") is None and tree.glue("c=ec") == "c=ec" and tree.glue("ou=b,dc=porting") is None
+    assert tree.group_of("cn=1,ou=a,ou=b,dc=porting") == "deep" and tree.group_of("ou=b,dc=porting") == "top"
+    assert tree.group_of("c=ec") is None and tree.glue("c=ec") == "c=ec" and tree.glue("ou=b,dc=porting") is None
     assert tree.matched("ou=none,c=ec") == "c=ec" and tree.matched("dc=none") == ""
-    assert not tree.reach("dc=none", Scope.SUBTREE).known and tree.reach("dc=none", Scope.SUBTREE).matched == ""
-    assert tree.divided("dc=porting") and not tree.divided("ou=a,ou=b,dc=porting")
+    assert not tree.coverage("dc=none", Scope.SUBTREE).known and tree.coverage("dc=none", Scope.SUBTREE).matched == ""
+    assert tree.has_suffixes_below("dc=porting") and not tree.has_suffixes_below("ou=a,ou=b,dc=porting")
     assert glue_attributes("ou=A+cn=b,c=ec") == (
         ("objectClass", (b"top", b"organizationalUnit")),
         ("ou", (b"A",)),
         ("cn", (b"b",)),
     )
     assert glue_attributes("x=1")[0] == ("objectClass", (b"top", b"extensibleObject"))
-    with pytest.raises(ValueError, match="at_once"):
+    with pytest.raises(ValueError, match="max_parts"):
         Budget(0)
 
 
 def test_renames_that_leave_a_group_or_carry_anothers_entries_are_told():
     tree = Tree({"top": "dc=x", "deep": "ou=b,ou=a,dc=x"})
-    assert tree.moves_between("cn=1,dc=x", "cn=1,ou=b,ou=a,dc=x") and tree.moves_between("ou=a,dc=x", "ou=c,dc=x")
-    assert not tree.moves_between("cn=1,dc=x", "cn=2,dc=x") and not tree.moves_between("cn=1,dc=y", "cn=2,dc=y")
+    assert tree.moves_between_groups("cn=1,dc=x", "cn=1,ou=b,ou=a,dc=x") and tree.moves_between_groups(
+        "ou=a,dc=x", "ou=c,dc=x"
+    )
+    assert not tree.moves_between_groups("cn=1,dc=x", "cn=2,dc=x") and not tree.moves_between_groups(
+        "cn=1,dc=y", "cn=2,dc=y"
+    )
 
 
 def test_an_escaped_comma_is_no_boundary():
     tree = Tree({"a": "ou=a,dc=x"})
-    assert tree.holder("cn=1\\,ou=a,dc=x") is None and tree.holder("cn=1\\,2,ou=a,dc=x") == "a"
+    assert tree.group_of("cn=1\\,ou=a,dc=x") is None and tree.group_of("cn=1\\,2,ou=a,dc=x") == "a"
 
 
 NAMES = ["dc=x", "ou=a,dc=x", "ou=b,dc=x", "ou=c,ou=a,dc=x", "ou=d,ou=c,ou=a,dc=x", "o=y", "ou=e,o=y"]
@@ -89,19 +93,19 @@
     tree = Tree(groups)
     one = whole_tree(groups)
     (code, _), wanted = one.search(m.SearchRequest(base, scope, PRESENT))
-    reach = tree.reach(base, scope)
-    if not reach.known:
+    coverage = tree.coverage(base, scope)
+    if not coverage.known:
         assert code != 0
         return
-    found = list(reach.glue)
-    for piece in reach.pieces:
-        member = Directory(groups[piece.group])
+    found = list(coverage.glue)
+    for group_scope in coverage.group_scopes:
+        member = Directory(groups[group_scope.group])
         for name, entry in one.entries.items():
-            if naming.under(name, groups[piece.group]):  # a group may hold shadows of others: they must not count
+            if naming.under(name, groups[group_scope.group]):  # a group may hold shadows of others: they must not count
                 member.entries[name] = entry
-        (code, _), entries = member.search(m.SearchRequest(piece.base, piece.scope, PRESENT))
-        merged = Spread([Part("", piece.base, 1.0, piece.shadows)], 0, SECOND)
-        merged.next(0, False)
+        (code, _), entries = member.search(m.SearchRequest(group_scope.base, group_scope.scope, PRESENT))
+        merged = MergedSearch([Part("", group_scope.base, 1.0, group_scope.excluded)], 0, SECOND)
+        merged.next_part(0, False)
         if code == 0:
             found += [e.dn for e in entries if merged.entry(0, hash(e.dn), e.dn) is Verdict.PASS]
     assert sorted(found) == sorted(e.dn for e in wanted)
@@ -109,12 +113,12 @@
 
 def test_only_a_search_that_leaves_its_group_is_divided():
     tree = Tree({"a": "ou=a,dc=x", "b": "ou=b,dc=x"})
-    ask = lambda base, scope: spans(tree, m.SearchRequest(base, scope, PRESENT), base)  # noqa: E731
+    ask = lambda base, scope: cross_group_coverage(tree, m.SearchRequest(base, scope, PRESENT), base)  # noqa: E731
     assert ask("ou=a,dc=x", Scope.SUBTREE) is None and ask("cn=1,ou=a,dc=x", Scope.BASE) is None
-    assert [p.group for p in ask("dc=x", Scope.SUBTREE).pieces] == ["a", "b"]
+    assert [p.group for p in ask("dc=x", Scope.SUBTREE).group_scopes] == ["a", "b"]
     assert ask("dc=x", Scope.BASE).glue == ("dc=x",)
     assert ask("", Scope.ONE).glue == ("dc=x",)  # the root entry itself is no part of a search below it
-    assert {p.scope for p in ask("dc=x", Scope.ONE).pieces} == {Scope.BASE}
+    assert {p.scope for p in ask("dc=x", Scope.ONE).group_scopes} == {Scope.BASE}
 
 
 def test_success_is_said_only_when_every_part_succeeded():
@@ -122,7 +126,7 @@
         search = spread()
         assert send_all(search) == [0, 1, 2]
         for index, outcome in enumerate(outcomes):
-            assert search.ending is None
+            assert search.final_result is None
             match outcome:
                 case "ok":
                     search.done(index, Code.SUCCESS)
@@ -135,38 +139,38 @@
                 case "unwilling":
                     search.done(index, Code.UNWILLING, "no")
         bad = [f"ou=g{i},dc=x" for i, outcome in enumerate(outcomes) if outcome not in ("ok", "none")]
-        assert (search.ending.code == Code.SUCCESS) == (not bad) and list(search.ending.missing) == bad
-        assert all(name in search.ending.diagnostic for name in bad)
+        assert (search.final_result.code == Code.SUCCESS) == (not bad) and list(search.final_result.missing) == bad
+        assert all(name in search.final_result.diagnostic for name in bad)
         if "failed" in outcomes:
-            assert search.ending.code == Code.UNAVAILABLE
+            assert search.final_result.code == Code.UNAVAILABLE
         elif "refused" in outcomes:
-            assert search.ending.code == Code.BUSY
+            assert search.final_result.code == Code.BUSY
 
 
 def test_one_ending_whatever_comes_later():
     search = spread()
     send_all(search)
     search.done(0, Code.SUCCESS)
-    search.overdue()
-    first = search.ending
+    search.time_out()
+    first = search.final_result
     assert first.code == Code.UNAVAILABLE and first.missing == ("ou=g1,dc=x", "ou=g2,dc=x")
     search.done(1, Code.SUCCESS)
     search.failed(2, "late", 2)
-    search.give_up()
-    assert search.ending is first and search.entry(1, 1) is Verdict.DROP and search.next(3, False) is None
-    assert search.out == (1, 2)  # for the caller to leave
+    search.cancel()
+    assert search.final_result is first and search.entry(1, 1) is Verdict.DROP and search.next_part(3, False) is None
+    assert search.in_flight == (1, 2)  # for the caller to leave
 
 
 def test_the_size_limit_holds_over_all_parts_together():
     search = spread(3, size_limit=4)
-    assert [search.next(0, False).size_limit for _ in range(2)] == [4, 4]
+    assert [search.next_part(0, False).size_limit for _ in range(2)] == [4, 4]
     assert [search.entry(i % 2, i) for i in range(4)] == [Verdict.PASS] * 4
-    assert search.next(0, False).size_limit == 1  # none may follow, but whether one does must be known
+    assert search.next_part(0, False).size_limit == 1  # none may follow, but whether one does must be known
     search.done(0, Code.SUCCESS)
     search.done(1, Code.SUCCESS)
-    assert search.ending is None  # exactly the limit so far: no error yet
+    assert search.final_result is None  # exactly the limit so far: no error yet
     assert search.entry(2, 5) is Verdict.END
-    assert search.ending.code == Code.SIZE_LIMIT and search.passed == 4
+    assert search.final_result.code == Code.SIZE_LIMIT and search.passed == 4
 
 
 def test_exactly_the_size_limit_is_a_success():
@@ -175,17 +179,17 @@
     assert search.entry(0, 1) is search.entry(1, 2) is Verdict.PASS
     search.done(0, Code.SUCCESS)
     search.done(1, Code.SUCCESS)
-    assert search.ending.code == Code.SUCCESS
+    assert search.final_result.code == Code.SUCCESS
 
 
 def test_the_shorter_of_time_limit_and_deadline_ends_it():
     search = spread(2, deadline=3 * SECOND, time_limit=2 * SECOND)
-    assert search.until == 2 * SECOND and search.next(SECOND, False).time_limit == SECOND
-    assert search.next(2 * SECOND, False) is None
-    assert search.ending.code == Code.TIME_LIMIT and len(search.ending.missing) == 2
+    assert search.ends_at == 2 * SECOND and search.next_part(SECOND, False).time_limit == SECOND
+    assert search.next_part(2 * SECOND, False) is None
+    assert search.final_result.code == Code.TIME_LIMIT and len(search.final_result.missing) == 2
     search = spread(1, deadline=SECOND, time_limit=2 * SECOND)
-    search.overdue()
-    assert search.ending.code == Code.UNAVAILABLE
+    search.time_out()
+    assert search.final_result.code == Code.UNAVAILABLE
 
 
 def test_a_part_that_broke_off_repeats_nothing_and_is_asked_again_once():
@@ -193,53 +197,53 @@
     send_all(search)
     assert search.entry(0, 1) is search.entry(0, 2) is Verdict.PASS
     search.failed(0, "the answer broke off", 5)
-    assert search.waiting and search.next(6, False).index == 0
+    assert search.waiting and search.next_part(6, False).index == 0
     assert [search.entry(0, i) for i in (2, 1, 3)] == [Verdict.DROP, Verdict.DROP, Verdict.PASS]
     search.failed(0, "again", 7)
     search.done(1, Code.SUCCESS)
-    assert search.ending.code == Code.UNAVAILABLE and search.passed == 3
+    assert search.final_result.code == Code.UNAVAILABLE and search.passed == 3
 
 
 def test_a_part_that_failed_before_its_first_entry_is_the_modules_to_judge():
     search = spread(1)
     send_all(search)
     search.failed(0, "no server", 5)
-    assert search.ending.code == Code.UNAVAILABLE
+    assert search.final_result.code == Code.UNAVAILABLE
 
 
 def test_strained_the_worthiest_part_goes_first():
-    search = spread(3, worth=(1.0, 3.0, 3.0))
-    assert [search.next(0, True).index for _ in range(3)] == [1, 2, 0]
+    search = spread(3, priorities=(1.0, 3.0, 3.0))
+    assert [search.next_part(0, True).index for _ in range(3)] == [1, 2, 0]
 
 
 def test_continuations_are_merged():
-    search = Spread([Part("a", "ou=a,dc=x", 1.0), Part("b", "ou=b,dc=x", 1.0)], 0, SECOND)
+    search = MergedSearch([Part("a", "ou=a,dc=x", 1.0), Part("b", "ou=b,dc=x", 1.0)], 0, SECOND)
     assert not search.reference(("ldap://b/ou=b,dc=x",), ["ou=b,dc=x"])  # followed here
     assert search.reference(("ldap://c/ou=c",), ["ou=c"]) and not search.reference(("ldap://c/ou=c",), ["ou=c"])
 
 
 def test_turns_go_round_and_the_window_follows_refusals():
     budget = Budget(4)
-    budget.join("a")
-    budget.join("b")
-    budget.join("a")
+    budget.enqueue("a")
+    budget.enqueue("b")
+    budget.enqueue("a")
     order = []
-    while (search := budget.turn()) is not None:
+    while (search := budget.next_search()) is not None:
         order.append(search)
-        budget.sent()
-    assert order == ["a", "b", "a", "b"] and budget.out == 4
-    budget.ended(refused=True)
-    budget.ended(refused=True)
-    assert budget.window == 1 and budget.strained and budget.turn() is None
-    budget.ended(served=True)
-    budget.ended(served=True)
+        budget.part_sent()
+    assert order == ["a", "b", "a", "b"] and budget.in_flight == 4
+    budget.part_ended(refused=True)
+    budget.part_ended(refused=True)
+    assert budget.window == 1 and budget.reduced and budget.next_search() is None
+    budget.part_ended(served=True)
+    budget.part_ended(served=True)
     for _ in range(20):
-        budget.sent()
-        budget.ended(served=True)
-    assert budget.window == 4 and not budget.strained
-    budget.leave("a")
-    budget.leave("a")
-    assert [budget.turn() for _ in range(2)] == ["b", "b"]
+        budget.part_sent()
+        budget.part_ended(served=True)
+    assert budget.window == 4 and not budget.reduced
+    budget.dequeue("a")
+    budget.dequeue("a")
+    assert [budget.next_search() for _ in range(2)] == ["b", "b"]
 
 
 @given(st.lists(st.integers(0, 7), min_size=1, max_size=6), st.integers(0, 3), st.integers(1, 5))
@@ -249,13 +253,13 @@
     cookie, seen = b"", []
     for _ in range(sum(sizes) + own + len(sizes) + 1):
         pages = Pages(7, len(sizes), own, size, cookie)
-        page = [("own", i) for i in pages.own()]
-        while not pages.full:
-            start = int(pages.inner or b"0")
-            got = [(pages.at, i) for i in range(start, min(sizes[pages.at], start + pages.left))]
+        page = [("own", i) for i in pages.glue_entries()]
+        while not pages.page_complete:
+            start = int(pages.server_cookie or b"0")
+            got = [(pages.part, i) for i in range(start, min(sizes[pages.part], start + pages.remaining))]
             page += got
             end = start + len(got)
-            pages.ended(len(got), b"%d" % end if end < sizes[pages.at] else b"")
+            pages.part_answered(len(got), b"%d" % end if end < sizes[pages.part] else b"")
         assert len(page) <= size
         seen += page
         cookie = pages.cookie()
@@ -265,21 +269,21 @@
 
 
 def test_a_cookie_of_another_search_is_refused():
-    first = Pages(identity_of(b"a"), 3, 2, 1, b"")
-    first.own()
+    first = Pages(search_identity(b"a"), 3, 2, 1, b"")
+    first.glue_entries()
     cookie = first.cookie()
-    assert Pages(identity_of(b"a"), 3, 2, 1, cookie).own() == range(1, 2)
+    assert Pages(search_identity(b"a"), 3, 2, 1, cookie).glue_entries() == range(1, 2)
     for identity, given_cookie in (
-        (identity_of(b"b"), cookie),
-        (identity_of(b"a"), b"x"),
-        (identity_of(b"a"), b"\xff\x00"),
+        (search_identity(b"b"), cookie),
+        (search_identity(b"a"), b"x"),
+        (search_identity(b"a"), b"\xff\x00"),
     ):
         with pytest.raises(CookieError):
             Pages(identity, 3, 2, 1, given_cookie)
-    last = Pages(identity_of(b"a"), 3, 0, 1, b"")
-    last.ended(1, b"")
+    last = Pages(search_identity(b"a"), 3, 0, 1, b"")
+    last.part_answered(1, b"")
     with pytest.raises(CookieError, match="nowhere"):
-        Pages(identity_of(b"a"), 1, 0, 1, last.cookie())
+        Pages(search_identity(b"a"), 1, 0, 1, last.cookie())
 
 
 def kind(name, read, staleness=0, deadline=SECOND):
--- a/tests/ldap/test_end_to_end.py
+++ b/tests/ldap/test_end_to_end.py
@@ -214,7 +214,7 @@
 
         def cancel():
             first = desk.client.request(m.SearchRequest(f"cn=0,{REQUESTS}", 0, m.Present("cn")))
-            target = desk.client._end._next
+            target = desk.client._end._last_id
             value = tlv(0x30, integer(target))
             return gatherResults([first, desk.client.request(m.ExtendedRequest(m.Oid.CANCEL, value))])
 
@@ -225,7 +225,7 @@
 
         def abandon():
             desk.client.request(m.SearchRequest(f"cn=0,{REQUESTS}", 0, m.Present("cn")))
-            desk.client.transport.write(desk.client._end.abandon(desk.client._end._next))
+            desk.client.transport.write(desk.client._end.abandon(desk.client._end._last_id))
             return desk.client.request(m.ExtendedRequest(m.Oid.WHO_AM_I))
 
         assert run(abandon).result.value == f"dn:{DESK_DN}".encode()
@@ -272,8 +272,8 @@
 
         def twice():
             desk.client.request(m.SearchRequest(f"cn=0,{REQUESTS}", 0, m.Present("cn")))
-            desk.client._end._next -= 1
-            desk.client._end._asked.clear()
+            desk.client._end._last_id -= 1
+            desk.client._end._outstanding_tags.clear()
             desk.client.request(m.SearchRequest(f"cn=0,{REQUESTS}", 0, m.Present("cn")))
 
         run(twice)
--- a/tests/ldap/test_race_clients.py
+++ b/tests/ldap/test_race_clients.py
@@ -299,7 +299,7 @@
     place.backend.open()
     assert len(place.backend.out) == 1 and list(near._queue) == [2]
     place.until(lambda: len(place.backend.out) == 2)
-    assert not near._queue and near._octets == 0
+    assert not near._queue and near._queued_octets == 0
 
 
 def test_a_bind_between_requests_keeps_its_place_and_cannot_be_taken_back(place):
@@ -339,10 +339,10 @@
     asked = [search(number, padding=b"x" * 400) for number in range(2, 32)]
     near.transport.bufferSize = len(asked[0])
     if bound == "octets":
-        monkeypatch.setattr(intake, "AHEAD_OCTETS", 4 * len(asked[0]))
+        monkeypatch.setattr(intake, "READ_AHEAD_MAX_OCTETS", 4 * len(asked[0]))
     elif bound == "requests":
-        near._most = 5
-    monkeypatch.setattr(intake, "AHEAD_READS", 5 if bound == "reads" else 100)
+        near._max_outstanding = 5
+    monkeypatch.setattr(intake, "READ_AHEAD_MAX_READS", 5 if bound == "reads" else 100)
     far.sendall(b"".join(asked))
     lying(near, sum(map(len, asked)))
     assert near.present(1) and len(near._queue) == 5
--- a/yardbank/ldap/backend.py
+++ b/yardbank/ldap/backend.py
@@ -1,4 +1,4 @@
-"""The gateway's side towards LDAP servers: connections that carry many operations at once."""
+"""Connections from the gateway to LDAP servers; each carries many operations at once."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from yardbank.ldap.exchange import Exchange, interpret
 from yardbank.ldap.state import Answered, ClientEnd
 
-POSITION = "contextCSN"
+POSITION_ATTRIBUTE = "contextCSN"
 
 
 @dataclass(slots=True, frozen=True)
 class BackendOptions:
-    """How servers are spoken to."""
+    """Settings of the connections to servers."""
 
     bind_dn: str = ""
     bind_password: str = ""
-    suffixes: Mapping[str, str] = field(default_factory=dict)  # by group: where the probe looks
-    role_attribute: str = ""  # empty: servers do not tell their role in a probe
+    suffixes: Mapping[str, str] = field(default_factory=dict)  # by group: the base DN that the probe reads
+    role_attribute: str = ""  # empty: probes do not report a server's role
     primary_value: str = "primary"
     max_message: int = 16 << 20
 
 
 class _Probe:
-    """Collects the one entry that a probe brings."""
+    """Collects the single entry that a probe returns."""
 
     def __init__(self, options: BackendOptions, done: Callable[[ProbeResult | None], None]) -> None:
         self._options, self._done = options, done
@@ -47,22 +47,22 @@
             self._entry = operation
 
     def finished(self, raw: codec.Envelope) -> None:
-        self._done(self._read())
+        self._done(self._result())
 
     def attempt_lost(self, reason: str) -> None:
         self._done(None)
 
-    def _read(self) -> ProbeResult | None:
+    def _result(self) -> ProbeResult | None:
         if self._entry is None:
             return None
-        held = {name.lower(): values for name, values in self._entry.attributes}
-        told = held.get(self._options.role_attribute.lower(), ())
-        primary = told[0].decode("utf-8", "replace") == self._options.primary_value if told else None
-        return ProbeResult(csn.vector(held.get(POSITION.lower(), ())), primary)
+        attributes = {name.lower(): values for name, values in self._entry.attributes}
+        role_values = attributes.get(self._options.role_attribute.lower(), ())
+        primary = role_values[0].decode("utf-8", "replace") == self._options.primary_value if role_values else None
+        return ProbeResult(csn.vector(attributes.get(POSITION_ATTRIBUTE.lower(), ())), primary)
 
 
 class LdapConnection(Protocol):
-    """One connection to a server; bound first if the options say so."""
+    """One connection to a server; it binds first if the options have a bind DN."""
 
     transport: Any  # Twisted's stubs name no methods of a TCP transport
 
@@ -77,11 +77,11 @@
         self._end = ClientEnd(options.max_message)
         self._exchanges: dict[int, tuple[Exchange, Receiver]] = {}
         self._probes: dict[int, _Probe] = {}
-        self._binding: int | None = None
+        self._bind_id: int | None = None
         self._reason = ""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Bind, or be ready at once."""
+        """Sends the bind request, or reports ready at once if there is none to send."""
         assert self.transport is not None
         if hasattr(self.transport, "setTcpNoDelay"):
             self.transport.setTcpNoDelay(True)
@@ -89,15 +89,15 @@
             self._ready(self)
             return
         request = m.BindRequest(self._options.bind_dn, self._options.bind_password.encode())
-        self._binding, data = self._end.ask(codec.encode_operation(request), m.Tag.BIND)
+        self._bind_id, data = self._end.ask(codec.encode_operation(request), m.Tag.BIND)
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Answers, in any split."""
+        """Processes received bytes, however they are split into reads."""
         try:
             for event in self._end.receive(data):
                 if isinstance(event, Answered):
-                    self._answered(event)
+                    self._handle_response(event)
                 else:
                     self._reason = event.reason or "the server is closing"
         except BerError as problem:
@@ -105,9 +105,9 @@
             if self.transport is not None:
                 self.transport.abortConnection()
 
-    def _answered(self, event: Answered) -> None:
-        if event.id == self._binding:
-            self._binding = None
+    def _handle_response(self, event: Answered) -> None:
+        if event.id == self._bind_id:
+            self._bind_id = None
             result = codec.decode_operation(event.raw.operation)
             if isinstance(result, m.Result) and result.code == Code.SUCCESS:
                 self._ready(self)
@@ -120,8 +120,8 @@
                 probe.finished(event.raw)
             else:
                 probe.attempt_part(event.raw, 0)
-        elif (pair := self._exchanges.get(event.id)) is not None:
-            exchange, receiver = pair
+        elif (pending := self._exchanges.get(event.id)) is not None:
+            exchange, receiver = pending
             if event.final:
                 reply = interpret(exchange, event.raw)
                 del self._exchanges[event.id]
@@ -130,7 +130,7 @@
                 receiver.attempt_part(event.raw, len(event.raw.operation) + len(event.raw.controls))
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008, N802
-        """All that is out is lost with it."""
+        """Reports every outstanding attempt and probe as lost."""
         why = self._reason or reason.getErrorMessage()
         exchanges, self._exchanges = self._exchanges, {}
         probes, self._probes = self._probes, {}
@@ -143,7 +143,7 @@
     # gateway.api.Connection
 
     def submit(self, operation: Exchange, receiver: Receiver) -> int:
-        """Send one operation."""
+        """Sends one operation and returns its message ID."""
         assert self.transport is not None
         number, data = self._end.ask(operation.operation, operation.tag, operation.controls)
         self._exchanges[number] = operation, receiver
@@ -151,17 +151,21 @@
         return number
 
     def abandon(self, number: int) -> None:
-        """Stop waiting; a search is abandoned at the server, a write is left to run its course."""
-        pair = self._exchanges.pop(number, None)
+        """Stops waiting for an operation. The server gets an Abandon for a read; a write is left to complete."""
+        pending = self._exchanges.pop(number, None)
         data = self._end.abandon(number)
-        if pair and not pair[0].write and data and self.transport is not None:
+        if pending and not pending[0].write and data and self.transport is not None:
             self.transport.write(data)
 
     def probe(self, done: Callable[[ProbeResult | None], None]) -> int:
-        """Read position and role from the group's suffix entry."""
+        """Reads the position and the role from the group's suffix entry."""
         assert self.transport is not None
         suffix = self._options.suffixes.get(self._server.group, "")
-        wanted = (POSITION, self._options.role_attribute) if self._options.role_attribute else (POSITION,)
+        wanted = (
+            (POSITION_ATTRIBUTE, self._options.role_attribute)
+            if self._options.role_attribute
+            else (POSITION_ATTRIBUTE,)
+        )
         request = m.SearchRequest(suffix, Scope.BASE, m.Present("objectClass"), wanted)
         number, data = self._end.ask(codec.encode_operation(request), m.Tag.SEARCH)
         self._probes[number] = _Probe(self._options, done)
@@ -169,18 +173,18 @@
         return number
 
     def fit(self) -> bool:
-        """Operations share a connection: whatever ends it is told by its end."""
+        """Always true: operations share the connection, and its loss is reported by ``connectionLost``."""
         return True
 
     def close(self) -> None:
-        """Unbind and close."""
+        """Sends an Unbind and closes the connection."""
         if self.transport is not None:
             self.transport.write(codec.encode(m.Message(0x7FFFFFFF, m.UnbindRequest())))
             self.transport.loseConnection()
 
 
 class LdapBackend:
-    """Reaches LDAP servers; a ``gateway.api.Backend``."""
+    """Opens connections to LDAP servers; a ``gateway.api.Backend``."""
 
     def __init__(self, options: BackendOptions, reactor: Any) -> None:
         self._options, self._reactor = options, reactor
@@ -188,11 +192,11 @@
     def connect(
         self, server: ServerSpec, ready: Callable[[Connection], None], lost: Callable[[str], None]
     ) -> Callable[[], None]:
-        """Open a connection; see ``gateway.api.Backend``."""
+        """Opens a connection; see ``gateway.api.Backend``."""
         return dial(self._reactor, server, lambda once: LdapConnection(server, self._options, ready, once), lost)
 
     def describe(self, operation: Exchange) -> str:
-        """The kind of operation and what it is about."""
+        """The operation's type and the DN that it addresses."""
         request = operation.request
         entry = getattr(request, "base", None) or getattr(request, "entry", "")
         return f"{type(request).__name__.removesuffix('Request').lower()} {entry}".strip()
--- a/yardbank/ldap/ber.py
+++ b/yardbank/ldap/ber.py
@@ -1,6 +1,6 @@
 """Basic Encoding Rules as LDAP restricts them: definite lengths, one-byte tags (RFC 4511 section 5.1).
 
-Only bytes in and out. Every length is checked against what is there before anything is copied.
+Works on bytes alone. Every length is checked against the available data before anything is copied.
 """
 
 from __future__ import annotations
@@ -10,36 +10,38 @@
 
 
 class BerError(ValueError):
-    """The bytes are not an encoding that LDAP allows; the text names the field."""
+    """The bytes are not an encoding that LDAP allows; the message names the field."""
 
 
-_HEADS = [[bytes((tag, size)) for size in range(0x80)] for tag in range(0x100)]  # of short elements, made once
-OCTET_HEADS, SET_HEADS, SEQUENCE_HEADS = _HEADS[OCTETS], _HEADS[SET], _HEADS[SEQUENCE]
+_SHORT_HEADERS = [
+    [bytes((tag, size)) for size in range(0x80)] for tag in range(0x100)
+]  # headers of short elements, precomputed
+OCTETS_HEADERS, SET_HEADERS, SEQUENCE_HEADERS = _SHORT_HEADERS[OCTETS], _SHORT_HEADERS[SET], _SHORT_HEADERS[SEQUENCE]
 
 
 def tlv(tag: int, content: bytes) -> bytes:
-    """One element: tag, shortest definite length, content."""
+    """Encodes one element: tag, shortest definite length, content."""
     size = len(content)
     if size < 0x80:
-        return _HEADS[tag][size] + content
+        return _SHORT_HEADERS[tag][size] + content
     width = (size.bit_length() + 7) >> 3
     return bytes((tag, 0x80 | width)) + size.to_bytes(width, "big") + content
 
 
 def integer(value: int, tag: int = INTEGER) -> bytes:
-    """A signed integer in the fewest octets."""
+    """Encodes a signed integer in the fewest octets."""
     if 0 <= value < 0x80:
-        return _HEADS[tag][1] + _HEADS[value][0][:1]
+        return _SHORT_HEADERS[tag][1] + _SHORT_HEADERS[value][0][:1]
     return tlv(tag, value.to_bytes((value if value >= 0 else ~value).bit_length() // 8 + 1, "big", signed=True))
 
 
 def boolean(value: bool, tag: int = BOOLEAN) -> bytes:
-    """TRUE is 0xFF, as section 5.1 asks."""
+    """Encodes a boolean; TRUE is 0xFF, as section 5.1 requires."""
     return bytes((tag, 1, 0xFF if value else 0))
 
 
 def header(data: bytes, at: int, end: int) -> tuple[int, int, int]:
-    """Read one element's header: its tag, and where its content starts and stops.
+    """Reads one element's header: its tag, and the start and end offset of its content.
 
     Raises ``BerError`` where the element does not fit between ``at`` and ``end``.
     """
@@ -66,8 +68,8 @@
 
 
 def expect(data: bytes, at: int, end: int, tag: int, name: str) -> tuple[int, int]:
-    """The content's bounds of an element that must have a tag; errors name the field."""
-    if at + 2 <= end and data[at] == tag:  # the short form, read in place: most elements take it
+    """Bounds of the content of an element that must have the given tag. Errors name the field."""
+    if at + 2 <= end and data[at] == tag:  # fast path: most elements have a short-form length
         size = data[at + 1]
         if size < 0x80 and at + 2 + size <= end:
             return at + 2, at + 2 + size
@@ -83,7 +85,7 @@
 
 
 def read_integer(data: bytes, start: int, stop: int, name: str, low: int = 0, high: int = 0x7FFFFFFF) -> int:
-    """An integer between bounds; by default LDAP's ``0 .. maxInt``."""
+    """Reads an integer within bounds; by default LDAP's ``0 .. maxInt``."""
     if stop - start == 1 and data[start] < 0x80 and low <= data[start] <= high:
         return data[start]
     if not 1 <= stop - start <= 8:
@@ -95,14 +97,14 @@
 
 
 def read_boolean(data: bytes, start: int, stop: int, name: str) -> bool:
-    """A boolean; any octet but zero is read as TRUE."""
+    """Reads a boolean; any octet but zero is TRUE."""
     if stop - start != 1:
         raise BerError(f"{name}: boolean of {stop - start} octets")
     return data[start] != 0
 
 
 def text(data: bytes, start: int, stop: int, name: str) -> str:
-    """An LDAPString: UTF-8."""
+    """Reads an LDAPString, which is UTF-8."""
     try:
         return data[start:stop].decode()
     except UnicodeDecodeError:
@@ -110,10 +112,10 @@
 
 
 class Framer:
-    """Cuts a stream of bytes into whole LDAPMessage elements, however the bytes were split.
+    """Splits a byte stream into whole LDAPMessage elements, whatever the sizes of the reads.
 
-    Keeps at most ``limit`` octets of an unfinished message; a longer one is refused when its length is
-    read, before any of its content is kept.
+    Buffers at most ``limit`` octets of an incomplete message; a longer one is rejected when its length is
+    read, before any of its content is buffered.
     """
 
     def __init__(self, limit: int = 4 << 20) -> None:
@@ -122,11 +124,11 @@
 
     @property
     def pending(self) -> int:
-        """Octets of an unfinished message that are kept."""
+        """Buffered octets of an incomplete message."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes; return the messages that are now whole, headers included."""
+        """Adds received bytes; returns the messages that are now complete, headers included."""
         if self._buffer:
             self._buffer += data
             data = bytes(self._buffer)
@@ -134,7 +136,7 @@
         messages: list[bytes] = []
         at, end = 0, len(data)
         while at < end:
-            stop = self._stop(data, at, end)
+            stop = self._message_end(data, at, end)
             if stop is None or stop > end:
                 self._buffer += data[at:end]
                 break
@@ -142,7 +144,7 @@
             at = stop
         return messages
 
-    def _stop(self, data: bytes, at: int, end: int) -> int | None:
+    def _message_end(self, data: bytes, at: int, end: int) -> int | None:
         if data[at] != SEQUENCE:
             raise BerError(f"message: tag 0x{data[at]:02x} in place of 0x30")
         if at + 2 > end:
--- a/yardbank/ldap/classify.py
+++ b/yardbank/ldap/classify.py
@@ -1,7 +1,7 @@
-"""Which class and group an LDAP operation belongs to. No I/O.
+"""Finds the request class and the group of an LDAP operation. No I/O.
 
-What matches no rule, or two rules alike, falls to the strictest class: a read that must see every commit, a
-write that must never run twice.
+An operation that matches no rule, or several equally specific ones, gets the strictest class: for a read, that it
+must see every commit; for a write, that it must never run twice.
 """
 
 from __future__ import annotations
@@ -23,39 +23,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Rule:
-    """What a class's operations look like; an empty field matches all."""
+    """Conditions under which an operation belongs to a class; an empty field matches everything."""
 
     class_name: str
     operations: frozenset[str]
-    base: str = ""  # folded; the operation's entry is this or below
+    base: str = ""  # folded DN; matches this entry and all below it
     scopes: frozenset[int] = frozenset()
-    attributes: frozenset[str] = frozenset()  # a search's filter names one of them
+    attributes: frozenset[str] = frozenset()  # matches if the search filter uses one of them
     identities: frozenset[str] = frozenset()  # folded bind names
 
-    def weight(self) -> tuple[int, int, int, int]:
-        """How narrow a rule is: the narrower of two that match wins."""
+    def specificity(self) -> tuple[int, int, int, int]:
+        """How specific the rule is: of several matching rules, the most specific wins."""
         depth = self.base.count(",") + 1 if self.base else 0
         return len(self.identities) > 0, depth, len(self.attributes) > 0, len(self.scopes) > 0
 
 
 @dataclass(slots=True)
-class Placed:
-    """Where an operation belongs; ``group`` None: under no group's suffix."""
+class Classification:
+    """The class and group of an operation; ``group`` is None if the entry is below no group's suffix."""
 
     class_name: str
     group: str | None
     why: str
-    deadline: int = 0  # the shortest of several classes that a search reaches, ns; 0: the class's own
+    deadline: int = 0  # in ns, the shortest among the classes that a search covers; 0: that of the class
 
 
 def operation_name(operation: m.Request) -> str:
-    """The word by which rules name an operation."""
+    """The name of an operation in the rules."""
     if isinstance(operation, m.ExtendedRequest):
         return "passwd" if operation.oid == m.Oid.PASSWORD_MODIFY else "extended"
-    return _NAMES.get(type(operation), "other")
+    return _OPERATION_NAMES.get(type(operation), "other")
 
 
-_NAMES = {
+_OPERATION_NAMES = {
     m.SearchRequest: "search",
     m.CompareRequest: "compare",
     m.AddRequest: "add",
@@ -65,22 +65,22 @@
 }
 
 
-def entry_of(operation: m.Request) -> str:
-    """The folded name of the entry that an operation is about."""
+def target_dn(operation: m.Request) -> str:
+    """The folded DN of the entry that an operation addresses."""
     if isinstance(operation, m.SearchRequest):
         return naming.fold(operation.base)
     return naming.fold(getattr(operation, "entry", ""))
 
 
-def renamed(request: m.ModifyDNRequest) -> tuple[str, str]:
-    """An entry's folded name before and after."""
+def old_and_new_dn(request: m.ModifyDNRequest) -> tuple[str, str]:
+    """The folded DN of an entry before and after a rename."""
     entry = naming.fold(request.entry)
     superior = naming.parent(entry) if request.new_superior is None else naming.fold(request.new_superior)
     return entry, ",".join(filter(None, (naming.fold(request.new_rdn), superior)))
 
 
-def of_unheld(tree: Tree, operation: m.Request, entry: str) -> tuple[Code, str]:
-    """What is said of a name that no group holds: result code and matchedDN. Glue answers as a server's entry would."""
+def result_outside_groups(tree: Tree, operation: m.Request, entry: str) -> tuple[Code, str]:
+    """Result code and matchedDN for a DN outside all groups. A glue entry answers as a real entry on a server would."""
     written = tree.glue(entry)
     if written is None:
         return Code.NO_SUCH_OBJECT, tree.matched(entry)
@@ -99,7 +99,7 @@
 
 
 class Classifier:
-    """Rules of one settings file, narrowest first."""
+    """Classifies operations by the rules of one settings file; the most specific matching rule wins."""
 
     def __init__(
         self,
@@ -109,66 +109,73 @@
         strict_write: str,
         classes: Mapping[str, RequestClass] | None = None,
     ) -> None:
-        """``suffixes`` by group, as written; ``classes`` let a search that reaches several take the strictest."""
+        """``suffixes`` by group, as configured; with ``classes``, a search across several gets the strictest."""
         self._rules = rules
         self.tree = Tree(suffixes)
         self._by_attribute = any(rule.attributes for rule in rules)
         self._strict = {True: strict_read, False: strict_write}
         self._classes = classes or {}
-        self._deep = tuple(
-            (rule, self.tree.holder(rule.base)) for rule in rules if rule.base and "search" in rule.operations
+        self._search_rules = tuple(
+            (rule, self.tree.group_of(rule.base)) for rule in rules if rule.base and "search" in rule.operations
         )
 
     def group_of(self, entry: str) -> str | None:
-        """The group whose suffix holds an entry; the longest suffix wins."""
-        return self.tree.holder(entry)
+        """The group whose suffix contains an entry; the longest suffix wins."""
+        return self.tree.group_of(entry)
 
-    def place(self, operation: m.Request, identity: str = "", entry: str | None = None) -> Placed:
-        """Class and group of one operation under a folded bind name."""
-        entry = entry_of(operation) if entry is None else entry
+    def place(self, operation: m.Request, identity: str = "", entry: str | None = None) -> Classification:
+        """Class and group of one operation; ``identity`` is the client's folded bind DN."""
+        entry = target_dn(operation) if entry is None else entry
         name, group = operation_name(operation), self.group_of(entry)
         if isinstance(operation, m.SearchRequest):
             return self.place_search(group, entry, operation, operation.scope, identity)
-        return self._place(name, group, entry, identity, -1, frozenset())
+        return self._match_rules(name, group, entry, identity, -1, frozenset())
 
     def place_search(
         self, group: str | None, base: str, request: m.SearchRequest, scope: int, identity: str = ""
-    ) -> Placed:
-        """Class of a search, or of a part of one, from a folded base."""
+    ) -> Classification:
+        """Class of a search, or of one part of it, from a folded base DN."""
         attributes = filters.attributes_of(request.filter) if self._by_attribute else frozenset[str]()
-        placed = self._place("search", group, base, identity, scope, attributes)
+        classification = self._match_rules("search", group, base, identity, scope, attributes)
         if scope == Scope.BASE or not self._classes:
-            return placed
+            return classification
         below = {
             rule.class_name
-            for rule, holder in self._deep
+            for rule, rule_group in self._search_rules
             if rule.base != base
-            and holder == group
+            and rule_group == group
             and (naming.under(rule.base, base) if scope != Scope.ONE else naming.parent(rule.base) == base)
             and (not rule.attributes or rule.attributes & attributes)
             and (not rule.identities or identity in rule.identities)
         }
-        below.discard(placed.class_name)
-        return self._joined(placed, below) if below else placed
-
-    def _joined(self, placed: Placed, others: set[str]) -> Placed:
-        """One class for a search whose entries are of several: no staler, no slower than any allows."""
-        kinds = [self._classes[name] for name in sorted({placed.class_name, *others})]
-        needs = {kind.read for kind in kinds} - {"any"}
-        if len(needs) > 1 or "fresh" in needs:  # a session's writes and an age are no measure of each other
-            name = next((kind.name for kind in kinds if kind.read == "fresh"), self._strict[True])
-        elif not needs:
-            name = placed.class_name
+        below.discard(classification.class_name)
+        return self._strictest_of(classification, below) if below else classification
+
+    def _strictest_of(self, classification: Classification, others: set[str]) -> Classification:
+        """Picks one class for a search across several: its staleness and deadline satisfy each of them."""
+        classes = [self._classes[name] for name in sorted({classification.class_name, *others})]
+        read_levels = {request_class.read for request_class in classes} - {"any"}
+        if (
+            len(read_levels) > 1 or "fresh" in read_levels
+        ):  # session consistency and a staleness bound are not comparable
+            name = next(
+                (request_class.name for request_class in classes if request_class.read == "fresh"), self._strict[True]
+            )
+        elif not read_levels:
+            name = classification.class_name
         else:
-            of_need = [kind for kind in kinds if kind.read in needs]
-            name = min(of_need, key=lambda kind: (kind.staleness_bound, kind.deadline, kind.name)).name
-        deadline = min(kind.deadline for kind in kinds)
-        return Placed(name, placed.group, "the strictest of the classes that it reaches", deadline)
-
-    def _place(
+            same_level = [request_class for request_class in classes if request_class.read in read_levels]
+            name = min(
+                same_level,
+                key=lambda request_class: (request_class.staleness_bound, request_class.deadline, request_class.name),
+            ).name
+        deadline = min(request_class.deadline for request_class in classes)
+        return Classification(name, classification.group, "the strictest of the classes that it reaches", deadline)
+
+    def _match_rules(
         self, name: str, group: str | None, entry: str, identity: str, scope: int, attributes: frozenset[str]
-    ) -> Placed:
-        fit = [
+    ) -> Classification:
+        matching = [
             rule
             for rule in self._rules
             if name in rule.operations
@@ -177,14 +184,14 @@
             and (not rule.attributes or rule.attributes & attributes)
             and (not rule.identities or identity in rule.identities)
         ]
-        if not fit:
-            return Placed(self._strict[name in READS], group, "no rule matches: the strictest class")
-        if len(fit) == 1:
-            return Placed(fit[0].class_name, group, "the one rule that matches")
-        weight = max(rule.weight() for rule in fit)
-        best = {rule.class_name for rule in fit if rule.weight() == weight}
+        if not matching:
+            return Classification(self._strict[name in READS], group, "no rule matches: the strictest class")
+        if len(matching) == 1:
+            return Classification(matching[0].class_name, group, "the one rule that matches")
+        specificity = max(rule.specificity() for rule in matching)
+        best = {rule.class_name for rule in matching if rule.specificity() == specificity}
         if len(best) > 1:
-            return Placed(
+            return Classification(
                 self._strict[name in READS], group, f"{', '.join(sorted(best))} match alike: the strictest class"
             )
-        return Placed(best.pop(), group, "the narrowest rule that matches")
+        return Classification(best.pop(), group, "the narrowest rule that matches")
--- a/yardbank/ldap/codec.py
+++ b/yardbank/ldap/codec.py
@@ -1,4 +1,4 @@
-"""Messages to octets and back (RFC 4511 sections 4 and 5). No I/O; nothing is trusted before it is checked."""
+"""Encodes and decodes LDAP messages (RFC 4511 sections 4 and 5). No I/O; all input is validated."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Envelope:
-    """A message whose operation is still bytes, so that it can be passed on unread."""
+    """A message whose operation is still encoded, so that it can be forwarded without decoding."""
 
     id: int
     tag: int
@@ -46,12 +46,12 @@
     controls: bytes  # the [0] element, or empty
 
     def with_id(self, number: int) -> bytes:
-        """The same message under another ID."""
+        """Encodes the same message with another message ID."""
         return tlv(SEQUENCE, integer(number) + self.operation + self.controls)
 
 
 def open_envelope(data: bytes) -> Envelope:
-    """Read a whole message as far as its ID and the tag of its operation."""
+    """Decodes a whole message only as far as its ID and its operation's tag."""
     end = len(data)
     start, stop = expect(data, 0, end, SEQUENCE, "message")
     if stop != end:
@@ -68,13 +68,13 @@
 
 
 def decode(data: bytes) -> m.Message:
-    """Read one whole message. Raises ``BerError`` naming the field that is wrong."""
+    """Decodes one whole message. Raises ``BerError`` naming the invalid field."""
     envelope = open_envelope(data)
     return m.Message(envelope.id, decode_operation(envelope.operation), decode_controls(envelope.controls))
 
 
 def decode_operation(data: bytes) -> m.Operation:
-    """Read a protocolOp, tag included."""
+    """Decodes a protocolOp, tag included."""
     tag, start, stop = header(data, 0, len(data))
     reader = _READERS.get(tag)
     if reader is None:
@@ -84,20 +84,20 @@
 
 
 def encode(message: m.Message) -> bytes:
-    """The bytes of one message."""
+    """Encodes one message."""
     body = integer(message.id) + encode_operation(message.operation) + encode_controls(message.controls)
     return tlv(SEQUENCE, body)
 
 
 def entry_name(data: bytes) -> bytes:
-    """The name in a SearchResultEntry as it stands there, the rest left unread."""
+    """The encoded DN in a SearchResultEntry, without decoding the rest."""
     _, start, stop = header(data, 0, len(data))
     low, high = expect(data, start, stop, OCTETS, "objectName")
     return data[low:high]
 
 
 def encode_operation(operation: m.Operation) -> bytes:
-    """The bytes of a protocolOp, tag included."""
+    """Encodes a protocolOp, tag included."""
     writer: Callable[[Any], bytes] = _WRITERS[type(operation)]
     return writer(operation)
 
--- a/yardbank/ldap/control_codec.py
+++ b/yardbank/ldap/control_codec.py
@@ -1,4 +1,7 @@
-"""Controls and the values of those that the gateway knows (RFC 2696, 2891, 3909, 4527). No I/O."""
+"""Encodes and decodes controls and the values of those that the gateway handles. No I/O.
+
+These are the controls of RFC 2696, 2891, 3909 and 4527.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 def decode_controls(data: bytes) -> tuple[m.Control, ...]:
-    """Read the [0] element that holds controls; empty bytes are none."""
+    """Decodes the [0] element that holds the controls; empty bytes mean no controls."""
     if not data:
         return ()
     at, end = expect(data, 0, len(data), 0xA0, "controls")
@@ -45,7 +48,7 @@
 
 
 def encode_controls(controls: tuple[m.Control, ...]) -> bytes:
-    """The [0] element, or nothing."""
+    """Encodes controls as the [0] element; empty bytes if there are none."""
     if not controls:
         return b""
     parts = []
@@ -60,12 +63,12 @@
 
 
 def paged_value(size: int, cookie: bytes) -> bytes:
-    """The value of a paged results control (RFC 2696 section 2)."""
+    """Encodes the value of a paged results control (RFC 2696 section 2)."""
     return tlv(SEQUENCE, integer(size) + tlv(OCTETS, cookie))
 
 
 def read_paged_value(value: bytes) -> tuple[int, bytes]:
-    """Size and cookie. Raises ``BerError``."""
+    """Decodes the size and cookie of a paged results control. Raises ``BerError``."""
     low, high = expect(value, 0, len(value), SEQUENCE, "pagedResults")
     first, last = expect(value, low, high, INTEGER, "size")
     size = read_integer(value, first, last, "size")
@@ -74,29 +77,29 @@
 
 
 def sort_result(code: int) -> bytes:
-    """The value of a sort response control (RFC 2891 section 1.2)."""
+    """Encodes the value of a sort response control (RFC 2891 section 1.2)."""
     return tlv(SEQUENCE, integer(code, ENUMERATED))
 
 
 def post_read_request(attributes: tuple[str, ...]) -> bytes:
-    """The value of a post-read control (RFC 4527 section 3.2)."""
+    """Encodes the value of a post-read request control (RFC 4527 section 3.2)."""
     return tlv(SEQUENCE, b"".join(tlv(OCTETS, name.encode()) for name in attributes))
 
 
 def read_post_read_request(value: bytes) -> tuple[str, ...]:
-    """The attributes that a post-read control asks for."""
+    """Decodes the attributes that a post-read request control selects."""
     low, high = expect(value, 0, len(value), SEQUENCE, "postRead")
     return read_strings(value, low, high, "postRead")
 
 
 def read_post_read(value: bytes) -> m.SearchEntry:
-    """The entry in a post-read control's answer."""
+    """Decodes the entry in a post-read response control."""
     low, high = expect(value, 0, len(value), m.Tag.ENTRY, "postRead")
     return read_entry(value, low, high)
 
 
 def cancel_target(value: bytes | None) -> int:
-    """The operation that a Cancel names (RFC 3909 section 2)."""
+    """The message ID of the operation that a Cancel request addresses (RFC 3909 section 2)."""
     low, high = expect(value or b"", 0, len(value or b""), SEQUENCE, "cancelRequestValue")
     first, last = expect(value or b"", low, high, INTEGER, "cancelID")
     return read_integer(value or b"", first, last, "cancelID")
--- a/yardbank/ldap/csn.py
+++ b/yardbank/ldap/csn.py
@@ -1,4 +1,4 @@
-"""Change sequence numbers: the marks by which LDAP servers name log positions (draft-ietf-ldup-model, CSN)."""
+"""Change sequence numbers (CSN), by which LDAP servers identify log positions (draft-ietf-ldup-model)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse(value: bytes) -> tuple[str, LogPosition] | None:
-    """The origin (server ID) and mark of a change sequence number; None if it is none."""
+    """The origin (server ID) and position of a change sequence number; None if the value is not one."""
     try:
         found = _CSN.fullmatch(value.decode("ascii").lower().replace("z", "Z"))
     except UnicodeDecodeError:
@@ -24,16 +24,16 @@
 
 
 def vector(values: Iterable[bytes]) -> dict[str, LogPosition]:
-    """The marks of a ``contextCSN``, one value for each origin; what is no CSN is left out."""
-    marks: dict[str, LogPosition] = {}
+    """The positions in the values of a ``contextCSN``, by origin; values that are not CSNs are ignored."""
+    positions: dict[str, LogPosition] = {}
     for value in values:
         if found := parse(value):
-            origin, mark = found
-            marks[origin] = max(mark, marks.get(origin, mark))
-    return marks
+            origin, position = found
+            positions[origin] = max(position, positions.get(origin, position))
+    return positions
 
 
 def render(seconds: float, count: int, origin: int) -> str:
-    """The change sequence number of a commit at a wall-clock time."""
+    """Formats the change sequence number of a commit at a wall-clock time."""
     stamp = datetime.fromtimestamp(seconds, UTC).strftime("%Y%m%d%H%M%S.%f")
     return f"{stamp}Z#{count:06x}#{origin:03x}#000000"
--- a/yardbank/ldap/element_codec.py
+++ b/yardbank/ldap/element_codec.py
@@ -1,13 +1,27 @@
-"""Elements that several LDAP messages share: lists of strings and values, attributes (RFC 4511 section 4.1). No I/O."""
+"""Encodes and decodes elements that several LDAP messages share: strings, values, attributes (RFC 4511 section 4.1).
+
+No I/O.
+"""
 
 from __future__ import annotations
 
 from yardbank.ldap import messages as m
-from yardbank.ldap.ber import OCTET_HEADS, OCTETS, SEQUENCE, SEQUENCE_HEADS, SET, SET_HEADS, BerError, expect, text, tlv
+from yardbank.ldap.ber import (
+    OCTETS,
+    OCTETS_HEADERS,
+    SEQUENCE,
+    SEQUENCE_HEADERS,
+    SET,
+    SET_HEADERS,
+    BerError,
+    expect,
+    text,
+    tlv,
+)
 
 
 def read_strings(data: bytes, at: int, end: int, name: str) -> tuple[str, ...]:
-    """Text strings up to ``end``. Raises ``BerError`` that names the element."""
+    """Reads the strings up to ``end``. Raises ``BerError`` naming the element."""
     found = []
     while at < end:
         low, at = expect(data, at, end, OCTETS, name)
@@ -16,11 +30,11 @@
 
 
 def read_values(data: bytes, at: int, end: int) -> tuple[bytes, ...]:
-    """The values of a SET, as octets. Raises ``BerError``."""
+    """Reads the values of a SET as octets. Raises ``BerError``."""
     found = []
     while at < end:
         if data[at] == OCTETS and at + 1 < end and data[at + 1] < 0x80 and at + 2 + data[at + 1] <= end:
-            low = at + 2  # the short form, read in place: most values take it
+            low = at + 2  # fast path: most values have a short-form length
             at = low + data[at + 1]
         else:
             low, at = expect(data, at, end, OCTETS, "vals")
@@ -29,12 +43,12 @@
 
 
 def read_attributes(data: bytes, at: int, end: int) -> m.Attributes:
-    """A list of attributes with their values. Raises ``BerError``."""
+    """Reads a list of attributes with their values. Raises ``BerError``."""
     found = []
     while at < end:
         stop = at + 2 + data[at + 1] if at + 6 <= end else end + 1
         if stop <= end and data[at] == SEQUENCE and data[at + 2] == OCTETS and data[at + 1] < 0x80:
-            high = at + 4 + data[at + 3]  # all lengths short: read in place
+            high = at + 4 + data[at + 3]  # fast path: all lengths are in short form
             if high + 2 <= stop and data[high] == SET and data[high + 1] < 0x80 and high + 2 + data[high + 1] == stop:
                 found.append((text(data, at + 4, high, "type"), read_values(data, high + 2, stop)))
                 at = stop
@@ -49,19 +63,19 @@
 
 
 def write_attribute(kind: str, values: tuple[bytes, ...]) -> bytes:
-    """One attribute with its values."""
+    """Encodes one attribute with its values."""
     name = kind.encode()
-    if len(values) == 1:  # short ones are put together in place: an entry is mostly these
+    if len(values) == 1:  # fast path: most attributes have one short value
         (value,) = values
-        held, named = len(value) + 2, len(name) + 2
-        if held + named < 0x7E:
+        value_size, type_size = len(value) + 2, len(name) + 2
+        if value_size + type_size < 0x7E:
             return b"".join(
                 (
-                    SEQUENCE_HEADS[named + held + 2],
-                    OCTET_HEADS[named - 2],
+                    SEQUENCE_HEADERS[type_size + value_size + 2],
+                    OCTETS_HEADERS[type_size - 2],
                     name,
-                    SET_HEADS[held],
-                    OCTET_HEADS[held - 2],
+                    SET_HEADERS[value_size],
+                    OCTETS_HEADERS[value_size - 2],
                     value,
                 )
             )
@@ -69,11 +83,11 @@
 
 
 def write_attributes(attributes: m.Attributes) -> bytes:
-    """A list of attributes, as entries and add requests hold it."""
+    """Encodes a list of attributes, as in entries and add requests."""
     return tlv(SEQUENCE, b"".join([write_attribute(kind, values) for kind, values in attributes]))
 
 
 def expect_end(at: int, stop: int, name: str) -> None:
-    """Raise ``BerError`` if an element has octets after its last part."""
+    """Raises ``BerError`` if an element has octets after its last field."""
     if at != stop:
         raise BerError(f"{name}: octets after its end")
--- a/yardbank/ldap/filter_codec.py
+++ b/yardbank/ldap/filter_codec.py
@@ -1,4 +1,4 @@
-"""Search filters to octets and back (RFC 4511 section 4.5.1.7). No I/O."""
+"""Encodes and decodes search filters (RFC 4511 section 4.5.1.7). No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def decode_filter(data: bytes, at: int, end: int, depth: int = MAX_FILTER_DEPTH) -> tuple[m.Filter, int]:
-    """Read one filter; returns it and where it stops. Depth is bounded before descending."""
+    """Decodes one filter; returns it and its end offset. The nesting depth is checked before each recursion."""
     if depth == 0:
         raise BerError(f"filter: nested deeper than {MAX_FILTER_DEPTH}")
     if at >= end:
@@ -44,7 +44,7 @@
 
 
 def _decode_parts(data: bytes, start: int, stop: int, depth: int) -> tuple[m.Filter, ...]:
-    """The filters that an "and" or an "or" joins."""
+    """Decodes the operands of an "and" or "or" filter."""
     parts: list[m.Filter] = []
     at = start
     while at < stop:
@@ -100,7 +100,7 @@
 
 
 def encode_filter(value: m.Filter) -> bytes:
-    """The bytes of one filter."""
+    """Encodes one filter."""
     if isinstance(value, m.Match):
         pair = tlv(OCTETS, value.attribute.encode()) + tlv(OCTETS, value.value)
         return tlv(_MATCH_TAGS[value.rule], pair)
@@ -123,7 +123,7 @@
 
 
 def decode_bare_filter(data: bytes) -> m.Filter:
-    """A filter by itself, as the assertion control holds it (RFC 4528)."""
+    """Decodes bytes that hold exactly one filter, such as an assertion control's value (RFC 4528)."""
     found, at = decode_filter(data, 0, len(data))
     expect_end(at, len(data), "filter")
     return found
--- a/yardbank/ldap/filters.py
+++ b/yardbank/ldap/filters.py
@@ -1,4 +1,4 @@
-"""Filters as strings (RFC 4515)."""
+"""Parses and formats the string representation of filters (RFC 4515)."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class FilterError(ValueError):
-    """The string is not a filter; the text says where."""
+    """The string is not a filter; the message gives the offset of the error."""
 
 
 def parse(source: str) -> m.Filter:
-    """A filter from its string form."""
+    """Parses a filter's string representation."""
     found, at = _parse(source, 0, MAX_DEPTH)
     if at != len(source):
         raise FilterError(f"at {at}: text after the filter")
@@ -43,13 +43,13 @@
         end = s.find(")", at)
         if end < 0:
             raise FilterError(f"at {at}: ')' expected")
-        found, at = _item(s[at:end], at), end
+        found, at = _parse_item(s[at:end], at), end
     if s[at : at + 1] != ")":
         raise FilterError(f"at {at}: ')' expected")
     return found, at + 1
 
 
-def _item(s: str, at: int) -> m.Filter:
+def _parse_item(s: str, at: int) -> m.Filter:
     item = _ITEM.match(s)
     if item is None:
         raise FilterError(f"at {at}: attribute and comparison expected")
@@ -101,7 +101,7 @@
 
 
 def format_filter(value: m.Filter) -> str:
-    """A filter's string form."""
+    """The string representation of a filter."""
     if isinstance(value, m.And | m.Or):
         return f"({'&' if isinstance(value, m.And) else '|'}{''.join(map(format_filter, value.parts))})"
     if isinstance(value, m.Not):
@@ -118,7 +118,7 @@
 
 
 def attributes_of(value: m.Filter) -> frozenset[str]:
-    """Every attribute that a filter names, in lower case."""
+    """All attributes that a filter uses, in lower case."""
     if isinstance(value, m.And | m.Or):
         return frozenset().union(*map(attributes_of, value.parts))
     if isinstance(value, m.Not):
--- a/yardbank/ldap/intake.py
+++ b/yardbank/ldap/intake.py
@@ -1,8 +1,8 @@
-"""What comes in from an LDAP client: each read is taken whole before any request of it is served.
+"""Receives an LDAP client's requests: each read is decoded completely before any of its requests is served.
 
-A client's Abandon, Cancel, Unbind or end counts from the moment in which it lies in the socket, also where requests
-lie before it: they wait in a queue until the read that brought them is understood to its last octet, and what lies
-unread behind them is looked at again before each attempt is written (``present``).
+An Abandon, Cancel, Unbind or end of the connection takes effect as soon as it has arrived in the socket, even if
+requests arrived before it. So requests are queued until the read that contains them is decoded completely, and the
+socket is read again before each attempt is sent (``present``).
 """
 
 from __future__ import annotations
@@ -15,150 +15,151 @@
 from yardbank.ldap import messages as m
 from yardbank.ldap.state import Abandoned, Asked, Broken, Closed, ServerEnd
 
-AHEAD_READS = 8  # before one attempt, of 64 KiB each
-AHEAD_OCTETS = 512 << 10  # of requests that wait in the queue: beyond them nothing is read ahead
+READ_AHEAD_MAX_READS = 8  # reads of 64 KiB each before one attempt
+READ_AHEAD_MAX_OCTETS = 512 << 10  # queued requests; once reached, nothing more is read ahead
 
 
 class Intake(Protocol):
-    """The receiving half of a connection; a subclass serves the requests and keeps those that are with the gateway."""
+    """Receiving side of a client connection; a subclass serves requests and tracks those that the gateway has."""
 
     transport: Any  # Twisted's stubs name no methods of a TCP transport
-    reading: bool  # whether the client takes what is written to it
-
-    def __init__(self, end: ServerEnd, most: int, log: Any) -> None:
-        """``most``: requests that may wait in the queue when more is read ahead."""
-        self._end, self._most, self._log = end, most, log
-        self._queue: dict[int, Asked] = {}  # by message ID, in the order in which they came
-        self._octets = 0  # of the requests in the queue
-        self._leaving: list[Any] = []  # taken back by what was read, to be told to the gateway once it is read whole
-        self._taking_up = self._due = self._bound_logged = False
-        self._looking = 0  # looks under way: nothing is taken up within one
+    reading: bool  # whether the client reads what is written to it
+
+    def __init__(self, end: ServerEnd, max_outstanding: int, log: Any) -> None:
+        """Nothing more is read ahead while ``max_outstanding`` requests are in the queue."""
+        self._end, self._max_outstanding, self._log = end, max_outstanding, log
+        self._queue: dict[int, Asked] = {}  # by message ID, in order of arrival
+        self._queued_octets = 0  # total size of the queued requests
+        self._withdrawn: list[Any] = []  # requests withdrawn by the current read, not yet released at the gateway
+        self._serving = self._serve_scheduled = self._limit_logged = False
+        self._read_ahead_depth = 0  # nested read-ahead calls; the queue is not served during one
         self._closing = False
-        self._gone = False  # the client's end has been read
+        self._client_gone = False  # the end of the client's stream was read
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Requests, in any split."""
+        """Processes received bytes, however they are split into reads."""
         for event in self._end.receive(data):
             self._receive_event(event)
-        leaving, self._leaving = self._leaving, []
-        for taken in leaving:  # only now: to leave one may send the next, which this read may have taken back as well
-            self._leave(taken)
-        if not self._looking:
-            self._take_up()
-        elif self._queue and not self._taking_up and not self._due:
-            self._due = True
-            self.transport.reactor.callLater(0, self._take_up)
+        withdrawn, self._withdrawn = self._withdrawn, []
+        # Only after the whole read: releasing one request may send the next, which this read may have withdrawn too.
+        for request in withdrawn:
+            self._release(request)
+        if not self._read_ahead_depth:
+            self._serve_queue()
+        elif self._queue and not self._serving and not self._serve_scheduled:
+            self._serve_scheduled = True
+            self.transport.reactor.callLater(0, self._serve_queue)
 
     def _receive_event(self, event: Asked | Abandoned | Closed | Broken) -> None:
-        """Queue a request; a Cancel, an Abandon or the connection's end takes effect at once."""
+        """Queues a request; a Cancel, an Abandon or the end of the connection takes effect at once."""
         match event:
             case Asked(m.Message(operation=m.ExtendedRequest(oid=m.Oid.CANCEL))):
                 self._serve(event)
             case Asked(message, raw):
                 self._queue[message.id] = event
-                self._octets += len(raw.operation) + len(raw.controls)
+                self._queued_octets += len(raw.operation) + len(raw.controls)
             case Abandoned(target):
                 if self._unqueue(target) is None:
-                    self._take_back(target)
+                    self._withdraw(target)
             case Closed():
-                self._drop()
-                self._lose()
+                self._drop_requests()
+                self._close()
             case Broken():
-                self._broken(event)
+                self._end_with_notice(event)
 
     def present(self, number: int) -> bool:
-        """Whether the client is there and still wants an answer to a request that the gateway has.
+        """Whether the client is connected and still wants an answer to a request that the gateway has.
 
-        What lies unread is read first, up to bounds; behind more than that the client's end is still seen, an Abandon
-        is not. One system call where nothing lies unread.
+        Reads what has arrived first, within bounds. Beyond these, the end of the connection is still detected, but an
+        Abandon is not. Takes one system call if nothing has arrived.
         """
-        if not self._wants(number):
+        if not self._awaits_answer(number):
             return False
         self._read_ahead()
-        return self._wants(number)
+        return self._awaits_answer(number)
 
-    def _wants(self, number: int) -> bool:
-        return not self._gone and not self._closing and self._holds(number)
+    def _awaits_answer(self, number: int) -> bool:
+        return not self._client_gone and not self._closing and self._gateway_has(number)
 
     def _read_ahead(self) -> None:
         read = getattr(self.transport, "doRead", None)
-        if read is None:  # a transport that has no socket
+        if read is None:  # a transport without a socket
             return None
-        self._looking += 1
+        self._read_ahead_depth += 1
         try:
-            for _ in range(AHEAD_READS):
-                if self._octets >= AHEAD_OCTETS or len(self._queue) >= self._most:
+            for _ in range(READ_AHEAD_MAX_READS):
+                if self._queued_octets >= READ_AHEAD_MAX_OCTETS or len(self._queue) >= self._max_outstanding:
                     break
-                before = self._end.received
+                received_before = self._end.received
                 if read() is not None:
-                    return self._ended()
-                if self._end.received == before or self._closing:
+                    return self._client_ended()
+                if self._end.received == received_before or self._closing:
                     return None
         finally:
-            self._looking -= 1
-        if not self._bound_logged:
-            self._bound_logged = True
-            self._log.info("client_read_ahead_bound", queued=len(self._queue), octets=self._octets)
+            self._read_ahead_depth -= 1
+        if not self._limit_logged:
+            self._limit_logged = True
+            self._log.info("client_read_ahead_bound", queued=len(self._queue), octets=self._queued_octets)
         if not presence.present(self.transport):
-            self._ended()
+            self._client_ended()
         return None
 
-    def _ended(self) -> None:
-        """The client's end has come: the transport finds it too, once it reads."""
-        self._gone = True
-        self._clear()
+    def _client_ended(self) -> None:
+        """The client closed the connection; the transport notices it at its next read."""
+        self._client_gone = True
+        self._clear_queue()
         self.transport.resumeProducing()
 
-    def _take_up(self) -> None:
-        """Serve what waits, in order; an answer that comes at once comes back here. Not while the client reads none."""
-        self._due = False
-        if self._taking_up:
+    def _serve_queue(self) -> None:
+        """Serves queued requests in order, but not while the client does not read. An immediate answer may re-enter."""
+        self._serve_scheduled = False
+        if self._serving:
             return
-        self._taking_up = True
+        self._serving = True
         try:
             while self._queue and self.reading and not self._closing:
                 event = self._unqueue(next(iter(self._queue)))
                 assert event is not None
                 self._serve(event)
         finally:
-            self._taking_up = False
+            self._serving = False
 
     def _unqueue(self, number: int) -> Asked | None:
         event = self._queue.pop(number, None)
         if event is not None:
-            self._octets -= len(event.raw.operation) + len(event.raw.controls)
+            self._queued_octets -= len(event.raw.operation) + len(event.raw.controls)
         return event
 
-    def _clear(self) -> None:
+    def _clear_queue(self) -> None:
         self._queue.clear()
-        self._octets = 0
+        self._queued_octets = 0
 
-    # What a subclass does
+    # Implemented by the subclass
 
     def _serve(self, event: Asked) -> None:
-        """Answer a request or hand it on; nothing is raised."""
+        """Answers a request or passes it to the gateway; raises nothing."""
         raise NotImplementedError
 
-    def _holds(self, number: int) -> bool:
-        """Whether a request is with the gateway."""
+    def _gateway_has(self, number: int) -> bool:
+        """Whether the gateway has a request."""
         raise NotImplementedError
 
-    def _take_back(self, number: int) -> None:
-        """Forget a request that is with the gateway, and put it to ``_leaving``."""
+    def _withdraw(self, number: int) -> None:
+        """Removes a request that the gateway has and adds it to ``_withdrawn``."""
         raise NotImplementedError
 
-    def _leave(self, taken: Any) -> None:
-        """Tell the gateway that one of ``_leaving`` wants no answer."""
+    def _release(self, request: Any) -> None:
+        """Tells the gateway that a withdrawn request needs no answer."""
         raise NotImplementedError
 
-    def _drop(self) -> None:
-        """Nothing more is taken, sent or owed."""
+    def _drop_requests(self) -> None:
+        """Drops all requests; nothing more is received or answered."""
         raise NotImplementedError
 
-    def _broken(self, event: Broken) -> None:
-        """Drop all, say why, and close."""
+    def _end_with_notice(self, event: Broken) -> None:
+        """Drops all requests, sends the notice of disconnection and closes."""
         raise NotImplementedError
 
-    def _lose(self) -> None:
-        """Close the connection once all is written."""
+    def _close(self) -> None:
+        """Closes the connection once all output is written."""
         raise NotImplementedError
--- a/yardbank/ldap/match.py
+++ b/yardbank/ldap/match.py
@@ -1,6 +1,6 @@
-"""Filters against an entry's values, and which attributes a search wants to see (RFC 4511 section 4.5.1). No I/O.
+"""Evaluates filters against an entry and selects the attributes of a search result (RFC 4511 section 4.5.1). No I/O.
 
-There is no schema here: values compare without regard to case, numbers by size, and what is undefined is false.
+There is no schema: values are compared case-insensitively, decimal numbers by value, and undefined results are false.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 
 from yardbank.ldap import messages as m
 
-Values = Callable[[str], Sequence[bytes]]  # an attribute's values by its name
+Values = Callable[[str], Sequence[bytes]]  # looks up the values of an attribute by name
 
 
 def matches(wanted: m.Filter, values: Values) -> bool:
-    """Whether a filter finds an entry; undefined counts as false (RFC 4511 section 4.5.1.7)."""
+    """Whether an entry matches a filter; undefined counts as false (RFC 4511 section 4.5.1.7)."""
     match wanted:
         case m.And(parts):
             return all(matches(part, values) for part in parts)
@@ -28,7 +28,7 @@
             held = [one.lower() for one in values(name)]
             if rule in ("=", "~="):
                 return low in held
-            return any(_ordered(one, low) if rule == ">=" else _ordered(low, one) for one in held)
+            return any(_greater_or_equal(one, low) if rule == ">=" else _greater_or_equal(low, one) for one in held)
         case m.Substrings():
             return any(_substrings(wanted, value.lower()) for value in values(wanted.attribute))
         case m.Extensible(_, name, value, _):
@@ -36,7 +36,7 @@
     return False
 
 
-def _ordered(larger: bytes, smaller: bytes) -> bool:
+def _greater_or_equal(larger: bytes, smaller: bytes) -> bool:
     if larger.isdigit() and smaller.isdigit():
         return int(larger) >= int(smaller)
     return larger >= smaller
@@ -61,12 +61,12 @@
 
 
 def wanted_attributes(attributes: m.Attributes, request: m.SearchRequest) -> list[tuple[str, tuple[bytes, ...]]]:
-    """Of user attributes, those that a search asks for: named, ``*`` or none named (section 4.5.1.8)."""
-    asked = [name.lower() for name in request.attributes]
-    everything = not asked or "*" in asked
-    return [(name, values) for name, values in attributes if values and (everything or name.lower() in asked)]
+    """The user attributes that a search selects: those listed, or all with ``*`` or an empty list (section 4.5.1.8)."""
+    requested = [name.lower() for name in request.attributes]
+    all_attributes = not requested or "*" in requested
+    return [(name, values) for name, values in attributes if values and (all_attributes or name.lower() in requested)]
 
 
 def without_values(attributes: m.Attributes) -> m.Attributes:
-    """Types only."""
+    """The attributes with their types only."""
     return tuple((name, ()) for name, _ in attributes)
--- a/yardbank/ldap/messages.py
+++ b/yardbank/ldap/messages.py
@@ -1,4 +1,4 @@
-"""The messages of LDAP as plain values (RFC 4511 section 4)."""
+"""LDAP messages as plain data classes (RFC 4511 section 4)."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Control:
-    """An extension of one message (section 4.1.11)."""
+    """A control that extends one message (section 4.1.11)."""
 
     oid: str
     critical: bool = False
@@ -38,28 +38,28 @@
 
 @dataclass(slots=True, frozen=True)
 class And:
-    """True when all parts are; empty is True (RFC 4526)."""
+    """True if all operands are true; an empty And is true (RFC 4526)."""
 
     parts: tuple[Filter, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Or:
-    """True when any part is; empty is False (RFC 4526)."""
+    """True if any operand is true; an empty Or is false (RFC 4526)."""
 
     parts: tuple[Filter, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Not:
-    """True when its part is false."""
+    """True if its operand is false."""
 
     part: Filter
 
 
 @dataclass(slots=True, frozen=True)
 class Match:
-    """An attribute compared with a value: ``=``, ``>=``, ``<=`` or ``~=``."""
+    """Compares an attribute with a value; ``rule`` is ``=``, ``>=``, ``<=`` or ``~=``."""
 
     rule: str
     attribute: str
@@ -68,14 +68,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Present:
-    """The attribute is there."""
+    """True if the entry has the attribute."""
 
     attribute: str
 
 
 @dataclass(slots=True, frozen=True)
 class Substrings:
-    """Parts of a value in their order."""
+    """True if a value contains these substrings in this order."""
 
     attribute: str
     initial: bytes | None = None
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Extensible:
-    """A matching rule named in the filter."""
+    """An extensible match, which names its matching rule."""
 
     rule: str | None
     attribute: str | None
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BindRequest:
-    """Simple bind has a password and no mechanism; SASL has a mechanism and maybe credentials."""
+    """A simple bind has a password and no mechanism; a SASL bind a mechanism and optional credentials."""
 
     name: str = ""
     password: bytes | None = b""
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnbindRequest:
-    """The client closes."""
+    """The client ends the connection."""
 
 
 @dataclass(slots=True)
@@ -142,7 +142,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AddRequest:
-    """A new entry."""
+    """Adds an entry."""
 
     entry: str
     attributes: Attributes
@@ -150,14 +150,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DeleteRequest:
-    """Remove a leaf."""
+    """Deletes a leaf entry."""
 
     entry: str
 
 
 @dataclass(slots=True, frozen=True)
 class ModifyDNRequest:
-    """Rename or move."""
+    """Renames or moves an entry."""
 
     entry: str
     new_rdn: str
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompareRequest:
-    """Test one value."""
+    """Tests whether an attribute has a value."""
 
     entry: str
     attribute: str
@@ -176,14 +176,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonRequest:
-    """Give up an operation; nothing answers this."""
+    """Abandons an operation; it has no response."""
 
     target: int
 
 
 @dataclass(slots=True, frozen=True)
 class ExtendedRequest:
-    """An operation named by an object identifier."""
+    """An extended operation, identified by an object identifier."""
 
     oid: str
     value: bytes | None = None
@@ -194,7 +194,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """How an operation ended (section 4.1.9); ``tag`` says which response carries it."""
+    """An operation's result (section 4.1.9); ``tag`` is that of the response which carries it."""
 
     tag: int
     code: int
@@ -215,14 +215,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SearchReference:
-    """Where a search must be continued."""
+    """A continuation reference: URIs at which to continue the search."""
 
     uris: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class IntermediateResponse:
-    """A partial answer (section 4.13)."""
+    """An intermediate response (section 4.13)."""
 
     oid: str | None = None
     value: bytes | None = None
@@ -246,7 +246,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """An LDAPMessage; ID 0 is the server's own unsolicited one."""
+    """An LDAPMessage; ID 0 marks an unsolicited notification from the server."""
 
     id: int
     operation: Operation
@@ -254,7 +254,7 @@
 
 
 class Tag(IntEnum):
-    """The tags of the operations."""
+    """Tags of the protocol operations."""
 
     BIND = 0x60
     BIND_RESPONSE = 0x61
--- a/yardbank/ldap/request_codec.py
+++ b/yardbank/ldap/request_codec.py
@@ -1,4 +1,4 @@
-"""Requests to octets and back (RFC 4511 sections 4.2 to 4.12). No I/O; nothing is trusted before it is checked."""
+"""Encodes and decodes requests (RFC 4511 sections 4.2 to 4.12). No I/O; all input is validated."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def read_bind(data: bytes, start: int, stop: int) -> m.BindRequest:
-    """A bind request, simple or SASL. Raises ``BerError``."""
+    """Decodes a bind request, simple or SASL. Raises ``BerError``."""
     low, high = expect(data, start, stop, INTEGER, "version")
     version = read_integer(data, low, high, "version", 1, 127)
     low, high = expect(data, high, stop, OCTETS, "name")
@@ -46,7 +46,7 @@
 
 
 def write_bind(request: m.BindRequest) -> bytes:
-    """A bind request."""
+    """Encodes a bind request."""
     body = integer(request.version) + tlv(OCTETS, request.name.encode())
     if request.mechanism is None:
         return tlv(m.Tag.BIND, body + tlv(0x80, request.password or b""))
@@ -56,7 +56,7 @@
 
 
 def read_search(data: bytes, start: int, stop: int) -> m.SearchRequest:
-    """A search request. Raises ``BerError``."""
+    """Decodes a search request. Raises ``BerError``."""
     low, high = expect(data, start, stop, OCTETS, "baseObject")
     base = text(data, low, high, "baseObject")
     low, high = expect(data, high, stop, ENUMERATED, "scope")
@@ -77,7 +77,7 @@
 
 
 def write_search(r: m.SearchRequest) -> bytes:
-    """A search request."""
+    """Encodes a search request."""
     return tlv(
         m.Tag.SEARCH,
         tlv(OCTETS, r.base.encode())
@@ -92,7 +92,7 @@
 
 
 def read_modify(data: bytes, start: int, stop: int) -> m.ModifyRequest:
-    """A modify request. Raises ``BerError``."""
+    """Decodes a modify request. Raises ``BerError``."""
     low, high = expect(data, start, stop, OCTETS, "object")
     entry = text(data, low, high, "object")
     at, end = expect(data, high, stop, SEQUENCE, "changes")
@@ -113,13 +113,13 @@
 
 
 def write_modify(r: m.ModifyRequest) -> bytes:
-    """A modify request."""
+    """Encodes a modify request."""
     changes = [tlv(SEQUENCE, integer(kind, ENUMERATED) + write_attribute(name, v)) for kind, name, v in r.changes]
     return tlv(m.Tag.MODIFY, tlv(OCTETS, r.entry.encode()) + tlv(SEQUENCE, b"".join(changes)))
 
 
-def read_named(data: bytes, start: int, stop: int, name: str) -> tuple[str, m.Attributes]:
-    """A name followed by attributes, as add requests and entries have them. Raises ``BerError``."""
+def read_dn_and_attributes(data: bytes, start: int, stop: int, name: str) -> tuple[str, m.Attributes]:
+    """Decodes a DN followed by attributes, as in add requests and entries. Raises ``BerError``."""
     low, high = expect(data, start, stop, OCTETS, name)
     at, end = expect(data, high, stop, SEQUENCE, "attributes")
     expect_end(end, stop, "attributes")
@@ -127,12 +127,12 @@
 
 
 def read_add(data: bytes, start: int, stop: int) -> m.AddRequest:
-    """An add request. Raises ``BerError``."""
-    return m.AddRequest(*read_named(data, start, stop, "entry"))
+    """Decodes an add request. Raises ``BerError``."""
+    return m.AddRequest(*read_dn_and_attributes(data, start, stop, "entry"))
 
 
 def read_modify_dn(data: bytes, start: int, stop: int) -> m.ModifyDNRequest:
-    """A modify DN request. Raises ``BerError``."""
+    """Decodes a modify DN request. Raises ``BerError``."""
     low, high = expect(data, start, stop, OCTETS, "entry")
     entry = text(data, low, high, "entry")
     low, high = expect(data, high, stop, OCTETS, "newrdn")
@@ -147,14 +147,14 @@
 
 
 def write_modify_dn(r: m.ModifyDNRequest) -> bytes:
-    """A modify DN request."""
+    """Encodes a modify DN request."""
     body = tlv(OCTETS, r.entry.encode()) + tlv(OCTETS, r.new_rdn.encode()) + boolean(r.delete_old)
     body += b"" if r.new_superior is None else tlv(0x80, r.new_superior.encode())
     return tlv(m.Tag.MODIFY_DN, body)
 
 
 def read_compare(data: bytes, start: int, stop: int) -> m.CompareRequest:
-    """A compare request. Raises ``BerError``."""
+    """Decodes a compare request. Raises ``BerError``."""
     low, high = expect(data, start, stop, OCTETS, "entry")
     entry = text(data, low, high, "entry")
     at, end = expect(data, high, stop, SEQUENCE, "ava")
@@ -166,13 +166,13 @@
 
 
 def write_compare(r: m.CompareRequest) -> bytes:
-    """A compare request."""
+    """Encodes a compare request."""
     pair = tlv(SEQUENCE, tlv(OCTETS, r.attribute.encode()) + tlv(OCTETS, r.value))
     return tlv(m.Tag.COMPARE, tlv(OCTETS, r.entry.encode()) + pair)
 
 
 def read_extended(data: bytes, start: int, stop: int) -> m.ExtendedRequest:
-    """An extended request. Raises ``BerError``."""
+    """Decodes an extended request. Raises ``BerError``."""
     low, high = expect(data, start, stop, 0x80, "requestName")
     oid, value = text(data, low, high, "requestName"), None
     if high < stop:
@@ -183,11 +183,11 @@
 
 
 def write_extended(r: m.ExtendedRequest) -> bytes:
-    """An extended request."""
+    """Encodes an extended request."""
     return tlv(m.Tag.EXTENDED, tlv(0x80, r.oid.encode()) + (b"" if r.value is None else tlv(0x81, r.value)))
 
 
 def read_unbind(data: bytes, start: int, stop: int) -> m.UnbindRequest:
-    """An unbind request, which is empty. Raises ``BerError``."""
+    """Decodes an unbind request, which is empty. Raises ``BerError``."""
     expect_end(start, stop, "unbindRequest")
     return m.UnbindRequest()
--- a/yardbank/ldap/response_codec.py
+++ b/yardbank/ldap/response_codec.py
@@ -1,15 +1,15 @@
-"""Responses to octets and back (RFC 4511 sections 4.1.9, 4.5.2 and 4.13). No I/O; all is checked."""
+"""Encodes and decodes responses (RFC 4511 sections 4.1.9, 4.5.2 and 4.13). No I/O; all input is validated."""
 
 from __future__ import annotations
 
 from yardbank.ldap import messages as m
 from yardbank.ldap.ber import ENUMERATED, OCTETS, expect, integer, read_integer, text, tlv
 from yardbank.ldap.element_codec import expect_end, read_strings
-from yardbank.ldap.request_codec import read_named
+from yardbank.ldap.request_codec import read_dn_and_attributes
 
 
 def read_result(data: bytes, start: int, stop: int) -> m.Result:
-    """Any message that ends an operation. Raises ``BerError``."""
+    """Decodes a response that ends an operation. Raises ``BerError``."""
     tag = data[0]
     low, high = expect(data, start, stop, ENUMERATED, "resultCode")
     code = read_integer(data, low, high, "resultCode", -(1 << 31))
@@ -36,7 +36,7 @@
 
 
 def write_result(r: m.Result) -> bytes:
-    """Any message that ends an operation."""
+    """Encodes a response that ends an operation."""
     body = integer(r.code, ENUMERATED) + tlv(OCTETS, r.matched.encode()) + tlv(OCTETS, r.diagnostic.encode())
     if r.referrals:
         body += tlv(0xA3, b"".join(tlv(OCTETS, uri.encode()) for uri in r.referrals))
@@ -49,17 +49,17 @@
 
 
 def read_entry(data: bytes, start: int, stop: int) -> m.SearchEntry:
-    """A search result entry. Raises ``BerError``."""
-    return m.SearchEntry(*read_named(data, start, stop, "objectName"))
+    """Decodes a search result entry. Raises ``BerError``."""
+    return m.SearchEntry(*read_dn_and_attributes(data, start, stop, "objectName"))
 
 
 def read_reference(data: bytes, start: int, stop: int) -> m.SearchReference:
-    """A search result reference. Raises ``BerError``."""
+    """Decodes a search result reference. Raises ``BerError``."""
     return m.SearchReference(read_strings(data, start, stop, "uri"))
 
 
 def read_intermediate(data: bytes, start: int, stop: int) -> m.IntermediateResponse:
-    """An intermediate response. Raises ``BerError``."""
+    """Decodes an intermediate response. Raises ``BerError``."""
     oid = value = None
     at = start
     if at < stop and data[at] == 0x80:
@@ -73,6 +73,6 @@
 
 
 def write_intermediate(r: m.IntermediateResponse) -> bytes:
-    """An intermediate response."""
+    """Encodes an intermediate response."""
     body = b"" if r.oid is None else tlv(0x80, r.oid.encode())
     return tlv(m.Tag.INTERMEDIATE, body + (b"" if r.value is None else tlv(0x81, r.value)))
--- a/yardbank/ldap/spread.py
+++ b/yardbank/ldap/spread.py
@@ -1,4 +1,4 @@
-"""Carries out searches that span groups: sends the parts that ``yardbank.spread`` names, merges what they bring."""
+"""Executes searches that span groups: sends the parts that ``yardbank.spread`` selects and merges their results."""
 
 from __future__ import annotations
 
@@ -14,89 +14,100 @@
 from yardbank.gateway.api import SECOND, Call
 from yardbank.ldap import codec, control_codec
 from yardbank.ldap import messages as m
-from yardbank.ldap.classify import Placed
+from yardbank.ldap.classify import Classification
 from yardbank.ldap.exchange import Exchange
 from yardbank.ldap.match import matches, wanted_attributes, without_values
-from yardbank.spread import Budget, CookieError, Pages, Part, Piece, Reach, Spread, Tree, Verdict, identity_of
+from yardbank.spread import (
+    Budget,
+    CookieError,
+    Coverage,
+    GroupScope,
+    MergedSearch,
+    Pages,
+    Part,
+    Tree,
+    Verdict,
+    search_identity,
+)
 from yardbank.spread.tree import glue_attributes
 
 if TYPE_CHECKING:
     from yardbank.gateway.gateway import Gateway
 
-SORTED = frozenset((m.Oid.SORT, m.Oid.VIRTUAL_LIST))
-_LEAST_KEPT = 4096  # octets of one part
+SORT_CONTROLS = frozenset((m.Oid.SORT, m.Oid.VIRTUAL_LIST))
+_MIN_PART_BUFFER_OCTETS = 4096  # buffered for one part, however many there are
 
 
 class Client(Protocol):
-    """The connection that asked."""
+    """The client connection that a search came from."""
 
     gateway: Gateway
 
     @property
     def reading(self) -> bool:
-        """Whether the client takes what is written to it."""
+        """Whether the client reads what is written to it."""
 
     def present(self, number: int) -> bool:
-        """Whether it is there and still wants an answer to a request."""
+        """Whether the client is connected and still wants an answer to a request."""
 
-    def pass_part(self, number: int, payload: codec.Envelope) -> None:
-        """An entry or a reference."""
+    def send_part(self, number: int, payload: codec.Envelope) -> None:
+        """Writes an entry, a reference or an intermediate response."""
 
     def finish(self, number: int, result: m.Result | codec.Envelope, controls: tuple[m.Control, ...] = ()) -> None:
-        """The final answer."""
+        """Writes the final response."""
 
 
-def spans(tree: Tree, request: m.SearchRequest, base: str) -> Reach | None:
-    """What a search reaches, if that is not simply one group's."""
-    if not tree.divided(base):
+def cross_group_coverage(tree: Tree, request: m.SearchRequest, base: str) -> Coverage | None:
+    """The coverage of a search, or None if one group can answer it alone."""
+    if not tree.has_suffixes_below(base):
         return None
-    reach = tree.reach(base, int(request.scope))
-    alone = len(reach.pieces) == 1 and not reach.glue and not reach.pieces[0].shadows
-    return None if alone and reach.pieces[0].base == base else reach
+    coverage = tree.coverage(base, int(request.scope))
+    single = len(coverage.group_scopes) == 1 and not coverage.glue and not coverage.group_scopes[0].excluded
+    return None if single and coverage.group_scopes[0].base == base else coverage
 
 
 def glue_entry(written: str, request: m.SearchRequest) -> m.SearchEntry | None:
-    """A glue entry as a search shows it; None if the filter does not find it."""
+    """A glue entry as the result of a search; None if the filter does not match it."""
     attributes = glue_attributes(written)
-    held = {name.lower(): values for name, values in attributes}
-    if not matches(request.filter, lambda name: held.get(name.lower(), ())):
+    values_by_name = {name.lower(): values for name, values in attributes}
+    if not matches(request.filter, lambda name: values_by_name.get(name.lower(), ())):
         return None
-    shown = tuple(wanted_attributes(attributes, request))
-    return m.SearchEntry(written, without_values(shown) if request.types_only else shown)
+    selected = tuple(wanted_attributes(attributes, request))
+    return m.SearchEntry(written, without_values(selected) if request.types_only else selected)
 
 
-class Fan:
-    """All of one client's searches that span groups, under one budget."""
+class FanOut:
+    """Sends the parts of all of one client's searches that span groups, within one budget."""
 
     def __init__(self, client: Client, parts: int, memory: int) -> None:
-        """``parts`` out at once, of which ``memory`` octets in all are kept back."""
+        """At most ``parts`` in flight, for which at most ``memory`` octets are buffered in total."""
         self.client = client
         self.budget: Budget[Search] = Budget(parts)
-        self.gather = max(_LEAST_KEPT, memory // parts)
-        self._pumping = False
+        self.gather = max(_MIN_PART_BUFFER_OCTETS, memory // parts)
+        self._sending = False
 
-    def pump(self) -> None:
-        """Send parts while there is room, the client reads, and somebody's turn it is."""
-        if self._pumping:  # a part may end while it is sent: the loop below goes on
+    def send_parts(self) -> None:
+        """Sends parts while the budget allows it, the client reads, and a search has parts to send."""
+        if self._sending:  # a part may end while it is being sent; the running loop then sends the next one
             return
-        self._pumping = True
+        self._sending = True
         try:
-            while self.client.reading and (search := self.budget.turn()) is not None:
+            while self.client.reading and (search := self.budget.next_search()) is not None:
                 search.send_next()
         finally:
-            self._pumping = False
+            self._sending = False
 
 
 @dataclass(slots=True, frozen=True)
-class _Sent:
-    """One part as it is asked."""
+class _PartQuery:
+    """One part: what to search, and as which class."""
 
-    piece: Piece
-    placed: Placed
+    group_scope: GroupScope
+    classification: Classification
 
 
 class _PartSink:
-    """Takes one part's answer; a ``gateway.api.Sink``."""
+    """Passes the answer to one part to its search; a ``gateway.api.Sink``."""
 
     __slots__ = ("_index", "_search")
 
@@ -117,203 +128,212 @@
 
 
 class Search:
-    """One search over several groups, from its request to its one final answer."""
+    """One search over several groups, from its request to its final response."""
 
     def __init__(
         self,
-        fan: Fan,
+        fan_out: FanOut,
         message: m.Message,
         request: m.SearchRequest,
-        parts: list[tuple[Piece, Placed]],
+        parts: list[tuple[GroupScope, Classification]],
         session: str | None,
     ) -> None:
-        self._fan, self._client, self._gateway = fan, fan.client, fan.client.gateway
+        self._fan_out, self._client, self._gateway = fan_out, fan_out.client, fan_out.client.gateway
         self._id, self._request, self._session = message.id, request, session
-        self._controls = tuple(c for c in message.controls if c.oid not in SORTED)
-        self._sorted = any(c.oid in SORTED for c in message.controls)
-        self._sent = [_Sent(piece, placed) for piece, placed in parts]
-        kinds = [self._gateway.request_class(placed.class_name) for _, placed in parts]
-        self._merged = [
-            Part(piece.suffix, piece.base, kind.priority_weight, piece.shadows)
-            for (piece, _), kind in zip(parts, kinds, strict=True)
+        self._controls = tuple(c for c in message.controls if c.oid not in SORT_CONTROLS)
+        self._sort_requested = any(c.oid in SORT_CONTROLS for c in message.controls)
+        self._part_queries = [_PartQuery(group_scope, classification) for group_scope, classification in parts]
+        classes = [self._gateway.request_class(classification.class_name) for _, classification in parts]
+        self._parts = [
+            Part(group_scope.suffix, group_scope.base, request_class.priority_weight, group_scope.excluded)
+            for (group_scope, _), request_class in zip(parts, classes, strict=True)
+        ]
+        allowed = [
+            classification.deadline or request_class.deadline
+            for (_, classification), request_class in zip(parts, classes, strict=True)
         ]
-        allowed = [placed.deadline or kind.deadline for (_, placed), kind in zip(parts, kinds, strict=True)]
         self._deadline = min(allowed, default=SECOND)
         self._pages: Pages | None = None
-        self._inner = b""  # the cookie that came with the part of a page
-        self._base = 0  # where the parts of ``_spread`` begin among all parts
-        self._numbers: dict[int, str] = {}
+        self._server_cookie = b""  # the server's cookie for the current part of a page
+        self._first_part = 0  # index among all parts of the first part of ``_merge``
+        self._gateway_ids: dict[int, str] = {}
         self._finished = False
-        self._taken_at = self._gateway.now()
-        self._until = self._taken_at + self._deadline
-        self._spread = self._make(0, len(parts))
-        self._call_off = self._gateway.call_at(self._spread.until, self._overdue)
+        self._started_at = self._gateway.now()
+        self._deadline_at = self._started_at + self._deadline
+        self._merge = self._new_merge(0, len(parts))
+        self._cancel_timer = self._gateway.call_at(self._merge.ends_at, self._time_out)
 
-    def _make(self, first: int, stop: int) -> Spread:
+    def _new_merge(self, first: int, stop: int) -> MergedSearch:
         now = self._gateway.now()
         limit = self._request.time_limit * SECOND
-        return Spread(
-            self._merged[first:stop],
+        return MergedSearch(
+            self._parts[first:stop],
             now,
-            max(1, self._until - now),
+            max(1, self._deadline_at - now),
             size_limit=self._request.size_limit,
-            time_limit=max(1, self._taken_at + limit - now) if limit else 0,
+            time_limit=max(1, self._started_at + limit - now) if limit else 0,
         )
 
     def start(self, glue: tuple[str, ...], tree: Tree, raw: codec.Envelope) -> None:
-        """The gateway's own entries first, then the parts."""
-        own = [e for name in glue if (e := glue_entry(tree.glue(name) or name, self._request)) is not None]
+        """Sends the matching glue entries, then the first parts."""
+        glue_entries = [e for name in glue if (e := glue_entry(tree.glue(name) or name, self._request)) is not None]
         paged = next((c for c in self._controls if c.oid == m.Oid.PAGED_RESULTS), None)
         if paged is not None:
             self._controls = tuple(c for c in self._controls if c is not paged)
             size, cookie = control_codec.read_paged_value(paged.value or b"")
-            suffixes = "\n".join(sent.piece.base for sent in self._sent).encode()
-            identity = identity_of(raw.operation, suffixes)
+            suffixes = "\n".join(query.group_scope.base for query in self._part_queries).encode()
+            identity = search_identity(raw.operation, suffixes)
             try:
-                self._pages = Pages(identity, len(self._sent), len(own), size, cookie)
+                self._pages = Pages(identity, len(self._part_queries), len(glue_entries), size, cookie)
             except CookieError as problem:
                 return self._finish(Code.UNWILLING, str(problem))
-            if size == 0 and cookie:  # the client has seen enough (RFC 2696 section 3)
+            if size == 0 and cookie:  # the client abandons the paged search (RFC 2696 section 3)
                 self._pages = None
                 return self._finish(Code.SUCCESS, "", (_paged(b""),))
-            own = [own[index] for index in self._pages.own()]
-            if not self._pages.over:
-                self._next_of_page()
-        for entry in own:
-            if self._pages is None and self._spread.own() is not Verdict.PASS:
+            glue_entries = [glue_entries[index] for index in self._pages.glue_entries()]
+            if not self._pages.finished:
+                self._start_page_part()
+        for entry in glue_entries:
+            if self._pages is None and self._merge.add_glue_entry() is not Verdict.PASS:
                 break
             data = codec.encode_operation(entry)
-            self._client.pass_part(self._id, codec.Envelope(self._id, m.Tag.ENTRY, data, b""))
-        if self._pages is not None and self._pages.full:
+            self._client.send_part(self._id, codec.Envelope(self._id, m.Tag.ENTRY, data, b""))
+        if self._pages is not None and self._pages.page_complete:
             return self._finish(Code.SUCCESS)
-        self._spread.begin()
-        return self._go_on()
+        self._merge.glue_entries_done()
+        return self._advance()
 
-    def _next_of_page(self) -> None:
+    def _start_page_part(self) -> None:
         assert self._pages is not None
-        self._base, self._inner = self._pages.at, b""
-        self._spread = self._make(self._base, self._base + 1)
+        self._first_part, self._server_cookie = self._pages.part, b""
+        self._merge = self._new_merge(self._first_part, self._first_part + 1)
 
     def send_next(self) -> None:
-        """Send one part; called when it is this search's turn."""
-        ask = self._spread.next(self._gateway.now(), self._fan.budget.strained or self._gateway.strained)
-        if ask is None:
-            self._fan.budget.leave(self)
-            self._go_on()
+        """Sends the next part; called when it is this search's turn."""
+        part_request = self._merge.next_part(
+            self._gateway.now(), self._fan_out.budget.reduced or self._gateway.strained
+        )
+        if part_request is None:
+            self._fan_out.budget.dequeue(self)
+            self._advance()
             return
-        if not self._spread.waiting:
-            self._fan.budget.leave(self)
-        sent = self._sent[self._base + ask.index]
-        controls, size_limit = self._controls, ask.size_limit
+        if not self._merge.waiting:
+            self._fan_out.budget.dequeue(self)
+        query = self._part_queries[self._first_part + part_request.index]
+        controls, size_limit = self._controls, part_request.size_limit
         if self._pages is not None:
-            value = control_codec.paged_value(self._pages.left, self._pages.inner)
+            value = control_codec.paged_value(self._pages.remaining, self._pages.server_cookie)
             controls = (*controls, m.Control(m.Oid.PAGED_RESULTS, True, value))
-        request = replace(self._request, base=sent.piece.base, scope=sent.piece.scope, size_limit=size_limit)
+        request = replace(
+            self._request, base=query.group_scope.base, scope=query.group_scope.scope, size_limit=size_limit
+        )
         operation = codec.encode_operation(request)
         exchange = Exchange(request, m.Tag.SEARCH, operation, control_codec.encode_controls(controls), False)
         call = Call(
-            class_name=sent.placed.class_name,
-            group=sent.piece.group,
+            class_name=query.classification.class_name,
+            group=query.group_scope.group,
             operation=exchange,
-            sink=_PartSink(self, ask.index),
+            sink=_PartSink(self, part_request.index),
             session=self._session,
-            time_limit=ask.time_limit,
-            gather=self._fan.gather,
+            time_limit=part_request.time_limit,
+            gather=self._fan_out.gather,
             present=partial(self._client.present, self._id),
         )
-        self._fan.budget.sent()
-        self._numbers[ask.index] = ""
+        self._fan_out.budget.part_sent()
+        self._gateway_ids[part_request.index] = ""
         number = self._gateway.take(call)
-        if ask.index in self._numbers:  # not ended already
-            self._numbers[ask.index] = number
+        if part_request.index in self._gateway_ids:  # otherwise it has already ended
+            self._gateway_ids[part_request.index] = number
 
-    # What a part brings
+    # Results of the parts
 
     def on_part(self, index: int, payload: codec.Envelope) -> None:
-        """An entry, a continuation reference or an intermediate response."""
+        """Handles an entry, a continuation reference or an intermediate response of a part."""
         if payload.tag == m.Tag.ENTRY:
             name = codec.entry_name(payload.operation)
-            folded = naming.fold(name.decode("utf-8", "replace")) if self._spread.parts[index].shadows else ""
-            verdict = self._spread.entry(index, xxhash.xxh3_64_intdigest(name), folded)
+            folded = naming.fold(name.decode("utf-8", "replace")) if self._merge.parts[index].excluded else ""
+            verdict = self._merge.entry(index, xxhash.xxh3_64_intdigest(name), folded)
             if verdict is Verdict.PASS:
-                self._client.pass_part(self._id, payload)
+                self._client.send_part(self._id, payload)
             elif verdict is Verdict.END:
-                self._go_on()
+                self._advance()
         elif payload.tag == m.Tag.REFERENCE:
             reference = codec.decode_operation(payload.operation)
             assert isinstance(reference, m.SearchReference)
-            self._continue(reference.uris)
-        elif self._spread.ending is None:
-            self._client.pass_part(self._id, payload)
+            self._send_reference(reference.uris)
+        elif self._merge.final_result is None:
+            self._client.send_part(self._id, payload)
 
-    def _continue(self, uris: tuple[str, ...]) -> None:
-        if uris and self._spread.reference(uris, [_name_in(uri) for uri in uris]):
+    def _send_reference(self, uris: tuple[str, ...]) -> None:
+        if uris and self._merge.reference(uris, [_dn_in_url(uri) for uri in uris]):
             data = codec.encode_operation(m.SearchReference(uris))
-            self._client.pass_part(self._id, codec.Envelope(self._id, m.Tag.REFERENCE, data, b""))
+            self._client.send_part(self._id, codec.Envelope(self._id, m.Tag.REFERENCE, data, b""))
 
     def on_done(self, index: int, payload: codec.Envelope) -> None:
-        """A server's final answer to a part."""
+        """Handles a server's final response to a part."""
         result = codec.decode_operation(payload.operation)
         assert isinstance(result, m.Result)
         if result.code == Code.REFERRAL:
-            self._continue(result.referrals)
+            self._send_reference(result.referrals)
         if self._pages is not None:
-            told = next(
+            paged_control = next(
                 (c for c in control_codec.decode_controls(payload.controls) if c.oid == m.Oid.PAGED_RESULTS), None
             )
-            self._inner = control_codec.read_paged_value(told.value)[1] if told and told.value else b""
-        self._ended(index, served=True)
-        self._spread.done(index, result.code, result.diagnostic)
-        self._go_on()
+            self._server_cookie = (
+                control_codec.read_paged_value(paged_control.value)[1] if paged_control and paged_control.value else b""
+            )
+        self._part_ended(index, served=True)
+        self._merge.done(index, result.code, result.diagnostic)
+        self._advance()
 
     def on_refused(self, index: int, reason: str) -> None:
-        """The module turned a part away."""
-        self._ended(index, refused=True)
-        self._spread.refused(index, reason)
-        self._go_on()
+        """Handles a part that admission turned away."""
+        self._part_ended(index, refused=True)
+        self._merge.refused(index, reason)
+        self._advance()
 
     def on_failed(self, index: int, reason: str) -> None:
-        """A part failed."""
-        self._ended(index)
-        self._spread.failed(index, reason, self._gateway.now())
-        self._go_on()
-
-    def _ended(self, index: int, **how: bool) -> None:
-        if self._numbers.pop(index, None) is not None:
-            budget = self._fan.budget
+        """Handles a part that failed."""
+        self._part_ended(index)
+        self._merge.failed(index, reason, self._gateway.now())
+        self._advance()
+
+    def _part_ended(self, index: int, **how: bool) -> None:
+        if self._gateway_ids.pop(index, None) is not None:
+            budget = self._fan_out.budget
             before = budget.window
-            budget.ended(**how)
+            budget.part_ended(**how)
             if budget.window < before:
                 self._gateway.log.info("spread_parts_fewer", at_once=budget.window, before=before)
 
-    def _overdue(self) -> None:
-        self._spread.overdue()
-        self._go_on()
+    def _time_out(self) -> None:
+        self._merge.time_out()
+        self._advance()
 
-    def leave(self) -> None:
-        """The client is gone, or wants no answer: no part goes on."""
-        self._spread.give_up()
+    def abandon(self) -> None:
+        """The client is gone or wants no answer: ends all parts."""
+        self._merge.cancel()
         self._close()
 
-    # Its end
+    # Completion
 
-    def _go_on(self) -> None:
+    def _advance(self) -> None:
         if self._finished:
             return
-        ending = self._spread.ending
-        if ending is None:
-            if self._spread.waiting:
-                self._fan.budget.join(self)
-            self._fan.pump()
+        final_result = self._merge.final_result
+        if final_result is None:
+            if self._merge.waiting:
+                self._fan_out.budget.enqueue(self)
+            self._fan_out.send_parts()
             return
-        if self._pages is not None and ending.code == Code.SUCCESS and self._sent:
-            self._pages.ended(self._spread.passed, self._inner)
-            if not self._pages.full:
-                self._next_of_page()
-                self._fan.budget.join(self)
-                self._fan.pump()
+        if self._pages is not None and final_result.code == Code.SUCCESS and self._part_queries:
+            self._pages.part_answered(self._merge.passed, self._server_cookie)
+            if not self._pages.page_complete:
+                self._start_page_part()
+                self._fan_out.budget.enqueue(self)
+                self._fan_out.send_parts()
                 return
-        self._finish(ending.code, ending.diagnostic, missing=ending.missing)
+        self._finish(final_result.code, final_result.diagnostic, missing=final_result.missing)
 
     def _finish(
         self, code: int, diagnostic: str = "", controls: tuple[m.Control, ...] = (), missing: tuple[str, ...] = ()
@@ -322,25 +342,25 @@
             return
         if self._pages is not None and code == Code.SUCCESS:
             controls = (*controls, _paged(self._pages.cookie()))
-        if self._sorted:  # entries came as they were found: say so (RFC 2891 section 2)
+        if self._sort_requested:  # entries are not sorted, which the response must say (RFC 2891 section 2)
             controls = (*controls, m.Control(m.Oid.SORT_RESULT, False, control_codec.sort_result(Code.UNWILLING)))
         if missing:
             self._gateway.log.warning(
-                "spread_search_incomplete", code=int(code), missing=missing[:20], parts=len(self._sent)
+                "spread_search_incomplete", code=int(code), missing=missing[:20], parts=len(self._part_queries)
             )
         self._close()
         self._client.finish(self._id, m.Result(m.Tag.DONE, code, diagnostic=diagnostic), controls)
-        self._fan.pump()
+        self._fan_out.send_parts()
 
     def _close(self) -> None:
         if self._finished:
             return
         self._finished = True
-        self._call_off()
-        self._fan.budget.leave(self)
-        numbers, self._numbers = self._numbers, {}
+        self._cancel_timer()
+        self._fan_out.budget.dequeue(self)
+        numbers, self._gateway_ids = self._gateway_ids, {}
         for number in numbers.values():
-            self._fan.budget.ended()
+            self._fan_out.budget.part_ended()
             if number:
                 self._gateway.leave(number)
 
@@ -349,11 +369,11 @@
     return m.Control(m.Oid.PAGED_RESULTS, False, control_codec.paged_value(0, cookie))
 
 
-def _name_in(uri: str) -> str:
-    """The folded name that an LDAP URL leads to (RFC 4516); empty if it says none."""
+def _dn_in_url(uri: str) -> str:
+    """The folded DN in an LDAP URL (RFC 4516); empty if it has none."""
     _, _, rest = uri.partition("://")
     _, _, path = rest.partition("/")
     return naming.fold(unquote(path.partition("?")[0]))
 
 
-__all__ = ["SORTED", "Fan", "Search", "glue_entry", "spans"]
+__all__ = ["SORT_CONTROLS", "FanOut", "Search", "cross_group_coverage", "glue_entry"]
--- a/yardbank/spread/__init__.py
+++ b/yardbank/spread/__init__.py
@@ -1,21 +1,21 @@
-"""Searches that reach several groups: which parts they have, and how the parts become one answer. No I/O."""
+"""Searches that span several groups: how they are split into parts and how the results are merged. No I/O."""
 
 from yardbank.spread.budget import Budget
-from yardbank.spread.merge import Ask, Ending, Part, Spread, Verdict
-from yardbank.spread.pages import CookieError, Pages, identity_of
-from yardbank.spread.tree import Piece, Reach, Tree
+from yardbank.spread.merge import FinalResult, MergedSearch, Part, PartRequest, Verdict
+from yardbank.spread.pages import CookieError, Pages, search_identity
+from yardbank.spread.tree import Coverage, GroupScope, Tree
 
 __all__ = [
-    "Ask",
     "Budget",
     "CookieError",
-    "Ending",
+    "Coverage",
+    "FinalResult",
+    "GroupScope",
+    "MergedSearch",
     "Pages",
     "Part",
-    "Piece",
-    "Reach",
-    "Spread",
+    "PartRequest",
     "Tree",
     "Verdict",
-    "identity_of",
+    "search_identity",
 ]
--- a/yardbank/spread/budget.py
+++ b/yardbank/spread/budget.py
@@ -1,4 +1,4 @@
-"""How many parts of searches one client may have out at once, and whose turn is next. No I/O."""
+"""Limits how many parts of searches one client may have in flight, and schedules its searches fairly. No I/O."""
 
 from __future__ import annotations
 
@@ -9,60 +9,61 @@
 
 
 class Budget(Generic[T]):
-    """Turns among one client's searches: each gets its next part out in turn, within one bound for all.
+    """Schedules the parts of one client's searches round-robin, with one limit of parts in flight for all of them.
 
-    The bound is halved when a part is turned away, since the gateway or the group is full, and grows by one for
-    each ``at_once`` parts that were served: a client must not fill what has no room with parts of one search.
+    The limit is halved when a part is turned away, since the gateway or the group is full, and grows by one for each
+    window of parts served, up to ``max_parts``: the parts of one search must not fill a gateway or group that has no
+    capacity left.
     """
 
-    def __init__(self, at_once: int) -> None:
-        if at_once < 1:
-            raise ValueError("at_once must be positive")
-        self._most = at_once
-        self._window = float(at_once)
-        self._out = 0
+    def __init__(self, max_parts: int) -> None:
+        if max_parts < 1:
+            raise ValueError("max_parts must be positive")
+        self._max_parts = max_parts
+        self._window = float(max_parts)
+        self._in_flight = 0
         self._waiting: deque[T] = deque()
 
     @property
-    def out(self) -> int:
-        """Parts out."""
-        return self._out
+    def in_flight(self) -> int:
+        """Parts in flight."""
+        return self._in_flight
 
     @property
     def window(self) -> int:
-        """Parts that may be out at once now."""
+        """Current limit of parts in flight."""
         return max(1, int(self._window))
 
     @property
-    def strained(self) -> bool:
-        """Whether parts were turned away lately."""
-        return self._window < self._most
+    def reduced(self) -> bool:
+        """Whether the limit is still reduced after parts were turned away."""
+        return self._window < self._max_parts
 
-    def join(self, search: T) -> None:
-        """A search has parts to send."""
+    def enqueue(self, search: T) -> None:
+        """Adds a search that has parts to send."""
         if search not in self._waiting:
             self._waiting.append(search)
 
-    def leave(self, search: T) -> None:
-        """It has none any more."""
+    def dequeue(self, search: T) -> None:
+        """Removes a search that has no more parts to send."""
         if search in self._waiting:
             self._waiting.remove(search)
 
-    def turn(self) -> T | None:
-        """Whose next part may go out now; None: nobody's. It stands last in line afterwards."""
-        if self._out >= self.window or not self._waiting:
+    def next_search(self) -> T | None:
+        """The search that may send a part now, or None; it moves to the end of the queue."""
+        if self._in_flight >= self.window or not self._waiting:
             return None
         self._waiting.rotate(-1)
         return self._waiting[-1]
 
-    def sent(self) -> None:
-        """One part went out."""
-        self._out += 1
+    def part_sent(self) -> None:
+        """Counts a part that was sent."""
+        self._in_flight += 1
 
-    def ended(self, refused: bool = False, served: bool = False) -> None:
-        """One part ended."""
-        self._out -= 1
+    def part_ended(self, refused: bool = False, served: bool = False) -> None:
+        """Counts a part that ended, and adjusts the limit."""
+        self._in_flight -= 1
         if refused:
             self._window = max(1.0, self._window / 2)
         elif served:
-            self._window = min(float(self._most), self._window + 1 / self._window)
+            self._window = min(float(self._max_parts), self._window + 1 / self._window)
--- a/yardbank/spread/merge.py
+++ b/yardbank/spread/merge.py
@@ -1,7 +1,8 @@
-"""One search over several groups as a state machine: what goes out next, what is passed on, how it ends. No I/O.
+"""State machine of one search over several groups: which part is sent next, what is passed on, how it ends. No I/O.
 
-Exactly as if one server held the whole tree, the search has one final answer. Success is said only if every part
-succeeded; else the code is that of the worst part, and the diagnostic names each suffix that is missing.
+The client gets one final response, as from a single server that holds the whole tree. It is a success only if every
+part succeeded; otherwise the result code is the most severe of the parts', and the diagnostic names the missing
+suffixes.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 from yardbank.directory.codes import Code
 
-NAMES_KEPT = 100_000  # entries passed on of one part; beyond it, a part that breaks off is not asked again
-NAMED = 8  # suffixes named in a diagnostic; the rest are counted
-_RANK = (
+MAX_REMEMBERED_DNS = 100_000  # per part; a part that fails after passing on more entries is not retried
+MAX_NAMED_SUFFIXES = 8  # suffixes named in a diagnostic; the others are only counted
+_CODES_BY_SEVERITY = (
     Code.UNAVAILABLE,
     Code.OTHER,
     Code.OPERATIONS_ERROR,
@@ -24,22 +25,22 @@
     Code.SIZE_LIMIT,
 )
 
-_SIZE = "the search's size limit, over all suffixes together"
+_SIZE_LIMIT_DIAGNOSTIC = "the search's size limit, over all suffixes together"
 
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """One group's part, a request of its own to the decision module."""
+    """One group's part of the search, which the decision module handles as a separate request."""
 
-    suffix: str  # as the operator writes it
-    base: str  # folded
-    worth: float
-    shadows: tuple[str, ...] = ()  # folded names below which entries belong to other parts
+    suffix: str  # as configured
+    base: str  # folded DN
+    priority: float
+    excluded: tuple[str, ...] = ()  # folded DNs of subtrees that belong to other parts
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """Send this part now. ``size_limit`` as in a search request; ``time_limit`` in ns."""
+class PartRequest:
+    """A part to be sent now. ``size_limit`` as in a search request; ``time_limit`` in ns."""
 
     index: int
     size_limit: int
@@ -47,8 +48,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
-    """The whole's final answer."""
+class FinalResult:
+    """The final response to the whole search; ``missing`` are the suffixes whose results are incomplete."""
 
     code: int
     diagnostic: str = ""
@@ -56,15 +57,15 @@
 
 
 class Verdict(Enum):
-    """What becomes of an entry."""
+    """What to do with an entry."""
 
     PASS = "pass"
     DROP = "drop"
-    END = "end"  # one more than the size limit allows: the search is over
+    END = "end"  # the entry exceeds the size limit, which ends the search
 
 
 class _State(Enum):
-    WAITING, OUT, DONE, MISSING = range(4)
+    WAITING, IN_FLIGHT, DONE, MISSING = range(4)
 
 
 @dataclass(slots=True)
@@ -72,172 +73,177 @@
     state: _State = _State.WAITING
     code: int = Code.SUCCESS
     reason: str = ""
-    passed: set[int] = field(default_factory=set)  # hashes of names: what was passed on of this part
-    counted: int = 0
-    again: bool = False  # asked again after it broke off: what was passed on is not repeated
+    passed_digests: set[int] = field(default_factory=set)  # hashes of the DNs passed on from this part
+    passed_count: int = 0
+    retried: bool = False  # sent a second time after a failure; entries already passed on are dropped
 
 
-class Spread:
-    """A search's life from its first part to its one ending. Times in ns on the gateway's clock."""
+class MergedSearch:
+    """One search from its first part to its final response. Times in ns on the gateway's clock."""
 
     def __init__(
         self, parts: Sequence[Part], now: int, deadline: int, *, size_limit: int = 0, time_limit: int = 0
     ) -> None:
-        """``deadline`` is the shortest of the parts' classes; ``size_limit`` and ``time_limit`` the client's (0: none).
+        """``deadline`` is the shortest of the parts' classes; the two limits are the client's (0: none).
 
-        Both limits hold over all parts together.
+        Both apply to all parts together.
         """
         self.parts = tuple(parts)
         self._progress = [_Progress() for _ in self.parts]
         self._size_limit, self.passed = size_limit, 0
-        self._client_limit = 0 < time_limit <= deadline
-        self.until = now + (min(deadline, time_limit) if time_limit else deadline)
-        self.ending: Ending | None = None
+        self._limited_by_client = 0 < time_limit <= deadline
+        self.ends_at = now + (min(deadline, time_limit) if time_limit else deadline)
+        self.final_result: FinalResult | None = None
         self._references: set[tuple[str, ...]] = set()
         self._bases = frozenset(part.base for part in self.parts)
 
     @property
-    def out(self) -> tuple[int, ...]:
-        """Parts that are out."""
-        return tuple(i for i, p in enumerate(self._progress) if p.state is _State.OUT)
+    def in_flight(self) -> tuple[int, ...]:
+        """Indices of the parts in flight."""
+        return tuple(i for i, p in enumerate(self._progress) if p.state is _State.IN_FLIGHT)
 
     @property
     def waiting(self) -> bool:
         """Whether parts are still to be sent."""
-        return self.ending is None and any(p.state is _State.WAITING for p in self._progress)
+        return self.final_result is None and any(p.state is _State.WAITING for p in self._progress)
 
-    def own(self) -> Verdict:
-        """An entry that the gateway itself holds (glue); these come before all parts."""
-        if self.ending is not None:
+    def add_glue_entry(self) -> Verdict:
+        """Counts an entry of the gateway's own (glue); these are passed on before any part is sent."""
+        if self.final_result is not None:
             return Verdict.DROP
         if self._size_limit and self.passed >= self._size_limit:
-            self._end(Ending(Code.SIZE_LIMIT, _SIZE))
+            self._set_final_result(FinalResult(Code.SIZE_LIMIT, _SIZE_LIMIT_DIAGNOSTIC))
             return Verdict.END
         self.passed += 1
         return Verdict.PASS
 
-    def begin(self) -> None:
-        """The gateway's own entries are in."""
+    def glue_entries_done(self) -> None:
+        """All of the gateway's own entries were passed on."""
         if not self.parts:
-            self._conclude()
+            self._finish()
 
-    def next(self, now: int, strained: bool) -> Ask | None:
-        """The next part to send, in the tree's order; by worth where the gateway is strained."""
-        if self.ending is not None:
+    def next_part(self, now: int, strained: bool) -> PartRequest | None:
+        """The next part to send: in tree order, or by priority while the gateway is strained."""
+        if self.final_result is not None:
             return None
-        if now >= self.until:
-            self.overdue()
+        if now >= self.ends_at:
+            self.time_out()
             return None
         order = [i for i, p in enumerate(self._progress) if p.state is _State.WAITING]
         if not order:
             return None
-        index = max(order, key=lambda i: (self.parts[i].worth, -i)) if strained else order[0]
-        self._progress[index].state = _State.OUT
-        # One more than is left, so that a full answer can be told from a cut one; a part asked again starts over.
+        index = max(order, key=lambda i: (self.parts[i].priority, -i)) if strained else order[0]
+        self._progress[index].state = _State.IN_FLIGHT
+        # One more than remains, to tell a complete result from a truncated one. A retried part has no limit, since it
+        # returns all its entries again.
         limit = 0
-        if self._size_limit and not self._progress[index].again:
+        if self._size_limit and not self._progress[index].retried:
             limit = min(self._size_limit, self._size_limit - self.passed + 1)
-        return Ask(index, limit, self.until - now)
+        return PartRequest(index, limit, self.ends_at - now)
 
     def entry(self, index: int, digest: int, folded: str = "") -> Verdict:
-        """An entry came. ``digest`` is a hash of its name; ``folded`` the name, where the part has shadows."""
+        """Handles an entry. ``digest`` is a hash of its DN; ``folded`` its DN, needed only with excluded subtrees."""
         progress = self._progress[index]
-        if self.ending is not None or progress.state is not _State.OUT:
+        if self.final_result is not None or progress.state is not _State.IN_FLIGHT:
             return Verdict.DROP
-        for shadow in self.parts[index].shadows:
-            if folded == shadow or folded.endswith("," + shadow):  # another group's, whatever this one holds there
+        for subtree in self.parts[index].excluded:
+            if folded == subtree or folded.endswith(
+                "," + subtree
+            ):  # held by another group, even if this one has it too
                 return Verdict.DROP
-        if progress.again and digest in progress.passed:
+        if progress.retried and digest in progress.passed_digests:
             return Verdict.DROP
         if self._size_limit and self.passed >= self._size_limit:
-            self._end(Ending(Code.SIZE_LIMIT, _SIZE))
+            self._set_final_result(FinalResult(Code.SIZE_LIMIT, _SIZE_LIMIT_DIAGNOSTIC))
             return Verdict.END
         self.passed += 1
-        progress.counted += 1
-        if len(progress.passed) < NAMES_KEPT:
-            progress.passed.add(digest)
+        progress.passed_count += 1
+        if len(progress.passed_digests) < MAX_REMEMBERED_DNS:
+            progress.passed_digests.add(digest)
         return Verdict.PASS
 
     def reference(self, uris: tuple[str, ...], covered: Sequence[str] = ()) -> bool:
-        """Whether a continuation is passed on: not twice, and not where the search goes itself.
+        """Whether to pass on a continuation reference: only once, and not to a base that the search covers itself.
 
-        ``covered`` are the folded names that the URIs lead to, as far as they say.
+        ``covered`` are the folded DNs in the URIs, where they have one.
         """
-        if self.ending is not None or uris in self._references or any(name in self._bases for name in covered):
+        if self.final_result is not None or uris in self._references or any(name in self._bases for name in covered):
             return False
         self._references.add(uris)
         return True
 
     def done(self, index: int, code: int, reason: str = "") -> None:
-        """A part has its final answer from a server."""
+        """Handles a server's final response to a part."""
         if code in (Code.SUCCESS, Code.NO_SUCH_OBJECT, Code.REFERRAL):
-            # No such object: a group that does not hold its suffix's entry yet has nothing there. A referral went
-            # to the client as a continuation reference. Neither is an error of the whole (RFC 4511 section 4.5.3).
-            self._close(index, _State.DONE, Code.SUCCESS, "")
+            # noSuchObject: the group does not have its suffix's entry yet, so it has no results. A referral was passed
+            # on as a continuation reference. Neither fails the whole search (RFC 4511 section 4.5.3).
+            self._end_part(index, _State.DONE, Code.SUCCESS, "")
         else:
-            self._close(index, _State.DONE if code == Code.SIZE_LIMIT else _State.MISSING, code, reason)
+            self._end_part(index, _State.DONE if code == Code.SIZE_LIMIT else _State.MISSING, code, reason)
 
     def refused(self, index: int, reason: str) -> None:
-        """The gateway turned a part away."""
-        self._close(index, _State.MISSING, Code.BUSY, reason)
+        """Handles a part that the gateway turned away."""
+        self._end_part(index, _State.MISSING, Code.BUSY, reason)
 
     def failed(self, index: int, reason: str, now: int) -> None:
-        """A part failed. One that broke off after entries were passed on is asked once more, if there is time."""
+        """Handles a part that failed. After some of its entries were passed on, it is retried once if time remains."""
         progress = self._progress[index]
         if (
-            self.ending is None
-            and progress.state is _State.OUT
-            and not progress.again
-            and progress.counted
-            and progress.counted <= len(progress.passed)
-            and now < self.until
+            self.final_result is None
+            and progress.state is _State.IN_FLIGHT
+            and not progress.retried
+            and progress.passed_count
+            and progress.passed_count <= len(progress.passed_digests)
+            and now < self.ends_at
         ):
-            progress.state, progress.again = _State.WAITING, True
+            progress.state, progress.retried = _State.WAITING, True
             return
-        self._close(index, _State.MISSING, Code.UNAVAILABLE, reason)
+        self._end_part(index, _State.MISSING, Code.UNAVAILABLE, reason)
 
-    def overdue(self) -> None:
-        """The time is over; what has not ended is missing."""
-        if self.ending is None:
+    def time_out(self) -> None:
+        """The time limit has passed: parts that have not ended count as missing."""
+        if self.final_result is None:
             for progress in self._progress:
-                if progress.state in (_State.WAITING, _State.OUT):
-                    progress.code = Code.TIME_LIMIT if self._client_limit else Code.UNAVAILABLE
+                if progress.state in (_State.WAITING, _State.IN_FLIGHT):
+                    progress.code = Code.TIME_LIMIT if self._limited_by_client else Code.UNAVAILABLE
                     progress.reason = "not answered in time"
-            self._conclude(over=True)
+            self._finish(timed_out=True)
 
-    def give_up(self) -> None:
-        """The client wants no answer any more."""
-        self._end(Ending(Code.CANCELED))
+    def cancel(self) -> None:
+        """The client needs no answer any more."""
+        self._set_final_result(FinalResult(Code.CANCELED))
 
-    def _close(self, index: int, state: _State, code: int, reason: str) -> None:
+    def _end_part(self, index: int, state: _State, code: int, reason: str) -> None:
         progress = self._progress[index]
-        if self.ending is not None or progress.state is not _State.OUT:
+        if self.final_result is not None or progress.state is not _State.IN_FLIGHT:
             return
         progress.state, progress.code, progress.reason = state, code, reason
         if code == Code.SIZE_LIMIT and self._size_limit and self.passed >= self._size_limit:
-            self._end(Ending(Code.SIZE_LIMIT, _SIZE))
+            self._set_final_result(FinalResult(Code.SIZE_LIMIT, _SIZE_LIMIT_DIAGNOSTIC))
         elif all(p.state in (_State.DONE, _State.MISSING) for p in self._progress):
-            self._conclude()
+            self._finish()
 
-    def _conclude(self, over: bool = False) -> None:
-        wrong = [
+    def _finish(self, timed_out: bool = False) -> None:
+        unsuccessful = [
             (part, p)
             for part, p in zip(self.parts, self._progress, strict=True)
-            if p.code != Code.SUCCESS or (over and p.state in (_State.WAITING, _State.OUT))
+            if p.code != Code.SUCCESS or (timed_out and p.state in (_State.WAITING, _State.IN_FLIGHT))
         ]
-        if not wrong:
-            self._end(Ending(Code.SUCCESS))
+        if not unsuccessful:
+            self._set_final_result(FinalResult(Code.SUCCESS))
             return
-        codes = {p.code for _, p in wrong}
-        code = next((code for code in _RANK if code in codes), min(codes))
-        if over and self._client_limit:
+        codes = {p.code for _, p in unsuccessful}
+        code = next((code for code in _CODES_BY_SEVERITY if code in codes), min(codes))
+        if timed_out and self._limited_by_client:
             code = Code.TIME_LIMIT
-        told = [f"{part.suffix} ({p.reason or f'result {int(p.code)}'})" for part, p in wrong[:NAMED]]
-        if len(wrong) > NAMED:
-            told.append(f"{len(wrong) - NAMED} more")
-        missing = tuple(part.suffix for part, _ in wrong)
-        self._end(Ending(code, f"not the whole answer; missing: {'; '.join(told)}", missing))
-
-    def _end(self, ending: Ending) -> None:
-        if self.ending is None:
-            self.ending = ending
+        descriptions = [
+            f"{part.suffix} ({p.reason or f'result {int(p.code)}'})" for part, p in unsuccessful[:MAX_NAMED_SUFFIXES]
+        ]
+        if len(unsuccessful) > MAX_NAMED_SUFFIXES:
+            descriptions.append(f"{len(unsuccessful) - MAX_NAMED_SUFFIXES} more")
+        missing = tuple(part.suffix for part, _ in unsuccessful)
+        self._set_final_result(FinalResult(code, f"not the whole answer; missing: {'; '.join(descriptions)}", missing))
+
+    def _set_final_result(self, final_result: FinalResult) -> None:
+        if self.final_result is None:
+            self.final_result = final_result
--- a/yardbank/spread/pages.py
+++ b/yardbank/spread/pages.py
@@ -1,8 +1,8 @@
-"""A search over several groups in pages (RFC 2696): one part after another, under a cookie of the gateway's own.
+"""Paged results (RFC 2696) for a search over several groups: its parts run in sequence, under the gateway's cookie.
 
-The cookie says which part is next and holds that part's own cookie, so nothing is kept between pages: any gateway
-with the same settings can go on with it, after a restart too. What a server's own cookie is worth at another copy
-is up to the servers. No I/O.
+The cookie contains the index of the next part and the server's cookie for that part, so no state is kept between
+pages: any gateway with the same settings can continue, also after a restart. Whether a server's cookie is valid at
+another replica depends on the servers. No I/O.
 """
 
 from __future__ import annotations
@@ -10,79 +10,79 @@
 import msgspec
 import xxhash
 
-OWN = -1  # in place of a part: the gateway's own entries
+GLUE_ENTRIES = -1  # in place of a part index: the gateway's own (glue) entries
 
 
 class CookieError(ValueError):
-    """The cookie is none of ours, or belongs to another search."""
+    """The cookie was not issued by a gateway, or belongs to another search."""
 
 
-def identity_of(*facts: bytes) -> int:
-    """What a cookie is bound to: the search without its page, and the suffixes that it covers."""
+def search_identity(*fields: bytes) -> int:
+    """Hash of the search without its paging control and of the suffixes that it covers; a cookie is bound to it."""
     hasher = xxhash.xxh3_64()
-    for fact in facts:
-        hasher.update(len(fact).to_bytes(4, "big"))
-        hasher.update(fact)
-    return hasher.intdigest() >> 1  # within a signed integer of 64 bits
+    for field in fields:
+        hasher.update(len(field).to_bytes(4, "big"))
+        hasher.update(field)
+    return hasher.intdigest() >> 1  # fits a signed integer of 64 bits
 
 
 class Pages:
-    """Where a paged search stands. ``at`` is the part (or ``OWN``), ``inner`` its own cookie."""
+    """Progress of a paged search: the current ``part`` (or ``GLUE_ENTRIES``) and the ``server_cookie`` for it."""
 
-    def __init__(self, identity: int, parts: int, own: int, size: int, cookie: bytes) -> None:
-        """``own``: entries of the gateway itself, which come first. Raises ``CookieError``."""
-        self._identity, self._parts, self._own, self.size = identity, parts, own, size
-        self.at, self._offset, self.inner, self.passed = OWN, 0, b"", 0
+    def __init__(self, identity: int, parts: int, glue_count: int, size: int, cookie: bytes) -> None:
+        """``glue_count``: the number of the gateway's own entries, which come first. Raises ``CookieError``."""
+        self._identity, self._parts, self._glue_count, self.size = identity, parts, glue_count, size
+        self.part, self._offset, self.server_cookie, self.passed = GLUE_ENTRIES, 0, b"", 0
         if cookie:
             try:
                 read = msgspec.msgpack.decode(cookie, type=tuple[int, int, int, bytes])
             except msgspec.MsgspecError:
                 raise CookieError("the cookie was not given here") from None
-            bound, self.at, self._offset, self.inner = read
+            bound, self.part, self._offset, self.server_cookie = read
             if bound != identity:
                 raise CookieError("the cookie belongs to another search")
-            if not OWN <= self.at < parts or self._offset < 0:
+            if not GLUE_ENTRIES <= self.part < parts or self._offset < 0:
                 raise CookieError("the cookie leads nowhere")
-        self._settle()
+        self._skip_finished_glue()
 
-    def _settle(self) -> None:
-        if self.at == OWN and self._offset >= self._own:
-            self.at = 0
+    def _skip_finished_glue(self) -> None:
+        if self.part == GLUE_ENTRIES and self._offset >= self._glue_count:
+            self.part = 0
 
     @property
-    def left(self) -> int:
-        """Entries that the page still has room for."""
+    def remaining(self) -> int:
+        """Number of entries that may still be added to the page."""
         return max(0, self.size - self.passed)
 
     @property
-    def over(self) -> bool:
-        """Whether nothing is left of the search."""
-        return self.at >= self._parts
+    def finished(self) -> bool:
+        """Whether the whole search is complete."""
+        return self.part >= self._parts
 
     @property
-    def full(self) -> bool:
+    def page_complete(self) -> bool:
         """Whether this page is complete."""
-        return self.over or self.passed >= self.size
+        return self.finished or self.passed >= self.size
 
-    def own(self) -> range:
-        """Which of the gateway's own entries come on this page."""
-        if self.at != OWN:
+    def glue_entries(self) -> range:
+        """Indices of the gateway's own entries on this page."""
+        if self.part != GLUE_ENTRIES:
             return range(0)
-        stop = min(self._own, self._offset + self.left)
+        stop = min(self._glue_count, self._offset + self.remaining)
         found = range(self._offset, stop)
         self._offset, self.passed = stop, self.passed + len(found)
-        self._settle()
+        self._skip_finished_glue()
         return found
 
-    def ended(self, passed: int, inner: bytes) -> None:
-        """The part at hand was answered with so many entries and its own cookie."""
+    def part_answered(self, passed: int, server_cookie: bytes) -> None:
+        """The current part returned this many entries and this server cookie."""
         self.passed += passed
-        self.inner = inner
-        if not inner:
-            self.at += 1
+        self.server_cookie = server_cookie
+        if not server_cookie:
+            self.part += 1
 
     def cookie(self) -> bytes:
-        """For the client to come back with; empty: that was all."""
-        if self.over:
+        """The cookie with which the client requests the next page; empty if there is none."""
+        if self.finished:
             return b""
-        return msgspec.msgpack.encode((self._identity, self.at, self._offset, self.inner))
+        return msgspec.msgpack.encode((self._identity, self.part, self._offset, self.server_cookie))
--- a/yardbank/spread/tree.py
+++ b/yardbank/spread/tree.py
@@ -1,7 +1,7 @@
-"""The whole tree over all groups' suffixes: who holds a name, and what a search from it reaches. No I/O.
+"""The directory tree over all groups' suffixes: which group holds a DN, and what a search covers. No I/O.
 
-Names that stand above suffixes and that no group holds are glue. Glue entries are made from the suffixes' names
-alone, never from settings: ``dc=x`` is a domain, ``ou=x`` an organizationalUnit, and so on.
+DNs above suffixes that no group holds are glue. Glue entries are derived from the suffixes' DNs alone, never from
+other settings: ``dc=x`` is a domain, ``ou=x`` an organizationalUnit, and so on.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from yardbank.directory import naming
 from yardbank.directory.codes import Scope
 
-REACHES_KEPT = 4096  # answers to "what does a search from here reach"
-_CLASSES = {
+MAX_CACHED_COVERAGES = 4096  # size of the cache of search coverages
+_OBJECT_CLASSES = {
     "dc": "domain",
     "ou": "organizationalUnit",
     "o": "organization",
@@ -25,88 +25,90 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
-    """What of a search one group answers. ``shadows`` lie below it and belong to other groups."""
+class GroupScope:
+    """The part of a search that one group answers. ``excluded`` subtrees below the base belong to other groups."""
 
     group: str
-    suffix: str  # as the settings write it: for the operator and the client
+    suffix: str  # as configured, for diagnostics
     base: str
     scope: int
-    shadows: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Reach:
-    """What a search reaches: pieces in order of their suffixes, and glue entries by name."""
+class Coverage:
+    """What a search covers: the parts in order of their suffixes, and the DNs of glue entries."""
 
-    pieces: tuple[Piece, ...]
+    group_scopes: tuple[GroupScope, ...]
     glue: tuple[str, ...] = ()
-    known: bool = True  # the base is a name of the tree; False: ``matched`` is the nearest one above it
+    known: bool = True  # whether the base exists in the tree; if not, ``matched`` is its nearest ancestor that does
     matched: str = ""
 
 
 class Tree:
-    """The suffixes of all groups as one tree; names go in and come out folded unless said otherwise."""
+    """The suffixes of all groups as one tree. DNs are folded unless stated otherwise."""
 
     def __init__(self, suffixes: Mapping[str, str]) -> None:
-        """``suffixes`` by group, as the settings write them."""
-        self._written = dict(suffixes)
-        self._holder: dict[str, str] = {naming.fold(suffix): group for group, suffix in suffixes.items()}
-        self._below: dict[str, list[str]] = {}  # by every name above a suffix: the suffixes strictly below it
-        self._glue: dict[str, str] = {}  # glue names as written
-        for suffix in sorted(self._holder):
-            written, name = self._written[self._holder[suffix]], suffix
+        """``suffixes`` by group, as configured."""
+        self._configured = dict(suffixes)
+        self._group_by_suffix: dict[str, str] = {naming.fold(suffix): group for group, suffix in suffixes.items()}
+        self._below: dict[str, list[str]] = {}  # by ancestor DN: the suffixes strictly below it
+        self._glue: dict[str, str] = {}  # by folded DN of a glue entry: its DN as configured
+        for suffix in sorted(self._group_by_suffix):
+            configured, name = self._configured[self._group_by_suffix[suffix]], suffix
             while name:
-                name, written = naming.parent(name), naming.parent(written)
+                name, configured = naming.parent(name), naming.parent(configured)
                 self._below.setdefault(name, []).append(suffix)
-                if name and self.holder(name) is None:
-                    self._glue.setdefault(name, written.strip())
-        self.reach = lru_cache(REACHES_KEPT)(self._reach)
+                if name and self.group_of(name) is None:
+                    self._glue.setdefault(name, configured.strip())
+        self.coverage = lru_cache(MAX_CACHED_COVERAGES)(self._coverage)
 
-    def holder(self, name: str) -> str | None:
-        """The group whose suffix holds a name; the longest suffix wins."""
+    def group_of(self, name: str) -> str | None:
+        """The group whose suffix contains a DN; the longest suffix wins."""
         while True:
-            if (group := self._holder.get(name)) is not None:
+            if (group := self._group_by_suffix.get(name)) is not None:
                 return group
             if not name:
                 return None
             name = naming.parent(name)
 
     def glue(self, name: str) -> str | None:
-        """A glue entry's name as written; None if the name is none."""
+        """The DN of a glue entry as configured; None if the DN is not glue."""
         return self._glue.get(name)
 
     def suffix(self, group: str) -> str:
-        """A group's suffix as written."""
-        return self._written[group]
+        """A group's suffix as configured."""
+        return self._configured[group]
 
-    def divided(self, name: str) -> bool:
-        """Whether suffixes lie strictly below a name: what is done to its subtree touches several groups."""
+    def has_suffixes_below(self, name: str) -> bool:
+        """Whether suffixes lie strictly below a DN, so that an operation on its subtree affects several groups."""
         return name in self._below
 
-    def moves_between(self, entry: str, new: str) -> bool:
-        """Whether renaming would put an entry, or entries below it, into another group (RFC 4511 section 4.9)."""
-        holder = self.holder(entry)
-        return holder != self.holder(new) or (holder is not None and (self.divided(entry) or self.divided(new)))
+    def moves_between_groups(self, entry: str, new: str) -> bool:
+        """Whether a rename would move an entry, or entries below it, to another group (RFC 4511 section 4.9)."""
+        holding_group = self.group_of(entry)
+        return holding_group != self.group_of(new) or (
+            holding_group is not None and (self.has_suffixes_below(entry) or self.has_suffixes_below(new))
+        )
 
     def matched(self, name: str) -> str:
-        """The nearest glue name above one that no group holds, as written (RFC 4511 section 4.1.9 matchedDN)."""
+        """The nearest glue DN above a DN that no group holds, as configured (matchedDN, RFC 4511 section 4.1.9)."""
         while name:
             name = naming.parent(name)
-            if (written := self._glue.get(name)) is not None:
-                return written
+            if (configured := self._glue.get(name)) is not None:
+                return configured
         return ""
 
-    def _reach(self, base: str, scope: int) -> Reach:
-        """What a search from a name covers; the same answer for the same question is kept."""
-        group, below = self.holder(base), self._below.get(base, [])
+    def _coverage(self, base: str, scope: int) -> Coverage:
+        """Computes what a search covers; cached by ``coverage``."""
+        group, below = self.group_of(base), self._below.get(base, [])
         if group is None and base and base not in self._glue:
-            return Reach((), (), False, self.matched(base))
-        pieces: list[Piece] = []
+            return Coverage((), (), False, self.matched(base))
+        group_scopes: list[GroupScope] = []
         glue: list[str] = []
         if group is not None:
-            inside = tuple(below) if scope != Scope.BASE else ()
-            pieces.append(Piece(group, self._written[group], base, scope, inside))
+            excluded_below = tuple(below) if scope != Scope.BASE else ()
+            group_scopes.append(GroupScope(group, self._configured[group], base, scope, excluded_below))
         elif scope in (Scope.BASE, Scope.SUBTREE) and base:
             glue.append(base)
         if scope == Scope.ONE:
@@ -114,21 +116,21 @@
         for suffix in below if scope != Scope.BASE else ():
             deeper = tuple(self._below.get(suffix, ())) if scope != Scope.ONE else ()
             wanted = Scope.BASE if scope == Scope.ONE else Scope.SUBTREE
-            holder = self._holder[suffix]
-            pieces.append(Piece(holder, self._written[holder], suffix, wanted, deeper))
+            holding_group = self._group_by_suffix[suffix]
+            group_scopes.append(GroupScope(holding_group, self._configured[holding_group], suffix, wanted, deeper))
         if group is None:
             if scope == Scope.ONE:
                 glue += [name for name in self._glue if naming.parent(name) == base]
             elif scope in (Scope.SUBTREE, Scope.SUBORDINATE):
                 glue += [name for name in self._glue if name != base and naming.under(name, base)]
-        return Reach(tuple(pieces), tuple(sorted(glue, key=lambda name: (name.count(","), name))))
+        return Coverage(tuple(group_scopes), tuple(sorted(glue, key=lambda name: (name.count(","), name))))
 
 
-def glue_attributes(written: str) -> tuple[tuple[str, tuple[bytes, ...]], ...]:
-    """The attributes of a glue entry, made from its name."""
-    first = written[: len(written) - len(naming.parent(written))].rstrip().removesuffix(",")
+def glue_attributes(configured: str) -> tuple[tuple[str, tuple[bytes, ...]], ...]:
+    """The attributes of a glue entry, derived from its DN."""
+    first = configured[: len(configured) - len(naming.parent(configured))].rstrip().removesuffix(",")
     pairs = [part.partition("=") for part in first.split("+")]
-    kind = _CLASSES.get(pairs[0][0].strip().lower(), "extensibleObject")
+    kind = _OBJECT_CLASSES.get(pairs[0][0].strip().lower(), "extensibleObject")
     named: dict[str, list[bytes]] = {}
     for name, _, value in pairs:
         named.setdefault(name.strip(), []).append(value.strip().encode())
