--- a/tests/ldap/__init__.py
+++ b/tests/ldap/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of ldap."""
+"""Tests of yardbank.ldap and yardbank.spread."""
--- a/tests/ldap/test_codec.py
+++ b/tests/ldap/test_codec.py
@@ -1,4 +1,4 @@
-"""The LDAP codec: round trips, any split, hostile bytes."""
+"""LDAP codec: round trips, arbitrary read sizes and malformed input."""
 
 import random
 import tracemalloc
@@ -75,7 +75,7 @@
 
 @THOROUGH
 @given(MESSAGE)
-def test_every_message_survives_the_way_to_bytes_and_back(message):
+def test_every_message_round_trips_through_the_codec(message):
     data = codec.encode(message)
     assert codec.decode(data) == message
     assert codec.open_envelope(data).with_id(message.id) == data
@@ -83,7 +83,7 @@
 
 @THOROUGH
 @given(st.lists(MESSAGE, max_size=4), st.lists(st.integers(1, 60), min_size=1))
-def test_frames_come_out_whole_in_any_split(messages, sizes):
+def test_framer_returns_whole_messages_for_any_read_sizes(messages, sizes):
     data, framer, out, at, turn = b"".join(map(codec.encode, messages)), Framer(), [], 0, 0
     while at < len(data):
         size = sizes[turn % len(sizes)]
@@ -95,7 +95,7 @@
 
 @THOROUGH
 @given(FILTER)
-def test_filters_survive_the_way_to_strings_and_back(found):
+def test_filters_round_trip_through_strings(found):
     assert filters.parse(filters.format_filter(found)) == found
 
 
@@ -131,12 +131,12 @@
 @pytest.mark.parametrize(
     "text", ["", "cn=x", "(cn=x", "(cn=x))", "(=x)", "(cn=\\2)", "(cn=\\zz)", "(&(cn=x)", "(a=b**c)", "(!)"]
 )
-def test_what_is_no_filter_is_refused(text):
+def test_invalid_filter_strings_are_rejected(text):
     with pytest.raises(filters.FilterError):
         filters.parse(text)
 
 
-def test_filters_and_lengths_are_bounded_before_anything_is_built():
+def test_filter_depth_and_message_length_are_limited_before_decoding():
     deep = m.Present("x")
     for _ in range(filter_codec.MAX_FILTER_DEPTH):
         deep = m.Not(deep)
@@ -162,14 +162,14 @@
         (b"\x30\x05\x02\x01\x05\x7d\x00", "unknown tag"),
     ],
 )
-def test_faults_are_named(data, reason):
+def test_decoding_errors_name_the_problem(data, reason):
     with pytest.raises(BerError, match=reason):
         Framer().feed(data)
         codec.decode(data)
 
 
 @given(st.integers(-(2**31), 2**31 - 1))
-def test_integers(value):
+def test_integers_round_trip(value):
     data = integer(value)
     _, start, stop = header(data, 0, len(data))
     assert read_integer(data, start, stop, "x", -(2**31)) == value
@@ -185,23 +185,23 @@
     yield codec.encode(m.Message(5, m.Result(m.Tag.MODIFY_RESPONSE, 10, referrals=("ldap://x/",))))
 
 
-def test_100_000_mutated_frames_do_no_harm():
-    """Whatever comes, it is read or refused as a protocol error; nothing else is raised and nothing piles up."""
-    chance, seeds = random.Random(5), list(corpus())
+def test_100_000_mutated_messages_cause_only_protocol_errors():
+    """Mutated input is decoded or rejected as a protocol error; it raises no other exception and leaks no memory."""
+    rng, seeds = random.Random(5), list(corpus())
     refused = 0
     tracemalloc.start()
     before = 0
     for number in range(100_000):
         data = bytearray(seeds[number % len(seeds)])
-        for _ in range(chance.randrange(1, 4)):
-            kind, at = chance.random(), chance.randrange(len(data))
+        for _ in range(rng.randrange(1, 4)):
+            kind, at = rng.random(), rng.randrange(len(data))
             if kind < 0.6:
-                data[at] = chance.randrange(256)
+                data[at] = rng.randrange(256)
             elif kind < 0.8:
                 del data[at:]
                 data += b"\0"
             else:
-                data[at:at] = chance.randbytes(3)
+                data[at:at] = rng.randbytes(3)
         end: ServerEnd | ClientEnd = ServerEnd() if number % 2 else ClientEnd()
         try:
             events = end.receive(bytes(data))
@@ -210,46 +210,52 @@
             refused += 1
         if number == 20_000:
             before = tracemalloc.get_traced_memory()[0]
-    grown = tracemalloc.get_traced_memory()[0] - before
+    memory_growth = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert refused > 10_000
-    assert grown < 200_000
+    assert memory_growth < 200_000
 
 
-def ask(number, operation=None):
+def request_bytes(number, operation=None):
     return codec.encode(m.Message(number, operation or m.SearchRequest("", 0, m.Present("x"))))
 
 
-def test_the_server_end_knows_what_is_outstanding():
+def test_server_end_tracks_outstanding_requests():
     end = ServerEnd(max_outstanding=2)
-    (first,) = end.receive(ask(1))
+    (first,) = end.receive(request_bytes(1))
     assert isinstance(first, Asked) and end.outstanding == {1}
-    assert end.receive(ask(2, m.AbandonRequest(7))) == []  # nothing to abandon
-    assert end.receive(ask(3, m.AbandonRequest(1))) == [Abandoned(1)]
-    assert end.final(1, m.Result(m.Tag.DONE, 0)) == b""  # abandoned: never answered
-    end.receive(ask(4))
+    assert end.receive(request_bytes(2, m.AbandonRequest(7))) == []  # no such request
+    assert end.receive(request_bytes(3, m.AbandonRequest(1))) == [Abandoned(1)]
+    assert end.final(1, m.Result(m.Tag.DONE, 0)) == b""  # abandoned, so it gets no response
+    end.receive(request_bytes(4))
     assert end.final(4, m.Result(m.Tag.DONE, 0)) and not end.final(4, m.Result(m.Tag.DONE, 0))
-    end.receive(ask(5) + ask(6))
-    (broken,) = end.receive(ask(7))
+    end.receive(request_bytes(5) + request_bytes(6))
+    (broken,) = end.receive(request_bytes(7))
     assert isinstance(broken, Broken) and "2 operations" in broken.reason
-    assert end.receive(ask(8)) == []
+    assert end.receive(request_bytes(8)) == []
 
 
 @pytest.mark.parametrize(
-    "data", [ask(1) + ask(1), ask(0), codec.encode(m.Message(1, m.Result(m.Tag.DONE, 0))), b"\x30\x80"]
+    "data",
+    [
+        request_bytes(1) + request_bytes(1),
+        request_bytes(0),
+        codec.encode(m.Message(1, m.Result(m.Tag.DONE, 0))),
+        b"\x30\x80",
+    ],
 )
-def test_the_server_end_ends_with_a_notice(data):
+def test_server_end_answers_protocol_errors_with_a_notice_of_disconnection(data):
     end = ServerEnd()
     broken = end.receive(data)[-1]
     notice = codec.decode(broken.notice)
     assert notice.id == 0 and notice.operation.oid == m.Oid.NOTICE_OF_DISCONNECTION
 
 
-def test_unbind_ends_it():
-    assert ServerEnd().receive(ask(1, m.UnbindRequest()) + ask(2)) == [Closed()]
+def test_unbind_ends_the_connection():
+    assert ServerEnd().receive(request_bytes(1, m.UnbindRequest()) + request_bytes(2)) == [Closed()]
 
 
-def test_the_client_end_takes_late_answers_to_what_it_dropped_and_nothing_unasked():
+def test_client_end_accepts_late_responses_to_abandoned_requests_and_rejects_unknown_ids():
     end = ClientEnd()
     raw = codec.encode_operation(m.SearchRequest("", 0, m.Present("x")))
     number, _ = end.ask(raw, raw[0])
@@ -265,7 +271,7 @@
     assert isinstance(event, Answered) and event.final and end.outstanding == 0
 
 
-def test_change_sequence_numbers():
+def test_change_sequence_numbers_are_parsed_and_rendered():
     text = csn.render(1_700_000_000.25, 7, 3)
     assert text == "20231114221320.250000Z#000007#003#000000"
     assert csn.parse(text.encode()) == ("003", ("20231114221320.250000Z", 7, 0))
--- a/tests/ldap/test_cross_group_search.py
+++ b/tests/ldap/test_cross_group_search.py
@@ -1,4 +1,4 @@
-"""Searches that span groups: the deciders by themselves, against one directory that holds the whole tree."""
+"""State machines of searches that span groups, compared with one directory that holds the whole tree."""
 
 import itertools
 
@@ -20,18 +20,18 @@
 PRESENT = m.Present("objectClass")
 
 
-def spread(count=3, deadline=SECOND, priorities=(), **more):
+def merged_search(count=3, deadline=SECOND, priorities=(), **more):
     parts = [Part(f"ou=g{i},dc=x", f"ou=g{i},dc=x", priorities[i] if priorities else 1.0) for i in range(count)]
-    made = MergedSearch(parts, 0, deadline, **more)
-    made.glue_entries_done()
-    return made
+    created = MergedSearch(parts, 0, deadline, **more)
+    created.glue_entries_done()
+    return created
 
 
 def send_all(search, now=0):
     return [ask.index for ask in iter(lambda: search.next_part(now, False), None)]
 
 
-def test_names_of_the_tree_and_their_holders():
+def test_tree_finds_the_group_or_glue_entry_of_a_dn():
     tree = Tree({"top": "dc=Porting", "deep": "ou=a,ou=B,dc=porting", "far": "o=X,c=ec"})
     assert tree.group_of("cn=1,ou=a,ou=b,dc=porting") == "deep" and tree.group_of("ou=b,dc=porting") == "top"
     assert tree.group_of("c=ec") is None and tree.glue("c=ec") == "c=ec" and tree.glue("ou=b,dc=porting") is None
@@ -48,7 +48,7 @@
         Budget(0)
 
 
-def test_renames_that_leave_a_group_or_carry_anothers_entries_are_told():
+def test_renames_across_groups_are_detected():
     tree = Tree({"top": "dc=x", "deep": "ou=b,ou=a,dc=x"})
     assert tree.moves_between_groups("cn=1,dc=x", "cn=1,ou=b,ou=a,dc=x") and tree.moves_between_groups(
         "ou=a,dc=x", "ou=c,dc=x"
@@ -58,7 +58,7 @@
     )
 
 
-def test_an_escaped_comma_is_no_boundary():
+def test_escaped_comma_does_not_separate_rdns():
     tree = Tree({"a": "ou=a,dc=x"})
     assert tree.group_of("cn=1\\,ou=a,dc=x") is None and tree.group_of("cn=1\\,2,ou=a,dc=x") == "a"
 
@@ -67,14 +67,14 @@
 
 
 def whole_tree(groups):
-    """One directory holding everything: glue, suffixes, and two entries in each group."""
+    """One directory with all glue entries, the suffixes, and two entries in each group."""
     one = Directory("")
     one.entries.clear()
     names = set()
     for suffix in groups.values():
         names |= {f"cn=1,{suffix}", f"cn=2,cn=1,{suffix}"}
         above = suffix
-        while above:  # what a suffix hangs from is there, held or glue
+        while above:  # the ancestors of a suffix exist, as entries of a group or as glue
             names.add(above)
             above = naming.parent(above)
     for name in names:
@@ -88,7 +88,7 @@
     st.sampled_from(list(Scope)),
 )
 @settings(max_examples=300, deadline=None)
-def test_parts_and_glue_are_exactly_what_one_directory_would_find(suffixes, base, scope):
+def test_parts_and_glue_match_a_search_in_one_directory(suffixes, base, scope):
     groups = {f"g{i}": suffix for i, suffix in enumerate(sorted(suffixes))}
     tree = Tree(groups)
     one = whole_tree(groups)
@@ -101,7 +101,8 @@
     for group_scope in coverage.group_scopes:
         member = Directory(groups[group_scope.group])
         for name, entry in one.entries.items():
-            if naming.under(name, groups[group_scope.group]):  # a group may hold shadows of others: they must not count
+            # a group may hold entries below other groups' suffixes; these must not count
+            if naming.under(name, groups[group_scope.group]):
                 member.entries[name] = entry
         (code, _), entries = member.search(m.SearchRequest(group_scope.base, group_scope.scope, PRESENT))
         merged = MergedSearch([Part("", group_scope.base, 1.0, group_scope.excluded)], 0, SECOND)
@@ -111,19 +112,19 @@
     assert sorted(found) == sorted(e.dn for e in wanted)
 
 
-def test_only_a_search_that_leaves_its_group_is_divided():
+def test_only_searches_that_span_groups_are_split():
     tree = Tree({"a": "ou=a,dc=x", "b": "ou=b,dc=x"})
     ask = lambda base, scope: cross_group_coverage(tree, m.SearchRequest(base, scope, PRESENT), base)  # noqa: E731
     assert ask("ou=a,dc=x", Scope.SUBTREE) is None and ask("cn=1,ou=a,dc=x", Scope.BASE) is None
     assert [p.group for p in ask("dc=x", Scope.SUBTREE).group_scopes] == ["a", "b"]
     assert ask("dc=x", Scope.BASE).glue == ("dc=x",)
-    assert ask("", Scope.ONE).glue == ("dc=x",)  # the root entry itself is no part of a search below it
+    assert ask("", Scope.ONE).glue == ("dc=x",)  # the root DSE is not a result of a one-level search
     assert {p.scope for p in ask("dc=x", Scope.ONE).group_scopes} == {Scope.BASE}
 
 
-def test_success_is_said_only_when_every_part_succeeded():
+def test_search_succeeds_only_if_every_part_succeeded():
     for outcomes in itertools.product(("ok", "none", "refused", "failed", "unwilling"), repeat=3):
-        search = spread()
+        search = merged_search()
         assert send_all(search) == [0, 1, 2]
         for index, outcome in enumerate(outcomes):
             assert search.final_result is None
@@ -147,8 +148,8 @@
             assert search.final_result.code == Code.BUSY
 
 
-def test_one_ending_whatever_comes_later():
-    search = spread()
+def test_final_result_does_not_change_after_later_events():
+    search = merged_search()
     send_all(search)
     search.done(0, Code.SUCCESS)
     search.time_out()
@@ -158,23 +159,23 @@
     search.failed(2, "late", 2)
     search.cancel()
     assert search.final_result is first and search.entry(1, 1) is Verdict.DROP and search.next_part(3, False) is None
-    assert search.in_flight == (1, 2)  # for the caller to leave
+    assert search.in_flight == (1, 2)  # for the caller to abandon
 
 
-def test_the_size_limit_holds_over_all_parts_together():
-    search = spread(3, size_limit=4)
+def test_size_limit_applies_to_all_parts_together():
+    search = merged_search(3, size_limit=4)
     assert [search.next_part(0, False).size_limit for _ in range(2)] == [4, 4]
     assert [search.entry(i % 2, i) for i in range(4)] == [Verdict.PASS] * 4
-    assert search.next_part(0, False).size_limit == 1  # none may follow, but whether one does must be known
+    assert search.next_part(0, False).size_limit == 1  # none may follow, but the search must detect whether one does
     search.done(0, Code.SUCCESS)
     search.done(1, Code.SUCCESS)
-    assert search.final_result is None  # exactly the limit so far: no error yet
+    assert search.final_result is None  # exactly at the limit: no error yet
     assert search.entry(2, 5) is Verdict.END
     assert search.final_result.code == Code.SIZE_LIMIT and search.passed == 4
 
 
-def test_exactly_the_size_limit_is_a_success():
-    search = spread(2, size_limit=2)
+def test_result_of_exactly_the_size_limit_is_a_success():
+    search = merged_search(2, size_limit=2)
     send_all(search)
     assert search.entry(0, 1) is search.entry(1, 2) is Verdict.PASS
     search.done(0, Code.SUCCESS)
@@ -182,18 +183,18 @@
     assert search.final_result.code == Code.SUCCESS
 
 
-def test_the_shorter_of_time_limit_and_deadline_ends_it():
-    search = spread(2, deadline=3 * SECOND, time_limit=2 * SECOND)
+def test_search_ends_at_the_shorter_of_time_limit_and_deadline():
+    search = merged_search(2, deadline=3 * SECOND, time_limit=2 * SECOND)
     assert search.ends_at == 2 * SECOND and search.next_part(SECOND, False).time_limit == SECOND
     assert search.next_part(2 * SECOND, False) is None
     assert search.final_result.code == Code.TIME_LIMIT and len(search.final_result.missing) == 2
-    search = spread(1, deadline=SECOND, time_limit=2 * SECOND)
+    search = merged_search(1, deadline=SECOND, time_limit=2 * SECOND)
     search.time_out()
     assert search.final_result.code == Code.UNAVAILABLE
 
 
-def test_a_part_that_broke_off_repeats_nothing_and_is_asked_again_once():
-    search = spread(2, size_limit=10)
+def test_failed_part_is_retried_once_without_repeating_entries():
+    search = merged_search(2, size_limit=10)
     send_all(search)
     assert search.entry(0, 1) is search.entry(0, 2) is Verdict.PASS
     search.failed(0, "the answer broke off", 5)
@@ -204,25 +205,25 @@
     assert search.final_result.code == Code.UNAVAILABLE and search.passed == 3
 
 
-def test_a_part_that_failed_before_its_first_entry_is_the_modules_to_judge():
-    search = spread(1)
+def test_part_that_fails_before_its_first_entry_is_not_retried():
+    search = merged_search(1)
     send_all(search)
     search.failed(0, "no server", 5)
     assert search.final_result.code == Code.UNAVAILABLE
 
 
-def test_strained_the_worthiest_part_goes_first():
-    search = spread(3, priorities=(1.0, 3.0, 3.0))
+def test_parts_are_sent_by_priority_under_strain():
+    search = merged_search(3, priorities=(1.0, 3.0, 3.0))
     assert [search.next_part(0, True).index for _ in range(3)] == [1, 2, 0]
 
 
-def test_continuations_are_merged():
+def test_continuation_references_are_deduplicated():
     search = MergedSearch([Part("a", "ou=a,dc=x", 1.0), Part("b", "ou=b,dc=x", 1.0)], 0, SECOND)
-    assert not search.reference(("ldap://b/ou=b,dc=x",), ["ou=b,dc=x"])  # followed here
+    assert not search.reference(("ldap://b/ou=b,dc=x",), ["ou=b,dc=x"])  # the search covers this base itself
     assert search.reference(("ldap://c/ou=c",), ["ou=c"]) and not search.reference(("ldap://c/ou=c",), ["ou=c"])
 
 
-def test_turns_go_round_and_the_window_follows_refusals():
+def test_budget_is_round_robin_and_its_window_shrinks_on_refusals():
     budget = Budget(4)
     budget.enqueue("a")
     budget.enqueue("b")
@@ -248,8 +249,8 @@
 
 @given(st.lists(st.integers(0, 7), min_size=1, max_size=6), st.integers(0, 3), st.integers(1, 5))
 @settings(max_examples=200, deadline=None)
-def test_pages_give_each_entry_once_and_are_never_too_long(sizes, own, size):
-    """Each part answers pages of its own; the cookie is all that is kept from one page to the next."""
+def test_pages_return_each_entry_once_within_the_page_size(sizes, own, size):
+    """Each part is paged by its server; only the cookie is kept between pages."""
     cookie, seen = b"", []
     for _ in range(sum(sizes) + own + len(sizes) + 1):
         pages = Pages(7, len(sizes), own, size, cookie)
@@ -268,7 +269,7 @@
     assert seen == [("own", i) for i in range(own)] + [(p, i) for p, n in enumerate(sizes) for i in range(n)]
 
 
-def test_a_cookie_of_another_search_is_refused():
+def test_cookie_of_another_search_is_rejected():
     first = Pages(search_identity(b"a"), 3, 2, 1, b"")
     first.glue_entries()
     cookie = first.cookie()
@@ -290,7 +291,7 @@
     return RequestClass(name, deadline // 2, deadline, 1, 0, "safe", read=read, staleness_bound=staleness)
 
 
-def test_a_part_takes_the_strictest_of_the_classes_that_it_reaches():
+def test_search_gets_the_strictest_class_that_it_covers():
     kinds = [
         kind("wide", "bounded", 900),
         kind("tight", "bounded", 100, SECOND // 2),
@@ -308,10 +309,10 @@
         Rule("own", search, "ou=s,ou=c,dc=x", identities=frozenset({"cn=desk"})),
     )
     suffixes = {name: f"ou={name},dc=x" for name in "abc"}
-    made = Classifier(rules, suffixes, "strict-read", "strict-write", {k.name: k for k in kinds})
+    created = Classifier(rules, suffixes, "strict-read", "strict-write", {k.name: k for k in kinds})
 
     def place(base, scope, identity=""):
-        placed = made.place(m.SearchRequest(base, scope, PRESENT), identity)
+        placed = created.place(m.SearchRequest(base, scope, PRESENT), identity)
         return placed.class_name, placed.deadline
 
     assert place("ou=a,dc=x", Scope.SUBTREE) == ("tight", SECOND // 2)
--- a/tests/ldap/test_end_to_end.py
+++ b/tests/ldap/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole LDAP path, client to stand-in and back; every test runs against library and daemon alike."""
+"""The whole LDAP path from client to stand-in server and back; each test runs with the library and the daemon."""
 
 import subprocess
 import sys
@@ -22,7 +22,7 @@
     return [f for f in place.record.facts if f["kind"] == kind and more.items() <= f.items()]
 
 
-def held(place):
+def assert_audit_holds(place):
     verdict = judge(sorted(place.record.facts, key=lambda fact: fact["at"]))
     assert verdict.held, [rule.found for rule in verdict.rules.values()]
 
@@ -33,7 +33,7 @@
     return ldap3.Connection(server, **more)
 
 
-def test_a_client_that_others_wrote_does_every_operation(daemon):
+def test_third_party_client_performs_every_operation(daemon):
     with world(daemon, entries=20) as place:
         desk = ldap3_connection(place)
         assert desk.bind()
@@ -50,7 +50,8 @@
         assert desk.compare(entry, "description", "made") and not desk.compare(entry, "description", "other")
         changes = {"description": [(ldap3.MODIFY_REPLACE, ["a"])], "serialNumber": [(ldap3.MODIFY_DELETE, ["7"])]}
         assert desk.modify(entry, changes)
-        assert "controls" not in desk.result or not desk.result["controls"]  # the post-read control was ours
+        # the gateway added the post-read control itself, so the client must not see it
+        assert "controls" not in desk.result or not desk.result["controls"]
         assert desk.modify_dn(entry, "cn=moved")
         assert desk.search(f"cn=moved,{REQUESTS}", "(objectClass=*)", ldap3.BASE, attributes=["*"])
         assert desk.entries[0].description.value == "a"
@@ -62,7 +63,7 @@
         desk.unbind()
 
 
-def test_binds_are_checked(daemon):
+def test_bind_credentials_are_checked(daemon):
     with world(daemon) as place:
         assert not ldap3_connection(place, password="wrong").bind()
         assert not ldap3_connection(place, user="cn=nobody,dc=porting").bind()
@@ -96,26 +97,26 @@
 
 
 def test_100_operations_interleaved_on_one_connection(daemon):
-    with world(daemon, entries=100) as place:  # a process of its own: this client's thread keeps a core busy
+    with world(daemon, entries=100) as place:  # in its own process: this client's thread keeps a core busy
         command = [sys.executable, "-c", ASYNC_CLIENT, str(place.port), DESK_DN, DESK_PASSWORD, NUMBERS]
         subprocess.run(command, check=True, timeout=60)
         assert len(facts(place, "applied")) == 200 + 34
 
 
-def test_a_search_of_a_session_that_just_wrote_never_meets_a_copy_that_lacks_it(daemon):
+def test_session_never_reads_from_a_replica_that_lacks_its_write(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         for name in ("r2", "r3"):
-            place.servers[name].member.lag = 1e6  # nothing more is applied there
+            place.servers[name].member.lag = 1e6  # these replicas apply nothing more
         for number in range(20):
             assert desk.modify(b"v%d" % number, "requests").code == 0
             assert shown(desk.read()) == (b"v%d" % number,)
         for name in ("r2", "r3"):
             assert place.clusters["requests"].behind(name) == 20
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_reads_go_to_copies_again_once_they_have_the_write(daemon):
+def test_session_reads_from_replicas_once_they_have_its_write(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         desk.modify(b"v", "requests")
@@ -124,10 +125,10 @@
             assert shown(desk.read()) == (b"v",)
         copies = [f for f in facts(place, "answered", op="search") if f["server"] in ("r2", "r3")]
         assert len(copies) >= 15
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_a_modify_whose_answer_was_lost_is_not_applied_twice(daemon):
+def test_modify_with_a_lost_response_is_not_applied_twice(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         assert desk.modify(b"before").code == 0
@@ -136,10 +137,10 @@
         assert answer.code == Code.OTHER and "may have run" in answer.diagnostic
         assert len(facts(place, "applied", tag="desk/2")) == 1
         assert len(facts(place, "received", tag="desk/2")) == 1
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_a_read_whose_answer_breaks_off_goes_elsewhere(daemon):
+def test_read_is_retried_elsewhere_after_a_connection_reset(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         desk.read("numbers", "bounded", staleness=0.8)
@@ -147,20 +148,20 @@
         for _ in range(6):
             assert desk.read("numbers", "bounded", staleness=0.8).code == 0
         assert facts(place, "reset_mid_answer")
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_garbage_from_a_server_harms_one_connection_only(daemon):
+def test_malformed_server_response_affects_only_one_connection(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         place.servers["n2"].faults.garbage_next = place.servers["n3"].faults.garbage_next = 1
         for _ in range(10):
             assert desk.read("numbers", "bounded", staleness=0.8).code == 0
         assert facts(place, "garbage")
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_a_hung_primary_is_left_and_its_writes_end_failed(daemon):
+def test_writes_to_a_hung_primary_fail_and_later_ones_use_the_new_primary(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         assert desk.modify().code == 0
@@ -177,10 +178,10 @@
         assert codes[-1] == 0
         run(place.servers["n1"].unhang)
         assert desk.modify().code == 0
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_nothing_new_goes_to_a_draining_copy(daemon):
+def test_draining_replica_gets_no_new_requests(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         for _ in range(10):
@@ -191,10 +192,10 @@
         assert answers == [0] * 30
         last = [f["server"] for f in facts(place, "answered", op="search")][-20:]
         assert set(last) == {"n1"}
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_full_servers_are_answered_for_with_busy(daemon):
+def test_client_gets_busy_when_all_servers_are_full(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         assert desk.modify().code == 0
@@ -202,10 +203,10 @@
             place.servers[name].faults.full = True
         assert desk.modify().code == Code.BUSY
         assert "try again" in desk.read("numbers", "bounded", staleness=0.8).diagnostic
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_abandon_and_cancel(daemon):
+def test_abandon_and_cancel_end_a_request(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         desk.modify()
@@ -233,7 +234,7 @@
             server.faults.hang = False
 
 
-def test_extensions_controls_and_the_root_are_answered_honestly(daemon):
+def test_extended_operations_controls_and_root_dse(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         tls = run(desk.client.request, m.ExtendedRequest(m.Oid.START_TLS))
@@ -243,15 +244,15 @@
         critical = run(desk.client.request, search, (m.Control("1.2.3", True),))
         assert critical.code == Code.UNAVAILABLE_CRITICAL_EXTENSION
         assert run(desk.client.request, search, (m.Control("1.2.3", False),)).code == 0
-        borrowed = m.Control(m.Oid.PROXIED_AUTHORIZATION, False, b"dn:cn=admin")
-        assert run(desk.client.request, search, (borrowed,)).code == Code.INSUFFICIENT_ACCESS
+        proxied = m.Control(m.Oid.PROXIED_AUTHORIZATION, False, b"dn:cn=admin")
+        assert run(desk.client.request, search, (proxied,)).code == Code.INSUFFICIENT_ACCESS
         root = run(desk.client.request, m.SearchRequest("", 0, m.Present("objectClass")))
         assert shown(root, "namingContexts") == (NUMBERS.encode(), REQUESTS.encode())
         outside = run(desk.client.request, m.SearchRequest("dc=elsewhere", 0, m.Present("cn")))
         assert outside.code == Code.NO_SUCH_OBJECT
 
 
-def test_a_clients_own_post_read_control_is_answered_as_it_asked(daemon):
+def test_clients_own_post_read_control_returns_only_its_attributes(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         value = tlv(0x30, tlv(4, b"description"))
@@ -263,7 +264,7 @@
         assert b"seen" in control.value and b"entryCSN" not in control.value
 
 
-def test_a_message_id_in_use_ends_the_connection_with_a_notice(daemon):
+def test_message_id_in_use_ends_the_connection_with_a_notice(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         desk.modify()
@@ -283,7 +284,7 @@
             server.faults.hang = False
 
 
-def test_a_client_that_leaves_is_owed_nothing_and_harms_nobody(daemon):
+def test_disconnecting_client_does_not_affect_others(daemon):
     with world(daemon) as place:
         leaving, staying = Desk(place, "leaving"), Desk(place, "staying")
 
@@ -293,10 +294,10 @@
 
         run(leave)
         assert staying.modify().code == 0
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_stop_answers_all_that_was_taken(daemon):
+def test_stop_answers_all_accepted_requests(daemon):
     with world(daemon, extra='limits {\n  stop_grace = "300ms"\n}') as place:
         desk = Desk(place)
         assert desk.modify().code == 0
@@ -313,17 +314,17 @@
         until(lambda: facts(place, "received", tag="desk/2"))
         run(place.stop_gateway)
         codes = [run(lambda one=one: one).code for one in waiting]
-        assert codes == [Code.OTHER, Code.BUSY]  # the write may have run; the read can be tried again
+        assert codes == [Code.OTHER, Code.BUSY]  # the write may have run; the read can be retried
         until(lambda: desk.client.gone)
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_a_read_whose_assertion_a_lagging_copy_finds_false_is_answered_by_one_that_is_further_on(daemon):
+def test_assertion_false_on_a_lagging_replica_is_retried_on_a_newer_server(daemon):
     with world(daemon, classes=CLASSES.replace('"800ms"', '"60s"')) as place:
         for name in ("n2", "n3"):
             place.servers[name].member.lag = 1e6
         desk = Desk(place)
-        for _ in range(200):  # until both copies are known to be recent enough
+        for _ in range(200):  # until both replicas are known to be recent enough
             desk.read("numbers", "bounded", staleness=60.0)
             if {f["server"] for f in facts(place, "answered", op="search", role="copy")} >= {"n2", "n3"}:
                 break
@@ -331,14 +332,14 @@
         for value, code in ((b"mine", Code.SUCCESS), (b"never", Code.ASSERTION_FAILED)):
             wanted = filter_codec.encode_filter(m.Match("=", "description", value))
             control = m.Control(m.Oid.ASSERTION, True, wanted)
-            for _ in range(5):  # bounded: copies are asked first
+            for _ in range(5):  # bounded reads are sent to replicas first
                 assert desk.read("numbers", "bounded", controls=(control,), staleness=60.0).code == code
             false_at = {f["server"] for f in facts(place, "answered", code=122)}
             assert false_at & {"n2", "n3"} and ("n1" in false_at) == (value == b"never")
-        held(place)
+        assert_audit_holds(place)
 
 
-def test_an_assertion_that_only_copies_could_judge_is_answered_by_them(daemon):
+def test_assertion_is_answered_by_replicas_while_the_primary_hangs(daemon):
     with world(daemon, classes=CLASSES.replace('"800ms"', '"60s"')) as place:
         desk = Desk(place)
         for _ in range(200):
@@ -351,7 +352,7 @@
         assert answer.code == Code.ASSERTION_FAILED
 
 
-def test_a_searchs_time_limit_ends_it_as_exceeded_and_calls_the_attempt_off(daemon):
+def test_search_time_limit_returns_time_limit_exceeded_and_abandons_the_attempt(daemon):
     with world(daemon) as place:
         desk = Desk(place)
         assert desk.read().code == 0
@@ -361,4 +362,4 @@
         answer = desk.get(request, "session", "requests")
         assert answer.code == Code.TIME_LIMIT and answer.entries == []
         until(lambda: facts(place, "abandoned"))
-        held(place)
+        assert_audit_holds(place)
--- a/yardbank/ldap/classify.py
+++ b/yardbank/ldap/classify.py
@@ -155,9 +155,8 @@
         """Picks one class for a search across several: its staleness and deadline satisfy each of them."""
         classes = [self._classes[name] for name in sorted({classification.class_name, *others})]
         read_levels = {request_class.read for request_class in classes} - {"any"}
-        if (
-            len(read_levels) > 1 or "fresh" in read_levels
-        ):  # session consistency and a staleness bound are not comparable
+        # Session consistency and a staleness bound are not comparable, so that only a fresh read satisfies both.
+        if len(read_levels) > 1 or "fresh" in read_levels:
             name = next(
                 (request_class.name for request_class in classes if request_class.read == "fresh"), self._strict[True]
             )
--- a/yardbank/spread/merge.py
+++ b/yardbank/spread/merge.py
@@ -146,10 +146,9 @@
         progress = self._progress[index]
         if self.final_result is not None or progress.state is not _State.IN_FLIGHT:
             return Verdict.DROP
+        # Entries in excluded subtrees belong to other groups, even if this group has them too.
         for subtree in self.parts[index].excluded:
-            if folded == subtree or folded.endswith(
-                "," + subtree
-            ):  # held by another group, even if this one has it too
+            if folded == subtree or folded.endswith("," + subtree):
                 return Verdict.DROP
         if progress.retried and digest in progress.passed_digests:
             return Verdict.DROP
