--- a/tests/pg/__init__.py
+++ b/tests/pg/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of pg."""
+"""Tests of yardbank.pg."""
--- a/tests/pg/test_codec.py
+++ b/tests/pg/test_codec.py
@@ -1,4 +1,4 @@
-"""PostgreSQL's wire codec and classes of statements, by themselves."""
+"""PostgreSQL wire codec and statement classification."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,21 +23,21 @@
 )
 
 
-def test_the_corpus_has_at_least_three_hundred_statements_of_every_kind():
+def test_corpus_has_three_hundred_distinct_statements_and_every_kind_and_taint():
     assert len(CORPUS) >= 300 and len({text for text, _, _ in CORPUS}) == len(CORPUS)
     assert {kind for _, kind, _ in CORPUS} == set(Kind)
     assert {taint for _, _, taints in CORPUS for taint in taints} == set(Taint)
 
 
 @pytest.mark.parametrize(("text", "kind", "taints"), CORPUS)
-def test_each_statement_has_its_class(text, kind, taints):
+def test_statements_are_classified_as_in_the_corpus(text, kind, taints):
     found = Classifier().of(text)
     assert (found.kind, found.taints) == (kind, frozenset(taints)), found.why
 
 
 @given(st.text(max_size=60))
 @settings(max_examples=300, deadline=None)
-def test_any_text_has_a_class_and_a_reading_one_is_a_parsed_one(text):
+def test_text_that_cannot_be_parsed_is_an_unknown_write(text):
     found = Classifier().of(text)
     if "cannot be parsed" in found.why:
         assert found.kind is Kind.WRITE and Taint.UNKNOWN in found.taints
@@ -48,23 +48,23 @@
     st.sampled_from([text for text, kind, _ in CORPUS if kind is Kind.READ]),
 )
 @settings(max_examples=200, deadline=None)
-def test_a_write_beside_a_read_is_never_a_read(write, read):
+def test_text_with_a_read_and_a_write_is_not_a_read(write, read):
     for text in (f"{read}\n; {write}", f"{write}\n; {read}"):
         assert Classifier().of(text).kind is not Kind.READ
 
 
-def test_an_operators_functions_and_the_cache():
-    made = Classifier(("app.route_of",), most=2)
+def test_configured_functions_cache_and_unparsable_texts():
+    classifier = Classifier(("app.route_of",), max_cached=2)
     assert (
-        made.of("select app.route_of('x')").kind is Kind.READ
+        classifier.of("select app.route_of('x')").kind is Kind.READ
         and Classifier().of("select app.route_of('x')").kind is Kind.WRITE
     )
-    made.of("select app.route_of('x')")
-    assert (made.hits, made.misses) == (1, 1)
-    made.of("select 1")
-    made.of("select 2")  # the first gives way
-    made.of("select app.route_of('x')")
-    assert made.misses == 4
+    classifier.of("select app.route_of('x')")
+    assert (classifier.hits, classifier.misses) == (1, 1)
+    classifier.of("select 1")
+    classifier.of("select 2")  # evicts the first text
+    classifier.of("select app.route_of('x')")
+    assert classifier.misses == 4
     deep = Classifier().of("select " + "(" * 200_000 + "1" + ")" * 200_000)
     assert deep.kind is Kind.WRITE and "cannot be parsed" in deep.why
     assert "not parsed" in Classifier().of("select 1 --" + "x" * (1 << 20)).why
@@ -72,7 +72,7 @@
 
 @given(st.lists(CLIENT, max_size=8), st.data())
 @settings(max_examples=200, deadline=None)
-def test_messages_come_back_from_any_split(wanted, data):
+def test_messages_round_trip_for_any_read_sizes(wanted, data):
     first = pg.Startup(VERSION_3_0, (("user", "desk"), ("database", "porting")))
     octets = b"".join(pg.encode_client(message).encode() for message in (first, *wanted))
     framer, found, at = Framer(startup=True), [], 0
@@ -90,7 +90,7 @@
 
 @given(st.binary(max_size=80), st.booleans())
 @settings(max_examples=500, deadline=None)
-def test_any_octets_are_messages_or_one_error(octets, startup):
+def test_arbitrary_octets_decode_or_raise_a_wire_error(octets, startup):
     try:
         for frame in Framer(1000, startup).feed(octets):
             (pg.decode_first if startup else pg.decode_client)(frame)
@@ -100,15 +100,15 @@
         assert str(problem)
 
 
-def test_lengths_are_checked_before_anything_is_kept_for_them():
-    for octets, most in (
+def test_invalid_lengths_types_and_counts_are_rejected():
+    for octets, max_body in (
         (b"Q" + int32(2000), 100),
         (b"Q" + int32(3), 100),
         (b"Q" + int32(-5), 100),
         (b"\x01" + int32(4), 100),
     ):
         with pytest.raises(WireError):
-            list(Framer(most).feed(octets))
+            list(Framer(max_body).feed(octets))
     with pytest.raises(WireError, match="message length"):
         list(Framer(startup=True).feed(int32(MAX_STARTUP + 5)))
     with pytest.raises(WireError, match="items do not fit"):
@@ -117,9 +117,9 @@
         pg.decode_client(Frame(ord("B"), b"\0\0\0\0\x7f\xff\0\0"))
 
 
-def test_first_messages():
+def test_first_messages_are_decoded_or_rejected():
     assert pg.decode_first(Frame(0, int32(SSL_REQUEST))) == pg.EncryptionRequest(SSL_REQUEST)
-    cancel = pg.CancelRequest(7, b"k" * 32)  # protocol 3.2: keys may be long
+    cancel = pg.CancelRequest(7, b"k" * 32)  # protocol 3.2 allows long keys
     assert pg.decode_first(pg.encode_client(cancel)) == cancel
     for body, reason in (
         (int32(2 << 16), "version 2.0"),
@@ -131,7 +131,7 @@
             pg.decode_first(Frame(0, body))
 
 
-def test_answers_that_must_be_understood():
+def test_server_messages_round_trip_and_malformed_ones_are_rejected():
     frame = pg.error("40001", "the primary changed", "try again")
     fault = pg.read_fault(frame)
     assert fault.state == "40001" and not fault.notice and pg.write_fault(fault) == frame
--- a/tests/pg/test_connection_leases.py
+++ b/tests/pg/test_connection_leases.py
@@ -1,4 +1,4 @@
-"""Connections shared by transaction: who gets which, in what state, and that nobody waits beside a free one."""
+"""Transaction-level connection pool: which client gets which connection, in what state, within which limits."""
 
 import random
 
@@ -7,139 +7,140 @@
 from hypothesis import strategies as st
 
 from yardbank.pg.classify import Taint
-from yardbank.pg.pool.lease import Ask, Clean, Give, Leases, Limits, Open, Refuse, Shut
+from yardbank.pg.pool.lease import Close, ConnectionRequest, Grant, Leases, Limits, Open, Refuse, Reset
 
-FAR = 10**12
+FAR_DEADLINE = 10**12
 
 
-def ask(key, client=1, user="u", database="d", worth=1.0, deadline=FAR):
-    return Ask(key, client, user, database, worth, deadline)
+def request(key, client=1, user="u", database="d", priority=1.0, deadline=FAR_DEADLINE):
+    return ConnectionRequest(key, client, user, database, priority, deadline)
 
 
-def begun(limits=None, clients=1):
-    """Leases with one connection given to each of some clients."""
+def pool_with_leases(limits=None, clients=1):
+    """A pool with one connection leased to each of some clients."""
     leases = Leases(limits)
     for client in range(1, clients + 1):
-        (opens,) = leases.ask(0, ask(f"a{client}", client))
-        assert leases.opened(0, opens.connection) == [Give(f"a{client}", opens.connection)]
+        (opens,) = leases.request(0, request(f"a{client}", client))
+        assert leases.connection_opened(0, opens.connection) == [Grant(f"a{client}", opens.connection)]
     return leases
 
 
-def test_a_connection_serves_one_transaction_after_another():
-    leases = begun(Limits(connections=1))
-    assert leases.ask(1, ask("b", 2)) == []  # none is free, and no more may be opened
-    assert leases.ended(2, 1, "T") == [] and leases.ended(3, 1, "E") == []  # the client's own until it ends
-    assert leases.ended(4, 1, "I") == [Give("b", 1)]
+def test_connection_is_reused_after_each_transaction():
+    leases = pool_with_leases(Limits(connections=1))
+    assert leases.request(1, request("b", 2)) == []  # none is free, and the limit is reached
+    # the client keeps the connection until its transaction ends
+    assert leases.transaction_ended(2, 1, "T") == [] and leases.transaction_ended(3, 1, "E") == []
+    assert leases.transaction_ended(4, 1, "I") == [Grant("b", 1)]
     assert leases.waiting == 0
 
 
-def test_worth_then_turns_then_deadline():
-    leases = begun(Limits(connections=1))
-    for key, user, worth, deadline in (
+def test_waiting_transactions_are_ordered_by_priority_fairness_and_deadline():
+    leases = pool_with_leases(Limits(connections=1))
+    for key, user, priority, deadline in (
         ("low", "u", 1, 5),
         ("late", "u", 2, 9),
         ("soon", "u", 2, 8),
         ("other", "v", 2, 10),
     ):
-        assert leases.ask(1, ask(key, 2, user, "d", worth, deadline)) == []
-    assert leases.ended(2, 1, "I") == [Give("soon", 1)]  # worth before all; of equals the earlier deadline
-    assert leases.ended(2, 1, "I") == [Shut(1)]  # now it is v's turn, and this is u's connection
-    (opens,) = leases.lost(3, 1)
+        assert leases.request(1, request(key, 2, user, "d", priority, deadline)) == []
+    assert leases.transaction_ended(2, 1, "I") == [Grant("soon", 1)]  # priority first, then the earlier deadline
+    assert leases.transaction_ended(2, 1, "I") == [Close(1)]  # v is next, but the connection belongs to u
+    (opens,) = leases.connection_lost(3, 1)
     assert (opens.user, opens.connection) == ("v", 2)
-    assert leases.opened(3, 2) == [Give("other", 2)]
-    assert leases.ended(4, 2, "I") == [Shut(2)]
-    (opens,) = leases.lost(4, 2)
-    assert leases.opened(4, opens.connection) == [Give("late", 3)]
+    assert leases.connection_opened(3, 2) == [Grant("other", 2)]
+    assert leases.transaction_ended(4, 2, "I") == [Close(2)]
+    (opens,) = leases.connection_lost(4, 2)
+    assert leases.connection_opened(4, opens.connection) == [Grant("late", 3)]
     assert leases.expire(8) == [Refuse("low", "no connection came free in time")]
 
 
-def test_what_a_client_sets_follows_it_and_is_not_seen_by_others():
-    leases = begun(Limits(connections=1))
-    assert leases.ended(1, 1, "I", [Taint.SETTING], {"timezone": "UTC", "work_mem": "1MB"}) == []
-    assert leases.ask(2, ask("b", 2)) == [Give("b", 1, (("timezone", None), ("work_mem", None)))]
-    assert leases.ended(3, 1, "I", [Taint.SETTING], {"timezone": "GMT"}) == []
-    assert leases.ask(4, ask("c", 1)) == [Give("c", 1, (("timezone", "UTC"), ("work_mem", "1MB")))]
-    assert leases.ended(5, 1, "I", [Taint.SETTING], {"": None}) == []  # RESET ALL
-    assert leases.ask(6, ask("d", 1)) == [Give("d", 1)]
+def test_session_settings_follow_their_client_and_are_reset_for_others():
+    leases = pool_with_leases(Limits(connections=1))
+    assert leases.transaction_ended(1, 1, "I", [Taint.SETTING], {"timezone": "UTC", "work_mem": "1MB"}) == []
+    assert leases.request(2, request("b", 2)) == [Grant("b", 1, (("timezone", None), ("work_mem", None)))]
+    assert leases.transaction_ended(3, 1, "I", [Taint.SETTING], {"timezone": "GMT"}) == []
+    assert leases.request(4, request("c", 1)) == [Grant("c", 1, (("timezone", "UTC"), ("work_mem", "1MB")))]
+    assert leases.transaction_ended(5, 1, "I", [Taint.SETTING], {"": None}) == []  # RESET ALL
+    assert leases.request(6, request("d", 1)) == [Grant("d", 1)]
 
 
 @pytest.mark.parametrize("taint", [Taint.TEMPORARY, Taint.UNKNOWN])
-def test_what_a_session_keeps_pins_a_connection_for_as_long_as_its_client_stays(taint):
-    leases = begun(Limits(connections=2), clients=2)
-    leases.ended(1, 1, "I", [taint])
-    assert leases.ask(2, ask("x", 3)) == []  # not this one
-    assert leases.ask(3, ask("mine", 1)) == [Give("mine", 1)]
-    leases.ended(4, 1, "I")
+def test_session_state_pins_the_connection_until_its_client_disconnects(taint):
+    leases = pool_with_leases(Limits(connections=2), clients=2)
+    leases.transaction_ended(1, 1, "I", [taint])
+    assert leases.request(2, request("x", 3)) == []  # the pinned connection is not available
+    assert leases.request(3, request("mine", 1)) == [Grant("mine", 1)]
+    leases.transaction_ended(4, 1, "I")
     if taint is Taint.TEMPORARY:
-        assert leases.left(5, 1) == [Clean(1, "DISCARD ALL")]
-        assert leases.cleaned(6, 1, "I") == [Give("x", 1)]
+        assert leases.client_disconnected(5, 1) == [Reset(1, "DISCARD ALL")]
+        assert leases.reset_done(6, 1, "I") == [Grant("x", 1)]
         return
-    assert leases.left(5, 1) == [Shut(1)]
-    (opens,) = leases.lost(6, 1)
-    assert isinstance(opens, Open) and leases.opened(7, opens.connection) == [Give("x", opens.connection)]
-
-
-def test_a_client_gone_in_a_transaction_is_rolled_back_before_anybody_else():
-    leases = begun(Limits(connections=1))
-    leases.ask(1, ask("b", 2))
-    assert leases.ended(2, 1, "T", stays=False) == [Clean(1, "ROLLBACK")]
-    assert leases.cleaned(3, 1, "I") == [Give("b", 1)]
-    assert leases.ended(4, 1, "T", [Taint.ADVISORY], stays=False) == [Clean(1, "ROLLBACK")]
-    assert leases.cleaned(5, 1, "I") == [Clean(1, "DISCARD ALL")]
-    leases.ask(6, ask("c", 3))
-    assert leases.cleaned(7, 1, "I") == [Give("c", 1)]
-    assert leases.ended(8, 1, "T", stays=False) == [Clean(1, "ROLLBACK")]
-    assert leases.cleaned(9, 1, "E") == [Shut(1)]  # it could not be rolled back
-
-
-def test_bounds():
-    leases = begun(Limits(connections=5, of_user=1, of_database=2, waiting=2))
-    assert leases.ask(1, ask("b", 2)) == []  # the user's bound
-    (opens,) = leases.ask(1, ask("c", 3, user="v"))
-    leases.opened(1, opens.connection)
-    assert leases.ask(2, ask("d", 4, user="w")) == []  # the database's bound
-    assert leases.ask(3, ask("e", 5)) == [Refuse("e", "more than 2 wait for a connection")]
-    assert leases.give_up(4, "b") == [] and leases.waiting == 1
+    assert leases.client_disconnected(5, 1) == [Close(1)]
+    (opens,) = leases.connection_lost(6, 1)
+    assert isinstance(opens, Open) and leases.connection_opened(7, opens.connection) == [Grant("x", opens.connection)]
+
+
+def test_transaction_of_a_disconnected_client_is_rolled_back_before_reuse():
+    leases = pool_with_leases(Limits(connections=1))
+    leases.request(1, request("b", 2))
+    assert leases.transaction_ended(2, 1, "T", stays=False) == [Reset(1, "ROLLBACK")]
+    assert leases.reset_done(3, 1, "I") == [Grant("b", 1)]
+    assert leases.transaction_ended(4, 1, "T", [Taint.ADVISORY], stays=False) == [Reset(1, "ROLLBACK")]
+    assert leases.reset_done(5, 1, "I") == [Reset(1, "DISCARD ALL")]
+    leases.request(6, request("c", 3))
+    assert leases.reset_done(7, 1, "I") == [Grant("c", 1)]
+    assert leases.transaction_ended(8, 1, "T", stays=False) == [Reset(1, "ROLLBACK")]
+    assert leases.reset_done(9, 1, "E") == [Close(1)]  # the rollback failed
+
+
+def test_limits_per_user_database_and_queue():
+    leases = pool_with_leases(Limits(connections=5, of_user=1, of_database=2, waiting=2))
+    assert leases.request(1, request("b", 2)) == []  # limit of the user
+    (opens,) = leases.request(1, request("c", 3, user="v"))
+    leases.connection_opened(1, opens.connection)
+    assert leases.request(2, request("d", 4, user="w")) == []  # limit of the database
+    assert leases.request(3, request("e", 5)) == [Refuse("e", "more than 2 wait for a connection")]
+    assert leases.cancel(4, "b") == [] and leases.waiting == 1
     with pytest.raises(ValueError, match=r"pool\.connections"):
         Limits(connections=0)
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=150, deadline=None)
-def test_any_run_of_events_keeps_bounds_and_ends_every_ask(seed):
-    chance = random.Random(seed)
-    limits = Limits(
-        connections=chance.randint(1, 4), of_user=chance.randint(1, 4), of_database=chance.randint(1, 4), waiting=8
-    )
+def test_random_events_keep_the_limits_and_finish_every_request(seed):
+    rng = random.Random(seed)
+    limits = Limits(connections=rng.randint(1, 4), of_user=rng.randint(1, 4), of_database=rng.randint(1, 4), waiting=8)
     leases, now, asked = Leases(limits), 0, {}
     held, opening, cleaning, shutting = {}, set(), {}, set()
-    owner, dirty = {}, {}  # by connection: (user, database); whose session it is unfit for others
-    ended = set()
+    owner, dirty = {}, {}  # by connection: its (user, database); the only client that may use its session
+    finished = set()
 
     def act(actions):
         for action in actions:
             match action:
-                case Give(key, number, _):
+                case Grant(key, number, _):
                     mine = asked[key]
-                    assert key not in ended and number not in held and number not in shutting | opening | set(cleaning)
+                    assert (
+                        key not in finished and number not in held and number not in shutting | opening | set(cleaning)
+                    )
                     assert owner[number] == (mine.user, mine.database)
                     assert dirty.get(number) in (None, mine.client), "another client's session is seen"
                     held[number] = mine
-                    ended.add(key)
+                    finished.add(key)
                 case Open(number, user, database):
                     owner[number] = user, database
                     opening.add(number)
                     assert len(owner) <= limits.connections
                     assert sum(u == user for u, _ in owner.values()) <= limits.of_user
                     assert sum(d == database for _, d in owner.values()) <= limits.of_database
-                case Clean(number, text):
+                case Reset(number, text):
                     cleaning[number] = text
-                case Shut(number):
+                case Close(number):
                     assert number not in held
                     shutting.add(number)
                 case Refuse(key, _):
-                    assert key not in ended
-                    ended.add(key)
+                    assert key not in finished
+                    finished.add(key)
 
     def lose(number):
         held.pop(number, None)
@@ -148,47 +149,53 @@
         cleaning.pop(number, None)
         dirty.pop(number, None)
         del owner[number]
-        act(leases.lost(now, number))
+        act(leases.connection_lost(now, number))
 
     def step(closing=False):
         nonlocal now
         now += 1
-        what = chance.choices(
+        what = rng.choices(
             ("ask", "end", "open", "clean", "shut", "lose", "leave"),
             (0 if closing else 5, 5, 4, 4, 4, 0 if closing else 0.3, 1),
         )[0]
         if what == "ask":
-            client = chance.randrange(6)
+            client = rng.randrange(6)
             user, database = f"u{client % 3}", f"d{client % 2}"
             key = f"k{len(asked)}"
-            asked[key] = Ask(key, client, user, database, chance.choice((1.0, 3.0)), now + chance.randint(5, 60))
-            act(leases.ask(now, asked[key]))
+            asked[key] = ConnectionRequest(
+                key, client, user, database, rng.choice((1.0, 3.0)), now + rng.randint(5, 60)
+            )
+            act(leases.request(now, asked[key]))
         elif what == "end" and held:
-            number = chance.choice(sorted(held))
+            number = rng.choice(sorted(held))
             mine = held.pop(number)
-            taints = chance.choice(((), (), (), (Taint.TEMPORARY,), (Taint.ADVISORY,), (Taint.SETTING,)))
+            taints = rng.choice(((), (), (), (Taint.TEMPORARY,), (Taint.ADVISORY,), (Taint.SETTING,)))
             if set(taints) & {Taint.TEMPORARY, Taint.ADVISORY}:
                 dirty[number] = mine.client
-            stays = chance.random() < 0.6
-            status = "I" if stays else chance.choice("ITE")
-            act(leases.ended(now, number, status, taints, {"a": "1"} if Taint.SETTING in taints else {}, stays))
+            stays = rng.random() < 0.6
+            status = "I" if stays else rng.choice("ITE")
+            act(
+                leases.transaction_ended(
+                    now, number, status, taints, {"a": "1"} if Taint.SETTING in taints else {}, stays
+                )
+            )
         elif what == "open" and opening:
-            number = chance.choice(sorted(opening))
+            number = rng.choice(sorted(opening))
             opening.discard(number)
-            act(leases.opened(now, number))
+            act(leases.connection_opened(now, number))
         elif what == "clean" and cleaning:
-            number = chance.choice(sorted(cleaning))
+            number = rng.choice(sorted(cleaning))
             if cleaning.pop(number) == "DISCARD ALL":
                 dirty.pop(number, None)
-            act(leases.cleaned(now, number, "I" if chance.random() < 0.9 else "E"))
+            act(leases.reset_done(now, number, "I" if rng.random() < 0.9 else "E"))
         elif what == "shut" and shutting:
-            lose(chance.choice(sorted(shutting)))
+            lose(rng.choice(sorted(shutting)))
         elif what == "lose" and owner:
-            lose(chance.choice(sorted(owner)))
+            lose(rng.choice(sorted(owner)))
         elif what == "leave":
-            client = chance.randrange(6)
+            client = rng.randrange(6)
             if not any(mine.client == client for mine in held.values()):
-                act(leases.left(now, client))
+                act(leases.client_disconnected(now, client))
         act(leases.expire(now))
 
     for _ in range(150):
@@ -197,4 +204,4 @@
         step(closing=True)
     now += 100
     act(leases.expire(now))
-    assert ended == set(asked) and leases.waiting == 0
+    assert finished == set(asked) and leases.waiting == 0
--- a/tests/pg/test_state.py
+++ b/tests/pg/test_state.py
@@ -1,4 +1,4 @@
-"""Both ends of a PostgreSQL connection, joined in memory, and whatever a client may send instead."""
+"""Both ends of a PostgreSQL connection, joined in memory, and invalid input from either peer."""
 
 import random
 
@@ -11,22 +11,22 @@
 from yardbank.pg.scram import verifier
 from yardbank.pg.wire import SSL_REQUEST, VERSION_3_0, VERSION_3_2, Frame, int32, text
 
-KEPT = verifier("desk", b"salt" * 4)
-FIRST = pg.encode_client(pg.Startup(VERSION_3_0, (("user", "desk"),))).encode()
+VERIFIER = verifier("desk", b"salt" * 4)
+STARTUP_MESSAGE = pg.encode_client(pg.Startup(VERSION_3_0, (("user", "desk"),))).encode()
 
 
-class Joined:
-    """A client's and a server's end with a wire between them that cuts octets as it likes."""
+class JoinedEnds:
+    """A client's and a server's end joined in memory, with random read sizes."""
 
-    def __init__(self, password="desk", seed=1, kept=KEPT):
+    def __init__(self, password="desk", seed=1, stored=VERIFIER):
         self.client, self.server = state.ClientEnd("desk", "porting", password, "mine"), state.ServerEnd()
-        self.chance, self.kept = random.Random(seed), kept
+        self.rng, self.stored = random.Random(seed), stored
         self.to_client, self.to_server = [], []
         self.last = b""
 
     def cut(self, octets):
         while octets:
-            size = self.chance.randint(1, len(octets))
+            size = self.rng.randint(1, len(octets))
             yield octets[:size]
             octets = octets[size:]
 
@@ -39,9 +39,9 @@
             for part in self.cut(up):
                 for event in self.server.receive(part):
                     self.to_server.append(event)
-                    if isinstance(event, state.WantsIn):
-                        self.server.challenge(self.kept, "yours") if self.kept else self.server.admit()
-                        if not self.kept:
+                    if isinstance(event, state.StartupReceived):
+                        self.server.challenge(self.stored, "yours") if self.stored else self.server.admit()
+                        if not self.stored:
                             self.server.welcome({"TimeZone": "UTC"}, 7, b"k" * 32)
                     elif isinstance(event, state.LetIn):
                         self.server.welcome({"TimeZone": "UTC"}, 7, b"k" * 32)
@@ -52,22 +52,22 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@pytest.mark.parametrize("kept", [KEPT, None])
-def test_both_ends_come_to_terms_in_any_split(seed, kept):
-    joined = Joined(seed=seed, kept=kept).run()
-    assert joined.to_client == [state.Opened({"TimeZone": "UTC"}, 7, b"kkkk")]  # 3.0: keys have four octets
-    assert joined.client.status == "I"
+@pytest.mark.parametrize("stored", [VERIFIER, None])
+def test_startup_completes_for_any_read_sizes(seed, stored):
+    ends = JoinedEnds(seed=seed, stored=stored).run()
+    assert ends.to_client == [state.Opened({"TimeZone": "UTC"}, 7, b"kkkk")]  # in protocol 3.0, keys have four octets
+    assert ends.client.status == "I"
 
 
-def test_a_wrong_password_ends_it_at_both_ends():
-    joined = Joined("other").run()
-    assert isinstance(joined.to_server[-1], state.Broken) and "does not match" in joined.to_server[-1].reason
-    (told,) = joined.to_client
-    assert isinstance(told, state.Broken) and "28P01" in told.reason
-    assert joined.server.receive(FIRST) == [] and list(joined.client.receive(b"x")) == []
+def test_wrong_password_closes_both_ends():
+    ends = JoinedEnds("other").run()
+    assert isinstance(ends.to_server[-1], state.Broken) and "does not match" in ends.to_server[-1].reason
+    (event,) = ends.to_client
+    assert isinstance(event, state.Broken) and "28P01" in event.reason
+    assert ends.server.receive(STARTUP_MESSAGE) == [] and list(ends.client.receive(b"x")) == []
 
 
-def test_a_server_that_lets_us_in_without_its_own_proof_is_not_believed():
+def test_client_end_rejects_a_server_without_signature_and_unexpected_messages():
     client = state.ClientEnd("desk", "porting", "desk", "mine")
     assert list(client.receive(Frame(ord("R"), int32(10) + b"SCRAM-SHA-256\0\0").encode())) == []
     (broken,) = client.receive(Frame(ord("R"), int32(0)).encode())
@@ -85,15 +85,15 @@
 
 def opened(**first):
     server = state.ServerEnd(**first)
-    (wants,) = server.receive(FIRST)
-    assert wants == state.WantsIn({"user": "desk"})
+    (startup,) = server.receive(STARTUP_MESSAGE)
+    assert startup == state.StartupReceived({"user": "desk"})
     server.admit()
     server.welcome({}, 1, b"key!")
     server.take_output()
     return server
 
 
-def test_pipelines_queries_and_copies_are_told_apart():
+def test_pipelines_queries_and_copies_give_separate_events():
     server = opened()
     parts = (pg.Parse("", "select 1"), pg.Bind("", ""), pg.Execute(""), pg.SYNC)
     octets = b"".join(pg.encode_client(part).encode() for part in parts)
@@ -102,28 +102,28 @@
         state.Pipeline((pg.Query("select 2"),), True)
     ]
     late = pg.encode_client(pg.Data(ord("d"), b"row")).encode()
-    assert server.receive(late) == []  # no copy is under way: dropped
+    assert server.receive(late) == []  # no copy in progress: dropped
     server.copying = True
-    assert server.receive(late) == [state.CopyPart(Frame(ord("d"), b"row"))]
-    assert server.receive(pg.encode_client(pg.TERMINATE).encode()) == [state.Leaves()]
+    assert server.receive(late) == [state.CopyMessage(Frame(ord("d"), b"row"))]
+    assert server.receive(pg.encode_client(pg.TERMINATE).encode()) == [state.TerminateReceived()]
     assert server.receive(late) == []
 
 
-def test_encryption_cancel_and_newer_versions():
+def test_encryption_cancel_and_version_negotiation():
     server = state.ServerEnd()
     assert server.receive(pg.encode_client(pg.EncryptionRequest(SSL_REQUEST)).encode()) == []
     assert server.take_output() == b"N"
     newer = Frame(0, int32(3 << 16 | 9) + text("user") + text("desk") + text("_pq_.new") + text("1") + b"\0")
-    (wants,) = server.receive(newer.encode())
-    assert wants.parameters["user"] == "desk"
+    (startup,) = server.receive(newer.encode())
+    assert startup.parameters["user"] == "desk"
     assert server.take_output() == Frame(ord("v"), int32(VERSION_3_2) + int32(1) + text("_pq_.new")).encode()
     cancel = pg.encode_client(pg.CancelRequest(5, b"abcd")).encode()
-    assert state.ServerEnd().receive(cancel) == [state.Cancel(5, b"abcd")]
+    assert state.ServerEnd().receive(cancel) == [state.CancelReceived(5, b"abcd")]
     (broken,) = state.ServerEnd().receive(pg.encode_client(pg.Startup(VERSION_3_0, ())).encode())
     assert "no user" in broken.reason and pg.read_fault(Frame(broken.last[0], broken.last[5:])).state == "28000"
 
 
-def test_bounds_end_the_connection_with_an_error(monkeypatch):
+def test_exceeded_limits_end_the_connection_with_an_error(monkeypatch):
     monkeypatch.setattr(state, "MAX_PIPELINE", 3)
     server = opened()
     events = server.receive(pg.encode_client(pg.Execute("")).encode() * 5)
@@ -134,7 +134,7 @@
 
 @given(st.binary(max_size=100), st.booleans())
 @settings(max_examples=300, deadline=None)
-def test_any_octets_end_in_events_and_at_most_one_break(octets, is_open):
+def test_arbitrary_octets_give_events_and_at_most_one_broken(octets, is_open):
     server = opened() if is_open else state.ServerEnd()
     events = server.receive(octets) + server.receive(octets)
     assert sum(isinstance(event, state.Broken) for event in events) <= 1
--- a/yardbank/pg/__init__.py
+++ b/yardbank/pg/__init__.py
@@ -1,1 +1,1 @@
-"""The PostgreSQL front's parts: wire codec, authentication and classes of statements, all free of I/O."""
+"""PostgreSQL protocol: wire codec, authentication, statement classes and connection pooling, all without I/O."""
--- a/yardbank/pg/classify.py
+++ b/yardbank/pg/classify.py
@@ -1,7 +1,8 @@
-"""What a statement does to the server and to its session, by PostgreSQL's own grammar (pglast). No I/O.
+"""Classifies statements by their effect on the server and the session, with PostgreSQL's own parser (pglast). No I/O.
 
-What is unknown, cannot be parsed, or mixes kinds is the strictest: a write that leaves its session unfit for others.
-Functions are read only if they are known to be; an operator's own can be added.
+Unknown statements, statements that cannot be parsed, and texts that mix kinds get the strictest class: a write after
+which no other client may use the session. A function counts as read-only only if it is known to be; operators can add
+their own functions.
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 import orjson
 from pglast.parser import ParseError, parse_sql_json
 
-MAX_TEXT = 1 << 20  # octets; a longer statement is not parsed
+MAX_STATEMENT_LENGTH = 1 << 20  # characters; a longer statement is not parsed
 
 
 class Kind(Enum):
-    """What a statement needs of a server."""
+    """What kind of server or state a statement requires."""
 
-    READ = "read"  # any copy that is recent enough
-    WRITE = "write"  # the primary; never twice
+    READ = "read"  # any server that is recent enough
+    WRITE = "write"  # the primary only; never retried
     BEGIN = "begin"
     BEGIN_READ = "begin read only"
     COMMIT = "commit"
     ROLLBACK = "rollback"
-    SAVEPOINT = "savepoint"  # and release, rollback to
-    SETTING = "setting"  # of the session or the transaction alone
-    CURSOR = "cursor"  # of the open transaction
+    SAVEPOINT = "savepoint"  # also RELEASE and ROLLBACK TO
+    SETTING = "setting"  # affects only the session or the transaction
+    CURSOR = "cursor"  # belongs to the open transaction
     EMPTY = "empty"
 
 
 class Taint(Enum):
-    """What a statement leaves behind in its session."""
+    """Session state that a statement leaves behind."""
 
     SETTING = "a run-time parameter"
     TEMPORARY = "a temporary object"
@@ -48,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Statement:
-    """One text's class. ``settings`` are the parameters that it sets for the session, with their values as text."""
+    """The class of a text. ``settings`` are the session parameters that it sets, with their values as text."""
 
     kind: Kind
     taints: frozenset[Taint] = frozenset()
@@ -92,8 +93,8 @@
 _WRITES_INSIDE = ("InsertStmt", "UpdateStmt", "DeleteStmt", "MergeStmt")
 
 
-def _nodes(tree: Any) -> Iterator[tuple[str, Any]]:
-    """Every named part of a parse tree, outermost first, without recursion: trees may be deep."""
+def _named_nodes(tree: Any) -> Iterator[tuple[str, Any]]:
+    """Yields every named node of a parse tree, parents first, without recursion since trees may be deep."""
     stack = [tree]
     while stack:
         part = stack.pop()
@@ -106,69 +107,69 @@
             stack.extend(part)
 
 
-def _text_of(node: Any) -> str:
+def _string_value(node: Any) -> str:
     value = node.get("String", {}) if isinstance(node, dict) else {}
     return str(value.get("sval", ""))
 
 
-def _function(node: Any) -> str:
-    """A function's name; with its schema unless that is the system's own: another's namesake may do anything."""
-    parts = [_text_of(part).lower() for part in node["funcname"]]
+def _function_name(node: Any) -> str:
+    """A function's name, with its schema unless that is pg_catalog: a namesake in another schema may do anything."""
+    parts = [_string_value(part).lower() for part in node["funcname"]]
     return parts[-1] if len(parts) == 1 or parts[0] == "pg_catalog" else ".".join(parts)
 
 
-def _function_taints(called: str) -> tuple[Taint, ...]:
-    """What a call of a function leaves behind in its session."""
-    if called in _ADVISORY:
+def _function_taints(function: str) -> tuple[Taint, ...]:
+    """Session state that a call of a function leaves behind."""
+    if function in _ADVISORY:
         return (Taint.ADVISORY,)
-    if called == "set_config":
+    if function == "set_config":
         return (Taint.SETTING,)
     return ()
 
 
 class Classifier:
-    """Classes of statements by their text; the last ``most`` texts are kept."""
+    """Classifies statements by their text; the ``max_cached`` most recently used results are cached."""
 
-    def __init__(self, safe_functions: Iterable[str] = (), most: int = 10_000) -> None:
+    def __init__(self, safe_functions: Iterable[str] = (), max_cached: int = 10_000) -> None:
         self._safe = _SAFE_FUNCTIONS | {name.lower() for name in safe_functions}
-        self._most = most
-        self._kept: OrderedDict[str, Statement] = OrderedDict()
+        self._max_cached = max_cached
+        self._cache: OrderedDict[str, Statement] = OrderedDict()
         self.hits = self.misses = 0
 
     def of(self, text: str) -> Statement:
-        """The class of a text, which may hold several statements."""
-        found = self._kept.get(text)
+        """The class of a text, which may contain several statements."""
+        found = self._cache.get(text)
         if found is not None:
             self.hits += 1
-            self._kept.move_to_end(text)
+            self._cache.move_to_end(text)
             return found
         self.misses += 1
-        found = self._read(text)
-        if len(text) <= 64 << 10:  # one huge text must not push out thousands
-            self._kept[text] = found
-            if len(self._kept) > self._most:
-                self._kept.popitem(last=False)
+        found = self._classify_text(text)
+        if len(text) <= 64 << 10:  # one long text must not take the memory of thousands
+            self._cache[text] = found
+            if len(self._cache) > self._max_cached:
+                self._cache.popitem(last=False)
         return found
 
-    def _read(self, text: str) -> Statement:
-        if len(text) > MAX_TEXT:
-            return Statement(Kind.WRITE, frozenset((Taint.UNKNOWN,)), f"longer than {MAX_TEXT}: not parsed")
+    def _classify_text(self, text: str) -> Statement:
+        if len(text) > MAX_STATEMENT_LENGTH:
+            return Statement(Kind.WRITE, frozenset((Taint.UNKNOWN,)), f"longer than {MAX_STATEMENT_LENGTH}: not parsed")
         try:
             parsed = orjson.loads(parse_sql_json(text))
         except (ParseError, orjson.JSONDecodeError, RecursionError, UnicodeError, ValueError) as problem:
             return Statement(Kind.WRITE, frozenset((Taint.UNKNOWN,)), f"cannot be parsed: {str(problem)[:80]}")
-        each = [self._one(raw["stmt"]) for raw in parsed.get("stmts", ())]
-        if not each:
+        statements = [self._classify_statement(raw["stmt"]) for raw in parsed.get("stmts", ())]
+        if not statements:
             return Statement(Kind.EMPTY, why="no statement")
-        if len(each) == 1:
-            return each[0]
-        taints = frozenset(taint for one in each for taint in one.taints)
-        settings = tuple(pair for one in each for pair in one.settings)
-        if all(one.kind is Kind.READ for one in each) and not taints:
+        if len(statements) == 1:
+            return statements[0]
+        taints = frozenset(taint for one in statements for taint in one.taints)
+        settings = tuple(pair for one in statements for pair in one.settings)
+        if all(one.kind is Kind.READ for one in statements) and not taints:
             return Statement(Kind.READ, why="several reads")
         return Statement(Kind.WRITE, taints, "several statements of different kinds: the strictest", settings)
 
-    def _one(self, stmt: dict[str, Any]) -> Statement:
+    def _classify_statement(self, stmt: dict[str, Any]) -> Statement:
         (name, body), *_ = stmt.items()
         reader = getattr(self, f"_on_{name.lower()}", None)
         if reader is not None:
@@ -179,9 +180,9 @@
         return Statement(Kind.WRITE, frozenset((Taint.UNKNOWN,)), f"{name}: the strictest class")
 
     def _with_functions(self, statement: Statement, body: Any) -> Statement:
-        """What the functions and tables inside a statement add to it."""
+        """Adds the effects of the functions and tables inside a statement."""
         kind, taints, why = statement.kind, set(statement.taints), statement.why
-        for name, node in _nodes(body):
+        for name, node in _named_nodes(body):
             if name in _WRITES_INSIDE:
                 kind, why = Kind.WRITE, f"{name} inside"
             elif name == "lockingClause":
@@ -193,10 +194,10 @@
             elif name == "RangeVar" and str(node.get("schemaname", "")).lower().startswith("pg_temp"):
                 kind, why = Kind.WRITE, "a temporary object is its session's"
             elif name == "FuncCall":
-                called = _function(node)
-                taints.update(_function_taints(called))
-                if called not in self._safe:
-                    kind, why = Kind.WRITE, f"{called}() is not known to read only"
+                function = _function_name(node)
+                taints.update(_function_taints(function))
+                if function not in self._safe:
+                    kind, why = Kind.WRITE, f"{function}() is not known to read only"
         return Statement(kind, frozenset(taints), why, statement.settings)
 
     def _on_selectstmt(self, body: Any) -> Statement:
@@ -204,10 +205,10 @@
 
     def _on_explainstmt(self, body: Any) -> Statement:
         options = {item["DefElem"]["defname"].lower(): item["DefElem"].get("arg") for item in body.get("options", ())}
-        inner = self._one(body["query"])
+        inner = self._classify_statement(body["query"])
         off = ("off", "false", "0")
-        runs = "analyze" in options and _value(options["analyze"]).lower() not in off
-        if runs or inner.taints:  # explaining EXECUTE needs what its session has prepared
+        runs = "analyze" in options and _constant_text(options["analyze"]).lower() not in off
+        if runs or inner.taints:  # EXPLAIN EXECUTE needs the statement that its session has prepared
             return inner if inner.kind in (Kind.READ, Kind.WRITE) else STRICTEST
         return Statement(Kind.READ, why="explains without running")
 
@@ -221,7 +222,7 @@
             return Statement(Kind.SETTING, why="for the transaction alone")
         value = None
         if kind == "VAR_SET_VALUE":
-            value = ", ".join(_value(one) for one in body.get("args", ()))
+            value = ", ".join(_constant_text(one) for one in body.get("args", ()))
         elif kind == "VAR_RESET_ALL":
             name = ""
         return Statement(Kind.SETTING, frozenset((Taint.SETTING,)), "a setting of the session", ((name, value),))
@@ -230,8 +231,8 @@
         kind = body.get("kind", "")
         if kind in ("TRANS_STMT_BEGIN", "TRANS_STMT_START"):
             options = {item["DefElem"]["defname"]: item["DefElem"].get("arg") for item in body.get("options", ())}
-            only = _value(options.get("transaction_read_only")) in ("1", "true", "on")
-            return Statement(Kind.BEGIN_READ if only else Kind.BEGIN, why=kind)
+            read_only = _constant_text(options.get("transaction_read_only")) in ("1", "true", "on")
+            return Statement(Kind.BEGIN_READ if read_only else Kind.BEGIN, why=kind)
         if kind == "TRANS_STMT_COMMIT":
             return Statement(Kind.COMMIT, why=kind) if not body.get("chain") else STRICTEST
         if kind == "TRANS_STMT_ROLLBACK":
@@ -265,8 +266,8 @@
 
     def _on_createtableasstmt(self, body: Any) -> Statement:
         temporary = body.get("into", {}).get("rel", {}).get("relpersistence") == "t"
-        made = Statement(Kind.WRITE, frozenset((Taint.TEMPORARY,)) if temporary else frozenset(), "makes a table")
-        return self._with_functions(made, body.get("query", {}))
+        statement = Statement(Kind.WRITE, frozenset((Taint.TEMPORARY,)) if temporary else frozenset(), "makes a table")
+        return self._with_functions(statement, body.get("query", {}))
 
     def _on_viewstmt(self, body: Any) -> Statement:
         temporary = body.get("view", {}).get("relpersistence") == "t"
@@ -292,12 +293,12 @@
         return Statement(Kind.WRITE, frozenset((Taint.PREPARED,)), "drops what its session prepared")
 
     def _on_discardstmt(self, body: Any) -> Statement:
-        whole = body.get("target") == "DISCARD_ALL"
-        return Statement(Kind.SETTING, frozenset((Taint.RESET if whole else Taint.UNKNOWN,)), "discards")
+        discards_all = body.get("target") == "DISCARD_ALL"
+        return Statement(Kind.SETTING, frozenset((Taint.RESET if discards_all else Taint.UNKNOWN,)), "discards")
 
 
-def _value(node: Any) -> str:
-    """A constant as text; empty for anything else."""
+def _constant_text(node: Any) -> str:
+    """The text of a constant; empty for any other node."""
     if not isinstance(node, dict):
         return ""
     constant = node.get("A_Const", node)
--- a/yardbank/pg/messages.py
+++ b/yardbank/pg/messages.py
@@ -1,6 +1,6 @@
-"""Messages of PostgreSQL's protocol 3 as plain values, to frames and back (chapter "Message Formats"). No I/O.
+"""Encodes and decodes messages of PostgreSQL's protocol 3 (chapter "Message Formats"). No I/O.
 
-What a proxy passes on unread (rows, notices, most answers) stays a ``Frame``; only what it must understand is decoded.
+Messages that a proxy only forwards (rows, notices, most responses) remain a ``Frame``; only the others are decoded.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     value,
 )
 
-MAX_PARAMETERS = 1000  # of a start-up
+MAX_PARAMETERS = 1000  # in one StartupMessage
 
 
 @dataclass(slots=True, frozen=True)
 class Startup:
-    """A client's first word: the version and its parameters."""
+    """StartupMessage: the protocol version and the client's parameters."""
 
     version: int
     parameters: tuple[tuple[str, str], ...]
@@ -33,14 +33,14 @@
 
 @dataclass(slots=True, frozen=True)
 class EncryptionRequest:
-    """May the connection be encrypted? ``code`` says how."""
+    """SSLRequest or GSSENCRequest, by ``code``."""
 
     code: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelRequest:
-    """Cancel what runs in another connection; protocol 3.2 allows keys of up to 256 octets."""
+    """Cancels the query of another connection; protocol 3.2 allows keys of up to 256 octets."""
 
     process: int
     key: bytes
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """One text of one or several statements."""
+    """A simple query: a text of one or more statements."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class Parse:
-    """Prepare a statement."""
+    """Prepares a statement."""
 
     name: str
     text: str
@@ -64,14 +64,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Bind:
-    """Make a portal of a statement. Formats and values as they stand on the wire."""
+    """Creates a portal from a statement. Formats and values remain encoded in ``rest``."""
 
     portal: str
     statement: str
     rest: bytes = b"\0\0\0\0\0\0"  # parameter formats, parameters, result formats
 
     def parameters(self) -> tuple[tuple[int, ...], tuple[bytes | None, ...], tuple[int, ...]]:
-        """Formats, values and result formats. Raises ``WireError``."""
+        """Decodes parameter formats, values and result formats. Raises ``WireError``."""
         reader = Reader(self.rest)
         formats = tuple(reader.int16("format") for _ in range(reader.count("formats", 2)))
         values = tuple(reader.value("parameter") for _ in range(reader.count("parameters", 4)))
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Describe:
-    """``S`` a statement, ``P`` a portal."""
+    """Describes a statement (``what`` is ``S``) or a portal (``P``)."""
 
     what: str
     name: str
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """``S`` a statement, ``P`` a portal."""
+    """Closes a statement (``what`` is ``S``) or a portal (``P``)."""
 
     what: str
     name: str
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Execute:
-    """Run a portal; ``most`` rows, 0: all."""
+    """Executes a portal; returns at most ``most`` rows, or all if 0."""
 
     portal: str
     most: int = 0
@@ -106,14 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Plain:
-    """A message without fields that matter here: Sync, Flush, Terminate, CopyDone."""
+    """A message without fields: Sync, Flush, Terminate, CopyDone."""
 
     type: int
 
 
 @dataclass(slots=True, frozen=True)
 class Data:
-    """Octets: CopyData, CopyFail's text, a password or a SASL message."""
+    """A message whose body is not decoded: CopyData, CopyFail, a password or SASL message, a function call."""
 
     type: int
     octets: bytes
@@ -122,12 +122,12 @@
 Client = Startup | EncryptionRequest | CancelRequest | Query | Parse | Bind | Describe | Close | Execute | Plain | Data
 
 SYNC, FLUSH, TERMINATE, COPY_DONE = (Plain(ord(c)) for c in "SHXc")
-_DATA = frozenset(b"dfpF")  # F, a function call, is passed on unread
+_DATA = frozenset(b"dfpF")  # F is a function call, which is forwarded without decoding
 _PLAIN = frozenset(b"SHXc")
 
 
 def decode_first(frame: Frame) -> Startup | EncryptionRequest | CancelRequest:
-    """A client's first message. Raises ``WireError``."""
+    """Decodes a client's first message. Raises ``WireError``."""
     reader = Reader(frame.body)
     code = reader.int32("version")
     if code in (SSL_REQUEST, GSS_REQUEST):
@@ -151,39 +151,39 @@
 
 
 def decode_client(frame: Frame) -> Client:
-    """A client's message after the first. Raises ``WireError`` naming the field."""
+    """Decodes a client's message after the first. Raises ``WireError`` naming the field."""
     kind, reader = chr(frame.type), Reader(frame.body)
-    made: Client
+    decoded: Client
     match kind:
         case "Q":
-            made = Query(reader.text("query"))
+            decoded = Query(reader.text("query"))
         case "P":
             name, query = reader.text("statement"), reader.text("query")
             types = tuple(reader.int32("type") & 0xFFFFFFFF for _ in range(reader.count("types", 4)))
-            made = Parse(name, query, types)
+            decoded = Parse(name, query, types)
         case "B":
-            made = Bind(reader.text("portal"), reader.text("statement"), reader.rest())
-            made.parameters()
-            return made
+            decoded = Bind(reader.text("portal"), reader.text("statement"), reader.rest())
+            decoded.parameters()
+            return decoded
         case "D" | "C":
             what = chr(reader.octet("kind"))
             if what not in "SP":
                 raise WireError(f"kind {what!r} is neither S nor P")
-            made = (Describe if kind == "D" else Close)(what, reader.text("name"))
+            decoded = (Describe if kind == "D" else Close)(what, reader.text("name"))
         case "E":
-            made = Execute(reader.text("portal"), reader.int32("rows"))
+            decoded = Execute(reader.text("portal"), reader.int32("rows"))
         case _ if frame.type in _PLAIN:
-            made = Plain(frame.type)
+            decoded = Plain(frame.type)
         case _ if frame.type in _DATA:
             return Data(frame.type, frame.body)
         case _:
             raise WireError(f"message type {kind!r}")
-    reader.end(type(made).__name__)
-    return made
+    reader.end(type(decoded).__name__)
+    return decoded
 
 
 def encode_client(message: Client) -> Frame:
-    """The frame of a client's message."""
+    """Encodes a client's message."""
     match message:
         case Startup() | EncryptionRequest() | CancelRequest():
             return _encode_first(message)
@@ -207,10 +207,10 @@
 
 
 def _encode_first(message: Startup | EncryptionRequest | CancelRequest) -> Frame:
-    """The frame of a client's first message, which has no type."""
+    """Encodes a client's first message, which has no type octet."""
     match message:
         case Startup(version, parameters):
-            body = b"".join(text(name) + text(held) for name, held in parameters)
+            body = b"".join(text(name) + text(content) for name, content in parameters)
             return Frame(0, int32(version) + body + b"\0")
         case EncryptionRequest(code):
             return Frame(0, int32(code))
@@ -218,12 +218,12 @@
             return Frame(0, int32(CANCEL_REQUEST) + int32(process) + key)
 
 
-# What servers say, as far as it must be understood
+# Server messages that the proxy decodes
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """ErrorResponse and NoticeResponse: fields by their letter."""
+    """ErrorResponse or NoticeResponse: pairs of field letter and text."""
 
     fields: tuple[tuple[str, str], ...]
     notice: bool = False
@@ -242,7 +242,7 @@
 
 
 def read_fault(frame: Frame) -> Fault:
-    """Raises ``WireError``."""
+    """Decodes an ErrorResponse or NoticeResponse. Raises ``WireError``."""
     reader, found = Reader(frame.body), []
     while (letter := reader.octet("field")) != 0:
         found.append((chr(letter), reader.text("field")))
@@ -251,26 +251,26 @@
 
 
 def write_fault(fault: Fault) -> Frame:
-    """The frame of an error or a notice."""
-    body = b"".join(letter.encode() + text(held) for letter, held in fault.fields)
+    """Encodes an error or a notice."""
+    body = b"".join(letter.encode() + text(content) for letter, content in fault.fields)
     return Frame(ord("N" if fault.notice else "E"), body + b"\0")
 
 
 def error(state: str, message: str, hint: str = "", severity: str = "ERROR") -> Frame:
-    """An error of our own."""
+    """Encodes an error that the proxy itself reports."""
     fields = [("S", severity), ("V", severity), ("C", state), ("M", message)] + ([("H", hint)] if hint else [])
     return write_fault(Fault(tuple(fields)))
 
 
 def read_ready(frame: Frame) -> Ready:
-    """Raises ``WireError``."""
+    """Decodes a ReadyForQuery. Raises ``WireError``."""
     if frame.body not in (b"I", b"T", b"E"):
         raise WireError(f"ReadyForQuery: status {frame.body!r}")
     return Ready(frame.body.decode())
 
 
 def read_parameter(frame: Frame) -> tuple[str, str]:
-    """ParameterStatus: name and value. Raises ``WireError``."""
+    """Decodes a ParameterStatus to name and value. Raises ``WireError``."""
     reader = Reader(frame.body)
     found = reader.text("parameter"), reader.text("value")
     reader.end("ParameterStatus")
@@ -278,7 +278,7 @@
 
 
 def read_row(frame: Frame) -> tuple[bytes | None, ...]:
-    """DataRow. Raises ``WireError``."""
+    """Decodes a DataRow. Raises ``WireError``."""
     reader = Reader(frame.body)
     found = tuple(reader.value("column") for _ in range(reader.count("columns", 4)))
     reader.end("DataRow")
@@ -286,5 +286,5 @@
 
 
 def write_row(columns: tuple[bytes | None, ...]) -> Frame:
-    """The frame of a row."""
+    """Encodes a DataRow."""
     return Frame(ord("D"), int16(len(columns)) + b"".join(value(column) for column in columns))
--- a/yardbank/pg/pool/__init__.py
+++ b/yardbank/pg/pool/__init__.py
@@ -1,5 +1,12 @@
-"""What is decided about shared server connections of protocols with sessions. No I/O."""
+"""Pooling of server connections for protocols with sessions. No I/O."""
 
-from yardbank.pg.pool.statements import Bound, Client, Connection, Prepare, StatementError, Statements
+from yardbank.pg.pool.statements import (
+    ClientStatements,
+    ConnectionStatements,
+    Prepare,
+    PreparedStatement,
+    StatementError,
+    Statements,
+)
 
-__all__ = ["Bound", "Client", "Connection", "Prepare", "StatementError", "Statements"]
+__all__ = ["ClientStatements", "ConnectionStatements", "Prepare", "PreparedStatement", "StatementError", "Statements"]
--- a/yardbank/pg/pool/lease.py
+++ b/yardbank/pg/pool/lease.py
@@ -1,9 +1,10 @@
-"""Who holds which connection to one server, by transaction. No I/O; times in ns, passed in.
+"""Transaction-level pool of the connections to one server. No I/O; times in ns, passed in.
 
-Where to send is the decision module's; this only says by which connection, or that none is free yet. A connection
-belongs to one user and database. It is given for one transaction, and goes on to the next only when it is as a new one
-would be: out of any transaction, with nothing left in its session that the next could see. What cannot be undone pins
-it to its client, for as long as that stays, and is closed then.
+The decision module selects the server; this module selects the connection, or queues the transaction until one is
+free. A connection belongs to one user and database and is leased for one transaction. It is reused only in the state
+of a new connection: outside any transaction, and with no session state that the next client could see. Session state
+that a transaction leaves behind pins the connection to its client. When the client disconnects, the connection is
+reset, or closed if that state cannot be undone.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 from yardbank.pg.classify import Taint
 
-_UNDONE_BY_RESET = frozenset(Taint) - {Taint.UNKNOWN}  # by DISCARD ALL
+_UNDONE_BY_DISCARD_ALL = frozenset(Taint) - {Taint.UNKNOWN}  # session state that DISCARD ALL undoes
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Bounds of the connections to one server."""
+    """Limits on the connections to one server."""
 
     connections: int = 20
     of_user: int = 20
@@ -34,20 +35,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """A transaction wants a connection. ``client`` comes back to the connection that is pinned to it."""
+class ConnectionRequest:
+    """A transaction's request for a connection. A client with a pinned connection always gets that one."""
 
     key: str
     client: int
     user: str
     database: str
-    worth: float
+    priority: float
     deadline: int
 
 
 @dataclass(slots=True, frozen=True)
-class Give:
-    """The connection is this transaction's. Before it: settings to be made equal (None: reset)."""
+class Grant:
+    """Grants a connection to a transaction. ``settings`` are to be set on it first (None: reset)."""
 
     key: str
     connection: int
@@ -56,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Open:
-    """Open a connection; ``opened`` or ``lost`` says what came of it."""
+    """Opens a connection; report the outcome by ``connection_opened`` or ``connection_lost``."""
 
     connection: int
     user: str
@@ -64,29 +65,29 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Clean:
-    """Send this and tell ``cleaned``: a transaction that nobody ended, or a session to be made as new."""
+class Reset:
+    """Sends ROLLBACK or DISCARD ALL on a connection before its reuse; report completion by ``reset_done``."""
 
     connection: int
     text: str
 
 
 @dataclass(slots=True, frozen=True)
-class Shut:
-    """Close the connection: it cannot be made as new, or another user's need is greater."""
+class Close:
+    """Closes a connection that cannot be reset, or to make room for another user or database."""
 
     connection: int
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Nothing ran: the time is over, or too many wait."""
+    """Refuses a transaction before anything ran: its deadline has passed, or the queue is full."""
 
     key: str
     reason: str
 
 
-Action = Give | Open | Clean | Shut | Refuse
+Action = Grant | Open | Reset | Close | Refuse
 
 
 class _State(Enum):
@@ -94,59 +95,59 @@
 
 
 @dataclass(slots=True)
-class _Line:
+class _Connection:
     number: int
     user: str
     database: str
     state: _State = _State.OPENING
-    client: int | None = None  # whose it is, leased or pinned
+    client: int | None = None  # the client to which it is leased or pinned
     taints: set[Taint] = field(default_factory=set)
     settings: dict[str, str] = field(default_factory=dict)
     used_at: int = 0
 
 
 class Leases:
-    """The connections to one server, and who waits for one."""
+    """The connections to one server, and the transactions that wait for one."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
-        self._lines: dict[int, _Line] = {}
-        self._waiting: dict[str, Ask] = {}
-        self._wanted: dict[int, dict[str, str]] = defaultdict(dict)  # settings by client
-        self._had: dict[str, int] = defaultdict(int)  # transactions by user while others wait: turns
+        self._connections: dict[int, _Connection] = {}
+        self._waiting: dict[str, ConnectionRequest] = {}
+        self._client_settings: dict[int, dict[str, str]] = defaultdict(dict)  # by client
+        self._grants_by_user: dict[str, int] = defaultdict(int)  # by user, until the queue is empty: for fairness
         self._next = 0
 
     @property
     def waiting(self) -> int:
-        """Transactions without a connection."""
+        """Number of transactions that wait for a connection."""
         return len(self._waiting)
 
     def connections(self) -> dict[int, str]:
         """State by connection, for metrics and tests."""
-        return {number: line.state.name.lower() for number, line in self._lines.items()}
+        return {number: entry.state.name.lower() for number, entry in self._connections.items()}
 
-    # What transactions do
+    # Events of transactions
 
-    def ask(self, now: int, ask: Ask) -> list[Action]:
-        """A transaction begins."""
+    def request(self, now: int, request: ConnectionRequest) -> list[Action]:
+        """A transaction starts and needs a connection."""
         if len(self._waiting) >= self.limits.waiting:
-            return [Refuse(ask.key, f"more than {self.limits.waiting} wait for a connection")]
-        self._waiting[ask.key] = ask
-        return self._match(now)
+            return [Refuse(request.key, f"more than {self.limits.waiting} wait for a connection")]
+        self._waiting[request.key] = request
+        return self._assign(now)
 
-    def give_up(self, now: int, key: str) -> list[Action]:
-        """A transaction that waits is not wanted any more."""
+    def cancel(self, now: int, key: str) -> list[Action]:
+        """Cancels a waiting transaction."""
         self._waiting.pop(key, None)
-        return self._match(now)
+        return self._assign(now)
 
     def expire(self, now: int) -> list[Action]:
-        """Turn away those whose time is over."""
-        late = [ask.key for ask in self._waiting.values() if ask.deadline <= now]
-        for key in late:
+        """Refuses waiting transactions whose deadline has passed."""
+        expired = [request.key for request in self._waiting.values() if request.deadline <= now]
+        for key in expired:
             del self._waiting[key]
-        return [Refuse(key, "no connection came free in time") for key in late]
+        return [Refuse(key, "no connection came free in time") for key in expired]
 
-    def ended(
+    def transaction_ended(
         self,
         now: int,
         connection: int,
@@ -155,174 +156,182 @@
         settings: Mapping[str, str | None] | None = None,
         stays: bool = True,
     ) -> list[Action]:
-        """A transaction, or what a client left of it, is over. ``status`` as ReadyForQuery says it.
+        """A transaction, or the part of it that its client completed, has ended. ``status`` is that of ReadyForQuery.
 
-        ``settings`` are those that it changed for its session; ``stays``: its client is still there.
+        ``settings`` are the session settings that it changed; ``stays`` tells whether its client is still connected.
         """
-        line = self._lines[connection]
-        assert line.state in (_State.LEASED, _State.PINNED), "not given to anybody"
-        line.taints |= set(taints)
-        line.used_at = now
-        self._note(line, settings or {})
+        entry = self._connections[connection]
+        assert entry.state in (_State.LEASED, _State.PINNED), "not given to anybody"
+        entry.taints |= set(taints)
+        entry.used_at = now
+        self._record_settings(entry, settings or {})
         if not stays:
-            return self._let_go(now, line, status)
-        if status != "I":  # the client is in a transaction: the connection is its own until that ends
-            line.state = _State.LEASED
+            return self._release(now, entry, status)
+        if status != "I":  # the client is in a transaction and keeps the connection until its end
+            entry.state = _State.LEASED
             return []
-        lasting = line.taints - {Taint.SETTING, Taint.RESET}
-        if lasting:
-            line.state = _State.PINNED
+        remaining_taints = entry.taints - {Taint.SETTING, Taint.RESET}
+        if remaining_taints:
+            entry.state = _State.PINNED
             return []
-        line.state, line.client = _State.IDLE, None
-        line.taints.clear()
-        return self._match(now)
-
-    def left(self, now: int, client: int) -> list[Action]:
-        """A client is gone; what was pinned to it is made as new, or closed. Leases end by ``ended``."""
-        self._wanted.pop(client, None)
-        found: list[Action] = []
-        for line in list(self._lines.values()):
-            if line.client == client and line.state is _State.PINNED:
-                found += self._let_go(now, line, "I")
-        return found
-
-    def _note(self, line: _Line, settings: Mapping[str, str | None]) -> None:
-        """What a client sets is its own wish, wherever it lands next."""
-        wishes = self._wanted[line.client] if line.client is not None else {}
-        if Taint.RESET in line.taints or "" in settings:  # DISCARD ALL, RESET ALL
-            wishes.clear()
-            line.settings.clear()
-            line.taints.discard(Taint.RESET)
-        for name, held in settings.items():
+        entry.state, entry.client = _State.IDLE, None
+        entry.taints.clear()
+        return self._assign(now)
+
+    def client_disconnected(self, now: int, client: int) -> list[Action]:
+        """A client disconnected: resets or closes what is pinned to it. Leases end by ``transaction_ended``."""
+        self._client_settings.pop(client, None)
+        actions: list[Action] = []
+        for entry in list(self._connections.values()):
+            if entry.client == client and entry.state is _State.PINNED:
+                actions += self._release(now, entry, "I")
+        return actions
+
+    def _record_settings(self, entry: _Connection, settings: Mapping[str, str | None]) -> None:
+        """Records a client's settings, to be applied to whichever connection it gets next."""
+        client_settings = self._client_settings[entry.client] if entry.client is not None else {}
+        if Taint.RESET in entry.taints or "" in settings:  # DISCARD ALL, RESET ALL
+            client_settings.clear()
+            entry.settings.clear()
+            entry.taints.discard(Taint.RESET)
+        for name, setting in settings.items():
             if not name:
                 continue
-            for place in (wishes, line.settings):
-                if held is None:
-                    place.pop(name, None)
+            for target in (client_settings, entry.settings):
+                if setting is None:
+                    target.pop(name, None)
                 else:
-                    place[name] = held
-
-    def _let_go(self, now: int, line: _Line, status: str) -> list[Action]:
-        if line.taints - _UNDONE_BY_RESET:
-            return self._shut(now, line)
-        line.client = None
-        if status == "I" and not line.taints - {Taint.SETTING}:
-            line.state = _State.IDLE
-            line.taints.clear()
-            return self._match(now)
-        line.state = _State.CLEANING
-        return [Clean(line.number, "ROLLBACK")] if status != "I" else [self._discard(line)]
-
-    def _discard(self, line: _Line) -> Clean:
-        line.taints.clear()
-        line.settings.clear()
-        return Clean(line.number, "DISCARD ALL")
-
-    def _shut(self, now: int, line: _Line) -> list[Action]:
-        """It counts until ``lost`` says that it is closed."""
-        line.state, line.client = _State.SHUT, None
-        return [Shut(line.number)]
-
-    # What connections do
-
-    def opened(self, now: int, connection: int) -> list[Action]:
-        """A connection is up."""
-        line = self._lines[connection]
-        line.state, line.used_at = _State.IDLE, now
-        return self._match(now)
-
-    def cleaned(self, now: int, connection: int, status: str) -> list[Action]:
-        """What ``Clean`` asked for was answered."""
-        line = self._lines[connection]
+                    target[name] = setting
+
+    def _release(self, now: int, entry: _Connection, status: str) -> list[Action]:
+        if entry.taints - _UNDONE_BY_DISCARD_ALL:
+            return self._close(now, entry)
+        entry.client = None
+        if status == "I" and not entry.taints - {Taint.SETTING}:
+            entry.state = _State.IDLE
+            entry.taints.clear()
+            return self._assign(now)
+        entry.state = _State.CLEANING
+        return [Reset(entry.number, "ROLLBACK")] if status != "I" else [self._discard_session(entry)]
+
+    def _discard_session(self, entry: _Connection) -> Reset:
+        entry.taints.clear()
+        entry.settings.clear()
+        return Reset(entry.number, "DISCARD ALL")
+
+    def _close(self, now: int, entry: _Connection) -> list[Action]:
+        """Closes a connection, which counts against the limits until ``connection_lost`` reports it closed."""
+        entry.state, entry.client = _State.SHUT, None
+        return [Close(entry.number)]
+
+    # Events of connections
+
+    def connection_opened(self, now: int, connection: int) -> list[Action]:
+        """A connection is open."""
+        entry = self._connections[connection]
+        entry.state, entry.used_at = _State.IDLE, now
+        return self._assign(now)
+
+    def reset_done(self, now: int, connection: int, status: str) -> list[Action]:
+        """The server completed a ``Reset``."""
+        entry = self._connections[connection]
         if status != "I":
-            return self._shut(now, line)
-        if line.taints - {Taint.SETTING}:  # rolled back; the session is next
-            return [self._discard(line)]
-        line.state = _State.IDLE
-        line.taints.clear()
-        return self._match(now)
-
-    def lost(self, now: int, connection: int) -> list[Action]:
-        """A connection is gone, whatever it was doing."""
-        del self._lines[connection]
-        return self._match(now)
-
-    # Who gets what
-
-    def _match(self, now: int) -> list[Action]:
-        found: list[Action] = []
-        order = sorted(self._waiting.values(), key=lambda a: (-a.worth, self._had[a.user], a.deadline, a.key))
-        coming: dict[tuple[str, str], int] = defaultdict(int)
-        for line in self._lines.values():
-            if line.state in (_State.OPENING, _State.CLEANING):
-                coming[line.user, line.database] += 1
-        for ask in order:
-            pair = ask.user, ask.database
-            if (free := self._free(ask)) is not None:
-                del self._waiting[ask.key]
-                found.append(self._give(now, ask, free))
-            elif self._pinned(ask.client):
-                continue  # its own connection is busy: this one waits for that
-            elif coming[pair] > 0:
-                coming[pair] -= 1  # one is on its way for it
-            elif self._may_open(ask):
-                found.append(self._open(ask))
-            elif (spare := self._spare(ask)) is not None:
-                found += self._shut(now, spare)  # another user's idle one makes room
+            return self._close(now, entry)
+        if entry.taints - {Taint.SETTING}:  # the transaction was rolled back; now reset the session
+            return [self._discard_session(entry)]
+        entry.state = _State.IDLE
+        entry.taints.clear()
+        return self._assign(now)
+
+    def connection_lost(self, now: int, connection: int) -> list[Action]:
+        """A connection was closed or lost, in any state."""
+        del self._connections[connection]
+        return self._assign(now)
+
+    # Assignment of connections
+
+    def _assign(self, now: int) -> list[Action]:
+        actions: list[Action] = []
+        order = sorted(
+            self._waiting.values(), key=lambda a: (-a.priority, self._grants_by_user[a.user], a.deadline, a.key)
+        )
+        becoming_free: dict[tuple[str, str], int] = defaultdict(int)
+        for entry in self._connections.values():
+            if entry.state in (_State.OPENING, _State.CLEANING):
+                becoming_free[entry.user, entry.database] += 1
+        for request in order:
+            pair = request.user, request.database
+            if (usable := self._usable(request)) is not None:
+                del self._waiting[request.key]
+                actions.append(self._grant(now, request, usable))
+            elif self._has_connection(request.client):
+                continue  # the client's own connection is busy: wait for it
+            elif becoming_free[pair] > 0:
+                becoming_free[pair] -= 1  # a connection that is being opened or reset will serve it
+            elif self._may_open(request):
+                actions.append(self._open(request))
+            elif (evictable := self._evictable(request)) is not None:
+                actions += self._close(now, evictable)  # an idle connection of another user or database makes room
         if not self._waiting:
-            self._had.clear()
-        return found
-
-    def _pinned(self, client: int) -> bool:
-        return any(line.client == client for line in self._lines.values())
-
-    def _free(self, ask: Ask) -> _Line | None:
-        mine = [line for line in self._lines.values() if line.client == ask.client]
-        if mine:
-            return next((line for line in mine if line.state is _State.PINNED), None)
-        fit = [
-            line
-            for line in self._lines.values()
-            if line.state is _State.IDLE and (line.user, line.database) == (ask.user, ask.database)
+            self._grants_by_user.clear()
+        return actions
+
+    def _has_connection(self, client: int) -> bool:
+        return any(entry.client == client for entry in self._connections.values())
+
+    def _usable(self, request: ConnectionRequest) -> _Connection | None:
+        own = [entry for entry in self._connections.values() if entry.client == request.client]
+        if own:
+            return next((entry for entry in own if entry.state is _State.PINNED), None)
+        candidates = [
+            entry
+            for entry in self._connections.values()
+            if entry.state is _State.IDLE and (entry.user, entry.database) == (request.user, request.database)
         ]
-        wanted = self._wanted.get(ask.client, {})
-        return min(fit, key=lambda line: (line.settings != wanted, -line.used_at, line.number), default=None)
-
-    def _give(self, now: int, ask: Ask, line: _Line) -> Give:
-        self._had[ask.user] += 1
-        wanted = self._wanted.get(ask.client, {})
-        change = {name: None for name in line.settings if name not in wanted}
-        differing = {name: held for name, held in wanted.items() if line.settings.get(name) != held}
-        line.settings = dict(wanted)
-        line.state, line.client, line.used_at = _State.LEASED, ask.client, now
-        return Give(ask.key, line.number, tuple(sorted({**change, **differing}.items())))
-
-    def _may_open(self, ask: Ask) -> bool:
-        lines = self._lines.values()
+        wanted = self._client_settings.get(request.client, {})
+        return min(
+            candidates,
+            key=lambda entry: (entry.settings != wanted, -entry.used_at, entry.number),
+            default=None,
+        )
+
+    def _grant(self, now: int, request: ConnectionRequest, entry: _Connection) -> Grant:
+        self._grants_by_user[request.user] += 1
+        wanted = self._client_settings.get(request.client, {})
+        reset = {name: None for name in entry.settings if name not in wanted}
+        changed = {name: setting for name, setting in wanted.items() if entry.settings.get(name) != setting}
+        entry.settings = dict(wanted)
+        entry.state, entry.client, entry.used_at = _State.LEASED, request.client, now
+        return Grant(request.key, entry.number, tuple(sorted({**reset, **changed}.items())))
+
+    def _may_open(self, request: ConnectionRequest) -> bool:
+        entries = self._connections.values()
         return (
-            len(lines) < self.limits.connections
-            and sum(line.user == ask.user for line in lines) < self.limits.of_user
-            and sum(line.database == ask.database for line in lines) < self.limits.of_database
+            len(entries) < self.limits.connections
+            and sum(entry.user == request.user for entry in entries) < self.limits.of_user
+            and sum(entry.database == request.database for entry in entries) < self.limits.of_database
         )
 
-    def _open(self, ask: Ask) -> Open:
+    def _open(self, request: ConnectionRequest) -> Open:
         self._next += 1
-        self._lines[self._next] = _Line(self._next, ask.user, ask.database)
-        return Open(self._next, ask.user, ask.database)
+        self._connections[self._next] = _Connection(self._next, request.user, request.database)
+        return Open(self._next, request.user, request.database)
 
-    def _spare(self, ask: Ask) -> _Line | None:
-        """An idle connection of others whose end would make room, the longest idle first."""
+    def _evictable(self, request: ConnectionRequest) -> _Connection | None:
+        """The longest idle connection of another user or database whose closing would make room."""
         others = [
-            line
-            for line in self._lines.values()
-            if line.state is _State.IDLE and (line.user, line.database) != (ask.user, ask.database)
+            entry
+            for entry in self._connections.values()
+            if entry.state is _State.IDLE and (entry.user, entry.database) != (request.user, request.database)
         ]
-        shutting = any(line.state is _State.SHUT for line in self._lines.values())
-        of_user = sum(line.user == ask.user for line in self._lines.values()) >= self.limits.of_user
-        of_database = sum(line.database == ask.database for line in self._lines.values()) >= self.limits.of_database
-        fit = [
-            line
-            for line in others
-            if (not of_user or line.user == ask.user) and (not of_database or line.database == ask.database)
+        closing = any(entry.state is _State.SHUT for entry in self._connections.values())
+        of_user = sum(entry.user == request.user for entry in self._connections.values()) >= self.limits.of_user
+        of_database = (
+            sum(entry.database == request.database for entry in self._connections.values()) >= self.limits.of_database
+        )
+        candidates = [
+            entry
+            for entry in others
+            if (not of_user or entry.user == request.user) and (not of_database or entry.database == request.database)
         ]
-        return None if shutting else min(fit, key=lambda line: (line.used_at, line.number), default=None)
+        return None if closing else min(candidates, key=lambda entry: (entry.used_at, entry.number), default=None)
