--- a/tests/ldap/test_cross_group_search.py
+++ b/tests/ldap/test_cross_group_search.py
@@ -33,8 +33,8 @@
 
 def test_tree_finds_the_group_or_glue_entry_of_a_dn():
     tree = Tree({"top": "dc=Porting", "deep": "ou=a,ou=B,dc=porting", "far": "o=X,c=ec"})
-    assert tree.group_of("cn=1,ou=a,ou=b,dc=porting") == "deep" and tree.group_of("ou=b,dc=porting") == "top"
-    assert tree.group_of("c=ec") is None and tree.glue("c=ec") == "c=ec" and tree.glue("ou=b,dc=porting") is None
+    assert tree.group_holding("cn=1,ou=a,ou=b,dc=porting") == "deep" and tree.group_holding("ou=b,dc=porting") == "top"
+    assert tree.group_holding("c=ec") is None and tree.glue("c=ec") == "c=ec" and tree.glue("ou=b,dc=porting") is None
     assert tree.matched("ou=none,c=ec") == "c=ec" and tree.matched("dc=none") == ""
     assert not tree.coverage("dc=none", Scope.SUBTREE).known and tree.coverage("dc=none", Scope.SUBTREE).matched == ""
     assert tree.has_suffixes_below("dc=porting") and not tree.has_suffixes_below("ou=a,ou=b,dc=porting")
@@ -60,7 +60,7 @@
 
 def test_escaped_comma_does_not_separate_rdns():
     tree = Tree({"a": "ou=a,dc=x"})
-    assert tree.group_of("cn=1\\,ou=a,dc=x") is None and tree.group_of("cn=1\\,2,ou=a,dc=x") == "a"
+    assert tree.group_holding("cn=1\\,ou=a,dc=x") is None and tree.group_holding("cn=1\\,2,ou=a,dc=x") == "a"
 
 
 NAMES = ["dc=x", "ou=a,dc=x", "ou=b,dc=x", "ou=c,ou=a,dc=x", "ou=d,ou=c,ou=a,dc=x", "o=y", "ou=e,o=y"]
--- a/yardbank/ldap/classify.py
+++ b/yardbank/ldap/classify.py
@@ -81,15 +81,15 @@
 
 def result_outside_groups(tree: Tree, operation: m.Request, entry: str) -> tuple[Code, str]:
     """Result code and matchedDN for a DN outside all groups. A glue entry answers as a real entry on a server would."""
-    written = tree.glue(entry)
-    if written is None:
+    configured = tree.glue(entry)
+    if configured is None:
         return Code.NO_SUCH_OBJECT, tree.matched(entry)
     match operation:
         case m.CompareRequest(_, attribute, value):
-            held = {name.lower(): values for name, values in glue_attributes(written)}
-            if attribute.lower() not in held:
+            values_by_name = {name.lower(): values for name, values in glue_attributes(configured)}
+            if attribute.lower() not in values_by_name:
                 return Code.NO_SUCH_ATTRIBUTE, ""
-            found = matches(m.Match("=", attribute, value), lambda name: held.get(name.lower(), ()))
+            found = matches(m.Match("=", attribute, value), lambda name: values_by_name.get(name.lower(), ()))
             return (Code.COMPARE_TRUE if found else Code.COMPARE_FALSE), ""
         case m.AddRequest():
             return Code.ENTRY_EXISTS, ""
@@ -116,12 +116,12 @@
         self._strict = {True: strict_read, False: strict_write}
         self._classes = classes or {}
         self._search_rules = tuple(
-            (rule, self.tree.group_of(rule.base)) for rule in rules if rule.base and "search" in rule.operations
+            (rule, self.tree.group_holding(rule.base)) for rule in rules if rule.base and "search" in rule.operations
         )
 
     def group_of(self, entry: str) -> str | None:
         """The group whose suffix contains an entry; the longest suffix wins."""
-        return self.tree.group_of(entry)
+        return self.tree.group_holding(entry)
 
     def place(self, operation: m.Request, identity: str = "", entry: str | None = None) -> Classification:
         """Class and group of one operation; ``identity`` is the client's folded bind DN."""
@@ -153,22 +153,23 @@
 
     def _strictest_of(self, classification: Classification, others: set[str]) -> Classification:
         """Picks one class for a search across several: its staleness and deadline satisfy each of them."""
-        classes = [self._classes[name] for name in sorted({classification.class_name, *others})]
-        read_levels = {request_class.read for request_class in classes} - {"any"}
+        candidates = [self._classes[name] for name in sorted({classification.class_name, *others})]
+        read_levels = {request_class.read for request_class in candidates} - {"any"}
         # Session consistency and a staleness bound are not comparable, so that only a fresh read satisfies both.
         if len(read_levels) > 1 or "fresh" in read_levels:
             name = next(
-                (request_class.name for request_class in classes if request_class.read == "fresh"), self._strict[True]
+                (request_class.name for request_class in candidates if request_class.read == "fresh"),
+                self._strict[True],
             )
         elif not read_levels:
             name = classification.class_name
         else:
-            same_level = [request_class for request_class in classes if request_class.read in read_levels]
+            same_level = [request_class for request_class in candidates if request_class.read in read_levels]
             name = min(
                 same_level,
                 key=lambda request_class: (request_class.staleness_bound, request_class.deadline, request_class.name),
             ).name
-        deadline = min(request_class.deadline for request_class in classes)
+        deadline = min(request_class.deadline for request_class in candidates)
         return Classification(name, classification.group, "the strictest of the classes that it reaches", deadline)
 
     def _match_rules(
--- a/yardbank/ldap/exchange.py
+++ b/yardbank/ldap/exchange.py
@@ -85,19 +85,24 @@
 def _without_added_post_read(exchange: Exchange, raw: codec.Envelope, result: m.Result, role: Role) -> Reply:
     """The reply to a write, with its commit position and without what the gateway added to the post-read control."""
     controls = list(control_codec.decode_controls(raw.controls))
-    found = next((control for control in controls if control.oid == m.Oid.POST_READ), None)
-    if found is None or found.value is None:
+    post_read = next((control for control in controls if control.oid == m.Oid.POST_READ), None)
+    if post_read is None or post_read.value is None:
         return Reply("ok", raw, role)
-    entry = control_codec.read_post_read(found.value)
+    entry = control_codec.read_post_read(post_read.value)
     values = [
-        value for name, held in entry.attributes if name.lower() == COMMIT_POSITION_ATTRIBUTE.lower() for value in held
+        value
+        for name, attribute_values in entry.attributes
+        if name.lower() == COMMIT_POSITION_ATTRIBUTE.lower()
+        for value in attribute_values
     ]
     commit = csn.parse(values[0]) if values else None
     if exchange.added_control:
-        controls.remove(found)
+        controls.remove(post_read)
     elif exchange.added_attribute:
-        kept = tuple(pair for pair in entry.attributes if pair[0].lower() != COMMIT_POSITION_ATTRIBUTE.lower())
-        value = codec.encode_operation(m.SearchEntry(entry.name, kept))
-        controls[controls.index(found)] = m.Control(found.oid, found.critical, value)
+        other_attributes = tuple(
+            pair for pair in entry.attributes if pair[0].lower() != COMMIT_POSITION_ATTRIBUTE.lower()
+        )
+        value = codec.encode_operation(m.SearchEntry(entry.name, other_attributes))
+        controls[controls.index(post_read)] = m.Control(post_read.oid, post_read.critical, value)
     payload = codec.Envelope(raw.id, raw.tag, raw.operation, control_codec.encode_controls(tuple(controls)))
     return Reply("ok", payload, role, commit if result.code == Code.SUCCESS else None)
--- a/yardbank/ldap/spread.py
+++ b/yardbank/ldap/spread.py
@@ -66,14 +66,14 @@
     return None if single and coverage.group_scopes[0].base == base else coverage
 
 
-def glue_entry(written: str, request: m.SearchRequest) -> m.SearchEntry | None:
+def glue_entry(configured: str, request: m.SearchRequest) -> m.SearchEntry | None:
     """A glue entry as the result of a search; None if the filter does not match it."""
-    attributes = glue_attributes(written)
+    attributes = glue_attributes(configured)
     values_by_name = {name.lower(): values for name, values in attributes}
     if not matches(request.filter, lambda name: values_by_name.get(name.lower(), ())):
         return None
     selected = tuple(wanted_attributes(attributes, request))
-    return m.SearchEntry(written, without_values(selected) if request.types_only else selected)
+    return m.SearchEntry(configured, without_values(selected) if request.types_only else selected)
 
 
 class FanOut:
@@ -83,7 +83,7 @@
         """At most ``parts`` in flight, for which at most ``memory`` octets are buffered in total."""
         self.client = client
         self.budget: Budget[Search] = Budget(parts)
-        self.gather = max(_MIN_PART_BUFFER_OCTETS, memory // parts)
+        self.part_buffer_octets = max(_MIN_PART_BUFFER_OCTETS, memory // parts)
         self._sending = False
 
     def send_parts(self) -> None:
@@ -236,7 +236,7 @@
             sink=_PartSink(self, part_request.index),
             session=self._session,
             time_limit=part_request.time_limit,
-            gather=self._fan_out.gather,
+            gather=self._fan_out.part_buffer_octets,
             present=partial(self._client.present, self._id),
         )
         self._fan_out.budget.part_sent()
--- a/yardbank/pg/classify.py
+++ b/yardbank/pg/classify.py
@@ -266,8 +266,8 @@
 
     def _on_createtableasstmt(self, body: Any) -> Statement:
         temporary = body.get("into", {}).get("rel", {}).get("relpersistence") == "t"
-        statement = Statement(Kind.WRITE, frozenset((Taint.TEMPORARY,)) if temporary else frozenset(), "makes a table")
-        return self._with_functions(statement, body.get("query", {}))
+        created = Statement(Kind.WRITE, frozenset((Taint.TEMPORARY,)) if temporary else frozenset(), "makes a table")
+        return self._with_functions(created, body.get("query", {}))
 
     def _on_viewstmt(self, body: Any) -> Statement:
         temporary = body.get("view", {}).get("relpersistence") == "t"
--- a/yardbank/pg/pool/lease.py
+++ b/yardbank/pg/pool/lease.py
@@ -114,7 +114,7 @@
         self._connections: dict[int, _Connection] = {}
         self._waiting: dict[str, ConnectionRequest] = {}
         self._client_settings: dict[int, dict[str, str]] = defaultdict(dict)  # by client
-        self._grants_by_user: dict[str, int] = defaultdict(int)  # by user, until the queue is empty: for fairness
+        self._grants_by_user: dict[str, int] = defaultdict(int)  # while others wait, for fairness
         self._next = 0
 
     @property
@@ -161,7 +161,7 @@
         ``settings`` are the session settings that it changed; ``stays`` tells whether its client is still connected.
         """
         entry = self._connections[connection]
-        assert entry.state in (_State.LEASED, _State.PINNED), "not given to anybody"
+        assert entry.state in (_State.LEASED, _State.PINNED), "the connection is neither leased nor pinned"
         entry.taints |= set(taints)
         entry.used_at = now
         self._record_settings(entry, settings or {})
--- a/yardbank/pg/pool/statements.py
+++ b/yardbank/pg/pool/statements.py
@@ -73,9 +73,9 @@
             raise StatementError("42P05", f'prepared statement "{name}" already exists')
         if len(client.names) >= self._max_per_client and name not in client.names:
             raise StatementError("53400", f"more than {self._max_per_client} prepared statements")
-        statement = PreparedStatement(text, types, server_name(text, types))
-        client.names[name] = statement
-        return statement
+        parsed = PreparedStatement(text, types, server_name(text, types))
+        client.names[name] = parsed
+        return parsed
 
     def find(self, client: ClientStatements, name: str) -> PreparedStatement:
         """A client's statement by name. Raises ``StatementError`` if there is none."""
--- a/yardbank/pg/scram.py
+++ b/yardbank/pg/scram.py
@@ -11,10 +11,8 @@
 from dataclasses import dataclass
 
 MECHANISM = "SCRAM-SHA-256"
-MIN_ITERATIONS, MAX_ITERATIONS = (
-    4096,
-    1_000_000,
-)  # minimum of RFC 7677 section 4; the maximum keeps a server from stalling its client
+# The minimum is that of RFC 7677 section 4; the maximum keeps a server from stalling its client.
+MIN_ITERATIONS, MAX_ITERATIONS = 4096, 1_000_000
 
 
 class ScramError(ValueError):
--- a/yardbank/spread/pages.py
+++ b/yardbank/spread/pages.py
@@ -38,8 +38,8 @@
                 read = msgspec.msgpack.decode(cookie, type=tuple[int, int, int, bytes])
             except msgspec.MsgspecError:
                 raise CookieError("the cookie was not given here") from None
-            bound, self.part, self._offset, self.server_cookie = read
-            if bound != identity:
+            cookie_identity, self.part, self._offset, self.server_cookie = read
+            if cookie_identity != identity:
                 raise CookieError("the cookie belongs to another search")
             if not GLUE_ENTRIES <= self.part < parts or self._offset < 0:
                 raise CookieError("the cookie leads nowhere")
--- a/yardbank/spread/tree.py
+++ b/yardbank/spread/tree.py
@@ -59,11 +59,11 @@
             while name:
                 name, configured = naming.parent(name), naming.parent(configured)
                 self._below.setdefault(name, []).append(suffix)
-                if name and self.group_of(name) is None:
+                if name and self.group_holding(name) is None:
                     self._glue.setdefault(name, configured.strip())
         self.coverage = lru_cache(MAX_CACHED_COVERAGES)(self._coverage)
 
-    def group_of(self, name: str) -> str | None:
+    def group_holding(self, name: str) -> str | None:
         """The group whose suffix contains a DN; the longest suffix wins."""
         while True:
             if (group := self._group_by_suffix.get(name)) is not None:
@@ -86,8 +86,8 @@
 
     def moves_between_groups(self, entry: str, new: str) -> bool:
         """Whether a rename would move an entry, or entries below it, to another group (RFC 4511 section 4.9)."""
-        holding_group = self.group_of(entry)
-        return holding_group != self.group_of(new) or (
+        holding_group = self.group_holding(entry)
+        return holding_group != self.group_holding(new) or (
             holding_group is not None and (self.has_suffixes_below(entry) or self.has_suffixes_below(new))
         )
 
@@ -101,7 +101,7 @@
 
     def _coverage(self, base: str, scope: int) -> Coverage:
         """Computes what a search covers; cached by ``coverage``."""
-        group, below = self.group_of(base), self._below.get(base, [])
+        group, below = self.group_holding(base), self._below.get(base, [])
         if group is None and base and base not in self._glue:
             return Coverage((), (), False, self.matched(base))
         group_scopes: list[GroupScope] = []
@@ -114,10 +114,12 @@
         if scope == Scope.ONE:
             below = [suffix for suffix in below if naming.parent(suffix) == base]
         for suffix in below if scope != Scope.BASE else ():
-            deeper = tuple(self._below.get(suffix, ())) if scope != Scope.ONE else ()
-            wanted = Scope.BASE if scope == Scope.ONE else Scope.SUBTREE
+            excluded = tuple(self._below.get(suffix, ())) if scope != Scope.ONE else ()
+            part_scope = Scope.BASE if scope == Scope.ONE else Scope.SUBTREE
             holding_group = self._group_by_suffix[suffix]
-            group_scopes.append(GroupScope(holding_group, self._configured[holding_group], suffix, wanted, deeper))
+            group_scopes.append(
+                GroupScope(holding_group, self._configured[holding_group], suffix, part_scope, excluded)
+            )
         if group is None:
             if scope == Scope.ONE:
                 glue += [name for name in self._glue if naming.parent(name) == base]
@@ -130,8 +132,11 @@
     """The attributes of a glue entry, derived from its DN."""
     first = configured[: len(configured) - len(naming.parent(configured))].rstrip().removesuffix(",")
     pairs = [part.partition("=") for part in first.split("+")]
-    kind = _OBJECT_CLASSES.get(pairs[0][0].strip().lower(), "extensibleObject")
-    named: dict[str, list[bytes]] = {}
+    object_class = _OBJECT_CLASSES.get(pairs[0][0].strip().lower(), "extensibleObject")
+    values_by_type: dict[str, list[bytes]] = {}
     for name, _, value in pairs:
-        named.setdefault(name.strip(), []).append(value.strip().encode())
-    return (("objectClass", (b"top", kind.encode())), *((name, tuple(values)) for name, values in named.items()))
+        values_by_type.setdefault(name.strip(), []).append(value.strip().encode())
+    return (
+        ("objectClass", (b"top", object_class.encode())),
+        *((name, tuple(values)) for name, values in values_by_type.items()),
+    )
