--- a/tests/ldap/test_race_clients.py
+++ b/tests/ldap/test_race_clients.py
@@ -94,13 +94,13 @@
         (front,) = self.factory.clients
         return client_socket, front
 
-    def got(self, client_socket, count):
+    def final_responses(self, client_socket, count):
         """The first final responses as (message ID, code); entries of the gateway's own may precede them."""
         framer, answers = Framer(), []
         while len(answers) < count:
             self.until(lambda: readable(client_socket))
-            came = [codec.decode(frame) for frame in framer.feed(client_socket.recv(1 << 16))]
-            answers += [answer for answer in came if isinstance(answer.operation, m.Result)]
+            messages = [codec.decode(frame) for frame in framer.feed(client_socket.recv(1 << 16))]
+            answers += [answer for answer in messages if isinstance(answer.operation, m.Result)]
         return [(answer.id, answer.operation.code) for answer in answers]
 
     def close(self):
@@ -110,9 +110,9 @@
 
 @pytest.fixture
 def place():
-    made = Setup()
-    yield made
-    made.close()
+    setup = Setup()
+    yield setup
+    setup.close()
 
 
 def search(number, base=f"cn=1,ou=x,{TOP}", scope=Scope.BASE, padding=b""):
@@ -191,7 +191,7 @@
     client_socket.sendall(octets)
     wait_for_octets(front, len(octets))
     found = [(500, Code.NO_SUCH_OBJECT)] if padding else []
-    assert place.got(client_socket, len(found) + 1) == [*found, (501, Code.NO_SUCH_OBJECT)]
+    assert place.final_responses(client_socket, len(found) + 1) == [*found, (501, Code.NO_SUCH_OBJECT)]
     assert (
         not place.backend.out and place.gateway.unanswered == 0 and not front._requests and not front._end.outstanding
     )
@@ -214,7 +214,7 @@
     octets = b"".join(asked) + b"".join(cancel(number, 90_000 + number) for number in numbers)
     client_socket.sendall(octets)
     wait_for_octets(front, len(octets))
-    answers = place.got(client_socket, 2 * len(asked))
+    answers = place.final_responses(client_socket, 2 * len(asked))
     assert sorted(answers) == sorted([(n, Code.CANCELED) for n in numbers] + [(90_000 + n, 0) for n in numbers])
     assert not place.backend.out and place.gateway.unanswered == 0
 
@@ -310,10 +310,10 @@
     octets = search(1) + BIND + search(2) + abandon(50) + cancel(50)
     client_socket.sendall(octets)
     wait_for_octets(front, len(octets))
-    assert place.got(client_socket, 2) == [(90_000, Code.CANNOT_CANCEL), (50, 0)]
+    assert place.final_responses(client_socket, 2) == [(90_000, Code.CANNOT_CANCEL), (50, 0)]
     assert list(front._requests) == [2] and front._end.outstanding == {2}
     place.backend.answer(-1)
-    assert place.got(client_socket, 1) == [(2, 0)]
+    assert place.final_responses(client_socket, 1) == [(2, 0)]
 
 
 def test_outstanding_operations_are_limited_not_counting_those_answered_at_once():
@@ -322,9 +322,9 @@
         client_socket, _ = place.client()
         whoami = [codec.encode(m.Message(n, m.ExtendedRequest(m.Oid.WHO_AM_I))) for n in range(1, 6)]
         client_socket.sendall(b"".join(whoami))
-        assert place.got(client_socket, 5) == [(n, 0) for n in range(1, 6)]
+        assert place.final_responses(client_socket, 5) == [(n, 0) for n in range(1, 6)]
         client_socket.sendall(search(6) + search(7) + search(8))
-        assert place.got(client_socket, 1) == [(0, Code.BUSY)]
+        assert place.final_responses(client_socket, 1) == [(0, Code.BUSY)]
         place.until(lambda: not place.factory.clients)
         assert place.gateway.unanswered == 0
     finally:
--- a/tests/pg/test_connection_leases.py
+++ b/tests/pg/test_connection_leases.py
@@ -20,8 +20,8 @@
     """A pool with one connection leased to each of some clients."""
     leases = Leases(limits)
     for client in range(1, clients + 1):
-        (opens,) = leases.request(0, request(f"a{client}", client))
-        assert leases.connection_opened(0, opens.connection) == [Grant(f"a{client}", opens.connection)]
+        (action,) = leases.request(0, request(f"a{client}", client))
+        assert leases.connection_opened(0, action.connection) == [Grant(f"a{client}", action.connection)]
     return leases
 
 
@@ -45,12 +45,12 @@
         assert leases.request(1, request(key, 2, user, "d", priority, deadline)) == []
     assert leases.transaction_ended(2, 1, "I") == [Grant("soon", 1)]  # priority first, then the earlier deadline
     assert leases.transaction_ended(2, 1, "I") == [Close(1)]  # v is next, but the connection belongs to u
-    (opens,) = leases.connection_lost(3, 1)
-    assert (opens.user, opens.connection) == ("v", 2)
+    (action,) = leases.connection_lost(3, 1)
+    assert (action.user, action.connection) == ("v", 2)
     assert leases.connection_opened(3, 2) == [Grant("other", 2)]
     assert leases.transaction_ended(4, 2, "I") == [Close(2)]
-    (opens,) = leases.connection_lost(4, 2)
-    assert leases.connection_opened(4, opens.connection) == [Grant("late", 3)]
+    (action,) = leases.connection_lost(4, 2)
+    assert leases.connection_opened(4, action.connection) == [Grant("late", 3)]
     assert leases.expire(8) == [Refuse("low", "no connection came free in time")]
 
 
@@ -76,8 +76,10 @@
         assert leases.reset_done(6, 1, "I") == [Grant("x", 1)]
         return
     assert leases.client_disconnected(5, 1) == [Close(1)]
-    (opens,) = leases.connection_lost(6, 1)
-    assert isinstance(opens, Open) and leases.connection_opened(7, opens.connection) == [Grant("x", opens.connection)]
+    (action,) = leases.connection_lost(6, 1)
+    assert isinstance(action, Open) and leases.connection_opened(7, action.connection) == [
+        Grant("x", action.connection)
+    ]
 
 
 def test_transaction_of_a_disconnected_client_is_rolled_back_before_reuse():
@@ -96,8 +98,8 @@
 def test_limits_per_user_database_and_queue():
     leases = pool_with_leases(Limits(connections=5, of_user=1, of_database=2, waiting=2))
     assert leases.request(1, request("b", 2)) == []  # limit of the user
-    (opens,) = leases.request(1, request("c", 3, user="v"))
-    leases.connection_opened(1, opens.connection)
+    (action,) = leases.request(1, request("c", 3, user="v"))
+    leases.connection_opened(1, action.connection)
     assert leases.request(2, request("d", 4, user="w")) == []  # limit of the database
     assert leases.request(3, request("e", 5)) == [Refuse("e", "more than 2 wait for a connection")]
     assert leases.cancel(4, "b") == [] and leases.waiting == 1
@@ -110,8 +112,8 @@
 def test_random_events_keep_the_limits_and_finish_every_request(seed):
     rng = random.Random(seed)
     limits = Limits(connections=rng.randint(1, 4), of_user=rng.randint(1, 4), of_database=rng.randint(1, 4), waiting=8)
-    leases, now, asked = Leases(limits), 0, {}
-    held, opening, cleaning, shutting = {}, set(), {}, set()
+    leases, now, requests = Leases(limits), 0, {}
+    leased, opening, cleaning, closing_connections = {}, set(), {}, set()
     owner, dirty = {}, {}  # by connection: its (user, database); the only client that may use its session
     finished = set()
 
@@ -119,13 +121,15 @@
         for action in actions:
             match action:
                 case Grant(key, number, _):
-                    mine = asked[key]
+                    granted_request = requests[key]
                     assert (
-                        key not in finished and number not in held and number not in shutting | opening | set(cleaning)
+                        key not in finished
+                        and number not in leased
+                        and number not in closing_connections | opening | set(cleaning)
                     )
-                    assert owner[number] == (mine.user, mine.database)
-                    assert dirty.get(number) in (None, mine.client), "another client's session is seen"
-                    held[number] = mine
+                    assert owner[number] == (granted_request.user, granted_request.database)
+                    assert dirty.get(number) in (None, granted_request.client), "another client's session is seen"
+                    leased[number] = granted_request
                     finished.add(key)
                 case Open(number, user, database):
                     owner[number] = user, database
@@ -136,16 +140,16 @@
                 case Reset(number, text):
                     cleaning[number] = text
                 case Close(number):
-                    assert number not in held
-                    shutting.add(number)
+                    assert number not in leased
+                    closing_connections.add(number)
                 case Refuse(key, _):
                     assert key not in finished
                     finished.add(key)
 
     def lose(number):
-        held.pop(number, None)
-        for place in (opening, shutting):
-            place.discard(number)
+        leased.pop(number, None)
+        for collection in (opening, closing_connections):
+            collection.discard(number)
         cleaning.pop(number, None)
         dirty.pop(number, None)
         del owner[number]
@@ -154,24 +158,24 @@
     def step(closing=False):
         nonlocal now
         now += 1
-        what = rng.choices(
+        event = rng.choices(
             ("ask", "end", "open", "clean", "shut", "lose", "leave"),
             (0 if closing else 5, 5, 4, 4, 4, 0 if closing else 0.3, 1),
         )[0]
-        if what == "ask":
+        if event == "ask":
             client = rng.randrange(6)
             user, database = f"u{client % 3}", f"d{client % 2}"
-            key = f"k{len(asked)}"
-            asked[key] = ConnectionRequest(
+            key = f"k{len(requests)}"
+            requests[key] = ConnectionRequest(
                 key, client, user, database, rng.choice((1.0, 3.0)), now + rng.randint(5, 60)
             )
-            act(leases.request(now, asked[key]))
-        elif what == "end" and held:
-            number = rng.choice(sorted(held))
-            mine = held.pop(number)
+            act(leases.request(now, requests[key]))
+        elif event == "end" and leased:
+            number = rng.choice(sorted(leased))
+            granted_request = leased.pop(number)
             taints = rng.choice(((), (), (), (Taint.TEMPORARY,), (Taint.ADVISORY,), (Taint.SETTING,)))
             if set(taints) & {Taint.TEMPORARY, Taint.ADVISORY}:
-                dirty[number] = mine.client
+                dirty[number] = granted_request.client
             stays = rng.random() < 0.6
             status = "I" if stays else rng.choice("ITE")
             act(
@@ -179,22 +183,22 @@
                     now, number, status, taints, {"a": "1"} if Taint.SETTING in taints else {}, stays
                 )
             )
-        elif what == "open" and opening:
+        elif event == "open" and opening:
             number = rng.choice(sorted(opening))
             opening.discard(number)
             act(leases.connection_opened(now, number))
-        elif what == "clean" and cleaning:
+        elif event == "clean" and cleaning:
             number = rng.choice(sorted(cleaning))
             if cleaning.pop(number) == "DISCARD ALL":
                 dirty.pop(number, None)
             act(leases.reset_done(now, number, "I" if rng.random() < 0.9 else "E"))
-        elif what == "shut" and shutting:
-            lose(rng.choice(sorted(shutting)))
-        elif what == "lose" and owner:
+        elif event == "shut" and closing_connections:
+            lose(rng.choice(sorted(closing_connections)))
+        elif event == "lose" and owner:
             lose(rng.choice(sorted(owner)))
-        elif what == "leave":
+        elif event == "leave":
             client = rng.randrange(6)
-            if not any(mine.client == client for mine in held.values()):
+            if not any(granted_request.client == client for granted_request in leased.values()):
                 act(leases.client_disconnected(now, client))
         act(leases.expire(now))
 
@@ -204,4 +208,4 @@
         step(closing=True)
     now += 100
     act(leases.expire(now))
-    assert finished == set(asked) and leases.waiting == 0
+    assert finished == set(requests) and leases.waiting == 0
