--- a/tests/testing/audit/__init__.py
+++ b/tests/testing/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of testing/audit."""
+"""Tests of yardbank.testing.audit."""
--- a/tests/testing/audit/test_rules.py
+++ b/tests/testing/audit/test_rules.py
@@ -1,4 +1,4 @@
-"""The audit can find a gateway guilty: for each rule, one that breaks it on purpose, and the frames named."""
+"""The audit finds violations: for each rule a gateway that breaks it on purpose, and the facts that prove it."""
 
 import pytest
 from click.testing import CliRunner
@@ -19,15 +19,15 @@
 NUMBERS, REQUESTS = "ou=numbers,dc=porting", "ou=requests,dc=porting"
 
 
-def guilty(place, name, **bounds):
+def only_violation(place, name, **bounds):
     verdict = judge(sorted(place.record.facts, key=lambda fact: fact["at"]), Bounds(**bounds))
     assert not verdict.rules[name].held
     assert [rule for rule in verdict.rules if not verdict.rules[rule].held] == [name]
     return verdict.rules[name].found[0]
 
 
-class Forgets(Router):
-    """Takes reads and never answers them."""
+class NeverAnswers(Router):
+    """Accepts reads and never answers them."""
 
     def handle(self, now, event):
         if isinstance(event, api.Request) and event.class_name == "number-lookup":
@@ -35,14 +35,14 @@
         return super().handle(now, event)
 
 
-def test_a_request_that_is_never_answered_is_found():
-    with world(router=Forgets, extra='limits {\n  stop_grace = "50ms"\n}') as place:
+def test_an_unanswered_request_is_found():
+    with world(router=NeverAnswers, extra='limits {\n  stop_grace = "50ms"\n}') as place:
         desk = Desk(place)
         request = m.SearchRequest(f"cn=1,{NUMBERS}", 0, m.Present("cn"))
         run(lambda: [[desk.ask(request, "bounded", staleness=0.8)]])
         assert desk.modify().code == 0
         place.record({"kind": "end", "at": place.record.facts[-1]["at"] + 2.0})
-        found = guilty(place, "one_answer")
+        found = only_violation(place, "one_answer")
         assert "never answered" in found and "desk/1" in found
 
 
@@ -60,28 +60,28 @@
 
         run(repeat)
         until(lambda: desk.client.gone)
-        assert "nothing it was owed" in guilty(place, "one_answer")
+        assert "nothing it was owed" in only_violation(place, "one_answer")
 
 
 class Resends(Router):
-    """Sends a write again whatever became of it."""
+    """Resends a write even if it may have run."""
 
     def may_resend(self, pending):
         return pending.attempts < 3
 
 
 def test_a_write_sent_twice_is_found(monkeypatch):
-    monkeypatch.setattr(send_check, "check_repeat", lambda request, now: None)  # the gateway does not ask either
+    monkeypatch.setattr(send_check, "check_repeat", lambda request, now: None)  # disables the gateway's own check
     with world(router=Resends) as place:
         place.servers["n1"].faults.lose_next = 1
         desk = Desk(place)
         desk.modify()
         until(lambda: len([f for f in place.record.facts if f["kind"] == "applied" and f["tag"] == "desk/1"]) == 2)
         until(lambda: any(f["kind"] == "answer" for f in place.record.facts))
-        assert "sent again after it may have run" in guilty(place, "no_effect_twice")
+        assert "sent again after it may have run" in only_violation(place, "no_effect_twice")
 
 
-def test_a_decision_to_send_a_write_again_is_not_carried_out():
+def test_the_gateway_refuses_to_resend_a_write_that_may_have_run():
     with world(router=Resends) as place:
         place.servers["n1"].faults.lose_next = 1
         desk = Desk(place)
@@ -92,41 +92,41 @@
 
 
 class Refuses(Router):
-    """Says that nothing ran, whatever happened."""
+    """Refuses requests as not run even if they may have run."""
 
     def _give_up(self, pending, reason):
         pending.ran_at = None
         super()._give_up(pending, reason)
 
 
-def test_a_refusal_of_what_ran_is_found():
+def test_refusing_a_write_that_ran_is_found():
     with world(router=Refuses) as place:
         place.servers["n1"].faults.lose_next = 1
         desk = Desk(place)
         assert desk.modify().code == Code.BUSY
-        assert "refused though" in guilty(place, "no_effect_twice")
+        assert "refused though" in only_violation(place, "no_effect_twice")
 
 
 class IgnoresDrains(Router):
-    """Never hears that a server drains."""
+    """Ignores notifications that a server drains."""
 
     def on_server_list(self, event):
         if not self.servers:
             super().on_server_list(event)
 
 
-def test_a_send_after_the_grace_is_found():
+def test_a_request_sent_after_the_drain_grace_is_found():
     with world(router=IgnoresDrains) as place:
         desk = Desk(place)
         desk.read("numbers", "bounded", staleness=0.8)
         run(place.tell, n2="draining", n3="draining")
         for _ in range(20):
             desk.read("numbers", "bounded", staleness=0.8)
-        assert "sent after the grace" in guilty(place, "drains_kept", drain_grace=0.0)
+        assert "sent after the grace" in only_violation(place, "drains_kept", drain_grace=0.0)
 
 
-class Floods(Router):
-    """Takes a cold server for a warm one, and puts no limit on anything."""
+class IgnoresWarmup(Router):
+    """Treats a cold server as warm and applies no capacity limit."""
 
     def __init__(self, settings):
         super().__init__(settings)
@@ -135,9 +135,9 @@
         self.selection.cost = lambda now, server, primary: 0.0 if server.started else 1.0
 
 
-def test_a_cold_server_that_is_flooded_is_found():
+def test_overloading_a_cold_server_is_found():
     capacity = Capacity(slots=1, queue=10_000, read_s=0.02, cold_s=10.0)
-    with world(router=Floods, capacity=capacity, entries=2) as place:
+    with world(router=IgnoresWarmup, capacity=capacity, entries=2) as place:
         desk = Desk(place)
         desk.read("numbers", "bounded", staleness=0.8)
 
@@ -156,7 +156,7 @@
 
 
 class ReadsAnywhere(Router):
-    """Sends reads to replicas first; the test takes out what they must see."""
+    """Prefers replicas for reads; the test removes the position that they must have reached."""
 
     def __init__(self, settings):
         super().__init__(settings)
@@ -174,10 +174,10 @@
         desk = Desk(place)
         desk.modify(b"new", group)
         assert desk.read(group, need, **more).code == 0
-        assert "lacks" in guilty(place, "no_stale_read")
+        assert "lacks" in only_violation(place, "no_stale_read")
 
 
-def test_the_command_says_so(tmp_path):
+def test_the_audit_command_reports_violations_and_faulty_records(tmp_path):
     record = tmp_path / "record.jsonl"
     sent = '{"at":1,"kind":"sent","client":"c","tag":"c/1","deadline":1}\n'
     answer = '{"at":1.1,"kind":"answer","client":"c","tag":"c/1","code":0}\n'
@@ -190,11 +190,11 @@
     record.write_text(sent + '{"at":2,"kind":"answer"}\n' + sent)
     done = CliRunner().invoke(main, ["audit", str(record)])
     assert done.exit_code == 2 and "record.jsonl:2: 'tag' is missing" in done.output
-    record.write_text(sent + answer + '{"at":3,"ki')  # its writer was killed
+    record.write_text(sent + answer + '{"at":3,"ki')  # truncated because its writer was killed
     assert CliRunner().invoke(main, ["audit", str(record)]).exit_code == 0
 
 
-def test_the_table_by_class_tells_where_reads_went_and_which_were_held():
+def test_the_summary_by_class_counts_reads_by_role_and_requests_that_were_held():
     facts = [
         {"kind": "sent", "tag": "a", "at": 0.0, "need": {"read": "session", "request_class": "status"}},
         {"kind": "received", "tag": "a", "at": 0.05, "server": "r1"},
@@ -208,7 +208,7 @@
         {"kind": "answer", "tag": "c", "at": 2.5, "code": 51},
     ]
     status, write = by_class(facts)
-    assert (status.name, status.asked, status.served, status.by_copy, status.by_primary, status.waited) == (
+    assert (status.name, status.requests, status.served, status.by_copy, status.by_primary, status.waited) == (
         "status",
         2,
         2,
@@ -216,7 +216,7 @@
         1,
         1,
     )
-    assert status.quantile(0.99) == pytest.approx(0.07) and (write.asked, write.served, write.quantile(0.5)) == (
+    assert status.quantile(0.99) == pytest.approx(0.07) and (write.requests, write.served, write.quantile(0.5)) == (
         1,
         0,
         0.0,
--- a/tests/testing/rig/test_claims.py
+++ b/tests/testing/rig/test_claims.py
@@ -2,7 +2,7 @@
 
 from yardbank.testing.audit import judge
 from yardbank.testing.audit.claims import alive, served, serves_again
-from yardbank.testing.audit.excuses import Excuses
+from yardbank.testing.audit.excuses import FaultPeriods
 
 
 def process(at, what, name="g1", **more):
@@ -77,10 +77,10 @@
 
 
 def test_excuses_end_with_what_they_are_for():
-    excuses = Excuses([process(1, "pause"), process(2, "resume"), process(5, "kill")])
-    assert [excuses.down("g1", at, at) for at in (0.5, 1.5, 3, 6)] == [False, True, False, True]
-    assert excuses.told_from("g1", 1.5) == 2 and excuses.told_from("g1", 3) == 3
-    assert not excuses.silence("", 0, 99)
+    fault_periods = FaultPeriods([process(1, "pause"), process(2, "resume"), process(5, "kill")])
+    assert [fault_periods.gateway_down("g1", at, at) for at in (0.5, 1.5, 3, 6)] == [False, True, False, True]
+    assert fault_periods.notified_from("g1", 1.5) == 2 and fault_periods.notified_from("g1", 3) == 3
+    assert not fault_periods.explains_no_answer("", 0, 99)
 
 
 def wanted(at, number, end):
--- a/tests/testing/rig/test_cluster_claims.py
+++ b/tests/testing/rig/test_cluster_claims.py
@@ -8,8 +8,8 @@
 from yardbank.config.checked import ConfigError
 from yardbank.config.load import load_text
 from yardbank.testing.audit import changes, feeds
-from yardbank.testing.audit.gossip_messages import items, letters
-from yardbank.testing.audit.zone_latencies import charted
+from yardbank.testing.audit.gossip_messages import decode_datagram, items
+from yardbank.testing.audit.zone_latencies import latencies_accurate
 from yardbank.testing.rig.changes import asking, changed
 from yardbank.testing.rig.gateway_folder import peers_text, settings_text
 from yardbank.testing.rig.network import Effect, Network, ways
@@ -160,12 +160,15 @@
         fact(3, "map", gateway=g, how="seen", ms=83.0, **{"from": z, "to": "s" if z == "n" else "n"})
         for g, z in ZONES.items()
     ]
-    assert charted([*UP, *way, *say], ZONES, 0.05, 0).held and charted([*UP, *way, *say], ZONES, 0, 4).held
-    off = charted([*UP, *way, *say, {**say[1], "ms": 20.0}], ZONES, 0.05, 5)
+    assert (
+        latencies_accurate([*UP, *way, *say], ZONES, 0.05, 0).held
+        and latencies_accurate([*UP, *way, *say], ZONES, 0, 4).held
+    )
+    off = latencies_accurate([*UP, *way, *say, {**say[1], "ms": 20.0}], ZONES, 0.05, 5)
     assert not off.held and "g2 says 20.0 ms from s to n, 80.0 are set" in off.seen
-    assert "g3 knows nothing" in charted([*UP, *way, *without(say, 2)], ZONES, 0.05, 0).seen
-    assert not charted([*UP, *way, *say, {**say[0], "how": "unknown"}], ZONES, 0.05, 0).held
-    assert not charted([*UP, *say], ZONES, 0.05, 0).held
+    assert "g3 knows nothing" in latencies_accurate([*UP, *way, *without(say, 2)], ZONES, 0.05, 0).seen
+    assert not latencies_accurate([*UP, *way, *say, {**say[0], "how": "unknown"}], ZONES, 0.05, 0).held
+    assert not latencies_accurate([*UP, *say], ZONES, 0.05, 0).held
 
 
 def datagram(sender, *bodies):
@@ -176,7 +179,7 @@
 def test_letters_are_read_off_the_way_and_say_who_owns():
     body, other = ["item", "notices-1", 3, 9, b"x", "g1", 7, None, "more"], ["beat", []]
     data = datagram("g1", body, other)
-    assert [one[2][0] for one in letters(data)] == ["item", "beat"] and items(data)[0]["sequence"] == 9
+    assert [one[2][0] for one in decode_datagram(data)] == ["item", "beat"] and items(data)[0]["sequence"] == 9
     assert items(data[:40]) == items(b"yb\x01" + data[3:]) == items(b"") == items(data[:19] + b"\xc1" * 30) == []
     known = Known()
     facts, events = known.crossed("g1", "g2", data)
--- a/yardbank/testing/audit/__init__.py
+++ b/yardbank/testing/audit/__init__.py
@@ -1,4 +1,4 @@
-"""Judges the five rules from records of what crossed the sockets; shares no code with the gateway."""
+"""Checks recorded traffic against the five delivery rules. Shares no code with the gateway."""
 
 from yardbank.testing.audit.judge import Verdict, judge
 from yardbank.testing.audit.record import read_record
--- a/yardbank/testing/audit/changes.py
+++ b/yardbank/testing/audit/changes.py
@@ -1,4 +1,4 @@
-"""Claims on rollouts: who went over in which order, how many were out at once, and on which version all ended."""
+"""Claims on rollouts: order of stages, number of gateways out of service together, final version."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 from yardbank.testing.audit.claims import Finding
 from yardbank.testing.audit.record import Fact
 
-# Words of the gateways' ``rollout`` lines; ``stage`` is the one that its sender sees under way.
-GOES, STAGE, WELL, STOPPED = "going_over", "stage", "well", "stopped"
-ON_NEW, ON_OLD = ("settling", "new", "due_back", "going_back"), ("settling_back", "old", "fell_back")
+# Values of ``what`` in the gateways' ``rollout`` log lines; "stage": the stage that the gateway sees in progress.
+GOING_OVER, STAGE_BEGUN, STAGE_HEALTHY, STOPPED = "going_over", "stage", "well", "stopped"
+NEW_VERSION_STATES, OLD_VERSION_STATES = (
+    ("settling", "new", "due_back", "going_back"),
+    ("settling_back", "old", "fell_back"),
+)
 
 
-def running(facts: Sequence[Fact], gateways: Sequence[str]) -> list[str]:
-    """Gateways that serve as the load is over."""
+def running_gateways(facts: Sequence[Fact], gateways: Sequence[str]) -> list[str]:
+    """Gateways that are in service when the load ends."""
     what: dict[str, str] = {}
     for fact in facts:
         if fact["kind"] == "load_over":
@@ -24,56 +27,57 @@
     return [name for name in gateways if what.get(name) in ("ready", "resume")]
 
 
-def versions(facts: Sequence[Fact]) -> dict[str, Fact]:
-    """By gateway its last word on where it is, before the load was over."""
+def last_states(facts: Sequence[Fact]) -> dict[str, Fact]:
+    """By gateway: its last report of its own version before the load ended."""
     found = {}
     for fact in facts:
         if fact["kind"] == "load_over":
             break
-        if fact["kind"] == "rollout" and fact["what"] in (*ON_NEW, *ON_OLD):
+        if fact["kind"] == "rollout" and fact["what"] in (*NEW_VERSION_STATES, *OLD_VERSION_STATES):
             found[fact["gateway"]] = fact
     return found
 
 
 def advanced(facts: Sequence[Fact], gateways: Sequence[str]) -> Finding:
-    """In the end all that run are on the new version."""
-    last, judged = versions(facts), running(facts, gateways)
-    behind = [name for name in judged if name not in last or last[name]["what"] not in ON_NEW]
+    """Checks that at the end all running gateways are on the new version."""
+    last, judged = last_states(facts), running_gateways(facts, gateways)
+    behind = [name for name in judged if name not in last or last[name]["what"] not in NEW_VERSION_STATES]
     seen = f"not on the new version: {', '.join(behind)}" if behind else f"{len(judged)} gateways on the new version"
     return Finding(bool(judged) and not behind, seen, last.get(behind[0]) if behind else None)
 
 
 def stopped(facts: Sequence[Fact], gateways: Sequence[str]) -> Finding:
-    """Somebody said stop, nobody went over who had heard it, and in the end all that run are on the old version."""
+    """Checks a stopped rollout: no gateway changes over after it knows of the stop; all end on the old version."""
     heard: dict[tuple[str, str], Fact] = {}
     for fact in facts:
         if fact["kind"] == "rollout" and fact["what"] == STOPPED:
             heard.setdefault((fact["gateway"], fact["rollout"]), fact)
-        elif fact["kind"] == "rollout" and fact["what"] == GOES and (fact["gateway"], fact["rollout"]) in heard:
+        elif fact["kind"] == "rollout" and fact["what"] == GOING_OVER and (fact["gateway"], fact["rollout"]) in heard:
             return Finding(False, f"{fact['gateway']} went over though it had heard of the stop", fact)
-    last, judged = versions(facts), running(facts, gateways)
-    still = [name for name in judged if name in last and last[name]["what"] in ON_NEW]
+    last, judged = last_states(facts), running_gateways(facts, gateways)
+    still = [name for name in judged if name in last and last[name]["what"] in NEW_VERSION_STATES]
     if still:
         return Finding(False, f"still on the new version: {', '.join(still)}", last[still[0]])
-    moved = {fact["gateway"] for fact in facts if fact["kind"] == "rollout" and fact["what"] == GOES}
+    moved = {fact["gateway"] for fact in facts if fact["kind"] == "rollout" and fact["what"] == GOING_OVER}
     told = len({name for name, _ in heard})
     seen = f"{told} heard the stop, {len(moved)} had gone over, {len(judged)} on the old version"
     return Finding(bool(heard) and bool(judged), seen)
 
 
 def stages(facts: Sequence[Fact], zones: Mapping[str, str], most: int, outage: float = float("inf")) -> Finding:
-    """Nobody goes before it has found the stage before well; each stage is spread over zones, at most ``most`` out.
+    """Checks the stages of a rollout. ``zones``: by gateway.
 
-    No zone has gone as a whole before the last stage. ``zones``: by gateway. Out are those that restart on their own
-    account; whom the rig killed or stopped is not counted, nor who is out for longer than the ``outage`` (s) that was
-    asked for: the others do not wait for that one any more.
+    A gateway changes over only after it found the previous stage healthy. Each stage is spread over zones, no zone is
+    complete before the last stage, and at most ``most`` gateways are out of service together. Only gateways that
+    restart by themselves count as out: not those that the rig killed or stopped, nor those that are out for longer
+    than the configured ``outage`` (s), because the others stop waiting for them.
     """
-    sizes, over = Counter(zones.values()), defaultdict[str, dict[str, int]](dict)  # by rollout: stage by gateway
-    well: dict[tuple[str, str], int] = {}  # by gateway and rollout: the last stage that it has found well
-    out: dict[str, float] = {}  # since when
+    sizes, over = Counter(zones.values()), defaultdict[str, dict[str, int]](dict)  # by rollout and gateway: its stage
+    healthy_stage: dict[tuple[str, str], int] = {}  # by gateway and rollout: the last stage found healthy
+    out: dict[str, float] = {}  # by gateway: out of service since
     worst = 0
-    last = max((fact["stage"] for fact in facts if fact["kind"] == "rollout" and fact["what"] == GOES), default=0)
-    begun = {fact["stage"] for fact in facts if fact["kind"] == "rollout" and fact["what"] == STAGE}
+    last = max((fact["stage"] for fact in facts if fact["kind"] == "rollout" and fact["what"] == GOING_OVER), default=0)
+    begun = {fact["stage"] for fact in facts if fact["kind"] == "rollout" and fact["what"] == STAGE_BEGUN}
     for fact in facts:
         if fact["kind"] == "process" and fact["name"] in zones:
             if fact["what"] == "leaving":
@@ -84,24 +88,26 @@
             worst = max(worst, len(planned))
             if len(planned) > most:
                 return Finding(False, f"{', '.join(planned)} are out of service together, {most} allowed", fact)
-        elif fact["kind"] == "rollout" and fact["what"] == WELL:
-            well[fact["gateway"], fact["rollout"]] = fact["stage"]
-        elif fact["kind"] == "rollout" and fact["what"] == GOES:
+        elif fact["kind"] == "rollout" and fact["what"] == STAGE_HEALTHY:
+            healthy_stage[fact["gateway"], fact["rollout"]] = fact["stage"]
+        elif fact["kind"] == "rollout" and fact["what"] == GOING_OVER:
             stage, name, rollout = fact["stage"], fact["gateway"], fact["rollout"]
             before = max((one for one in begun if one < stage), default=0)
-            follows = sum(one >= stage for other, one in over[rollout].items() if other != name) >= 2  # it was away
-            if before and well.get((name, rollout), 0) < before and not follows:
+            follows = (
+                sum(one >= stage for other, one in over[rollout].items() if other != name) >= 2
+            )  # it was away and catches up
+            if before and healthy_stage.get((name, rollout), 0) < before and not follows:
                 return Finding(False, f"{name} went in stage {stage} and had not found stage {before} well", fact)
             over[rollout][name] = stage
-            there = Counter(zones[one] for one in over[rollout])
-            whole = [zone for zone, size in sizes.items() if there[zone] == size]
-            if whole and stage < last and len(sizes) > 1:
-                return Finding(False, f"zone {whole[0]} has gone as a whole in stage {stage} of {last}", fact)
+            changed_by_zone = Counter(zones[one] for one in over[rollout])
+            complete_zones = [zone for zone, size in sizes.items() if changed_by_zone[zone] == size]
+            if complete_zones and stage < last and len(sizes) > 1:
+                return Finding(False, f"zone {complete_zones[0]} has gone as a whole in stage {stage} of {last}", fact)
             if (
                 len(set(sizes.values())) == 1
                 and stage < last
-                and max(there.values()) - min(there[zone] for zone in sizes) > 1
+                and max(changed_by_zone.values()) - min(changed_by_zone[zone] for zone in sizes) > 1
             ):
-                return Finding(False, f"stage {stage} is not spread over zones: {dict(there)}", fact)
-    moves = sum(map(len, over.values()))  # who tries in service first, and then goes down, went once
+                return Finding(False, f"stage {stage} is not spread over zones: {dict(changed_by_zone)}", fact)
+    moves = sum(map(len, over.values()))  # one that tries in service and then restarts counts once
     return Finding(moves > 0, f"{moves} went over in {last} stages, {worst} out of service together at most")
--- a/yardbank/testing/audit/claims.py
+++ b/yardbank/testing/audit/claims.py
@@ -1,4 +1,4 @@
-"""What a scenario claims beyond the five rules, judged from the record. Each gives what was found against it."""
+"""Checks of the claims that a scenario makes beyond the five rules. Each reads the record and returns a finding."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A claim's verdict: what was seen, in words, and the record's fact that speaks against it, if one does."""
+    """The verdict on a claim: a description of what was observed, and the fact that contradicts the claim, if any."""
 
     held: bool
     seen: str
     fact: Fact | None = None
 
 
-def moment(facts: Iterable[Fact], step: str, phase: str) -> float | None:
-    """When a step began ("begin") or was over ("end"); one for good is over when it has begun. None: never."""
+def step_time(facts: Iterable[Fact], step: str, phase: str) -> float | None:
+    """The time at which a step began ("begin") or ended ("end"), or None if it did not.
+
+    A permanent step has no end of its own: it counts as ended when it begins.
+    """
     found = None
     for fact in facts:
         if fact["kind"] == "step" and fact["name"] == step and fact["phase"] in (phase, "begin"):
@@ -33,16 +36,19 @@
     return found
 
 
-def span(facts: Sequence[Fact], after: str, until: str) -> tuple[float, float] | None:
-    """From the end of one step to the beginning of another; None if either never came."""
-    since = moment(facts, after, "end") if after else float("-inf")
-    to = moment(facts, until, "begin") if until else float("inf")
+def step_window(facts: Sequence[Fact], after: str, until: str) -> tuple[float, float] | None:
+    """The time from the end of one step to the beginning of another, or None if either did not happen."""
+    since = step_time(facts, after, "end") if after else float("-inf")
+    to = step_time(facts, until, "begin") if until else float("inf")
     return None if since is None or to is None else (since, to)
 
 
 def served(facts: Sequence[Fact], least: float, after: str, until: str, request_class: str) -> Finding:
-    """At least this share of what clients came to want in the span was served in the end, tries anew included."""
-    window = span(facts, after, until)
+    """Checks that at least a share ``least`` of the operations that clients started in the window was served.
+
+    An operation counts as served if one of the client's retries was.
+    """
+    window = step_window(facts, after, until)
     if window is None:
         return Finding(False, "a step that it names never came")
     wanted = {
@@ -65,12 +71,12 @@
 
 
 def serves_again(facts: Sequence[Fact], after: str, gateways: Sequence[str]) -> Finding:
-    """Each of these gateways served each class after a step was over; one that is gone for good is left out."""
-    since = moment(facts, after, "end")
+    """Checks that each gateway served each class after a step; gateways that were stopped for good are left out."""
+    since = step_time(facts, after, "end")
     if since is None:
         return Finding(False, f"step {after} never came")
     state: dict[str, str] = {}
-    begun_after: set[str] = set()  # requests sent after it
+    sent_after: set[str] = set()  # tags of requests sent after the step
     seen: Counter[tuple[str, str]] = Counter()
     asked: dict[str, Fact] = {}
     for fact in facts:
@@ -78,38 +84,39 @@
             state.setdefault(fact["name"], "")
             state[fact["name"]] = fact["what"]
         elif fact["kind"] == "sent" and fact["at"] >= since:
-            begun_after.add(fact["tag"])
+            sent_after.add(fact["tag"])
             asked[fact["tag"]] = fact
-        elif fact["kind"] == "answer" and fact["tag"] in begun_after and outcome(fact["code"]) == "served":
+        elif fact["kind"] == "answer" and fact["tag"] in sent_after and outcome(fact["code"]) == "served":
             sent = asked[fact["tag"]]
             seen[sent["gateway"], sent["need"]["request_class"]] += 1
         elif fact["kind"] == "load_over":
             break
     gone = {name for name, what in state.items() if what in ("ended", "kill", "terminate")}
     judged = [name for name in gateways if name not in gone]
-    lacking = [f"{name} {kind}" for name in judged for kind in CLASSES if not seen[name, kind]]
-    if lacking:
-        return Finding(False, f"nothing served after {after}: {', '.join(lacking)}")
+    missing = [f"{name} {kind}" for name in judged for kind in CLASSES if not seen[name, kind]]
+    if missing:
+        return Finding(False, f"nothing served after {after}: {', '.join(missing)}")
     return Finding(bool(judged), f"{len(judged)} gateways served every class after {after}")
 
 
 def alive(facts: Sequence[Fact], gateways: Sequence[str]) -> Finding:
-    """No gateway ended but by a kill, or with code 0 when told to stop."""
-    moves = [fact for fact in facts if fact["kind"] == "process" and fact["name"] in gateways]
-    ends = [fact for fact in moves if fact["what"] == "ended"]
-    bad = next((fact for fact in ends if not fact["meant"]), None)
-    if bad is not None:
-        how = f"by signal {bad['signal']}" if bad["signal"] else f"with code {bad['code']}"
-        return Finding(False, f"{bad['name']} ended {how}", bad)
+    """Checks that gateways exit only when killed by the rig, or with code 0 when asked to stop."""
+    process_events = [fact for fact in facts if fact["kind"] == "process" and fact["name"] in gateways]
+    ends = [fact for fact in process_events if fact["what"] == "ended"]
+    unexpected = next((fact for fact in ends if not fact["meant"]), None)
+    if unexpected is not None:
+        how = f"by signal {unexpected['signal']}" if unexpected["signal"] else f"with code {unexpected['code']}"
+        return Finding(False, f"{unexpected['name']} ended {how}", unexpected)
     return Finding(bool(ends), f"{len(ends)} ends, all meant")
 
 
 def views(facts: Sequence[Fact], gateways: Sequence[str]) -> Finding:
-    """In the end every gateway that runs sees the running ones as alive and the others as gone.
+    """Checks that at the end every running gateway reports the running ones as alive and the others as gone.
 
-    The end is when the load was over and the rig had waited for it; what they say as they are stopped is not judged.
+    The end is the time at which the load is over and the rig has waited for the reports. Reports made while gateways
+    are being stopped are not checked.
     """
-    running, reports, over = _at_the_end(facts, gateways)
+    running, reports, over = _state_at_end(facts, gateways)
     judged = [name for name in gateways if running.get(name)]
     for name in judged:
         for other in gateways:
@@ -123,10 +130,10 @@
     return Finding(over and bool(judged), f"{len(judged)} gateways see each other rightly")
 
 
-def _at_the_end(
+def _state_at_end(
     facts: Sequence[Fact], gateways: Sequence[str]
 ) -> tuple[dict[str, bool], dict[str, dict[str, Fact]], bool]:
-    """Which gateways ran, each one's last report of each peer in its present run, and whether the load was over."""
+    """Which gateways ran, the last report on each peer by each gateway's current run, and whether the load was over."""
     running: dict[str, bool] = {}
     reports: dict[str, dict[str, Fact]] = {}
     over = False
@@ -146,9 +153,9 @@
 
 
 def belief(facts: Sequence[Fact], groups: Mapping[str, str]) -> Finding:
-    """No gateway spares more than half of a group on others' word. ``groups``: by server.
+    """Checks that no gateway avoids more than half of a group because of peers' reports. ``groups``: by server.
 
-    A scenario in which nothing was believed shows nothing, so that is no proof.
+    The claim fails where no gateway acted on a report, because such a record proves nothing.
     """
     sizes = Counter(groups.values())
     seen = [fact for fact in facts if fact["kind"] == "hearsay"]
@@ -161,7 +168,7 @@
 
 
 def unmoved(facts: Sequence[Fact]) -> Finding:
-    """Nobody spares a server on others' word, though they heard each other."""
+    """Checks that no gateway avoids a server because of peers' reports, although gateways received such reports."""
     moved = next((fact for fact in facts if fact["kind"] == "hearsay" and fact["doubted"]), None)
     if moved is not None:
         return Finding(False, f"{moved['gateway']} spares {', '.join(moved['doubted'])}", moved)
--- a/yardbank/testing/audit/client_departure.py
+++ b/yardbank/testing/audit/client_departure.py
@@ -1,8 +1,8 @@
-"""The claim on clients that have gone: nothing of theirs is sent on.
+"""The claim on departed clients: their requests are not sent to servers any more.
 
-Facts: ``opened`` (client, and the port that it has), ``sent``, ``answer``; from the relays ``reached`` (gateway, port,
-``what``: "end" or "abandon", and ``message``): the moment in which a client's end, or its word that it wants no answer,
-lay in the gateway's socket; ``begun`` (gateway, server, tag): an attempt, at the time of its first octet.
+Facts: ``opened`` (client and its port), ``sent``, ``answer``; from the relays ``reached`` (gateway, port, ``what``:
+"end" or "abandon", and ``message``), the time at which a client's end of stream or its cancellation was delivered to
+the gateway's socket; and ``begun`` (gateway, server, tag), the first octet of an attempt.
 """
 
 from __future__ import annotations
@@ -12,53 +12,53 @@
 from dataclasses import dataclass
 
 from yardbank.testing.audit.claims import Finding
-from yardbank.testing.audit.lateness import Lateness
+from yardbank.testing.audit.lateness import RigDelays
 from yardbank.testing.audit.record import Fact
 
 
 @dataclass(slots=True, frozen=True)
-class GoneBounds:
-    """What is put down to crossing; times in seconds."""
+class DepartureBounds:
+    """Tolerances for attempts that cross with the client's departure; times in seconds."""
 
-    within: float = 0.1  # an attempt that begins later than this is a case
-    cases: int = 3  # from this one on cases are a break
-    late: float = 0.3  # a waiting request that is sent on later than this counts for the share
-    share: float = 0.25  # of those that waited for their first attempt: more of them is a break
-    fewest: int = 5  # and fewer than this are not
+    within: float = 0.1  # an attempt that begins later than this after the departure counts as a case
+    cases: int = 3  # as many cases violate the claim
+    late: float = 0.3  # a waiting request first sent later than this counts for the share
+    share: float = 0.25  # a greater share of the requests that waited for their first attempt is a violation
+    fewest: int = 5  # but fewer late requests than this are not
 
 
 def departures(facts: Iterable[Fact]) -> dict[str, Fact]:
-    """By tag: the fact that its client had gone, or had cancelled it, while no answer to it had come.
+    """By tag of each unanswered request: the fact that its client departed or cancelled it.
 
-    Where the gateway itself had ended the connection, nothing of the client's reaches it, and nobody has gone.
+    Where the gateway itself closed the connection no end of stream reaches it, so the client did not depart.
     """
     at_port: dict[int, str] = {}
-    owed: dict[str, dict[str, Fact]] = defaultdict(dict)  # by client and tag
+    unanswered: dict[str, dict[str, Fact]] = defaultdict(dict)  # by client and tag
     found: dict[str, Fact] = {}
     for fact in facts:
         kind = fact["kind"]
         if kind == "opened":
             at_port[fact["port"]] = fact["client"]
         elif kind == "sent":
-            owed[fact["client"]][fact["tag"]] = fact
+            unanswered[fact["client"]][fact["tag"]] = fact
         elif kind == "answer":
-            owed[fact["client"]].pop(fact["tag"], None)
+            unanswered[fact["client"]].pop(fact["tag"], None)
         elif kind == "reached":
-            mine = owed.get(at_port.get(fact["port"], ""), {})
+            of_client = unanswered.get(at_port.get(fact["port"], ""), {})
             if fact["what"] == "end":
-                found |= {tag: fact for tag in mine if tag not in found}
-                mine.clear()
+                found |= {tag: fact for tag in of_client if tag not in found}
+                of_client.clear()
                 at_port.pop(fact["port"], None)
             else:
-                for tag in [tag for tag, sent in mine.items() if sent["message"] == fact["message"]]:
+                for tag in [tag for tag, sent in of_client.items() if sent["message"] == fact["message"]]:
                     found.setdefault(tag, fact)
-                    del mine[tag]
+                    del of_client[tag]
     return found
 
 
-def gone_clients(facts: Sequence[Fact], bounds: GoneBounds | None = None) -> Finding:
-    """Of clients that have gone no attempt begins, first or further; a few that crossed their going are chance."""
-    bounds, rig = bounds or GoneBounds(), Lateness(facts)
+def gone_clients(facts: Sequence[Fact], bounds: DepartureBounds | None = None) -> Finding:
+    """Checks that no attempt, first or repeated, begins for departed clients. A few may cross with the departure."""
+    bounds, rig_delays = bounds or DepartureBounds(), RigDelays(facts)
     gone = departures(facts)
     begun: dict[str, list[Fact]] = defaultdict(list)
     for fact in facts:
@@ -68,7 +68,7 @@
     waiting, late = 0, list[Fact]()
     for tag, end in gone.items():
         attempts = sorted(begun[tag], key=lambda fact: float(fact["at"]))
-        times = [rig.earliest(fact["at"]) for fact in attempts]
+        times = [rig_delays.earliest_time(fact["at"]) for fact in attempts]
         cases += [fact for at, fact in zip(times, attempts, strict=True) if at > end["at"] + bounds.within]
         if times and times[0] <= end["at"]:
             continue
--- a/yardbank/testing/audit/cold_sum.py
+++ b/yardbank/testing/audit/cold_sum.py
@@ -1,7 +1,7 @@
-"""The claim on cold servers: what all gateways send together, retries and probes counted, stays within a budget.
+"""The claim on cold servers: the calls of all gateways together, with retries and probes, stay within a budget.
 
-Facts: ``start`` of a server (``cold_s``, ``cold_share``, ``per_s`` when warm), ``begun`` (gateway, server, op) of each
-attempt and probe.
+Facts: ``start`` of a server (``cold_s``, ``cold_share``, and ``per_s`` when warm) and ``begun`` (gateway, server, op)
+for each attempt and probe.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 @dataclass(slots=True, frozen=True)
 class ColdBounds:
-    """The budget N of a window is ``multiple`` times what the server can do as the window begins, in its length."""
+    """The budget N of a window is ``multiple`` times the server's capacity at its start, times its length."""
 
     multiple: float = 2.5
     window: float = 1.5  # seconds
-    roots: float = 2.0  # so many times the root of N are put down to chance,
-    spare: float = 2.0  # and so many calls
+    roots: float = 2.0  # allowance for random variation: this many square roots of N,
+    spare: float = 2.0  # plus this many calls
 
 
 def capacity(start: Fact, at: float) -> float:
-    """Calls a second that a server can do at a time after its start."""
+    """Calls per second that a server can handle at a time after its start."""
     age = (at - start["at"]) / start["cold_s"] if start["cold_s"] else 1.0
     share = min(1.0, start["cold_share"] + (1 - start["cold_share"]) * age)
     return float(share * start["per_s"])
 
 
 def cold_sum(facts: Sequence[Fact], bounds: ColdBounds | None = None) -> Finding:
-    """In no window that begins while a server is cold do all gateways send it more than the budget and chance."""
+    """Checks that the calls in every window that begins while a server is cold are within its budget and allowance."""
     bounds = bounds or ColdBounds()
     calls: dict[str, list[Fact]] = defaultdict(list)
     for fact in sorted((fact for fact in facts if fact["kind"] == "begun"), key=lambda fact: float(fact["at"])):
--- a/yardbank/testing/audit/excuses.py
+++ b/yardbank/testing/audit/excuses.py
@@ -1,7 +1,7 @@
-"""What a gateway cannot be blamed for: that it was killed or stopped, or that the network was broken on purpose.
+"""Injected faults that explain a late or missing answer: killed or paused gateways and broken network links.
 
-Taken from the rig's own facts: ``process`` (name, what) and ``link`` (from, to, sound). An excuse covers lateness and
-silence only; nothing excuses a second answer, an effect twice or a stale read.
+Built from the rig's own facts: ``process`` (name, what) and ``link`` (from, to, sound). A fault explains lateness and
+missing answers only, never a second answer, a write applied twice or a stale read.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from yardbank.testing.audit.record import Fact
 
 CLIENTS = "clients"
-_BEGINS, _ENDS = frozenset(("kill", "pause")), frozenset(("ready", "resume"))
+_DOWN_EVENTS, _UP_EVENTS = frozenset(("kill", "pause")), frozenset(("ready", "resume"))
 FOREVER = float("inf")
-TOLD_LATE = 0.4  # seconds, at most, until the rig has read that a gateway leaves of its own accord
-ON_ITS_WAY = 0.1  # seconds from a client to a gateway that has other things to do
+LEAVING_DELAY_S = 0.4  # longest delay until the rig reads that a gateway shuts down by itself
+REQUEST_TRANSIT_S = 0.1  # from a client until a busy gateway reads the request
 
 
-class Excuses:
-    """Spans of time in which a gateway, or a link, was not as it should be."""
+class FaultPeriods:
+    """The periods in which each gateway was down or stopping, and each link was broken."""
 
     def __init__(self, facts: Iterable[Fact]) -> None:
         self._spans: dict[tuple[str, str], list[list[float]]] = defaultdict(list)
         for fact in facts:
             if fact["kind"] == "process":
-                down, stopping, what = (fact["name"], ""), (fact["name"], "stopping"), fact["what"]
-                if what in _BEGINS:
-                    self._begin(down, fact["at"])
-                elif what in _ENDS:
-                    self._end(down, fact["at"])
+                down_key, stopping_key, what = (fact["name"], ""), (fact["name"], "stopping"), fact["what"]
+                if what in _DOWN_EVENTS:
+                    self._begin(down_key, fact["at"])
+                elif what in _UP_EVENTS:
+                    self._end(down_key, fact["at"])
                 if what in ("terminate", "leaving"):
-                    self._begin(stopping, fact["at"] - (TOLD_LATE if what == "leaving" else 0.0))
+                    self._begin(stopping_key, fact["at"] - (LEAVING_DELAY_S if what == "leaving" else 0.0))
                 elif what == "ready":
-                    self._end(stopping, fact["at"])
+                    self._end(stopping_key, fact["at"])
             elif fact["kind"] == "link":
                 key = (fact["from"], fact["to"])
                 if fact["sound"]:
@@ -54,29 +54,31 @@
     def _overlaps(self, key: tuple[str, str], since: float, until: float) -> bool:
         return any(begin <= until and end >= since for begin, end in self._spans.get(key, ()))
 
-    def down(self, gateway: str, since: float, until: float) -> bool:
-        """Whether it was killed or paused at any moment of this span; an end of its own accord is no excuse."""
+    def gateway_down(self, gateway: str, since: float, until: float) -> bool:
+        """Whether the rig had killed or paused the gateway at any time in this period; a crash does not count."""
         return self._overlaps((gateway, ""), since, until)
 
-    def way(self, a: str, b: str, since: float, until: float) -> bool:
-        """Whether the link between two ends was broken, in either direction, at any moment of this span."""
+    def link_broken(self, a: str, b: str, since: float, until: float) -> bool:
+        """Whether the link between two endpoints was broken, in either direction, at any time in this period."""
         return self._overlaps((a, b), since, until) or self._overlaps((b, a), since, until)
 
-    def silence(self, gateway: str, since: float, until: float) -> bool:
-        """Whether a client may have had no answer from this gateway in this span."""
-        return bool(gateway) and (self.down(gateway, since, until) or self.way(CLIENTS, gateway, since, until))
+    def explains_no_answer(self, gateway: str, since: float, until: float) -> bool:
+        """Whether a fault explains that a client got no answer from this gateway in this period."""
+        return bool(gateway) and (
+            self.gateway_down(gateway, since, until) or self.link_broken(CLIENTS, gateway, since, until)
+        )
 
-    def loss(self, gateway: str, since: float, until: float) -> bool:
-        """Whether a connection may have gone with this request, sent at ``since``, unanswered.
+    def explains_lost_connection(self, gateway: str, since: float, until: float) -> bool:
+        """Whether a connection may have been lost before this request, sent at ``since``, was answered.
 
-        As for silence; or it was sent when the gateway had been asked to stop, or so shortly before that it was still
-        on its way: it takes nothing more then.
+        True if a fault explains the missing answer, or if the gateway was already stopping when the request arrived:
+        it accepts no requests then. The request may have been sent shortly before the stop and arrived after it.
         """
-        stopping = self._overlaps((gateway, "stopping"), since, since + ON_ITS_WAY)
-        return bool(gateway) and (stopping or self.silence(gateway, since, until))
+        stopping = self._overlaps((gateway, "stopping"), since, since + REQUEST_TRANSIT_S)
+        return bool(gateway) and (stopping or self.explains_no_answer(gateway, since, until))
 
-    def told_from(self, gateway: str, at: float) -> float:
-        """From when a gateway can know what it was notified of at this time: when it went on, if stopped then."""
+    def notified_from(self, gateway: str, at: float) -> float:
+        """When a gateway can act on a notification of this time: at once, or when it resumes if it was down."""
         for begin, end in self._spans.get((gateway, ""), ()):
             if begin <= at <= end:
                 return end
--- a/yardbank/testing/audit/judge.py
+++ b/yardbank/testing/audit/judge.py
@@ -1,38 +1,38 @@
-"""The five rules, judged one by one."""
+"""Runs the five rules over a record."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from yardbank.testing.audit.excuses import Excuses
+from yardbank.testing.audit.excuses import FaultPeriods
 from yardbank.testing.audit.record import Fact
 from yardbank.testing.audit.rule import Bounds, Rule, outcome
-from yardbank.testing.audit.rules import cold, drains_kept, no_effect_twice, one_answer
+from yardbank.testing.audit.rules import cold_servers_not_overloaded, drains_kept, no_effect_twice, one_answer
 from yardbank.testing.audit.stale import no_stale_read
 
 
 @dataclass(slots=True)
 class Verdict:
-    """All rules, and what became of the requests."""
+    """The verdict on each rule, and the number of requests by outcome."""
 
     rules: dict[str, Rule]
     answers: dict[str, int]
 
     @property
     def held(self) -> bool:
-        """Whether every rule was held."""
+        """Whether no rule was violated."""
         return all(rule.held for rule in self.rules.values())
 
 
 def judge(facts: list[Fact], bounds: Bounds | None = None) -> Verdict:
-    """Judge a whole record, in order of time."""
+    """Checks a complete record, which must be sorted by time."""
     bounds = bounds or Bounds()
-    excuses = Excuses(facts)
+    fault_periods = FaultPeriods(facts)
     rules = {
-        "one_answer": one_answer(facts, bounds, excuses),
+        "one_answer": one_answer(facts, bounds, fault_periods),
         "no_effect_twice": no_effect_twice(facts),
-        "drains_kept": drains_kept(facts, bounds, excuses),
-        "cold_not_pushed_over": cold(facts, bounds),
+        "drains_kept": drains_kept(facts, bounds, fault_periods),
+        "cold_not_pushed_over": cold_servers_not_overloaded(facts, bounds),
         "no_stale_read": no_stale_read(facts),
     }
     return Verdict(rules, _answers(facts))
--- a/yardbank/testing/audit/lateness.py
+++ b/yardbank/testing/audit/lateness.py
@@ -1,7 +1,7 @@
-"""How late the rig itself was: what it notes may have crossed earlier than it says, and is judged by the earliest time.
+"""Corrects timestamps for delays of the rig itself.
 
-``rig_late`` facts: noted ``at`` a time, after the rig had not looked at its sockets for ``by`` (s). What lay in them is
-noted right after that.
+A ``rig_late`` fact says that at time ``at`` the rig had not read its sockets for ``by`` seconds. Whatever arrived
+meanwhile is recorded right after that, so claims are checked against the earliest time at which it may have arrived.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from yardbank.testing.audit.record import Fact
 
-TAIL = 0.03  # seconds: the rig looks at its clock every 20 ms, and notes from 10 ms on that it was late
+RECORDING_TAIL_S = 0.03  # the rig reads its clock every 20 ms and records a delay from 10 ms on
 
 
-class Lateness:
-    """The spans in which the rig looked at nothing."""
+class RigDelays:
+    """The periods in which the rig did not read its sockets."""
 
     def __init__(self, facts: Iterable[Fact]) -> None:
         late = sorted((float(fact["at"]), float(fact["by"])) for fact in facts if fact["kind"] == "rig_late")
         self._ends = [at for at, _ in late]
         self._by = [by for _, by in late]
 
-    def earliest(self, at: float) -> float:
-        """When something that was noted at this time can have crossed at the earliest."""
-        place = bisect_left(self._ends, at - TAIL)
+    def earliest_time(self, at: float) -> float:
+        """The earliest time at which something recorded at this time may have arrived."""
+        place = bisect_left(self._ends, at - RECORDING_TAIL_S)
         if place < len(self._ends) and self._ends[place] - self._by[place] <= at:
             return self._ends[place] - self._by[place]
         return at
--- a/yardbank/testing/audit/record.py
+++ b/yardbank/testing/audit/record.py
@@ -1,10 +1,11 @@
-"""Records: JSON lines, each a fact with the machine's steady time ``at`` (seconds) and its ``kind``.
+"""Reads records: JSON lines, one fact each, with a monotonic timestamp ``at`` (seconds) and a ``kind``.
 
-From clients: ``sent`` (tag, need, deadline), ``answer``, ``unasked``, ``lost``, ``left``, ``opened``,
-``cancelled``. From stand-ins: ``received``, ``full``, ``applied``, ``answered``, ``elected``, ``start``. From relays:
-``reached`` (a client's end, or a cancelling, lay in the gateway's socket), ``begun`` (an attempt, by its first octet).
-From the operator's side: ``listed`` (what discovery had of a server for a gateway), ``discovery`` (whether it could be
-reached), ``told`` (what was written to a gateway of a server, and when), ``killed`` (a gateway was).
+Clients write ``sent`` (tag, need, deadline), ``answer``, ``unasked`` (a response to no open request), ``lost``,
+``left``, ``opened`` and ``cancelled``. Stand-in servers write ``received``, ``full``, ``applied``, ``answered``,
+``elected`` and ``start``. Relays write ``reached`` (a client's end of stream, or a cancellation, was delivered to the
+gateway's socket) and ``begun`` (the first octet of an attempt). The operator's side writes ``listed`` (the state of a
+server that discovery offers to a gateway), ``discovery`` (whether a gateway can reach discovery), ``told`` (a server's
+state was sent to a gateway) and ``killed`` (a gateway was killed).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from typing import Any
 
 Fact = dict[str, Any]
-KINDS = {
+REQUIRED_KEYS = {
     "sent": ("tag", "client"),
     "answer": ("tag", "client", "code"),
     "unasked": ("client",),
@@ -38,7 +39,7 @@
 
 
 def read_record(path: Path) -> list[Fact]:
-    """A record, in order of time. Raises ``ValueError`` naming file and line; a last line cut short is dropped."""
+    """Reads a record, sorted by time. Ignores a truncated last line; raises ``ValueError`` with file and line."""
     facts: list[Fact] = []
     lines = path.read_text(encoding="utf-8").split("\n")
     for number, line in enumerate(lines, 1):
@@ -47,21 +48,21 @@
         try:
             fact = json.loads(line)
         except json.JSONDecodeError:
-            if number == len(lines):  # the writer was killed in the middle of it
+            if number == len(lines):  # the writer was killed while writing it
                 continue
             raise ValueError(f"{path}:{number}: not JSON") from None
-        problem = fault(fact)
+        problem = fact_error(fact)
         if problem:
             raise ValueError(f"{path}:{number}: {problem}")
         facts.append(fact)
     return sorted(facts, key=lambda fact: float(fact["at"]))
 
 
-def fault(fact: Any) -> str:
-    """What is wrong with a fact; empty if nothing is."""
+def fact_error(fact: Any) -> str:
+    """Returns the first problem of a fact, or an empty string."""
     if not isinstance(fact, dict):
         return "not an object"
     if not isinstance(fact.get("at"), int | float) or not isinstance(fact.get("kind"), str):
         return "'at' or 'kind' is missing"
-    missing = [name for name in KINDS.get(fact["kind"], ()) if name not in fact]
+    missing = [name for name in REQUIRED_KEYS.get(fact["kind"], ()) if name not in fact]
     return f"'{missing[0]}' is missing" if missing else ""
--- a/yardbank/testing/audit/report.py
+++ b/yardbank/testing/audit/report.py
@@ -1,4 +1,4 @@
-"""A verdict as a table or as JSON."""
+"""Formats a verdict as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def as_dict(verdict: Verdict) -> dict[str, Any]:
-    """A verdict as plain values."""
+    """Converts a verdict to plain values that JSON can encode."""
     return {
         "held": verdict.held,
         "rules": {
@@ -24,7 +24,7 @@
 
 
 def show(verdict: Verdict, as_json: bool = False) -> None:
-    """Print a verdict on standard output."""
+    """Prints a verdict to standard output."""
     if as_json:
         print(json.dumps(as_dict(verdict), indent=2))
         return
--- a/yardbank/testing/audit/rule.py
+++ b/yardbank/testing/audit/rule.py
@@ -1,4 +1,4 @@
-"""What each rule is made of: its bounds, its verdict, what a result code means, a fact as it is shown."""
+"""Types shared by the rules: their bounds, their verdicts, the meaning of result codes, the text of a fact."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """The figures behind the rules, in seconds."""
+    """Tolerances of the rules. Times in seconds; ``cold_multiple`` is a factor of the server's capacity."""
 
-    answer_slack: float = 0.15  # beyond the deadline: the answer's way and the machine's own delays
+    answer_slack: float = 0.15  # allowed after the deadline for network transit and scheduling delays
     drain_grace: float = 0.5
     cold_multiple: float = 2.5
     cold_window: float = 1.5
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One rule's verdict: how many cases were judged, and what was found against it."""
+    """The verdict on one rule: the number of cases checked and a text for each violation."""
 
     title: str
     judged: int = 0
@@ -29,16 +29,16 @@
 
     @property
     def held(self) -> bool:
-        """Whether nothing was found."""
+        """Whether there was no violation."""
         return not self.found
 
 
-def frame(fact: Fact) -> str:
-    """One fact in a line."""
+def format_fact(fact: Fact) -> str:
+    """Formats a fact as one line."""
     shown = {key: value for key, value in fact.items() if key not in ("at", "source")}
     return f"{fact['at']:.3f} {shown}"
 
 
 def outcome(code: int) -> str:
-    """What a result code means for the client: served, refused or failed."""
+    """Classifies a result code as served, refused or failed."""
     return "refused" if code == BUSY else "failed" if code in (1, 3, 52, 80) else "served"
--- a/yardbank/testing/audit/stale.py
+++ b/yardbank/testing/audit/stale.py
@@ -1,4 +1,4 @@
-"""The fifth rule: no read is answered from data older than its class allows, by a replay of each group's log."""
+"""The fifth rule: no read is answered from data older than its class allows. Replays the commit log of each group."""
 
 from __future__ import annotations
 
@@ -8,64 +8,66 @@
 from typing import Any
 
 from yardbank.testing.audit.record import Fact
-from yardbank.testing.audit.rule import REFERRAL, SUCCESS, Rule, frame, outcome
+from yardbank.testing.audit.rule import REFERRAL, SUCCESS, Rule, format_fact, outcome
 
-MAX_RECENT = 200  # commits whose times are kept with an answer
+MAX_RECENT_COMMITS = 200  # latest commits whose times are kept with each answer
 
 
-class _Log:
-    """One group's log as the stand-ins recorded it, replayed up to the present fact."""
+class _GroupLog:
+    """One group's commit log as the stand-in servers recorded it, replayed up to the current fact."""
 
     def __init__(self) -> None:
-        self.order: list[str] = []
-        self.at: list[float] = []
-        self.place: dict[str, int] = {}  # by change sequence number, counted from 1; of a lost one: what survived
+        self.csns: list[str] = []
+        self.commit_times: list[float] = []
+        self.position: dict[
+            str, int
+        ] = {}  # by change sequence number, from 1; for a lost commit, the last that survived
         self.lost: set[str] = set()
 
-    def commit(self, fact: Fact) -> None:
-        self.order.append(fact["csn"])
-        self.at.append(fact["at"])
-        self.place[fact["csn"]] = len(self.order)
+    def append_commit(self, fact: Fact) -> None:
+        self.csns.append(fact["csn"])
+        self.commit_times.append(fact["at"])
+        self.position[fact["csn"]] = len(self.csns)
 
-    def elect(self, lost: list[str]) -> None:
-        keep = len(self.order) - len(lost)
-        del self.order[keep:]
-        del self.at[keep:]
+    def truncate(self, lost: list[str]) -> None:
+        keep = len(self.csns) - len(lost)
+        del self.csns[keep:]
+        del self.commit_times[keep:]
         for csn in lost:
-            self.place[csn] = keep
+            self.position[csn] = keep
             self.lost.add(csn)
 
 
 @dataclass(slots=True)
-class _Shown:
-    """What one answer of a server showed of a group's log."""
+class _VisibleState:
+    """How much of a group's log was visible in one server's answer."""
 
     answer: Fact
-    excused: bool  # it was primary, and had told no gateway yet that it is none any more
-    place: int  # the place in the log that it had reached
-    committed: int  # how many commits there were
-    recent: list[float]  # when the last of them were
+    deposed_unknown: bool  # a deposed primary that no gateway could know of yet
+    position: int  # the last commit that the server had applied
+    commit_count: int  # commits in the log at that time
+    recent_commit_times: list[float]  # times of the latest of them
 
 
 class _Replay:
-    """A record replayed fact by fact: the groups' logs, what sessions were told of, what servers showed."""
+    """Replays a record: the logs of groups, the writes acknowledged to sessions, the state shown in answers."""
 
     def __init__(self, rule: Rule) -> None:
         self._rule = rule
-        self._logs: dict[str, _Log] = defaultdict(_Log)
-        self._asked: dict[str, Fact] = {}
+        self._logs: dict[str, _GroupLog] = defaultdict(_GroupLog)
+        self._requests: dict[str, Fact] = {}
         self._csn_of: dict[str, str] = {}
-        # By session and group: change sequence numbers answered to it.
-        self._wrote: dict[tuple[str, str], list[str]] = defaultdict(list)
-        # By read and suffix: what its session had been told of by then.
-        self._needed: dict[tuple[str, str], list[str]] = {}
+        # By session and group: change sequence numbers of acknowledged writes.
+        self._acknowledged: dict[tuple[str, str], list[str]] = defaultdict(list)
+        # By read and suffix: the writes acknowledged to its session before it was sent.
+        self._required_writes: dict[tuple[str, str], list[str]] = {}
         self._received: dict[str, dict[str, float]] = defaultdict(dict)
-        self._shown: dict[tuple[str, str], _Shown] = {}
+        self._visible: dict[tuple[str, str], _VisibleState] = {}
         self._primaries: dict[str, str] = {}
-        self._deposed_unknown: set[str] = set()  # was primary, and has told no gateway yet that it is none
+        self._deposed_unknown: set[str] = set()  # deposed primaries that have not yet told any gateway
 
-    def take(self, fact: Fact) -> None:
-        """The next fact of the record."""
+    def process(self, fact: Fact) -> None:
+        """Processes the next fact of the record."""
         match fact["kind"]:
             case "applied":
                 self._applied(fact)
@@ -81,13 +83,13 @@
                 self._answered(fact)
 
     def _applied(self, fact: Fact) -> None:
-        self._logs[fact["suffix"]].commit(fact)
+        self._logs[fact["suffix"]].append_commit(fact)
         self._csn_of[fact.get("tag", "")] = fact["csn"]
         self._primaries[fact["suffix"]] = fact.get("server", "")
 
     def _elected(self, fact: Fact) -> None:
         server = fact.get("server", "")
-        self._logs[fact["suffix"]].elect(fact["lost"])
+        self._logs[fact["suffix"]].truncate(fact["lost"])
         old = self._primaries.get(fact["suffix"])
         if old and old != server:
             self._deposed_unknown.add(old)
@@ -96,47 +98,49 @@
 
     def _sent(self, fact: Fact) -> None:
         tag = fact.get("tag", "")
-        self._asked[tag] = fact
-        for wants in _parts(fact):
-            if wants.get("read") == "session":
-                self._needed[tag, wants["suffix"]] = list(self._wrote[wants["session"], wants["suffix"]])
+        self._requests[tag] = fact
+        for need in _parts(fact):
+            if need.get("read") == "session":
+                self._required_writes[tag, need["suffix"]] = list(self._acknowledged[need["session"], need["suffix"]])
 
     def _answered_by_server(self, fact: Fact) -> None:
         tag, server = fact.get("tag", ""), fact.get("server", "")
         if fact["code"] == REFERRAL or (fact.get("op") == "probe" and fact.get("role") == "copy"):
             self._deposed_unknown.discard(server)
-        if "last" not in fact or tag not in self._asked:
+        if "last" not in fact or tag not in self._requests:
             return
         suffix = fact.get("suffix")
-        if suffix is None or all(part["suffix"] != suffix for part in _parts(self._asked[tag])):
+        if suffix is None or all(part["suffix"] != suffix for part in _parts(self._requests[tag])):
             return
         log = self._logs[suffix]
-        self._shown[tag, suffix] = _Shown(
+        self._visible[tag, suffix] = _VisibleState(
             answer=fact,
-            excused=server in self._deposed_unknown,
-            place=log.place.get(fact["last"], 0),
-            committed=len(log.at),
-            recent=log.at[-MAX_RECENT:],
+            deposed_unknown=server in self._deposed_unknown,
+            position=log.position.get(fact["last"], 0),
+            commit_count=len(log.commit_times),
+            recent_commit_times=log.commit_times[-MAX_RECENT_COMMITS:],
         )
 
     def _answered(self, fact: Fact) -> None:
         tag = fact.get("tag", "")
-        if outcome(fact["code"]) != "served" or tag not in self._asked:
+        if outcome(fact["code"]) != "served" or tag not in self._requests:
             return
-        asked = self._asked[tag]
-        wants = asked.get("need", {})
-        if wants.get("read") == "write":
-            if fact["code"] == SUCCESS and tag in self._csn_of and wants.get("session"):
-                self._wrote[wants["session"], asked.get("suffix", "")].append(self._csn_of[tag])
+        request = self._requests[tag]
+        need = request.get("need", {})
+        if need.get("read") == "write":
+            if fact["code"] == SUCCESS and tag in self._csn_of and need.get("session"):
+                self._acknowledged[need["session"], request.get("suffix", "")].append(self._csn_of[tag])
             return
-        for part in _parts(asked):
+        for part in _parts(request):
             suffix = part["suffix"]
-            if (shown := self._shown.get((tag, suffix))) is not None:
+            if (visible := self._visible.get((tag, suffix))) is not None:
                 self._rule.judged += 1
-                needed = self._needed.get((tag, suffix), [])
-                self._rule.found += _staleness(part, asked, shown, self._logs[suffix], needed, self._received[tag])
-            elif "parts" in wants and fact["code"] == SUCCESS:
-                self._rule.found.append(f"success though {suffix} was not asked: {frame(asked)}")
+                required_writes = self._required_writes.get((tag, suffix), [])
+                self._rule.found += _missing_commits(
+                    part, request, visible, self._logs[suffix], required_writes, self._received[tag]
+                )
+            elif "parts" in need and fact["code"] == SUCCESS:
+                self._rule.found.append(f"success though {suffix} was not asked: {format_fact(request)}")
 
 
 def no_stale_read(facts: list[Fact]) -> Rule:
@@ -144,40 +148,48 @@
     rule = Rule("no stale read")
     replay = _Replay(rule)
     for fact in facts:
-        replay.take(fact)
+        replay.process(fact)
     return rule
 
 
-def _parts(asked: Fact) -> list[dict[str, Any]]:
-    """What a request needs, suffix by suffix; a search that spans groups has a part for each."""
-    wants = asked.get("need", {})
-    if "parts" in wants:
-        return list(wants["parts"])
-    return [{**wants, "suffix": asked["suffix"]}] if "suffix" in asked else []
+def _parts(request: Fact) -> list[dict[str, Any]]:
+    """What a request needs from each suffix; a search that spans groups has one part for each."""
+    need = request.get("need", {})
+    if "parts" in need:
+        return list(need["parts"])
+    return [{**need, "suffix": request["suffix"]}] if "suffix" in request else []
 
 
-def _staleness(
-    wants: dict[str, Any],
-    asked: Fact,
-    shown: _Shown,
-    log: _Log,
-    needed: list[str],
+def _missing_commits(
+    need: dict[str, Any],
+    request: Fact,
+    visible: _VisibleState,
+    log: _GroupLog,
+    required_writes: list[str],
     received: dict[str, float],
 ) -> list[str]:
-    """What one part's answer lacks of what its class must show."""
-    if shown.excused:
+    """Lists the commits that a part's class requires and its answer does not show."""
+    if visible.deposed_unknown:
         return []
-    answer = shown.answer
-    if wants.get("read") == "session":
-        lacks = [csn for csn in needed if csn not in log.lost and log.place[csn] > shown.place]
-        return [f"lacks the session's write {lacks[-1]}: {frame(asked)}; {frame(answer)}"] if lacks else []
-    if wants.get("read") not in ("bounded", "fresh"):
+    answer = visible.answer
+    if need.get("read") == "session":
+        missing = [csn for csn in required_writes if csn not in log.lost and log.position[csn] > visible.position]
+        return (
+            [f"lacks the session's write {missing[-1]}: {format_fact(request)}; {format_fact(answer)}"]
+            if missing
+            else []
+        )
+    if need.get("read") not in ("bounded", "fresh"):
         return []
-    if wants["read"] == "fresh":
-        since = asked["at"]
+    if need["read"] == "fresh":
+        since = request["at"]
     else:
-        since = received.get(answer["server"], answer["at"]) - wants["staleness"]
-    older = shown.committed - len(shown.recent) + bisect_right(shown.recent, since)
-    if older <= shown.place:
+        since = received.get(answer["server"], answer["at"]) - need["staleness"]
+    required = (
+        visible.commit_count - len(visible.recent_commit_times) + bisect_right(visible.recent_commit_times, since)
+    )
+    if required <= visible.position:
         return []
-    return [f"lacks {older - shown.place} commits that it must have: {frame(asked)}; {frame(answer)}"]
+    return [
+        f"lacks {required - visible.position} commits that it must have: {format_fact(request)}; {format_fact(answer)}"
+    ]
--- a/yardbank/testing/audit/summary.py
+++ b/yardbank/testing/audit/summary.py
@@ -1,4 +1,4 @@
-"""How each class fared, from what crossed the sockets: where its reads were answered, and how fast."""
+"""Summarizes a record by request class: where reads were answered, and latencies."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from yardbank.testing.audit.judge import outcome
 from yardbank.testing.audit.record import Fact
 
-WAITED = 0.01  # seconds from the client's socket to the server's: it was held, or sent elsewhere first
+HELD_THRESHOLD_S = 0.01  # client to server; a longer time means that the request was queued or retried
 
 
 @dataclass(slots=True)
 class ClassRow:
-    """One class's figures; times in seconds, of served requests."""
+    """The figures of one class. Times are those of served requests, in seconds."""
 
     name: str
-    asked: int = 0
+    requests: int = 0
     served: int = 0
     by_copy: int = 0
     by_primary: int = 0
@@ -26,30 +26,30 @@
     times: list[float] = field(default_factory=list)
 
     def quantile(self, share: float) -> float:
-        """The time within which this share was served; 0 if none was."""
+        """The latency within which this share of requests was served, or 0 if none was."""
         ordered = sorted(self.times)
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def by_class(facts: Sequence[Fact]) -> list[ClassRow]:
-    """Rows by class in order of name; requests that name no class stand under their kind of read."""
+    """One row for each class, sorted by name; requests without a class are grouped by their kind of read."""
     rows: dict[str, ClassRow] = {}
-    asked: dict[str, Fact] = {}
-    reached: dict[str, float] = {}
+    requests: dict[str, Fact] = {}
+    received_at: dict[str, float] = {}
     answered_by: dict[str, str] = {}
     for fact in facts:
         kind, tag = fact["kind"], fact.get("tag", "")
         if kind == "sent":
-            asked[tag] = fact
+            requests[tag] = fact
             need = fact.get("need", {})
             name = need.get("request_class") or need.get("read", "")
-            rows.setdefault(name, ClassRow(name)).asked += 1
+            rows.setdefault(name, ClassRow(name)).requests += 1
         elif kind == "received":
-            reached.setdefault(tag, fact["at"])
+            received_at.setdefault(tag, fact["at"])
         elif kind == "answered" and "role" in fact:
             answered_by[tag] = fact["role"]
-        elif kind == "answer" and tag in asked and outcome(fact["code"]) == "served":
-            sent = asked[tag]
+        elif kind == "answer" and tag in requests and outcome(fact["code"]) == "served":
+            sent = requests[tag]
             need = sent.get("need", {})
             row = rows[need.get("request_class") or need.get("read", "")]
             row.served += 1
@@ -57,12 +57,12 @@
             if tag in answered_by:
                 row.by_copy += answered_by[tag] == "copy"
                 row.by_primary += answered_by[tag] == "primary"
-                row.waited += reached.get(tag, sent["at"]) - sent["at"] > WAITED
+                row.waited += received_at.get(tag, sent["at"]) - sent["at"] > HELD_THRESHOLD_S
     return [rows[name] for name in sorted(rows)]
 
 
 def table(rows: Sequence[ClassRow], reads: dict[str, str]) -> Table:
-    """The rows as a table; ``reads`` tells each class's kind of read by its name."""
+    """Formats the rows as a table. ``reads``: the kind of read by class."""
     made = Table(title="By class", title_justify="left")
     for column in (
         "class",
@@ -79,7 +79,7 @@
         reading = reads.get(row.name, row.name) != "write"
         made.add_row(
             f"{row.name} ({reads[row.name]})" if row.name in reads else row.name,
-            str(row.asked),
+            str(row.requests),
             str(row.served),
             str(row.by_copy) if reading else "",
             str(row.by_primary) if reading else "",
--- a/yardbank/testing/audit/zone_latencies.py
+++ b/yardbank/testing/audit/zone_latencies.py
@@ -1,52 +1,52 @@
-"""The claim on the zone latencies: what gateways report against the delays that were set."""
+"""The claim on zone latencies: compares the round trips that gateways report with the configured delays."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 
-from yardbank.testing.audit.changes import running
+from yardbank.testing.audit.changes import running_gateways
 from yardbank.testing.audit.claims import Finding
 from yardbank.testing.audit.record import Fact
 
-KNOWN = ("seen", "estimated")
+KNOWN_SOURCES = ("seen", "estimated")
 
 
-def charted(facts: Sequence[Fact], zones: Mapping[str, str], share: float, within: float) -> Finding:
-    """Each running gateway's last report of each latency from its zone is right in the end.
+def latencies_accurate(facts: Sequence[Fact], zones: Mapping[str, str], share: float, within: float) -> Finding:
+    """Checks the last report of each running gateway on each latency from its own zone. ``zones``: by gateway.
 
-    Right: within ``share`` of the round trip that was set, or within so many milliseconds of it, whichever is more.
-    ``zones``: by gateway.
+    A report may differ from the configured round trip by ``share`` of it, or by ``within`` milliseconds if that is
+    more.
     """
-    set_to, reports = _at_the_end(facts)
+    configured, reports = _state_at_end(facts)
     worst, judged = 0.0, 0
-    for name in running(facts, list(zones)):
-        for (source, target), ms in set_to.items():
+    for name in running_gateways(facts, list(zones)):
+        for (source, target), ms in configured.items():
             if source != zones[name] or source == target:
                 continue
             report = reports.get((name, source, target))
-            if report is None or report["how"] not in KNOWN:
+            if report is None or report["how"] not in KNOWN_SOURCES:
                 return Finding(False, f"{name} knows nothing of the way from {source} to {target}", report)
-            off = abs(report["ms"] - ms)
-            if off > max(within, share * ms):
+            error = abs(report["ms"] - ms)
+            if error > max(within, share * ms):
                 seen = f"{name} says {report['ms']:.1f} ms from {source} to {target}, {ms:.1f} are set"
                 return Finding(False, seen, report)
-            worst, judged = max(worst, off), judged + 1
+            worst, judged = max(worst, error), judged + 1
     return Finding(judged > 0, f"{judged} ways right, {worst:.1f} ms off at most")
 
 
-def _at_the_end(facts: Sequence[Fact]) -> tuple[dict[tuple[str, str], float], dict[tuple[str, str, str], Fact]]:
-    """The round trips that were set, by pair of zones, and the last reports, by gateway and pair, as the load ended."""
-    set_to: dict[tuple[str, str], float] = {}
+def _state_at_end(facts: Sequence[Fact]) -> tuple[dict[tuple[str, str], float], dict[tuple[str, str, str], Fact]]:
+    """The configured round trips by pair of zones, and the last reports by gateway and pair, at the end of the load."""
+    configured: dict[tuple[str, str], float] = {}
     reports: dict[tuple[str, str, str], Fact] = {}
     for fact in facts:
         match fact["kind"]:
             case "load_over":
                 break
             case "way":
-                set_to[fact["from"], fact["to"]] = fact["ms"]
+                configured[fact["from"], fact["to"]] = fact["ms"]
             case "map":
                 for ends in ((fact["from"], fact["to"]), (fact["to"], fact["from"])):  # a round trip has no direction
                     reports[fact["gateway"], *ends] = fact
             case "peer_start":
                 reports = {key: report for key, report in reports.items() if key[0] != fact["gateway"]}
-    return set_to, reports
+    return configured, reports
--- a/yardbank/testing/demo/runner.py
+++ b/yardbank/testing/demo/runner.py
@@ -44,7 +44,7 @@
 def _row(row: ClassRow) -> dict[str, Any]:
     return {
         "class": row.name,
-        "requests": row.asked,
+        "requests": row.requests,
         "served": row.served,
         "from_copies": row.by_copy,
         "from_primary": row.by_primary,
--- a/yardbank/testing/rig/observations.py
+++ b/yardbank/testing/rig/observations.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from yardbank.testing.audit.changes import ON_NEW, ON_OLD, STOPPED
+from yardbank.testing.audit.changes import NEW_VERSION_STATES, OLD_VERSION_STATES, STOPPED
 from yardbank.testing.audit.gossip_messages import holdings, items
 
 Fact = dict[str, Any]
@@ -72,10 +72,10 @@
         found = []
         if what in ("finished", STOPPED, "withdrawn"):
             self._ends[fact["gateway"]] = what
-        if what in ON_NEW and fact["gateway"] not in self.over:
+        if what in NEW_VERSION_STATES and fact["gateway"] not in self.over:
             self.over.add(fact["gateway"])
             found.append("went_over")
-        elif what in ON_OLD:
+        elif what in OLD_VERSION_STATES:
             self.over.discard(fact["gateway"])
         elif what == STOPPED:
             found.append("stopped")
--- a/yardbank/testing/rig/taps.py
+++ b/yardbank/testing/rig/taps.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from yardbank.testing.audit.frames import OPERATIONS, Frames
+from yardbank.testing.audit.frames import OPERATIONS, MessageReader
 
 Record = Callable[[dict[str, Any]], None]
 
@@ -31,7 +31,7 @@
 
     def __init__(self, record: Record, gateway: str, server: str) -> None:
         self._record, self._gateway, self._server = record, gateway, server
-        self._frames = Frames()
+        self._frames = MessageReader()
 
     def entered(self, now: float, data: bytes) -> None:
         """Note what is whole now."""
@@ -61,7 +61,7 @@
     def __init__(self, record: Record, gateway: str, port: int) -> None:
         """``port``: the client's, by which the record names the connection."""
         self._record, self._facts = record, {"kind": "reached", "gateway": gateway, "port": port}
-        self._frames = Frames()
+        self._frames = MessageReader()
 
     def entered(self, now: float, data: bytes) -> None:
         """It may yet be held back."""
--- a/yardbank/testing/rig/verdict.py
+++ b/yardbank/testing/rig/verdict.py
@@ -9,13 +9,13 @@
 
 from yardbank.testing.audit import changes, feeds, judge
 from yardbank.testing.audit.claims import Finding, alive, belief, served, serves_again, unmoved, views
-from yardbank.testing.audit.client_departure import GoneBounds, gone_clients
+from yardbank.testing.audit.client_departure import DepartureBounds, gone_clients
 from yardbank.testing.audit.cold_sum import ColdBounds, cold_sum
 from yardbank.testing.audit.distributed import distributed
 from yardbank.testing.audit.judge import Bounds
-from yardbank.testing.audit.notification_deadline import ToldBounds, told_in_time
+from yardbank.testing.audit.notification_deadline import NotificationBounds, drains_notified_in_time
 from yardbank.testing.audit.record import Fact
-from yardbank.testing.audit.zone_latencies import charted
+from yardbank.testing.audit.zone_latencies import latencies_accurate
 from yardbank.testing.rig.scenario import Claim, Scenario, matching
 
 BOUNDS = Bounds(answer_slack=1.5)  # many processes share the machine's cores: answers are judged less closely
@@ -86,7 +86,7 @@
     "stopped": lambda facts, claim, s: changes.stopped(facts, _gateways(claim, s)),
     "advanced": lambda facts, claim, s: changes.advanced(facts, _gateways(claim, s)),
     "gone_clients": lambda facts, claim, _: gone_clients(
-        facts, GoneBounds(**_given(claim, "within", "late", "cases", "share", "fewest"))
+        facts, DepartureBounds(**_given(claim, "within", "late", "cases", "share", "fewest"))
     ),
     "cold_sum": lambda facts, claim, _: cold_sum(
         facts, ColdBounds(**_given(claim, "multiple", "window", "roots", "spare"))
@@ -94,8 +94,10 @@
     "distributed": lambda facts, claim, s: distributed(
         facts, s.gateways(), [step.name for step in s.step if step.do == "publish"], **_given(claim, "within")
     ),
-    "told": lambda facts, claim, _: told_in_time(facts, ToldBounds(**_given(claim, "bound", "grace"))),
-    "map": lambda facts, claim, s: charted(facts, _zones(s), claim.share, claim.within / 1e6),
+    "told": lambda facts, claim, _: drains_notified_in_time(
+        facts, NotificationBounds(**_given(claim, "bound", "grace"))
+    ),
+    "map": lambda facts, claim, s: latencies_accurate(facts, _zones(s), claim.share, claim.within / 1e6),
 }
 
 
