--- a/tests/testing/rig/test_claims.py
+++ b/tests/testing/rig/test_claims.py
@@ -1,4 +1,4 @@
-"""Excuses and claims over facts made by hand."""
+"""Fault periods and claims, checked on handmade facts."""
 
 from yardbank.testing.audit import judge
 from yardbank.testing.audit.claims import alive, served, serves_again
@@ -34,7 +34,7 @@
     return [name for name, rule in verdict.rules.items() if not rule.held]
 
 
-def test_silence_is_excused_only_for_the_gateway_that_was_stopped_and_only_then():
+def test_a_missing_answer_is_allowed_only_while_its_own_gateway_or_link_was_down():
     gave_up = {"at": 4.0, "kind": "gave_up", "client": "c1", "tag": "c1/1"}
     assert found([sent(2.0), gave_up]) == ["one_answer"]
     assert found([process(1.0, "pause"), sent(2.0), process(3.0, "resume"), gave_up]) == []
@@ -45,27 +45,29 @@
     assert found([{**cut, "from": "g1", "to": "a-1"}, sent(2.0), gave_up]) == ["one_answer"]
 
 
-def test_a_lost_connection_is_excused_by_a_kill_and_not_by_a_crash():
+def test_a_lost_connection_is_allowed_after_a_kill_and_not_after_a_crash():
     assert found([sent(2.0), process(2.5, "kill"), lost(2.6)]) == []
     assert found([sent(2.0), process(2.5, "ended", meant=False), lost(2.6)]) == ["one_answer"]
 
 
-def test_a_gateway_told_to_stop_owes_what_it_had_taken():
+def test_a_stopping_gateway_must_answer_requests_it_had_accepted():
     stop = process(2.0, "terminate")
     taken = {"at": 1.4, "kind": "received", "server": "a-1", "tag": "c1/1", "op": "search"}
     assert found([sent(1.3), stop, lost(2.1)]) == ["one_answer"]
     assert found([sent(2.1), stop, lost(2.2)]) == []
-    assert found([sent(1.98), stop, lost(2.2)]) == []  # on its way as the gateway stopped
+    assert found([sent(1.98), stop, lost(2.2)]) == []  # still in transit when the gateway stopped
     assert found([sent(1.98), {**taken, "at": 1.99}, stop, lost(2.2)]) == ["one_answer"]
-    assert found([stop, process(3.0, "ready"), sent(4.0), lost(4.1)]) == ["one_answer"]  # that was the one before
+    assert found([stop, process(3.0, "ready"), sent(4.0), lost(4.1)]) == [
+        "one_answer"
+    ]  # the stop was of the previous run
 
 
-def test_nothing_excuses_a_second_answer():
+def test_a_second_answer_is_a_violation_even_during_a_fault():
     answer = {"at": 2.1, "kind": "answer", "client": "c1", "tag": "c1/1", "code": 0}
     assert found([process(1.0, "pause"), sent(2.0), answer, {**answer, "at": 2.2}]) == ["one_answer"]
 
 
-def test_each_gateway_keeps_the_drains_that_it_was_told_of():
+def test_each_gateway_must_respect_the_drains_it_was_told_of():
     told = {"at": 1.0, "kind": "told", "gateway": "g1", "server": "a-1", "state": "draining"}
     received = {"at": 2.1, "kind": "received", "server": "a-1", "tag": "c1/1", "op": "search"}
     answer = {"at": 2.2, "kind": "answer", "client": "c1", "tag": "c1/1", "code": 0}
@@ -76,7 +78,7 @@
     assert found([told, held_back, sent(2.0), received, answer]) == []
 
 
-def test_excuses_end_with_what_they_are_for():
+def test_fault_periods_end_with_their_fault():
     fault_periods = FaultPeriods([process(1, "pause"), process(2, "resume"), process(5, "kill")])
     assert [fault_periods.gateway_down("g1", at, at) for at in (0.5, 1.5, 3, 6)] == [False, True, False, True]
     assert fault_periods.notified_from("g1", 1.5) == 2 and fault_periods.notified_from("g1", 3) == 3
@@ -90,7 +92,7 @@
     ]
 
 
-def test_claims_on_shares_can_fail_and_say_where():
+def test_served_share_claims_fail_with_the_outcomes_and_a_fact():
     facts = [
         {"at": 1.0, "kind": "step", "name": "x", "phase": "begin"},
         {"at": 3.0, "kind": "step", "name": "x", "phase": "end"},
@@ -104,7 +106,7 @@
     assert not served(facts, 0.1, "y", "", "").held and not served(facts, 0.1, "x", "", "commit").held
 
 
-def test_claims_on_gateways_can_fail_and_name_them():
+def test_gateway_claims_fail_and_name_the_gateways():
     facts = [process(0, "ready"), process(0, "ready", "g2"), {"at": 1.0, "kind": "step", "name": "x", "phase": "begin"}]
     for number, kind in enumerate(("lookup", "status", "commit")):
         need = {"read": "bounded", "request_class": kind}
--- a/tests/testing/rig/test_fleet.py
+++ b/tests/testing/rig/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several processes of the program with faults between them; and gateways whose faults the judge must find."""
+"""Fleets of gateway processes under scripted faults, and gateways with seeded faults that the audit must find."""
 
 import json
 import os
@@ -24,7 +24,7 @@
 
 
 def processes_of(folder):
-    """Ids of running processes whose command names this folder."""
+    """The ids of processes whose command line contains this folder."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
@@ -37,25 +37,27 @@
     return found
 
 
-def landed(folder):
-    """The older program, laid out from the history."""
+def extract_older_program(folder):
+    """Extracts the older program from the git history."""
     root = ROOT
-    archive = subprocess.run(["git", "archive", LANDED, "yardbank"], cwd=root, capture_output=True, check=False)
+    archive = subprocess.run(
+        ["git", "archive", OLDER_PROGRAM_COMMIT, "yardbank"], cwd=root, capture_output=True, check=False
+    )
     if archive.returncode:
-        pytest.skip("no history here to take the older program from")
+        pytest.skip("no git history to extract the older program from")
     subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
     return folder
 
 
-WITH_EACH_CHANGE = {"killed", "rolling", "peers-partition", "peers-bad-copy", "landed-beside", "channels-owner-cut"}
-LANDED = "9d7b4df"  # the program before gateways sent letters
-EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ  # ``make rig`` sets it; with each change there is no time for all
+RUN_IN_CI = {"killed", "rolling", "peers-partition", "peers-bad-copy", "landed-beside", "channels-owner-cut"}
+OLDER_PROGRAM_COMMIT = "9d7b4df"  # the last commit without gossip messages
+EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ  # set by ``make rig``; CI runs only some for lack of time
 
 
-@pytest.mark.parametrize("name", sorted(shipped() if EVERY else WITH_EACH_CHANGE))
+@pytest.mark.parametrize("name", sorted(shipped() if EVERY else RUN_IN_CI))
 def test_the_fleet_stands_what_is_shipped(name, tmp_path, monkeypatch):
     if "landed" in shipped()[name].read_text():
-        monkeypatch.setenv("YARDBANK_LANDED", str(landed(tmp_path)))
+        monkeypatch.setenv("YARDBANK_LANDED", str(extract_older_program(tmp_path)))
     out, kept = tmp_path / "out.json", tmp_path / "kept"
     command = [sys.executable, "-m", "yardbank", "rig", "run", name, "--json", str(out), "--keep", str(kept)]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
@@ -113,12 +115,14 @@
 ]
 
 
-OFTEN = {"Forgets", "Resends", "IgnoresDrains", "Credulous"}
-PLAYED = [row for row in FAULTS if EVERY or row[0] in OFTEN]
+FAULTS_IN_CI = {"Forgets", "Resends", "IgnoresDrains", "Credulous"}
+SEEDED_FAULTS = [row for row in FAULTS if EVERY or row[0] in FAULTS_IN_CI]
 
 
-@pytest.mark.parametrize(("fault", "claim", "text", "load", "more"), PLAYED, ids=[row[0] for row in PLAYED])
-def test_a_gateway_with_a_fault_of_its_own_is_found(fault, claim, text, load, more, tmp_path):
+@pytest.mark.parametrize(
+    ("fault", "claim", "text", "load", "more"), SEEDED_FAULTS, ids=[row[0] for row in SEEDED_FAULTS]
+)
+def test_a_gateway_with_a_seeded_fault_is_found(fault, claim, text, load, more, tmp_path):
     file = tmp_path / "s.hcl"
     text_of = SMALL % load + CLAIMS + more
     if claim == "views":
@@ -136,7 +140,7 @@
 
 @contextmanager
 def playing(kept):
-    """The rig in the middle of a play."""
+    """A running rig, in the middle of a scenario."""
     rig = subprocess.Popen(
         [sys.executable, "-m", "yardbank", "rig", "run", "partition", "--keep", str(kept)],
         stdout=subprocess.PIPE,
@@ -144,7 +148,7 @@
         text=True,
     )
     try:
-        while "partition" not in rig.stdout.readline():  # the load is on
+        while "partition" not in rig.stdout.readline():  # the load has begun
             assert rig.poll() is None
         assert len(processes_of(kept)) >= 7  # the rig, two groups, four gateways
         yield rig
@@ -156,19 +160,19 @@
         rig.stderr.close()
 
 
-def test_all_processes_go_when_the_rig_is_killed(tmp_path):
+def test_all_processes_exit_when_the_rig_is_killed(tmp_path):
     with playing(tmp_path / "kept") as rig:
         rig.send_signal(signal.SIGKILL)
 
 
-def test_an_interrupted_rig_judges_nothing_and_leaves_nothing_behind(tmp_path):
+def test_an_interrupted_rig_reports_no_verdict_and_leaves_no_process(tmp_path):
     with playing(tmp_path / "kept") as rig:
         rig.send_signal(signal.SIGINT)
         out, err = rig.communicate()
         assert rig.returncode == 2 and "interrupted" in err and "held" not in out
 
 
-def test_a_rig_whose_guardian_is_killed_ends_the_processes_itself(tmp_path):
+def test_a_rig_kills_the_processes_itself_when_its_guardian_is_killed(tmp_path):
     with playing(tmp_path / "kept") as rig:
         children = Path(f"/proc/{rig.pid}/task/{rig.pid}/children").read_text().split()
         (guardian,) = [pid for pid in children if b"rig.guardian" in Path(f"/proc/{pid}/cmdline").read_bytes()]
@@ -177,7 +181,7 @@
         assert rig.returncode == 2 and "the guardian ended" in err and "held" not in out
 
 
-def test_a_folder_that_is_not_empty_is_left_alone(tmp_path):
+def test_a_folder_that_is_not_empty_is_refused_and_unchanged(tmp_path):
     (tmp_path / "mine").write_text("x")
     command = [sys.executable, "-m", "yardbank", "rig", "run", "partition", "--keep", str(tmp_path)]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
--- a/tests/testing/rig/test_network.py
+++ b/tests/testing/rig/test_network.py
@@ -1,4 +1,4 @@
-"""What a network does to what crosses it, who asks again, and which ends of a process were meant."""
+"""Simulated network faults, client retries, and states of processes."""
 
 from collections import Counter
 from random import Random
@@ -9,9 +9,18 @@
 
 from tests.testing.rig.test_scenarios import scenario
 from yardbank.testing.rig import roster as r
-from yardbank.testing.rig.load import draw, next_gateway, try_again
-from yardbank.testing.rig.network import MAX_DATAGRAMS, MAX_HELD, Datagrams, Effect, Ended, Network, Stream, pairs_of
-from yardbank.testing.rig.roster import Roster
+from yardbank.testing.rig.load import draw_arrivals, next_gateway, retry_wait
+from yardbank.testing.rig.network import (
+    MAX_DATAGRAMS,
+    MAX_HELD_OCTETS,
+    DatagramLink,
+    DelayedStream,
+    Effect,
+    Network,
+    StreamEnd,
+    pairs_of,
+)
+from yardbank.testing.rig.roster import ProcessTable
 
 PIECES = st.lists(st.binary(min_size=1, max_size=300), min_size=1, max_size=30)
 EFFECTS = st.builds(
@@ -21,8 +30,8 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(PIECES, st.lists(EFFECTS, min_size=1, max_size=5), st.integers(0, 99))
-def test_a_stream_keeps_its_order_whatever_the_network_does(pieces, effects, seed):
-    stream, now, came, sent = Stream(Random(seed)), 0.0, [], 0
+def test_a_stream_keeps_its_order_under_any_network_effects(pieces, effects, seed):
+    stream, now, received, sent = DelayedStream(Random(seed)), 0.0, [], 0
     for index, piece in enumerate(pieces):
         effect = effects[index % len(effects)]
         stream.push(now, piece, effect)
@@ -30,50 +39,50 @@
         now += 0.01
         found = stream.due(now, effect)
         assert not (effect.cut and found)
-        came += found
-    stream.push(now, Ended(True), Effect())
-    came += stream.due(now + 1000, Effect())
-    assert came[-1] == Ended(True)
-    assert b"".join(came[:-1]) == b"".join(pieces)
+        received += found
+    stream.push(now, StreamEnd(True), Effect())
+    received += stream.due(now + 1000, Effect())
+    assert received[-1] == StreamEnd(True)
+    assert b"".join(received[:-1]) == b"".join(pieces)
     assert stream.next_at(Effect()) is None
 
 
-def test_a_stream_bounds_what_it_holds_and_keeps_its_pace():
-    stream = Stream(Random(1))
+def test_a_stream_limits_its_buffer_and_its_rate():
+    stream = DelayedStream(Random(1))
     stream.push(0.0, bytes(1000), Effect(rate=1000.0))
     stream.push(0.0, bytes(500), Effect(rate=1000.0, delay=1.0))
     assert stream.due(0.99, Effect()) == [] and len(stream.due(1.0, Effect())) == 1
     assert stream.next_at(Effect()) == 2.5 and stream.next_at(Effect(cut="silent")) is None
-    stream.push(0.0, bytes(MAX_HELD), Effect())
-    assert stream.crowded
+    stream.push(0.0, bytes(MAX_HELD_OCTETS), Effect())
+    assert stream.is_full
     stream.due(10.0, Effect())
-    assert not stream.crowded
+    assert not stream.is_full
 
 
-def test_spoilt_pieces_differ_in_one_octet():
-    stream, data = Stream(Random(3)), bytes(range(200))
+def test_corrupted_chunks_differ_in_one_octet():
+    stream, data = DelayedStream(Random(3)), bytes(range(200))
     stream.push(0.0, data, Effect(spoil=1.0))
     (piece,) = stream.due(0.0, Effect())
     assert len(piece) == 200 and sum(a != b for a, b in zip(piece, data)) == 1
 
 
-def test_datagrams_are_lost_doubled_and_overtaken_by_their_shares():
-    wire, random = Datagrams(Random(5)), Effect(lose=0.3, double=0.1, reorder=0.2, delay=0.01)
-    arrivals = [wire.push(float(n), b"%d" % n, random) for n in range(2000)]
+def test_datagrams_are_lost_duplicated_and_reordered_at_the_given_shares():
+    link, random = DatagramLink(Random(5)), Effect(lose=0.3, double=0.1, reorder=0.2, delay=0.01)
+    arrivals = [link.push(float(n), b"%d" % n, random) for n in range(2000)]
     counts = Counter(len(found) for found in arrivals)
-    assert 500 < counts[0] < 700 and 90 < counts[2] < 190 and wire.lost == counts[0]
+    assert 500 < counts[0] < 700 and 90 < counts[2] < 190 and link.lost == counts[0]
     late = sum(at - n > 0.0101 for n, found in enumerate(arrivals) for at, _ in found)
     assert 200 < late < 420
-    assert Datagrams(Random(1)).push(0.0, b"x", Effect(cut="reset")) == []
-    full = Datagrams(Random(1))
+    assert DatagramLink(Random(1)).push(0.0, b"x", Effect(cut="reset")) == []
+    full = DatagramLink(Random(1))
     for _ in range(MAX_DATAGRAMS + 5):
         full.push(0.0, b"x", Effect(delay=9.0))
-    assert full.under_way == MAX_DATAGRAMS and full.lost == 5
+    assert full.in_transit == MAX_DATAGRAMS and full.lost == 5
     full.arrived()
     assert full.push(0.0, b"x", Effect())
 
 
-def test_faults_on_one_pair_add_up_and_go_one_by_one():
+def test_faults_on_one_pair_combine_and_end_separately():
     network = Network()
     assert network.begin("a", pairs_of(["g1"], ["x", "y"], True), Effect(delay=0.1)) == {("g1", "x"), ("g1", "y")}
     changed = network.begin("b", pairs_of(["g1", "g2"], ["x"], False), Effect(cut="silent", lose=0.5))
@@ -88,18 +97,18 @@
     assert pairs_of(["g1", "g2"], ["g1", "g2"], True) == {("g1", "g2"), ("g2", "g1")}
 
 
-def test_load_is_drawn_ahead_by_seed():
+def test_load_is_reproducible_from_its_seed():
     made = scenario('load {\n  rate = 200\n  length = "10s"\n  writes = 0.2\n}\n')
-    arrivals = draw(made.load, made.group, 4)
-    assert arrivals == draw(made.load, made.group, 4) != draw(made.load, made.group, 5)
+    arrivals = draw_arrivals(made.load, made.group, 4)
+    assert arrivals == draw_arrivals(made.load, made.group, 4) != draw_arrivals(made.load, made.group, 5)
     assert 1800 < len(arrivals) < 2200 and [a.at for a in arrivals] == sorted(a.at for a in arrivals)
     share = Counter(a.read for a in arrivals)
     assert 0.17 < share["write"] / len(arrivals) < 0.23 and share["session"] > 600 and share["bounded"] > 600
 
 
-def test_what_may_have_run_is_not_asked_again():
+def test_operations_that_may_have_run_are_not_retried():
     made = scenario("")
-    by_read = {a.read: a for a in draw(made.load, made.group, 1)}
+    by_read = {a.read: a for a in draw_arrivals(made.load, made.group, 1)}
     random = Random(1)
     for outcome, again in {
         "refused": "bounded session write",
@@ -109,29 +118,29 @@
         "served": "",
     }.items():
         for read, arrival in by_read.items():
-            wait = try_again(arrival, made.load, 1, outcome, 0.1, random)
+            wait = retry_wait(arrival, made.load, 1, outcome, 0.1, random)
             assert (wait is not None) == (read in again.split())
             assert wait is None or 0.025 <= wait <= 0.05
-            assert try_again(arrival, made.load, made.load.retries + 1, outcome, 0.1, random) is None
-            assert try_again(arrival, made.load, 1, outcome, arrival.deadline, random) is None
+            assert retry_wait(arrival, made.load, made.load.retries + 1, outcome, 0.1, random) is None
+            assert retry_wait(arrival, made.load, 1, outcome, arrival.deadline, random) is None
     assert {next_gateway(["g1", "g2", "g3"], "g2", random) for _ in range(50)} == {"g1", "g3"}
     assert next_gateway(["g1"], "g1", random) == "g1"
 
 
-def test_an_end_that_nobody_meant_is_told():
-    members = Roster()
+def test_unintended_process_exits_are_reported():
+    processes = ProcessTable()
     for word in ("start", "ready", "kill"):
-        members.move("g1", word)
-    assert members.ended("g1", None, 9)
-    members.move("g1", "start")
-    assert not members.ended("g1", 3, None) and members.faults == ["g1 ended by itself with code 3"]
+        processes.move("g1", word)
+    assert processes.ended("g1", None, 9)
+    processes.move("g1", "start")
+    assert not processes.ended("g1", 3, None) and processes.unexpected_exits == ["g1 ended by itself with code 3"]
     for word in ("start", "ready", "terminate"):
-        members.move("g1", word)
-    assert not members.ended("g1", 1, None) and "though told to stop" in members.faults[1]
+        processes.move("g1", word)
+    assert not processes.ended("g1", 1, None) and "though told to stop" in processes.unexpected_exits[1]
     with pytest.raises(ValueError, match="g1 is down: pause is not possible"):
-        members.move("g1", "pause")
-    assert members.member("g1").starts == 3 and not members.ready()
-    assert {state for before, _, after in r.TABLE for state in (before, after)} == {
+        processes.move("g1", "pause")
+    assert processes.member("g1").starts == 3 and not processes.ready()
+    assert {state for before, _, after in r.TRANSITIONS for state in (before, after)} == {
         r.DOWN,
         r.STARTING,
         r.READY,
--- a/tests/testing/rig/test_process_groups.py
+++ b/tests/testing/rig/test_process_groups.py
@@ -1,4 +1,4 @@
-"""The guardian's groups: a gateway under a supervisor is stopped, woken and killed as a whole."""
+"""Process groups of the guardian: a supervised gateway is paused, resumed and killed with its worker."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 def states(group):
-    """Of all processes of a group."""
+    """The states of all processes of a group."""
     found = []
     for entry in Path("/proc").iterdir():
         with suppress(OSError, ValueError):
@@ -21,29 +21,31 @@
     return [state for state in found if state != "Z"]
 
 
-def test_a_group_is_stopped_and_killed_as_a_whole_and_leaves_nothing(tmp_path):
+def test_signals_reach_the_whole_process_group_and_no_process_remains(tmp_path):
     command = [sys.executable, "-m", "yardbank.testing.rig.guardian"]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) as guardian:
 
-        def order(do, **more):
+        def send_command(do, **more):
             guardian.stdin.write(json.dumps({"do": do, "name": "g1", **more}) + "\n")
             guardian.stdin.flush()
 
         def start(script):
-            order("start", command=["/bin/sh", "-c", script], log=str(tmp_path / "log"), env={"WORD": "up"}, group=True)
-            news = json.loads(guardian.stdout.readline())
+            send_command(
+                "start", command=["/bin/sh", "-c", script], log=str(tmp_path / "log"), env={"WORD": "up"}, group=True
+            )
+            event = json.loads(guardian.stdout.readline())
             assert json.loads(guardian.stdout.readline())["line"] == "up"
-            return news["pid"]
+            return event["pid"]
 
         try:
             group = start("sleep 600 & echo $WORD; wait")
             assert len(states(group)) == 2
-            order("signal", signal=int(signal.SIGSTOP))
+            send_command("signal", signal=int(signal.SIGSTOP))
             wait_for(lambda: states(group) == ["T", "T"])
-            order("signal", signal=int(signal.SIGKILL))
+            send_command("signal", signal=int(signal.SIGKILL))
             wait_for(lambda: not states(group))
             assert json.loads(guardian.stdout.readline())["signal"] == signal.SIGKILL
-            group = start("sleep 600 >/dev/null 2>&1 & echo $WORD")  # ends by itself and leaves one behind
+            group = start("sleep 600 >/dev/null 2>&1 & echo $WORD")  # exits by itself and leaves a child process
             assert json.loads(guardian.stdout.readline())["code"] == 0
             wait_for(lambda: not states(group))
             group = start("sleep 600 & echo $WORD; wait")
--- a/tests/testing/rig/test_rare_moments.py
+++ b/tests/testing/rig/test_rare_moments.py
@@ -1,4 +1,4 @@
-"""Rare moments in a fleet: small versions of the shipped scenarios, and seeded faults."""
+"""Rarely exercised situations in a fleet: small versions of the bundled scenarios, and seeded faults."""
 
 import json
 import os
@@ -10,15 +10,15 @@
 from yardbank.testing.rig.scenario import load_scenario, shipped
 
 EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ
-FEWER = {
-    "moments-drain": {'"8s"': '"3800ms"'},  # nothing is told or drained later than that
+REDUCTIONS = {
+    "moments-drain": {'"8s"': '"3800ms"'},  # no notification or drain is later than that
     "moments-leavers": {'"9s"': '"6s"'},
     "moments-cold": {'"12s"': '"8s"', "multiple = 1.0": "multiple = 0.5"},
-}  # and a bound so much closer
+}  # the smaller fleet gets a proportionally tighter bound
 
 
 def small(name, folder):
-    """A shipped scenario with a few gateways in place of twenty."""
+    """A bundled scenario with 5 gateways instead of 20."""
     text = shipped()[name].read_text()
     assert "gateways = 20" in text
     file = folder / f"{name}.hcl"
@@ -26,18 +26,18 @@
         "gateways = 20": "gateways = 5",
         ', "g1?"': "",
         "rate    = 300": "rate    = 200",
-        **FEWER[name],
+        **REDUCTIONS[name],
     }.items():
         text = text.replace(all_, few)
     file.write_text(text)
     return file
 
 
-SMALL = ["moments-drain"]  # with ``make rig`` all three are played as they are, by test_rig_fleet
+SMALL = ["moments-drain"]  # ``make rig`` runs all three at full size, by test_fleet
 
 
 @pytest.mark.parametrize("name", SMALL)
-def test_a_small_fleet_stands_it(name, tmp_path):
+def test_a_small_fleet_passes_the_scenario(name, tmp_path):
     out, kept = tmp_path / "out.json", tmp_path / "kept"
     command = [
         sys.executable,
@@ -57,7 +57,10 @@
     first = {}
     for index, fact in enumerate(facts):
         first.setdefault((fact["kind"], fact.get("gateway"), fact.get("server"), fact.get("reached")), index)
-    for late in ("g2", "g3"):  # out of reach: listed meanwhile, told by its return
+    for late in (
+        "g2",
+        "g3",
+    ):  # discovery is unreachable: the change is listed meanwhile, and sent when it is reachable again
         order = [
             ("discovery", late, None, False),
             ("listed", late, "numbers-2", None),
@@ -72,7 +75,7 @@
     assert load_scenario(shipped()[name]).fleet.gateways == 20
 
 
-GONE_SMALL = """title = "small"
+DEPARTURES_SCENARIO = """title = "small"
 fleet {
   gateways = 2
 }
@@ -109,11 +112,11 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS if EVERY else OFTEN)
-def test_a_fleet_without_a_terms_guard_is_found(fault, tmp_path):
+def test_a_gateway_without_the_safeguard_is_found(fault, tmp_path):
     name, kind, text = FAULTS[fault]
     file = small(name, tmp_path) if name else tmp_path / "s.hcl"
     if not name:
-        file.write_text(GONE_SMALL)
+        file.write_text(DEPARTURES_SCENARIO)
     command = [sys.executable, "-m", "tests.support.rig_runner", fault, str(file), str(tmp_path / "folder")]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
--- a/tests/testing/rig/test_scenarios.py
+++ b/tests/testing/rig/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios and their faults, and steps in order."""
+"""Validation of scenarios, and the schedule of steps."""
 
 from collections import Counter
 from pathlib import Path
@@ -11,7 +11,7 @@
 from yardbank.cli import main
 from yardbank.config.checked import ConfigError, check_text
 from yardbank.testing.rig.scenario import SHAPE, load_scenario, shipped
-from yardbank.testing.rig.schedule import HOLDING, OVER, TABLE, WAITING, Schedule
+from yardbank.testing.rig.schedule import ACTIVE, OVER, TRANSITIONS, WAITING, Schedule
 
 HEAD = 'title = "t"\ngroup "a" {\n  suffix = "dc=a"\n}\nclaim "r" {\n  kind = "rules"\n}\n'
 
@@ -24,7 +24,7 @@
     return f'step "{name}" {{\n{text}\n}}\n'
 
 
-def test_what_is_shipped_is_sound_and_listed():
+def test_bundled_scenarios_are_valid_and_listed():
     listed = CliRunner().invoke(main, ["rig", "list"]).output
     assert len(shipped()) >= 7
     for name, path in shipped().items():
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("text", "fault"), FAULTY)
-def test_a_faulty_scenario_is_told_by_line_and_field(text, fault, tmp_path):
+def test_an_invalid_scenario_is_rejected_with_line_and_field(text, fault, tmp_path):
     with pytest.raises(ConfigError) as problem:
         scenario(text)
     assert any(fault in line for line in problem.value.faults), problem.value.faults
@@ -74,49 +74,49 @@
     assert done.exit_code == 2 and str(file) in done.output
 
 
-def names(dues):
-    return [(due.step.name, due.begin) for due in dues]
+def names(actions):
+    return [(due.step.name, due.begin) for due in actions]
 
 
-def test_steps_come_in_their_order():
+def test_steps_run_in_the_order_of_their_dependencies():
     made = scenario(
         step("a", 'do = "kill"\nwho = ["g1"]\nat = "1s"\nlasts = "2s"')
         + step("b", 'do = "kill"\nwho = ["g2"]\nafter = "a"\nat = "500ms"')
         + step("c", 'do = "kill"\nwho = ["g3"]\nafter = "b"\nuntil = "elected:a"')
         + step("d", 'do = "kill"\nwho = ["g4"]\nafter = "elected:a"')
     )
-    plan = Schedule(made.step)
-    assert plan.begin(10.0) == [] and plan.next_at() == 11.0
-    assert names(plan.due(11.0)) == [("a", True)]
-    assert plan.due(12.9) == [] and plan.next_at() == 13.0
-    assert names(plan.due(13.0)) == [("a", False)]
-    assert plan.never_begun() == ["b", "c", "d"]
-    assert names(plan.due(13.5)) == [("b", True), ("c", True)]  # b is for good, so c's hour has come
-    assert plan.next_at() is None
-    assert names(plan.happened(20.0, "elected:a")) == [("c", False), ("d", True)]
-    assert [one.name for one in plan.holding()] == ["b", "d"]
-
-
-def test_all_is_quiet_once_nothing_begins_or_ends_any_more():
+    schedule = Schedule(made.step)
+    assert schedule.begin(10.0) == [] and schedule.next_at() == 11.0
+    assert names(schedule.due(11.0)) == [("a", True)]
+    assert schedule.due(12.9) == [] and schedule.next_at() == 13.0
+    assert names(schedule.due(13.0)) == [("a", False)]
+    assert schedule.not_begun() == ["b", "c", "d"]
+    assert names(schedule.due(13.5)) == [("b", True), ("c", True)]  # b is permanent, so c starts at once
+    assert schedule.next_at() is None
+    assert names(schedule.handle_event(20.0, "elected:a")) == [("c", False), ("d", True)]
+    assert [one.name for one in schedule.active_steps()] == ["b", "d"]
+
+
+def test_the_schedule_is_idle_once_no_step_will_begin_or_end():
     made = scenario(
         step("a", 'do = "kill"\nwho = ["g1"]\nat = "1s"\nlasts = "2s"')
         + step("b", 'do = "cut"\nfrom = ["g1"]\nto = ["g2"]\nafter = "ready:g1"'),
     )
-    plan = Schedule(made.step)
-    plan.begin(0.0)
-    seen = [plan.quiet()]
-    for move in (lambda: plan.due(1.0), lambda: plan.due(3.0), lambda: plan.happened(4.0, "ready:g1")):
+    schedule = Schedule(made.step)
+    schedule.begin(0.0)
+    seen = [schedule.is_idle()]
+    for move in (lambda: schedule.due(1.0), lambda: schedule.due(3.0), lambda: schedule.handle_event(4.0, "ready:g1")):
         move()
-        seen.append(plan.quiet())
+        seen.append(schedule.is_idle())
     assert seen == [False, False, False, True]
 
 
-def test_what_a_step_lasts_until_may_come_first():
+def test_a_step_whose_until_event_comes_first_never_begins():
     made = scenario(step("late", 'do = "kill"\nwho = ["g1"]\nat = "5s"\nuntil = "elected:a"'))
-    plan = Schedule(made.step)
-    plan.begin(0.0)
-    assert plan.happened(1.0, "elected:a") == []
-    assert plan.due(9.0) == [] and plan.holding() == [] and plan.never_begun() == []
+    schedule = Schedule(made.step)
+    schedule.begin(0.0)
+    assert schedule.handle_event(1.0, "elected:a") == []
+    assert schedule.due(9.0) == [] and schedule.active_steps() == [] and schedule.not_begun() == []
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -124,24 +124,24 @@
     st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.booleans()), min_size=1, max_size=6),
     st.lists(st.floats(0, 20), max_size=20),
 )
-def test_steps_only_move_as_the_table_says_and_each_once(rows, moments):
+def test_each_step_begins_and_ends_once_in_the_order_of_the_transitions(rows, moments):
     text = ""
     for index, (at, lasts, follows) in enumerate(rows):
         after = f'after = "s{index - 1}"\n' if follows and index else ""
         text += step(f"s{index}", f'do = "kill"\nwho = ["g1"]\n{after}at = "{at}s"\nlasts = "{lasts}s"')
-    plan = Schedule(scenario(text).step)
-    seen = Counter(names(plan.begin(0.0)))
+    schedule = Schedule(scenario(text).step)
+    seen = Counter(names(schedule.begin(0.0)))
     for moment in sorted(moments):
-        seen.update(names(plan.due(moment)))
-        assert plan.next_at() is None or plan.next_at() > moment
-    while (at := plan.next_at()) is not None:
-        seen.update(names(plan.due(at)))
+        seen.update(names(schedule.due(moment)))
+        assert schedule.next_at() is None or schedule.next_at() > moment
+    while (at := schedule.next_at()) is not None:
+        seen.update(names(schedule.due(at)))
     lasting = {f"s{index}" for index, (_, lasts, _) in enumerate(rows) if lasts}
     assert seen == Counter({(f"s{i}", True): 1 for i in range(len(rows))} | {(name, False): 1 for name in lasting})
-    assert {(before, after) for before, _, after in TABLE} == {(WAITING, HOLDING), (HOLDING, OVER), (WAITING, OVER)}
+    assert {(before, after) for before, _, after in TRANSITIONS} == {(WAITING, ACTIVE), (ACTIVE, OVER), (WAITING, OVER)}
 
 
-def test_the_scenarios_lie_with_the_package():
+def test_bundled_scenarios_are_in_the_package():
     import yardbank.testing.rig
 
     assert all(path.parent.parent == Path(yardbank.testing.rig.__file__).parent for path in shipped().values())
--- a/tests/testing/rig/test_seeded_faults.py
+++ b/tests/testing/rig/test_seeded_faults.py
@@ -1,4 +1,4 @@
-"""Gateways whose faults the claims on channels, rollouts and maps must find; each in a small fleet of processes."""
+"""Seeded faults that the claims on channels, rollouts and latency maps must find, in small fleets of processes."""
 
 import json
 import os
@@ -36,8 +36,8 @@
 FAR = 'step "x" {\n  do = "delay"\n  from = ["zone:norte"]\n  to = ["zone:sur"]\n  by = "30ms"\n}\n'
 
 
-def named_for_g1():
-    """A rollout that begins with g1."""
+def rollout_name_starting_with_g1():
+    """The name of a rollout whose first stage includes g1."""
     from yardbank.cluster.rollout.stage_plan import StagePlan
 
     zones = {f"g{n}": "norte" if n % 2 else "sur" for n in range(1, 5)}
@@ -53,18 +53,18 @@
     ("deaf_to_stop", "rollout", "12s", 'kind = "stopped"', ASK + STOP, "g1"),
     ("all_near", "atlas", "10s", 'kind = "map"\n  within = "5ms"\n  share = 0.2', FAR, "g1 says "),
 ]
-OFTEN = {
+FAULTS_IN_CI = {
     "eager",
     "all_near",
-}  # "keeps_on" needs that gateway to own something when it is cut off, which no step waits for
+}  # without "keeps_on": it needs g1 to own a channel when it is cut off, and no step can wait for that
 
 
 def play(tmp_path, fault, part, length, claim, more):
-    """The verdict on a small fleet whose first gateway has a fault."""
+    """Runs a small fleet whose first gateway has a seeded fault; returns the verdict on the claim."""
     file = tmp_path / "s.hcl"
     term, longest = ("3s", "30s") if part == "rollout" else ("1s", length)
     text_of = FLEET % (part, term, length, longest, claim)
-    file.write_text(text_of + more.replace("%s", named_for_g1() if part == "rollout" else ""))
+    file.write_text(text_of + more.replace("%s", rollout_name_starting_with_g1() if part == "rollout" else ""))
     command = [sys.executable, "-m", "tests.support.rig_runner", fault, str(file), str(tmp_path / "folder")]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
@@ -73,15 +73,16 @@
 
 
 @pytest.mark.parametrize(("fault", "part", "length", "claim", "more", "text"), CASES, ids=[case[0] for case in CASES])
-def test_a_fault_of_one_gateway_is_found(fault, part, length, claim, more, text, tmp_path):
-    if not EVERY and fault not in OFTEN:
+def test_a_seeded_fault_of_one_gateway_is_found(fault, part, length, claim, more, text, tmp_path):
+    if not EVERY and fault not in FAULTS_IN_CI:
         pytest.skip("played by make rig")
     judged = play(tmp_path, fault, part, length, claim, more)
     assert not judged["held"] and text in judged["seen"], judged
 
 
-# Guards against a gateway whose measurements are all dropped without anybody seeing it.
-def test_a_gateway_whose_measurements_are_all_dropped_goes_by_others_and_shows_it(tmp_path):
+# Guards against dropping all of a gateway's measurements unnoticed. They are out of range here, so the gateway must
+# use the reports of others and count the dropped ones in its view.
+def test_a_gateway_whose_measurements_are_all_dropped_uses_reports_of_others_and_counts_the_drops(tmp_path):
     if not EVERY:
         pytest.skip("played by make rig")
     (case,) = (case for case in CASES if case[0] == "all_near")
--- a/tests/testing/rig/test_taps.py
+++ b/tests/testing/rig/test_taps.py
@@ -1,4 +1,4 @@
-"""What the rig notes of single attempts and leaving clients, on real sockets; and what a scenario may say of them."""
+"""Recorded attempts and client departures, on real sockets, and the validation of claims about them."""
 
 import json
 import socket
@@ -24,36 +24,38 @@
 from yardbank.testing.rig.network import Effect, Network
 from yardbank.testing.rig.record import Recorder
 from yardbank.testing.rig.relay import HOST, StreamRelay
-from yardbank.testing.rig.taps import Attempts, Departures
+from yardbank.testing.rig.taps import AttemptTap, DepartureTap
 from yardbank.testing.rig.verdict import verdicts
 from yardbank.testing.standin.server import TAG_CONTROL
 
 SEARCH = m.SearchRequest("dc=a", 0, m.Present("objectClass"))
 
 
-# What the relays note
+# Observers of relayed connections
 
 
 @contextmanager
-def way(source, target, tap, network):
-    """A relay before a socket that nobody reads unless told to, and a client of it."""
+def relayed_client(source, target, tap, network):
+    """A relay to a socket that the test reads only on demand, and a client connected through the relay."""
     ensure_reactor()
     facts = []
-    with socket.create_server((HOST, 0)) as door:
-        relay = run(StreamRelay, reactor, network, source, target, lambda: door.getsockname()[1], 1, tap(facts.append))
+    with socket.create_server((HOST, 0)) as listener:
+        relay = run(
+            StreamRelay, reactor, network, source, target, lambda: listener.getsockname()[1], 1, tap(facts.append)
+        )
         run(relay.refresh)
         client = run(connect, reactor, HOST, relay.port, "c1", facts.append)
-        far, _ = door.accept()
+        accepted, _ = listener.accept()
         try:
-            yield facts, client, far, relay
+            yield facts, client, accepted, relay
         finally:
-            far.close()
+            accepted.close()
             run(client.leave)
             run(relay.close)
 
 
 def ask(client, tag):
-    """Ask, and wait for nothing; what comes for it goes into the list."""
+    """Sends a request without waiting; the returned list gets its answer."""
     answers = []
 
     def begin():
@@ -64,7 +66,7 @@
 
 
 def in_socket(sock):
-    """What lies in a socket now, read to its end if there is one; the end as ``None``."""
+    """Reads all that is in a socket now; ``None`` stands for the end of the stream."""
     found = []
     sock.setblocking(False)
     try:
@@ -79,38 +81,38 @@
 
 
 @pytest.mark.parametrize("means", ["close", "reset"])
-def test_a_clients_end_is_noted_once_it_lies_in_the_gateways_socket(means):
-    lay = []
+def test_a_departure_is_recorded_once_it_reaches_the_gateways_socket(means):
+    contents = []
 
     def tap(record):
-        def note(fact):
-            lay.extend([in_socket(far)] if fact["kind"] == "reached" else [])
+        def record_fact(fact):
+            contents.extend([in_socket(accepted)] if fact["kind"] == "reached" else [])
             record({"at": time.monotonic(), **fact})
 
-        return lambda port: Departures(note, "g1", port)
+        return lambda port: DepartureTap(record_fact, "g1", port)
 
     network = Network()
-    with way("clients", "g1", tap, network) as (facts, client, far, relay):
+    with relayed_client("clients", "g1", tap, network) as (facts, client, accepted, relay):
         answers = ask(client, "c1/1")
         until(lambda: facts[-1]["kind"] == "sent")
         run(network.begin, "cut", {("clients", "g1")}, Effect(cut="silent"))
         run(client.depart, means)
         until(lambda: client.gone and answers)
         assert [answer.code for answer in answers] == [GONE]
-        assert not [fact for fact in facts if fact["kind"] == "reached"]  # it has not come through
+        assert not [fact for fact in facts if fact["kind"] == "reached"]  # it has not been delivered yet
         run(network.end, "cut")
         run(relay.refresh)
         until(lambda: facts[-1]["kind"] == "reached")
         stamped = [{"at": 0.0, **fact} for fact in facts]
-    assert lay[0][-1] is None
+    assert contents[0][-1] is None
     assert stamped[-1]["what"] == "end" and list(departures(stamped)) == ["c1/1"]
 
 
-def test_a_request_that_is_given_up_is_noted_and_its_connection_goes_on():
+def test_an_abandoned_request_is_recorded_and_its_connection_stays_open():
     def tap(record):
-        return lambda port: Departures(record, "g1", port)
+        return lambda port: DepartureTap(record, "g1", port)
 
-    with way("clients", "g1", tap, Network()) as (facts, client, _, _relay):
+    with relayed_client("clients", "g1", tap, Network()) as (facts, client, _, _relay):
         first = ask(client, "c1/1")
         run(client.depart, "abandon")
         second = ask(client, "c1/2")
@@ -121,34 +123,34 @@
         assert list(departures(stamped)) == ["c1/1"]
 
 
-def test_an_attempt_is_noted_with_the_time_of_its_first_octet_whatever_the_network_does():
+def test_an_attempt_is_recorded_with_the_time_of_its_first_octet_during_a_cut():
     def tap(record):
-        return lambda port: Attempts(lambda fact: record({"stamped": time.monotonic(), **fact}), "g1", "a-1")
+        return lambda port: AttemptTap(lambda fact: record({"stamped": time.monotonic(), **fact}), "g1", "a-1")
 
     network = Network()
-    with way("g1", "a-1", tap, network) as (facts, client, far, _):
+    with relayed_client("g1", "a-1", tap, network) as (facts, client, accepted, _):
         run(network.begin, "cut", {("g1", "a-1")}, Effect(cut="silent"))
         ask(client, "c1/1")
         until(lambda: any(fact["kind"] == "begun" for fact in facts))
         (begun,) = (fact for fact in facts if fact["kind"] == "begun")
         assert (begun["gateway"], begun["server"], begun["tag"], begun["op"]) == ("g1", "a-1", "c1/1", "search")
-        assert begun["at"] <= begun["stamped"] and in_socket(far) == []
+        assert begun["at"] <= begun["stamped"] and in_socket(accepted) == []
     assert Counter(fact["kind"] for fact in facts)["begun"] == 1
 
 
-def test_an_attempt_in_pieces_has_its_first_ones_time():
+def test_an_attempt_sent_in_chunks_has_the_time_of_the_first():
     facts = []
-    tap = Attempts(facts.append, "g1", "a-1")
+    tap = AttemptTap(facts.append, "g1", "a-1")
     raw = codec.encode_operation(SEARCH)
     data = ClientEnd().ask(raw, raw[0])[1]
-    tap.entered(1.0, data[:1])
-    tap.entered(5.0, data[1:-1])
+    tap.octets_sent(1.0, data[:1])
+    tap.octets_sent(5.0, data[1:-1])
     assert facts == []
-    tap.entered(9.0, data[-1:])
+    tap.octets_sent(9.0, data[-1:])
     assert [fact["at"] for fact in facts] == [1.0]
 
 
-def test_the_record_on_disk_is_in_the_order_that_verdicts_count_lines_in(tmp_path):
+def test_the_record_file_has_the_order_of_the_facts_by_time(tmp_path):
     record = Recorder(tmp_path / "record.jsonl")
     for at in (3.0, 1.0, 2.0):
         record({"at": at, "kind": "begun"})
@@ -157,7 +159,7 @@
     assert [fact["at"] for fact in record.facts] == [1.0, 2.0, 3.0]
 
 
-def test_clients_choose_gateways_unevenly_if_told_to():
+def test_clients_choose_gateways_by_uneven_weights():
     random, names = Random(1), [f"g{n}" for n in range(1, 6)]
     chosen = Counter(next_gateway(names, "", random, 9.0) for _ in range(2000))
     assert chosen["g1"] > 5 * chosen["g5"] and [name for name, _ in chosen.most_common()] == names
@@ -165,7 +167,7 @@
     assert {next_gateway(["g1", "g2"], "g1", random, 9.0) for _ in range(50)} == {"g2"}
 
 
-# What a scenario may say of them
+# Validation of scenarios
 
 
 FAULTY = [
@@ -190,7 +192,7 @@
 
 
 @pytest.mark.parametrize(("text", "fault"), FAULTY)
-def test_a_faulty_scenario_of_moments_is_told_plainly(text, fault, tmp_path):
+def test_an_invalid_step_or_claim_is_rejected_with_its_field(text, fault, tmp_path):
     with pytest.raises(ConfigError) as problem:
         scenario(text)
     assert any(fault in line for line in problem.value.faults), problem.value.faults
@@ -200,7 +202,7 @@
     assert done.exit_code == 2 and str(file) in done.output
 
 
-def test_a_claims_fields_reach_the_judge():
+def test_the_fields_of_a_claim_are_passed_to_the_audit():
     begun = [
         {"at": 10.0 + n / 100, "kind": "begun", "gateway": "g1", "server": "a-1", "tag": f"{n}", "op": "search"}
         for n in range(40)
@@ -213,6 +215,6 @@
         made = scenario(text[0] % cold + text[1] % told)
         return [one.finding.held for one in verdicts(made, [listed, start, *begun])[1:]]
 
-    assert held() == [True, False]  # 2.5 x 10 x 1.5 = 37.5, and chance; 10.39 is 6.59 s after 3.8
+    assert held() == [True, False]  # budget 2.5 x 10 x 1.5 = 37.5, plus the allowance; 10.39 is 6.59 s after 3.8
     assert held("  multiple = 1\n", '  grace = "1s"\n') == [False, True]
     assert held('  window = "100ms"\n', '  bound = "7s"\n') == [False, True]
--- a/yardbank/testing/rig/__init__.py
+++ b/yardbank/testing/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Many gateways together: real processes with relays between them, and the virtual fleet on one virtual clock."""
+"""Fleets of gateways: real processes connected by relays, and simulated gateways on a virtual clock."""
--- a/yardbank/testing/rig/claim.py
+++ b/yardbank/testing/rig/claim.py
@@ -1,4 +1,4 @@
-"""What a scenario claims, and which fields each kind of claim takes."""
+"""The claims of a scenario, and the fields that each kind of claim accepts."""
 
 from __future__ import annotations
 
@@ -8,12 +8,16 @@
 
 from yardbank.config.base import Duration, Model, StringTuple
 
-PEERS = ("views", "belief", "unmoved")  # need gateways that know of each other
-CHANNELS = ("owners", "followers", "owned_again", "steady")
-ROLLOUT = ("stages", "stopped", "advanced")
-DISTRIBUTION = ("distributed",)
-TERMS = ("gone_clients", "cold_sum", "told")  # judged by single octets: the rig's own lateness is noted for them
-_NEEDS = {
+PEER_CLAIMS = ("views", "belief", "unmoved")  # these need gateways with a peer list
+CHANNEL_CLAIMS = ("owners", "followers", "owned_again", "steady")
+ROLLOUT_CLAIMS = ("stages", "stopped", "advanced")
+DISTRIBUTION_CLAIMS = ("distributed",)
+TIMED_CLAIMS = (
+    "gone_clients",
+    "cold_sum",
+    "told",
+)  # judged by times of single octets, so the rig records its own delays for them
+_REQUIRED_FIELDS = {
     "served": ("least",),
     "serves_again": ("after",),
     "owned_again": ("after",),
@@ -21,7 +25,7 @@
     "steady": ("most",),
     "map": ("within",),
 }
-_MAY = {
+_KINDS_BY_FIELD = {
     "least": ("served",),
     "request_class": ("served",),
     "who": ("alive", "serves_again", "stopped", "advanced"),
@@ -46,7 +50,7 @@
 
 
 class Claim(Model):
-    """What must hold, judged from the record when all is over."""
+    """A condition that is checked against the record after the run."""
 
     name: str
     kind: Literal[
@@ -70,33 +74,35 @@
         "told",
         "distributed",
     ]
-    least: Annotated[float, Field(ge=0, le=1)] = 0.0  # share, for "served"
-    after: str = ""  # a step: counted from its end
-    until: str = ""  # a step: counted up to its beginning
+    least: Annotated[float, Field(ge=0, le=1)] = 0.0  # share of operations, for "served"
+    after: str = ""  # a step, from whose end the claim applies
+    until: str = ""  # a step, until whose beginning the claim applies
     who: StringTuple = ("*",)  # gateways
     request_class: str = ""
-    most: Annotated[int, Field(ge=0, strict=True)] = 0  # gateways out together; changes of owner
-    overlap: Duration | None = None  # of two owners; as the fleet's, if it is not given
-    slack: Duration = 50_000_000  # of the rig's own recording
-    tail: Duration = 1_000_000_000  # the load's last, in which each channel has one owner
-    share: Annotated[float, Field(ge=0, le=1)] = 0.0  # of a way's round trip, that the map may be off
-    within: Duration = 0  # or so much; from a client's leaving to an attempt; until all hold a version of the list
-    late: Duration = 300_000_000  # a request that waited for its first attempt is sent on later than this
-    cases: Annotated[int, Field(gt=0, strict=True)] = 3  # from this one on they are a break
-    fewest: Annotated[int, Field(gt=0, strict=True)] = 5  # requests sent on late that may break the share
-    multiple: Annotated[float, Field(gt=0)] = 2.5  # of what a cold server can do now
+    most: Annotated[int, Field(ge=0, strict=True)] = 0  # gateways out of service together, or changes of owner
+    overlap: Duration | None = None  # allowed time with two owners; default: the fleet's overlap
+    slack: Duration = 50_000_000  # allowance for the rig's recording delay
+    tail: Duration = 1_000_000_000  # last part of the load, in which each channel has one owner
+    share: Annotated[float, Field(ge=0, le=1)] = (
+        0.0  # allowed error of a reported round trip, as a share of it; share of late requests
+    )
+    within: Duration = 0  # absolute error; or time from departure to attempt, or until all hold a list version
+    late: Duration = 300_000_000  # a waiting request first sent later than this after the departure counts as late
+    cases: Annotated[int, Field(gt=0, strict=True)] = 3  # as many cases violate the claim
+    fewest: Annotated[int, Field(gt=0, strict=True)] = 5  # late requests from which the share applies
+    multiple: Annotated[float, Field(gt=0)] = 2.5  # factor of a cold server's present capacity
     window: Annotated[Duration, Field(gt=0)] = 1_500_000_000
-    roots: Annotated[float, Field(ge=0)] = 2.0  # of the budget, put down to chance
-    spare: Annotated[float, Field(ge=0)] = 2.0  # calls, beside them
-    bound: Duration = 6_000_000_000  # a change counts as told so long after discovery had it, if it was not written
-    grace: Duration = 500_000_000  # of a drain
+    roots: Annotated[float, Field(ge=0)] = 2.0  # square roots of the budget, allowed for random variation
+    spare: Annotated[float, Field(ge=0)] = 2.0  # further calls allowed
+    bound: Duration = 6_000_000_000  # after discovery has a change, a gateway counts as notified, if not sent sooner
+    grace: Duration = 500_000_000  # after the notification of a drain
 
     @model_validator(mode="after")
-    def _fitting(self) -> Claim:
-        for field in _NEEDS.get(self.kind, ()):
+    def _check_fields(self) -> Claim:
+        for field in _REQUIRED_FIELDS.get(self.kind, ()):
             if not getattr(self, field) and (field != "most" or field not in self.model_fields_set):
                 raise ValueError(f'{field}: missing for kind = "{self.kind}"')
-        for field in sorted(self.model_fields_set & _MAY.keys()):
-            if self.kind not in _MAY[field]:
+        for field in sorted(self.model_fields_set & _KINDS_BY_FIELD.keys()):
+            if self.kind not in _KINDS_BY_FIELD[field]:
                 raise ValueError(f'{field}: not for kind = "{self.kind}"')
         return self
--- a/yardbank/testing/rig/cross_checks.py
+++ b/yardbank/testing/rig/cross_checks.py
@@ -1,27 +1,32 @@
-"""What must fit together in a scenario beyond each block: names that others name, steps that wait, kinds of ends."""
+"""Consistency checks across the blocks of a scenario: references, dependencies of steps, required features."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from yardbank.config.checked import Faults
-from yardbank.testing.rig.claim import CHANNELS, DISTRIBUTION, PEERS, Claim
-from yardbank.testing.rig.claim import ROLLOUT as CHANGES
+from yardbank.testing.rig.claim import CHANNEL_CLAIMS, DISTRIBUTION_CLAIMS, PEER_CLAIMS, Claim
+from yardbank.testing.rig.claim import ROLLOUT_CLAIMS as CLAIMS_ON_ROLLOUTS
 from yardbank.testing.rig.steps import DATAGRAMS, GATEWAY, PUBLISH, ROLLOUT, Step, matching
 
 if TYPE_CHECKING:
     from yardbank.testing.rig.scenario import Scenario
 
 
-_SWITCHES = {PEERS: "peers", CHANNELS: "channels", CHANGES: "rollout", ("map",): "atlas"}
+_REQUIRED_FEATURES = {
+    PEER_CLAIMS: "peers",
+    CHANNEL_CLAIMS: "channels",
+    CLAIMS_ON_ROLLOUTS: "rollout",
+    ("map",): "atlas",
+}
 
 
 def cross(scenario: Scenario) -> Faults:
-    """All faults of a scenario that no single block shows, each with its place."""
+    """All faults of a scenario that involve several blocks, each with its location."""
     found = _repeated_names(scenario) + _clocks(scenario)
     for index, step in enumerate(scenario.step):
         found += _step(scenario, index, step)
-    found += _cycles(scenario) + _parts(scenario)
+    found += _cycles(scenario) + _feature_dependencies(scenario)
     for index, claim in enumerate(scenario.claim):
         found += _claim(scenario, index, claim)
     return found
@@ -54,15 +59,15 @@
 
 def _step(scenario: Scenario, index: int, step: Step) -> Faults:
     return [
-        *_names_of_ends(scenario, index, step),
-        *_datagrams(scenario, index, step),
-        *_waits(scenario, index, step),
-        *_switches_of_step(scenario, index, step),
+        *_unknown_names(scenario, index, step),
+        *_datagram_faults(scenario, index, step),
+        *_unknown_references(scenario, index, step),
+        *_features_of_step(scenario, index, step),
     ]
 
 
-def _names_of_ends(scenario: Scenario, index: int, step: Step) -> Faults:
-    """Words of a step that name no gateway, server or other end."""
+def _unknown_names(scenario: Scenario, index: int, step: Step) -> Faults:
+    """Names in a step that match no gateway, server or other endpoint."""
     gateways = scenario.gateways()
     servers = list(scenario.servers())
     ends = scenario.ends()
@@ -76,26 +81,26 @@
     found: Faults = []
     for field, patterns, known in words:
         for pattern in patterns:
-            moving = pattern in scenario.words() and known is not servers
-            if not moving and not scenario.meant((pattern,), known):
+            resolved_at_run_time = pattern in scenario.dynamic_names() and known is not servers
+            if not resolved_at_run_time and not scenario.matching_ends((pattern,), known):
                 reason = f'step "{step.name}": {field}: nothing is called "{pattern}"'
                 found.append((("step", index, field), reason))
     return found
 
 
-def _datagrams(scenario: Scenario, index: int, step: Step) -> Faults:
+def _datagram_faults(scenario: Scenario, index: int, step: Step) -> Faults:
     if step.do not in DATAGRAMS:
         return []
     gateways = scenario.gateways()
-    others = [end for end in scenario.meant((*step.from_, *step.to), scenario.ends()) if end not in gateways]
+    others = [end for end in scenario.matching_ends((*step.from_, *step.to), scenario.ends()) if end not in gateways]
     if scenario.fleet.peers and not others:
         return []
     reason = f'step "{step.name}": do: {step.do} is for datagrams, which go between gateways with peers'
     return [(("step", index, "do"), reason)]
 
 
-def _waits(scenario: Scenario, index: int, step: Step) -> Faults:
-    """What a step waits for that never comes."""
+def _unknown_references(scenario: Scenario, index: int, step: Step) -> Faults:
+    """References of a step to unknown steps or events, or to itself."""
     steps = [other.name for other in scenario.step]
     found: Faults = []
     for field, word in (("after", step.after), ("until", step.until)):
@@ -106,7 +111,7 @@
     return found
 
 
-def _switches_of_step(scenario: Scenario, index: int, step: Step) -> Faults:
+def _features_of_step(scenario: Scenario, index: int, step: Step) -> Faults:
     found: Faults = []
     if step.do in ROLLOUT and not scenario.fleet.rollout:
         found.append((("step", index, "do"), f'step "{step.name}": do: needs fleet {{ rollout = true }}'))
@@ -122,7 +127,7 @@
         if step.late >= claim.bound:
             reason = f'claim "{claim.name}": bound: step "{step.name}" tells later than that'
             found.append((("claim", index, "bound"), reason))
-    found += _switches_of_claim(scenario, index, claim)
+    found += _features_of_claim(scenario, index, claim)
     for field, word in (("after", claim.after), ("until", claim.until)):
         if word and word not in steps:
             found.append((("claim", index, field), f'claim "{claim.name}": {field}: no step "{word}"'))
@@ -131,27 +136,27 @@
     return found
 
 
-def _switches_of_claim(scenario: Scenario, index: int, claim: Claim) -> Faults:
+def _features_of_claim(scenario: Scenario, index: int, claim: Claim) -> Faults:
     found: Faults = []
-    if claim.kind in DISTRIBUTION and not scenario.fleet.publishers:
+    if claim.kind in DISTRIBUTION_CLAIMS and not scenario.fleet.publishers:
         reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ publishers }}'
         found.append((("claim", index, "kind"), reason))
-    for claims, switch in _SWITCHES.items():
-        if claim.kind in claims and not getattr(scenario.fleet, switch):
-            reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ {switch} = true }}'
+    for claims, feature in _REQUIRED_FEATURES.items():
+        if claim.kind in claims and not getattr(scenario.fleet, feature):
+            reason = f'claim "{claim.name}": kind: {claim.kind} needs fleet {{ {feature} = true }}'
             found.append((("claim", index, "kind"), reason))
     return found
 
 
-def _parts(scenario: Scenario) -> Faults:
-    """Parts without the link that they ride on, and programs without gateways or channels."""
+def _feature_dependencies(scenario: Scenario) -> Faults:
+    """Features of the fleet that need ``peers``, and programs without gateways or channels."""
     fleet = scenario.fleet
     found: Faults = []
     if not all(matching((pattern,), scenario.gateways()) for pattern in fleet.publishers):
         found.append((("fleet", "publishers"), "fleet: publishers: a word names no gateway"))
-    for switch in ("channels", "rollout", "atlas", "publishers"):
-        if getattr(fleet, switch) and not fleet.peers:
-            found.append((("fleet", switch), f"fleet: {switch}: needs peers = true"))
+    for feature in ("channels", "rollout", "atlas", "publishers"):
+        if getattr(fleet, feature) and not fleet.peers:
+            found.append((("fleet", feature), f"fleet: {feature}: needs peers = true"))
     for index, program in enumerate(scenario.program):
         if not all(matching((pattern,), scenario.gateways()) for pattern in program.who):
             found.append((("program", index, "who"), f'program "{program.name}": who: a word names no gateway'))
@@ -161,13 +166,13 @@
 
 
 def _cycles(scenario: Scenario) -> Faults:
-    """Steps that wait for each other."""
+    """Cyclic dependencies between steps."""
     waits = {step.name: step.after for step in scenario.step}
     found: Faults = []
     for index, step in enumerate(scenario.step):
-        at, seen = step.after, {step.name}
-        while at in waits and at not in seen:
-            seen.add(at)
+        at, visited = step.after, {step.name}
+        while at in waits and at not in visited:
+            visited.add(at)
             at = waits[at]
         if at == step.name and step.after != step.name:
             found.append((("step", index, "after"), f'step "{step.name}": after: waits for itself in the end'))
--- a/yardbank/testing/rig/gateway_folder.py
+++ b/yardbank/testing/rig/gateway_folder.py
@@ -1,4 +1,4 @@
-"""A scenario's folder: what each gateway is started with, the lists it is told, and what became of its store."""
+"""The files of a scenario's gateways: settings, lists and store."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 import lmdb
 
 from yardbank.files import write_atomically
-from yardbank.testing.rig.changes import asking, changed, file_name, word
-from yardbank.testing.rig.load import DEADLINE, STALENESS
+from yardbank.testing.rig.changes import changed_settings, operator_order, rollout_request, settings_file_name
+from yardbank.testing.rig.load import DEADLINES_S, STALENESS_S
 from yardbank.testing.rig.load_driver import DESK_DN, DESK_PASSWORD
 from yardbank.testing.rig.scenario import Fleet, Scenario, Step, matching
 
 GATEWAY_DN, GATEWAY_PASSWORD = "cn=gateway,dc=porting", "gateway"
-_COLD_S, _COLD_SHARE = 4.0, 0.3  # as the stand-ins warm up
+_COLD_S, _COLD_SHARE = 4.0, 0.3  # as the stand-in servers warm up
 
 _CLASSES = f"""
 class "lookup" {{
   effect = "safe"
   read = "bounded"
-  staleness = "{STALENESS * 1e3:.0f}ms"
+  staleness = "{STALENESS_S * 1e3:.0f}ms"
   aim = "500ms"
-  deadline = "{DEADLINE["lookup"] * 1e3:.0f}ms"
+  deadline = "{DEADLINES_S["lookup"] * 1e3:.0f}ms"
   worth = 2
   match {{
     operation = ["search", "compare"]
@@ -37,7 +37,7 @@
   effect = "safe"
   read = "session"
   aim = "750ms"
-  deadline = "{DEADLINE["status"] * 1e3:.0f}ms"
+  deadline = "{DEADLINES_S["status"] * 1e3:.0f}ms"
   late_worth = 0.2
   match {{
     operation = ["search", "compare"]
@@ -49,7 +49,7 @@
   effect = "unsafe"
   read = "write"
   aim = "500ms"
-  deadline = "{DEADLINE["commit"] * 1e3:.0f}ms"
+  deadline = "{DEADLINES_S["commit"] * 1e3:.0f}ms"
   worth = 3
   late_worth = 0.7
   match {{
@@ -71,18 +71,18 @@
 
 
 @dataclass(slots=True)
-class Listed:
-    """What a list says of one server."""
+class ListEntry:
+    """One server's entry in a list."""
 
     group: str
     zone: str
     state: str = "ready"
     primary: bool = False
-    started: float = 0.0  # wall clock; 0: long ago
+    started: float = 0.0  # wall clock time; 0: long ago
 
 
-def _together(fleet: Fleet) -> list[str]:
-    """Blocks of what rides on the link between gateways."""
+def _gossip_feature_blocks(fleet: Fleet) -> list[str]:
+    """The settings blocks of features that use gossip messages."""
     lease = f'leases {{\n  term = "{fleet.term / 1e6:.0f}ms"\n  overlap = "{fleet.overlap / 1e6:.0f}ms"\n}}'
     return [
         *([lease] if fleet.channels or fleet.rollout or fleet.publishers else []),
@@ -93,7 +93,7 @@
 
 
 def _distribution(scenario: Scenario, gateway: str) -> list[str]:
-    """The block of one that holds a copy of the published list, and may be one that publishes it."""
+    """The settings block for holding, and possibly publishing, the distributed list."""
     publishers = matching(scenario.fleet.publishers, scenario.gateways())
     if not publishers:
         return []
@@ -102,7 +102,7 @@
 
 
 def settings_text(scenario: Scenario, gateway: str, seed: int) -> str:
-    """One gateway's settings. An older program's have no blocks that it does not know."""
+    """One gateway's settings, without blocks that an older program does not know."""
     index = scenario.gateways().index(gateway)
     zone, period = scenario.zones()[gateway], scenario.fleet.period / 1e6
     parts = [
@@ -116,7 +116,7 @@
         f'limits {{\n  stop_grace = "{scenario.fleet.stop_grace / 1e6:.0f}ms"\n}}',
         'membership {\n  path = "list.hcl"\n  patience = "50ms"\n  settle = "5ms"\n}',
         *([_PEERS % (gateway, period, period / 4)] if scenario.fleet.peers else []),
-        *(_together(scenario.fleet) if gateway not in scenario.older() else []),
+        *(_gossip_feature_blocks(scenario.fleet) if gateway not in scenario.older() else []),
         *_distribution(scenario, gateway),
         *(['state {\n  path = "state"\n}'] if scenario.fleet.durable else []),
         *(f'group "{group.name}" {{\n  suffix = "{group.suffix}"\n}}' for group in scenario.group),
@@ -126,7 +126,7 @@
 
 
 def peers_text(ports: Mapping[str, int], zones: Mapping[str, str] | None = None) -> str:
-    """The list of gateways as one of them is told it: the others are where its relays to them are."""
+    """A gateway's peer list, with the ports of its relays to the peers."""
     blocks = [f"count = {len(ports)}"]
     zoned = {name: f'\n  zone = "{zone}"' for name, zone in (zones or {}).items()}
     blocks += [
@@ -137,7 +137,7 @@
 
 
 def source_text(servers: Mapping[str, str], changes: Mapping[str, int]) -> str:
-    """The list to be published: servers and their groups; one that was changed n times has a weight that says so."""
+    """The list to publish. A server's weight encodes how many times its entry was changed."""
     blocks = [f"count = {len(servers)}"]
     blocks += [
         f'server "{name}" {{\n  group = "{group}"\n  address = "127.0.0.1"\n  port = {port}\n'
@@ -147,21 +147,21 @@
     return "\n\n".join(blocks) + "\n"
 
 
-def list_text(listed: Mapping[str, Listed], ports: Mapping[str, int]) -> str:
-    """The list as one gateway is told it: servers are where its own relays are."""
-    there = {name: one for name, one in listed.items() if one.state != "gone"}
-    blocks = [f"count = {len(there)}"]
+def list_text(listed: Mapping[str, ListEntry], ports: Mapping[str, int]) -> str:
+    """A gateway's server list, with the ports of its relays to the servers."""
+    present = {name: one for name, one in listed.items() if one.state != "gone"}
+    blocks = [f"count = {len(present)}"]
     blocks += [
         f'server "{name}" {{\n  group = "{one.group}"\n  zone = "{one.zone}"\n  address = "127.0.0.1"\n'
         f"  port = {ports[name]}\n  primary = {'true' if one.primary else 'false'}\n"
         f'  state = "{one.state}"\n  started = {one.started:.3f}\n}}'
-        for name, one in there.items()
+        for name, one in present.items()
     ]
     return "\n\n".join(blocks) + "\n"
 
 
-class GatewayPlace:
-    """One gateway's folder."""
+class GatewayFolder:
+    """The folder of one gateway."""
 
     def __init__(self, folder: Path, scenario: Scenario, name: str, seed: int) -> None:
         self.folder, self.name = folder / name, name
@@ -171,45 +171,45 @@
         self.peers = self.folder / "peers.hcl"
         self.view = self.folder / "peers-view.json"
         self.log = self.folder / "log"
-        self._store, self._kept = self.folder / "state", self.folder / "state-as-it-was"
+        self._store, self._store_copy = self.folder / "state", self.folder / "state-as-it-was"
         self._source, self._copy = self.folder / "source.hcl", self.folder / "distributed.hcl"
         write_atomically(self.folder / "peers.key", f"{seed:064x}\n")
         self.in_force = self.folder / "rollout-in-force.json"
-        self._text = settings_text(scenario, name, seed)
-        write_atomically(self.settings, self._text)
+        self._settings_text = settings_text(scenario, name, seed)
+        write_atomically(self.settings, self._settings_text)
 
-    def ask(self, step: Step) -> None:
-        """A rollout is asked for, or an operator has his word on it."""
+    def write_rollout_order(self, step: Step) -> None:
+        """Writes the request for a rollout, or the operator's order to stop or withdraw it."""
         if step.do == "rollout":
-            write_atomically(self.folder / file_name(step), changed(self._text, step.change))
-            write_atomically(self.folder / "rollout.hcl", asking(step))
+            write_atomically(self.folder / settings_file_name(step), changed_settings(self._settings_text, step.change))
+            write_atomically(self.folder / "rollout.hcl", rollout_request(step))
         else:
-            write_atomically(self.folder / "rollout.hcl.word", word(step))
+            write_atomically(self.folder / "rollout.hcl.word", operator_order(step))
 
     def publish(self, text: str) -> None:
-        """The list that this gateway is to publish, where it may."""
+        """Writes the source of the list that this gateway may publish."""
         write_atomically(self._source, text)
 
     def start_with(self, program: str) -> None:
-        """The supervisor's worker is another program than the supervisor's own."""
+        """Makes the supervisor start another program as its worker."""
         version = {"program": program}
         write_atomically(self.in_force, json.dumps({"now": version, "before": version}) + "\n")
 
-    def keep_copy(self) -> None:
-        """Copy the store as it is now, while its owner runs: what a backup would hold."""
-        shutil.rmtree(self._kept, ignore_errors=True)
+    def copy_store(self) -> None:
+        """Copies the store while the gateway runs, like a backup."""
+        shutil.rmtree(self._store_copy, ignore_errors=True)
         for data in self._databases():
-            copy = self._kept / data.parent.relative_to(self._store)
+            copy = self._store_copy / data.parent.relative_to(self._store)
             copy.mkdir(parents=True)
             with lmdb.open(str(data.parent), readonly=True) as env:
                 env.copy(str(copy))
 
     def _databases(self) -> list[Path]:
-        """Each worker has one of its own."""
+        """The database files; each worker has its own."""
         return sorted(self._store.rglob("data.mdb"))
 
-    def spoil_store(self, how: str) -> None:
-        """Before a start: "kept", "lost", "damaged" or "old" (put back from the copy)."""
+    def prepare_store(self, how: str) -> None:
+        """Prepares the store for a restart: "kept", "lost", "damaged" or "old" (restored from the copy)."""
         if how == "damaged":
             for data in self._databases():
                 data.write_bytes(b"\xa5" * data.stat().st_size)
@@ -218,6 +218,6 @@
         elif how == "lost":
             shutil.rmtree(self._store, ignore_errors=True)
             self._copy.unlink(missing_ok=True)
-        elif how == "old":  # the database alone: that somebody ran here before, a restored folder tells as well
-            for data in self._kept.rglob("data.mdb"):
-                shutil.copy(data, self._store / data.relative_to(self._kept))
+        elif how == "old":  # only the database: a restored folder also shows that a gateway ran here before
+            for data in self._store_copy.rglob("data.mdb"):
+                shutil.copy(data, self._store / data.relative_to(self._store_copy))
--- a/yardbank/testing/rig/gossip.py
+++ b/yardbank/testing/rig/gossip.py
@@ -1,6 +1,6 @@
-"""Many gateways' peer deciders on one virtual clock, their datagrams through the rig's network. No sockets.
+"""Gossip nodes of many gateways on one virtual clock, connected by the rig's simulated network. No sockets.
 
-The deciders are the program's own. They share nothing but datagrams; each has a clock of its own rate.
+The nodes are the gateway's own code. They communicate by datagrams only, and each has a clock with its own rate.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from yardbank.cluster.peers.failure_detector import SECOND, Change, Pace
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.parts import Part
-from yardbank.testing.rig.network import Datagrams, Effect, Network
+from yardbank.testing.rig.network import DatagramLink, Effect, Network
 
 FLEET, KEY = "porting", b"k" * 32
-WAY = Effect(delay=0.0005, jitter=0.001)  # a sound network, in seconds
+WAY = Effect(delay=0.0005, jitter=0.001)  # a network without faults; times in seconds
 
 
 class GossipFleet:
-    """A fleet of deciders. Times outside are nanoseconds of the world's clock."""
+    """A fleet of gossip nodes. Times of its interface are nanoseconds of the virtual clock."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         zones: Mapping[str, str] | None = None,
         parts: Callable[[GossipNode, Random], Iterable[Part]] = lambda node, random: (),
     ) -> None:
-        """``parts`` makes the parts of a gateway that starts; what it made last is under ``nodes[name].outbox``."""
+        """``parts`` creates the parts of each started node; the latest ones are in ``nodes[name].outbox``."""
         self.names, self.seed, self.pace, self.way = list(names), seed, pace, way
         self.zones, self._parts = dict(zones or {}), parts
         self.now = 0
@@ -40,9 +40,9 @@
         self.nodes: dict[str, GossipNode] = {}
         self.rates: dict[str, float] = {}
         self.paused: set[str] = set()
-        self.history: list[tuple[int, str, Change]] = []  # when, at whom, what changed
-        self.octets: dict[str, int] = dict.fromkeys(self.names, 0)  # sent by each
-        self._wires: dict[tuple[str, str], Datagrams] = {}
+        self.history: list[tuple[int, str, Change]] = []  # time, observing gateway, change
+        self.octets: dict[str, int] = dict.fromkeys(self.names, 0)  # sent by each gateway
+        self._wires: dict[tuple[str, str], DatagramLink] = {}
         self._due: list[tuple[int, int, Callable[[], None]]] = []
         self._order = count()
         self._ticks: dict[str, int] = {}
@@ -50,7 +50,7 @@
         self._boot_epochs = 0
 
     def start(self, name: str, boot_epoch: int | None = None, rate: float = 1.0) -> GossipNode:
-        """Start one, anew if it ran before; ``boot_epoch``: as its store or its clock says."""
+        """Starts or restarts a node; ``boot_epoch``: as read from its store or its clock."""
         self._boot_epochs += 1
         made = GossipNode(
             name,
@@ -68,40 +68,40 @@
         return made
 
     def kill(self, name: str) -> None:
-        """It is gone."""
+        """Stops a node without notice to others."""
         del self.nodes[name]
         self.paused.discard(name)
 
     def pause(self, name: str) -> None:
-        """It is stopped; what is sent to it waits in its socket, up to a bound."""
+        """Suspends a node; datagrams to it are kept up to the bound of a socket buffer."""
         self.paused.add(name)
         self._held[name] = []
 
     def resume(self, name: str) -> None:
-        """It goes on."""
+        """Resumes a suspended node."""
         self.paused.discard(name)
         held = self._held.pop(name, [])
-        self._act(name, lambda node, now: node.tick(now))  # timers come before sockets
+        self._act(name, lambda node, now: node.tick(now))  # timers run before sockets are read
         for data in held:
             self._act(name, lambda node, now, data=data: node.receive(now, data))  # type: ignore[misc]
 
     def at(self, when: int, do: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedules a call at a time."""
         heapq.heappush(self._due, (when, next(self._order), do))
 
     def run(self, until: int) -> None:
-        """Let time pass."""
+        """Advances the clock."""
         while self._due and self._due[0][0] <= until:
             self.now, _, do = heapq.heappop(self._due)
             do()
         self.now = until
 
     def prompt(self, name: str) -> None:
-        """A part of it was told something from elsewhere: what it has to say goes out."""
+        """Sends what a node has to send after one of its parts was changed from outside."""
         self._act(name, lambda node, now: node.flush(now))
 
     def own(self, name: str) -> int:
-        """Time on a gateway's own clock, which began an hour before."""
+        """The time of a gateway's own clock, which starts at one hour."""
         return round(self.now * self.rates.get(name, 1.0)) + 3600 * SECOND
 
     def _act(self, name: str, what: Callable[[GossipNode, int], list[tuple[str, bytes]]]) -> None:
@@ -129,25 +129,25 @@
         self.octets[source] += len(data)
         wire = self._wires.get((source, target))
         if wire is None:
-            wire = self._wires[source, target] = Datagrams(Random(f"{self.seed}/{source}/{target}"))
-        effect = self.way.along(self.network.effect(source, target))
+            wire = self._wires[source, target] = DatagramLink(Random(f"{self.seed}/{source}/{target}"))
+        effect = self.way.combined_with(self.network.effect(source, target))
         for at, octets in wire.push(self.now / SECOND, data, effect):
             self.at(round(at * SECOND), lambda octets=octets: self._arrive(target, octets, wire))  # type: ignore[misc]
 
-    def _arrive(self, target: str, data: bytes, wire: Datagrams) -> None:
+    def _arrive(self, target: str, data: bytes, wire: DatagramLink) -> None:
         wire.arrived()
         if target in self.paused:
-            if len(self._held[target]) < 200:  # as a socket's buffer
+            if len(self._held[target]) < 200:  # like a socket's receive buffer
                 self._held[target].append(data)
             return
         self._act(target, lambda node, now: node.receive(now, data))
 
     def believes(self, name: str, other: str) -> int:
-        """One's state as another sees it."""
+        """The state of ``other`` as ``name`` sees it."""
         return self.nodes[name].detector.peers[other].state
 
     def agreed(self) -> bool:
-        """Whether every running gateway sees exactly the running ones as alive, and all others as gone."""
+        """Whether all running gateways see exactly the running ones as alive and the others as gone."""
         running = {name for name in self.nodes if name not in self.paused}
         return all(
             self.believes(name, other) == (ALIVE if other in running else GONE)
@@ -157,7 +157,7 @@
         )
 
     def run_until(self, condition: Callable[[], bool], most: int, step: int = SECOND // 10) -> int | None:
-        """Let time pass until something holds; when, or None if it never did."""
+        """Advances the clock until a condition holds. Returns the time, or None if it did not within ``most``."""
         end = self.now + most
         while self.now < end:
             if condition():
@@ -166,5 +166,5 @@
         return self.now if condition() else None
 
     def told(self, state: int) -> list[tuple[int, str, str]]:
-        """Each change to this state: when, at whom, of whom."""
+        """All changes to this state: time, observing gateway, observed gateway."""
         return [(at, name, change.name) for at, name, change in self.history if change.state == state]
--- a/yardbank/testing/rig/load.py
+++ b/yardbank/testing/rig/load.py
@@ -1,6 +1,6 @@
-"""What clients ask, when, and when they ask again. No I/O: drawn ahead by seed, times in seconds.
+"""The operations of clients, their times and their retries. No I/O: drawn in advance from a seed, times in seconds.
 
-The load is open: an arrival's time does not depend on earlier answers, and its latency counts from that time.
+The load is open-loop: arrival times do not depend on earlier answers, and latency counts from the arrival time.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from yardbank.testing.rig.scenario import Group, Load
 
 CLASS_OF = {"bounded": "lookup", "session": "status", "write": "commit"}
-DEADLINE = {"lookup": 1.5, "status": 2.0, "commit": 3.0}
-STALENESS = 0.8
-GIVE_UP = 2.0  # so long after its deadline a client stops waiting and goes elsewhere
-AGAIN = {
+DEADLINES_S = {"lookup": 1.5, "status": 2.0, "commit": 3.0}
+STALENESS_S = 0.8
+GIVE_UP_AFTER_S = 2.0  # time after the deadline until a client stops waiting and changes gateway
+RETRIED_READS = {
     "refused": ("bounded", "session", "write"),
     "lost": ("bounded", "session"),
     "failed": ("bounded", "session"),
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """One thing that a client wants."""
+    """One operation that a client starts."""
 
     number: int
-    at: float  # from the load's beginning
+    at: float  # after the beginning of the load
     client: int
     read: str  # "bounded", "session" or "write"
     suffix: str
@@ -37,24 +37,24 @@
 
     @property
     def request_class(self) -> str:
-        """The class that the gateways' settings put it in."""
+        """Its class in the gateways' settings."""
         return CLASS_OF[self.read]
 
     @property
     def deadline(self) -> float:
-        """Seconds within which its class wants the answer."""
-        return DEADLINE[self.request_class]
+        """The deadline of its class."""
+        return DEADLINES_S[self.request_class]
 
 
-def draw(load: Load, groups: Sequence[Group], seed: int) -> list[Arrival]:
-    """All arrivals of a scenario, in order of time (a Poisson process)."""
+def draw_arrivals(load: Load, groups: Sequence[Group], seed: int) -> list[Arrival]:
+    """Draws all arrivals of a scenario in order of time, as a Poisson process."""
     random, at, found = Random(f"{seed}/load"), 0.0, list[Arrival]()
     while True:
         at += random.expovariate(load.rate)
         if at >= max(load.length, load.longest) / 1e9:
             return found
         chance = random.random()
-        reads = (1 - load.writes) / 2  # of each kind
+        reads = (1 - load.writes) / 2  # share of each kind of read
         read = "write" if chance < load.writes else "session" if chance < load.writes + reads else "bounded"
         group = groups[random.randrange(len(groups))]
         found.append(
@@ -62,27 +62,27 @@
         )
 
 
-def try_again(arrival: Arrival, load: Load, tries: int, outcome: str, since: float, random: Random) -> float | None:
-    """How long a client waits before it asks again; None: it does not.
+def retry_wait(arrival: Arrival, load: Load, tries: int, outcome: str, since: float, random: Random) -> float | None:
+    """The wait before a client's next retry, or None if it does not retry.
 
-    ``tries`` were made, the last with this outcome, ``since`` seconds after the arrival's time. What may have run is
-    not asked again, nor what would come after its deadline.
+    ``tries``: attempts so far, the last with this outcome; ``since``: seconds since the arrival. Operations that may
+    have run are not retried, nor those whose deadline would pass first.
     """
-    if tries > load.retries or arrival.read not in AGAIN.get(outcome, ()):
+    if tries > load.retries or arrival.read not in RETRIED_READS.get(outcome, ()):
         return None
     wait = load.backoff / 1e9 * 2 ** (tries - 1) * random.uniform(0.5, 1.0)
     return wait if since + wait < arrival.deadline else None
 
 
 def session_end(load: Load, now: float, random: Random) -> float:
-    """When a client that connects now will have done with that session."""
+    """Draws the end of a session that begins now."""
     return now + random.expovariate(1e9 / load.session)
 
 
 def next_gateway(gateways: Sequence[str], last: str, random: Random, uneven: float = 1.0) -> str:
-    """Where a client goes whose last connection went: elsewhere, if there is an elsewhere.
+    """Chooses the gateway for a client's next connection: another than the last, if there is one.
 
-    The first gateway is chosen ``uneven`` times as often as the last, those between them by even steps.
+    The first gateway is chosen ``uneven`` times as often as the last, and the weights between them change linearly.
     """
     others = [name for name in gateways if name != last] or list(gateways)
     if uneven != 1.0:
--- a/yardbank/testing/rig/network.py
+++ b/yardbank/testing/rig/network.py
@@ -1,8 +1,7 @@
-"""What the network does to what crosses it. No I/O: time and randomness are passed in, in seconds.
+"""Simulated network faults. No I/O: times (seconds) and randomness are passed in.
 
-Every directed pair of ends has the faults that hold there now. A stream keeps its order whatever happens, as TCP does:
-what is cut off silently is held and comes through when the cut is over, the end of a connection included. Datagrams
-may be lost, doubled and overtaken.
+Each directed pair of endpoints has a set of current faults. Streams keep their order, like TCP: a silent cut holds
+octets, and the end of the connection, until it is over. Datagrams may be lost, duplicated and reordered.
 """
 
 from __future__ import annotations
@@ -12,27 +11,27 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-MAX_HELD = 256 << 10  # octets of one direction of one connection; beyond, its sender is not read from
-MAX_DATAGRAMS = 10_000  # on one directed pair's way at once; beyond, they are lost
+MAX_HELD_OCTETS = 256 << 10  # octets in one direction of a connection; above that the rig stops reading from the sender
+MAX_DATAGRAMS = 10_000  # in transit on one directed pair; further ones are lost
 
 Pair = tuple[str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class Effect:
-    """What happens on one directed pair; the default is a sound network."""
+    """The faults on one directed pair; the default is none."""
 
     cut: str = ""  # "silent" or "reset"
     delay: float = 0.0
     jitter: float = 0.0
-    rate: float = 0.0  # octets a second; 0: without bound
-    spoil: float = 0.0  # share of pieces with one octet changed
-    lose: float = 0.0  # shares of datagrams
+    rate: float = 0.0  # octets per second; 0: unlimited
+    spoil: float = 0.0  # share of chunks with one octet corrupted
+    lose: float = 0.0  # share of datagrams, as in the two below
     double: float = 0.0
     reorder: float = 0.0
 
-    def along(self, other: Effect) -> Effect:
-        """Both at once: the harder cut, times added, the lower rate, shares that are independent."""
+    def combined_with(self, other: Effect) -> Effect:
+        """Combines two effects: worse cut, sum of times, lower rate, shares as independent probabilities."""
         rates = [rate for rate in (self.rate, other.rate) if rate]
         cuts = (self.cut, other.cut)
         both = {
@@ -48,40 +47,40 @@
         )
 
 
-SOUND = Effect()
+NO_FAULTS = Effect()
 
 
 class Network:
-    """Which faults hold on which pairs."""
+    """The current faults of all directed pairs."""
 
     def __init__(self) -> None:
         self._faults: dict[str, tuple[frozenset[Pair], Effect]] = {}
-        self._now: dict[Pair, Effect] = {}
+        self._effects: dict[Pair, Effect] = {}
 
     def begin(self, name: str, pairs: Iterable[Pair], effect: Effect) -> set[Pair]:
-        """A fault begins; the pairs that it changes."""
+        """Begins a fault; returns the changed pairs."""
         self._faults[name] = frozenset(pairs), effect
-        return self._work_out()
+        return self._recompute()
 
     def end(self, name: str) -> set[Pair]:
-        """A fault is over; the pairs that this changes."""
+        """Ends a fault; returns the changed pairs."""
         self._faults.pop(name, None)
-        return self._work_out()
+        return self._recompute()
 
-    def _work_out(self) -> set[Pair]:
-        before, self._now = self._now, {}
+    def _recompute(self) -> set[Pair]:
+        before, self._effects = self._effects, {}
         for pairs, effect in self._faults.values():
             for pair in pairs:
-                self._now[pair] = self._now.get(pair, SOUND).along(effect)
-        return {pair for pair in before.keys() | self._now.keys() if before.get(pair) != self._now.get(pair)}
+                self._effects[pair] = self._effects.get(pair, NO_FAULTS).combined_with(effect)
+        return {pair for pair in before.keys() | self._effects.keys() if before.get(pair) != self._effects.get(pair)}
 
     def effect(self, source: str, target: str) -> Effect:
-        """What happens to what is sent from one end to the other."""
-        return self._now.get((source, target), SOUND)
+        """The current effect on data from ``source`` to ``target``."""
+        return self._effects.get((source, target), NO_FAULTS)
 
 
-def spoilt(data: bytes, random: Random) -> bytes:
-    """The same with one octet changed."""
+def corrupt_octet(data: bytes, random: Random) -> bytes:
+    """Returns the data with one octet changed."""
     if not data:
         return data
     at = random.randrange(len(data))
@@ -89,68 +88,68 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    """The end of a stream takes its turn behind the octets."""
+class StreamEnd:
+    """The end of a stream, queued after its octets."""
 
     reset: bool
 
 
-class Stream:
+class DelayedStream:
     """One direction of one connection."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._held: deque[tuple[float, bytes | Ended]] = deque()  # not before this time
+        self._held: deque[tuple[float, bytes | StreamEnd]] = deque()  # with the earliest time of delivery
         self._octets = 0
-        self._free = 0.0  # when the line has sent what it was given
-        self._last = 0.0
+        self._line_free_at = 0.0  # when the rate limit allows the next octets
+        self._last_delivery = 0.0
 
     @property
-    def crowded(self) -> bool:
-        """Whether the sender is to be held back."""
-        return self._octets >= MAX_HELD
-
-    def push(self, now: float, piece: bytes | Ended, effect: Effect) -> None:
-        """Take octets, or the end, from the sender."""
-        size = len(piece) if isinstance(piece, bytes) else 0
-        if isinstance(piece, bytes) and effect.spoil and self._random.random() < effect.spoil:
-            piece = spoilt(piece, self._random)
+    def is_full(self) -> bool:
+        """Whether the buffer is full, so that the sender must wait."""
+        return self._octets >= MAX_HELD_OCTETS
+
+    def push(self, now: float, chunk: bytes | StreamEnd, effect: Effect) -> None:
+        """Adds octets, or the end of the stream."""
+        size = len(chunk) if isinstance(chunk, bytes) else 0
+        if isinstance(chunk, bytes) and effect.spoil and self._random.random() < effect.spoil:
+            chunk = corrupt_octet(chunk, self._random)
         sent = now
         if effect.rate:
-            self._free = max(self._free, now) + size / effect.rate
-            sent = self._free
+            self._line_free_at = max(self._line_free_at, now) + size / effect.rate
+            sent = self._line_free_at
         at = sent + effect.delay + (self._random.uniform(0, effect.jitter) if effect.jitter else 0.0)
-        self._last = max(self._last, at)
-        self._held.append((self._last, piece))
+        self._last_delivery = max(self._last_delivery, at)
+        self._held.append((self._last_delivery, chunk))
         self._octets += size
 
-    def due(self, now: float, effect: Effect) -> list[bytes | Ended]:
-        """What reaches the receiver now, in order; nothing while the link is cut."""
-        found: list[bytes | Ended] = []
+    def due(self, now: float, effect: Effect) -> list[bytes | StreamEnd]:
+        """Removes and returns what is delivered by now, in order; nothing while the link is cut."""
+        found: list[bytes | StreamEnd] = []
         while self._held and not effect.cut and self._held[0][0] <= now:
-            piece = self._held.popleft()[1]
-            self._octets -= len(piece) if isinstance(piece, bytes) else 0
-            found.append(piece)
+            chunk = self._held.popleft()[1]
+            self._octets -= len(chunk) if isinstance(chunk, bytes) else 0
+            found.append(chunk)
         return found
 
     def next_at(self, effect: Effect) -> float | None:
-        """When to look again; None: when something changes."""
+        """The time of the next delivery; None: only after a change."""
         return self._held[0][0] if self._held and not effect.cut else None
 
 
-class Datagrams:
-    """One directed pair's datagrams."""
+class DatagramLink:
+    """The datagrams in transit on one directed pair."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._free = 0.0
-        self.under_way = 0
+        self._line_free_at = 0.0
+        self.in_transit = 0
         self.lost = 0
 
     def push(self, now: float, data: bytes, effect: Effect) -> list[tuple[float, bytes]]:
-        """When which octets arrive: none, once or twice. The caller says ``arrived`` of each."""
+        """Returns no, one or two deliveries (time, octets). The caller reports each delivery with ``arrived``."""
         random = self._random
-        if effect.cut or random.random() < effect.lose or self.under_way >= MAX_DATAGRAMS:
+        if effect.cut or random.random() < effect.lose or self.in_transit >= MAX_DATAGRAMS:
             self.lost += 1
             return []
         copies = 2 if random.random() < effect.double else 1
@@ -158,28 +157,28 @@
         for _ in range(copies):
             sent = now
             if effect.rate:
-                self._free = max(self._free, now) + len(data) / effect.rate
-                sent = self._free
+                self._line_free_at = max(self._line_free_at, now) + len(data) / effect.rate
+                sent = self._line_free_at
             at = sent + effect.delay + random.uniform(0, effect.jitter)
-            if random.random() < effect.reorder:  # later ones overtake it
+            if random.random() < effect.reorder:  # delayed so that later ones overtake it
                 at += max(effect.delay, 0.02) * random.uniform(0.5, 1.5)
-            found.append((at, spoilt(data, random) if random.random() < effect.spoil else data))
-        self.under_way += len(found)
+            found.append((at, corrupt_octet(data, random) if random.random() < effect.spoil else data))
+        self.in_transit += len(found)
         return found
 
     def arrived(self) -> None:
-        """One is off the link."""
-        self.under_way -= 1
+        """Reports the delivery of one datagram."""
+        self.in_transit -= 1
 
 
 def pairs_of(sources: Iterable[str], targets: Iterable[str], oneway: bool) -> set[Pair]:
-    """Directed pairs of two sets of ends, without those from an end to itself."""
+    """The directed pairs between two sets of endpoints, without pairs of an endpoint and itself."""
     found = {(a, b) for a in sources for b in targets if a != b}
     return found if oneway else found | {(b, a) for a, b in found}
 
 
-def ways(network: Network, zones: Mapping[str, str], names: Sequence[str]) -> list[tuple[str, str, float]]:
-    """Zone, other zone, and the round trip (ms) that holds now for gateways between them: the least of all pairs."""
+def zone_round_trips(network: Network, zones: Mapping[str, str], names: Sequence[str]) -> list[tuple[str, str, float]]:
+    """The current round trip (ms) between zones, as the least over all pairs of gateways."""
     found: dict[Pair, float] = {}
     for a in names:
         for b in names:
@@ -190,6 +189,6 @@
     return [(*pair, trip) for pair, trip in found.items()]
 
 
-def only(effect: Effect, **changes: float | str) -> Effect:
-    """An effect with some of it changed."""
+def with_changes(effect: Effect, **changes: float | str) -> Effect:
+    """A copy of an effect with some fields changed."""
     return replace(effect, **changes)  # type: ignore[arg-type]
--- a/yardbank/testing/rig/record.py
+++ b/yardbank/testing/rig/record.py
@@ -1,4 +1,4 @@
-"""One record of all that crossed the sockets, gathered from every process of a scenario."""
+"""Collects the recorded facts of all processes of a scenario in one record."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Recorder:
-    """All facts, in memory and maybe in a file, stamped with the machine's steady time."""
+    """Keeps all facts in memory, and optionally in a file, with monotonic timestamps."""
 
     def __init__(self, path: Path | None = None) -> None:
         self.facts: list[dict[str, Any]] = []
@@ -19,27 +19,27 @@
         self._file = path.open("w", encoding="utf-8") if path else None
 
     def __call__(self, fact: dict[str, Any]) -> None:
-        """Take one fact."""
+        """Records one fact."""
         stamped = {"at": time.monotonic(), **fact}
         self.facts.append(stamped)
         if self._file:
             self._file.write(json.dumps(stamped, separators=(",", ":")) + "\n")
 
     def add_file(self, path: Path) -> None:
-        """Take the facts that another process wrote."""
+        """Adds the facts that another process wrote to a file."""
         if not path.exists():
             return
         for line in path.read_text(encoding="utf-8").splitlines():
             try:
                 fact = json.loads(line)
-            except json.JSONDecodeError:  # cut short by a kill
+            except json.JSONDecodeError:  # truncated because its writer was killed
                 continue
             self.facts.append(fact)
             if self._file:
                 self._file.write(line + "\n")
 
     def close(self) -> None:
-        """No more facts. The file is put in order of time as the facts are: a verdict names them by line."""
+        """Ends the record. Sorts facts and file by time, because verdicts refer to facts by line number."""
         self.facts.sort(key=lambda fact: fact["at"])
         if self._file and self._path:
             self._file.close()
--- a/yardbank/testing/rig/relay.py
+++ b/yardbank/testing/rig/relay.py
@@ -1,8 +1,8 @@
-"""Relays between the processes of a scenario, on 127.0.0.1. Thin: ``wire`` decides what passes when.
+"""Relays between the processes of a scenario, on 127.0.0.1. I/O only: ``network`` decides what passes and when.
 
-One TCP relay stands on each directed pair that opens connections, one UDP relay on each that sends datagrams. A relay
-refuses connections while its target listens nowhere, as the target itself would. A silent cut takes a new connection
-and lets nothing through: an unanswered SYN cannot be had without privileges.
+Each directed pair of endpoints that opens connections has a TCP relay, and each that sends datagrams a UDP relay. A
+relay refuses connections while its target does not listen, as the target itself would. During a silent cut it accepts
+connections but passes nothing on, because ignoring a SYN needs privileges.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 from twisted.python.failure import Failure
 
-from yardbank.testing.rig.network import Datagrams, Ended, Network, Stream
+from yardbank.testing.rig.network import DatagramLink, DelayedStream, Network, StreamEnd
 from yardbank.testing.rig.taps import Tap
 
 HOST = "127.0.0.1"
-MAX_OPEN = 10_000  # connections of one relay; beyond, they are reset
+MAX_OPEN = 10_000  # connections of one relay; further ones are reset
 
 
-def _bound(port: int) -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    made.bind((HOST, port))
-    made.setblocking(False)
-    return made
+def _bound_socket(port: int) -> socket.socket:
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    listener.bind((HOST, port))
+    listener.setblocking(False)
+    return listener
 
 
-class _Side(Protocol):
-    """One end's connection to the relay: what it sends goes into the stream to the other side."""
+class _RelaySide(Protocol):
+    """The relay's connection with one endpoint. Octets received are put into the stream to the other side."""
 
     transport: Any
 
     def __init__(self, relay: StreamRelay, source: str, target: str) -> None:
         self._relay, self._pair = relay, (source, target)
-        self.other: _Side | None = None
-        self._stream = Stream(relay.random)
+        self.other: _RelaySide | None = None
+        self._stream = DelayedStream(relay.random)
         self._timer: Any = None
         self._early: list[bytes] = []
-        self.over = False  # nothing can be written here any more
-        self.told_to_end = False  # as the other side has ended
+        self.closed = False  # closed for writing
+        self.closed_by_peer = False  # closed because the other side was closed
         self.tap: Tap | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -54,73 +54,73 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.tap is not None:
-            self.tap.entered(self._relay.seconds(), data)
+            self.tap.octets_sent(self._relay.seconds(), data)
         self._stream.push(self._relay.seconds(), data, self._relay.effect(self._pair))
-        if self._stream.crowded:
+        if self._stream.is_full:
             self.transport.pauseProducing()
-        self.look()
+        self.pass_on()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008, N802
-        self.over = True
-        if self.told_to_end and self.other is not None and self.other.tap is not None:
-            self.other.tap.ended()
+        self.closed = True
+        if self.closed_by_peer and self.other is not None and self.other.tap is not None:
+            self.other.tap.closed()
         self._stream.push(
-            self._relay.seconds(), Ended(not reason.check(ConnectionDone)), self._relay.effect(self._pair)
+            self._relay.seconds(), StreamEnd(not reason.check(ConnectionDone)), self._relay.effect(self._pair)
         )
-        self.look()
+        self.pass_on()
 
-    def look(self) -> None:
-        """Pass on what is due; come back when more is."""
+    def pass_on(self) -> None:
+        """Passes on due octets and schedules the next call."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
         other = self.other
-        if other is None or other.transport is None:  # the connection onward is not there yet
+        if other is None or other.transport is None:  # the onward connection is not established yet
             return
         effect, now = self._relay.effect(self._pair), self._relay.seconds()
-        crowded = self._stream.crowded
-        for piece in self._stream.due(now, effect):
-            if not other.over:
-                self._hand_on(piece, other, now)
-        if crowded and not self._stream.crowded and not self.over:
+        is_full = self._stream.is_full
+        for chunk in self._stream.due(now, effect):
+            if not other.closed:
+                self._deliver(chunk, other, now)
+        if is_full and not self._stream.is_full and not self.closed:
             self.transport.resumeProducing()
         at = self._stream.next_at(effect)
         if at is not None:
-            self._timer = self._relay.reactor.callLater(max(0.0, at - now), self.look)
-        elif self.over and other.over:
+            self._timer = self._relay.reactor.callLater(max(0.0, at - now), self.pass_on)
+        elif self.closed and other.closed:
             self._relay.forget(self)
 
-    def _hand_on(self, piece: bytes | Ended, other: _Side, now: float) -> None:
-        """Write octets to the other side, or end its connection as this one ended."""
-        if isinstance(piece, bytes):
-            other.transport.write(piece)
+    def _deliver(self, chunk: bytes | StreamEnd, other: _RelaySide, now: float) -> None:
+        """Writes octets to the other side, or closes it the way this side was closed."""
+        if isinstance(chunk, bytes):
+            other.transport.write(chunk)
             if self.tap is not None:
-                self.tap.passed(now, piece)
+                self.tap.octets_delivered(now, chunk)
             return
-        other.told_to_end = True
-        if piece.reset:
+        other.closed_by_peer = True
+        if chunk.reset:
             other.transport.abortConnection()
         else:
             other.transport.loseConnection()
 
     def reset(self) -> None:
-        """Break it off."""
-        if self.transport is not None and not self.over:
+        """Aborts the connection."""
+        if self.transport is not None and not self.closed:
             self.transport.abortConnection()
 
 
-class _Door(Factory):
+class _ListenerFactory(Factory):
     noisy = False
 
     def __init__(self, relay: StreamRelay) -> None:
         self._relay = relay
 
-    def buildProtocol(self, addr: Any) -> _Side:  # noqa: N802
+    def buildProtocol(self, addr: Any) -> _RelaySide:  # noqa: N802
         return self._relay.accept()
 
 
 class StreamRelay:
-    """Connections that ``source`` opens to ``target``; ``port`` is where ``source`` finds it."""
+    """Relays connections from ``source`` to ``target``; ``port``: the relay's listening port."""
 
     def __init__(
         self,
@@ -132,68 +132,68 @@
         seed: int,
         tap: Callable[[int], Tap] | None = None,
     ) -> None:
-        """``tap`` makes what listens to a connection from this port of the source."""
+        """``tap`` creates the observer of a connection, given the source's port."""
         self.tap = tap
         self.reactor, self._network = reactor, network
         self.source, self.target, self._target_port = source, target, target_port
         self.random = Random(f"{seed}/{source}/{target}")
-        self._holder = _bound(0)  # keeps the port while nothing listens on it
+        self._holder = _bound_socket(0)  # reserves the port while the relay does not listen
         self.port: int = self._holder.getsockname()[1]
         self._listening: Any = None
-        self._sides: dict[_Side, None] = {}
+        self._sides: dict[_RelaySide, None] = {}
         self.opened = 0
 
     def seconds(self) -> float:
-        """The time."""
+        """The reactor's time."""
         now: float = self.reactor.seconds()
         return now
 
     def effect(self, pair: tuple[str, str]) -> Any:
-        """What holds on one direction now."""
+        """The current network effect in one direction."""
         return self._network.effect(*pair)
 
     def refresh(self) -> None:
-        """The network or the target has changed: listen or not, break off, pass on."""
+        """Adapts to a change of network or target: starts or stops listening, resets connections, passes octets on."""
         forth, back = self._network.effect(self.source, self.target), self._network.effect(self.target, self.source)
         cut = "reset" in (forth.cut, back.cut)
-        open_ = not cut and self._target_port() > 0
-        if open_ and self._listening is None:
-            made = _bound(self.port)
-            made.listen(512)
-            self._listening = self.reactor.adoptStreamPort(made.fileno(), made.family, _Door(self))
-            made.close()
-        elif not open_ and self._listening is not None:
+        listening = not cut and self._target_port() > 0
+        if listening and self._listening is None:
+            listener = _bound_socket(self.port)
+            listener.listen(512)
+            self._listening = self.reactor.adoptStreamPort(listener.fileno(), listener.family, _ListenerFactory(self))
+            listener.close()
+        elif not listening and self._listening is not None:
             self._listening.stopListening()
             self._listening = None
         for side in list(self._sides):
-            side.reset() if cut else side.look()
+            side.reset() if cut else side.pass_on()
 
-    def accept(self) -> _Side:
-        """A connection from ``source``; its way onward is opened at once."""
+    def accept(self) -> _RelaySide:
+        """Accepts a connection from ``source`` and opens the onward connection."""
         self.opened += 1
-        near, far = _Side(self, self.source, self.target), _Side(self, self.target, self.source)
+        near, far = _RelaySide(self, self.source, self.target), _RelaySide(self, self.target, self.source)
         near.other, far.other = far, near
         self._sides[near] = self._sides[far] = None
         if len(self._sides) > 2 * MAX_OPEN:
             self.reactor.callLater(0, near.reset)
             return near
         endpoint = TCP4ClientEndpoint(self.reactor, HOST, self._target_port() or 1, timeout=5)
-        connectProtocol(endpoint, far).addCallbacks(lambda _: near.look(), lambda _: self._refused(near, far))
+        connectProtocol(endpoint, far).addCallbacks(lambda _: near.pass_on(), lambda _: self._refused(near, far))
         return near
 
-    def _refused(self, near: _Side, far: _Side) -> None:
-        far.over = True
+    def _refused(self, near: _RelaySide, far: _RelaySide) -> None:
+        far.closed = True
         near.reset()
         self.forget(near)
 
-    def forget(self, side: _Side) -> None:
-        """Both ends are gone."""
+    def forget(self, side: _RelaySide) -> None:
+        """Removes both sides of a closed connection."""
         self._sides.pop(side, None)
         if side.other is not None:
             self._sides.pop(side.other, None)
 
     def close(self) -> None:
-        """No more."""
+        """Closes the relay and its connections."""
         if self._listening is not None:
             self._listening.stopListening()
             self._listening = None
@@ -203,9 +203,9 @@
 
 
 class DatagramRelay(DatagramProtocol):
-    """Datagrams that ``source`` sends to ``target``.
+    """Relays datagrams from ``source`` to ``target``.
 
-    What comes here goes on from here: a receiver that answers a datagram's source address gets nowhere.
+    Datagrams are sent on from the relay's own port, so replies to their source address reach nobody.
     """
 
     transport: Any
@@ -218,20 +218,20 @@
         target: str,
         target_port: Callable[[], int],
         seed: int,
-        seen: Callable[[str, str, bytes], None] = lambda source, target, data: None,
+        on_datagram: Callable[[str, str, bytes], None] = lambda source, target, data: None,
     ) -> None:
-        """``seen`` is told of each datagram as ``source`` has sent it, whatever becomes of it."""
-        self._reactor, self._network, self._seen = reactor, network, seen
+        """``on_datagram`` is called with each datagram that ``source`` sends, whether or not it is delivered."""
+        self._reactor, self._network, self._on_datagram = reactor, network, on_datagram
         self.source, self.target, self._target_port = source, target, target_port
-        self.wire = Datagrams(Random(f"{seed}/{source}/{target}/datagrams"))
+        self.wire = DatagramLink(Random(f"{seed}/{source}/{target}/datagrams"))
         self.passed = self.octets = 0
         self._port = reactor.listenUDP(0, self, interface=HOST, maxPacketSize=65535)
         self.port: int = self._port.getHost().port
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Pass a datagram on as the network says: now, late, twice or never."""
+        """Passes a datagram on as the network decides: at once, late, twice or not at all."""
         now = self._reactor.seconds()
-        self._seen(self.source, self.target, datagram)
+        self._on_datagram(self.source, self.target, datagram)
         for at, data in self.wire.push(now, datagram, self._network.effect(self.source, self.target)):
             if at <= now:
                 self._arrive(data)
@@ -247,8 +247,8 @@
         self.transport.write(data, (HOST, port))
 
     def connectionRefused(self) -> None:  # noqa: N802
-        """Nobody listens there: as lost."""
+        """Ignored: the datagram counts as lost."""
 
     def close(self) -> Any:
-        """No more."""
+        """Stops the relay."""
         return self._port.stopListening()
--- a/yardbank/testing/rig/running_fleet.py
+++ b/yardbank/testing/rig/running_fleet.py
@@ -1,6 +1,6 @@
-"""The processes of a scenario and the network between them: started, told their lists, their lines taken up.
+"""Runs the processes of a scenario and the network between them: starts them, writes lists, reads log lines.
 
-Thin: ``roster`` knows states of processes, ``wire`` what the network does, ``place`` what gateways are started with.
+I/O only: ``roster`` has the states of processes, ``network`` the network faults, ``gateway_folder`` the settings.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 from yardbank.testing.rig.gateway_folder import (
     GATEWAY_DN,
     GATEWAY_PASSWORD,
-    GatewayPlace,
-    Listed,
+    GatewayFolder,
+    ListEntry,
     list_text,
     peers_text,
 )
-from yardbank.testing.rig.load_driver import Drive
-from yardbank.testing.rig.network import Effect, Network, Pair, ways
-from yardbank.testing.rig.observations import Known, fact_of
+from yardbank.testing.rig.load_driver import LoadDriver
+from yardbank.testing.rig.network import Effect, Network, Pair, zone_round_trips
+from yardbank.testing.rig.observations import Observations, fact_from_log
 from yardbank.testing.rig.processes import Processes, program_command
 from yardbank.testing.rig.published import PublishedList
 from yardbank.testing.rig.record import Recorder
 from yardbank.testing.rig.relay import DatagramRelay, StreamRelay
 from yardbank.testing.rig.roster import READY
 from yardbank.testing.rig.scenario import CLIENTS, Scenario
-from yardbank.testing.rig.schedule import Due, Schedule
-from yardbank.testing.rig.taps import Attempts, Departures, Tap
+from yardbank.testing.rig.schedule import DueAction, Schedule
+from yardbank.testing.rig.taps import AttemptTap, DepartureTap, Tap
 from yardbank.testing.standin.process import GroupSpec
 
-Command = Callable[[str, list[str]], list[str]]  # a gateway's name and command: the command to use
+Command = Callable[[str, list[str]], list[str]]  # gateway name and default command -> command to use
 
 
-class Running:
-    """A scenario's processes in one folder."""
+class RunningFleet:
+    """The processes of a scenario, with their files in one folder."""
 
     def __init__(
         self,
@@ -51,70 +51,70 @@
         say: Callable[[str], None] = lambda text: None,
         command: Command = lambda name, command: command,
     ) -> None:
-        """``command``: for a gateway other than the program's own, such as one with a seeded fault."""
+        """``command`` may replace the command of a gateway, for example to seed a fault."""
         self.reactor, self.scenario, self.folder, self.say = reactor, scenario, folder, say
         self.seed = scenario.seed if seed is None else seed
         self.record = Recorder(folder / "record.jsonl")
-        self.network, self.known = Network(), Known()
+        self.network, self.observations = Network(), Observations()
         self.schedule = Schedule(scenario.step)
         self.processes = Processes(reactor, self.record, self._port_of)
         self.processes.on_line = self._line
-        self.processes.on_lost = self._lost
-        self.drive: Drive | None = None
+        self.processes.on_lost = self._guardian_lost
+        self.drive: LoadDriver | None = None
         self._command = command
-        self._roster = self.processes.roster
+        self._process_table = self.processes.process_table
         self._server_ports: dict[str, int] = {}
         self._relays: dict[Pair, StreamRelay] = {}
         self._datagrams: list[DatagramRelay] = []
         self._peer_ports: dict[str, int] = {}
-        self._believed: dict[str, dict[str, str]] = {}  # by gateway: what it last said of each other
-        self._settled: Deferred[None] | None = None
-        self._who: dict[str, list[str]] = {}  # by step: whom its words meant when it began
-        self._written: dict[str, dict[str, str]] = {}  # by gateway: the states that its list holds
-        self._held: dict[str, int] = {}  # gateways whose list is held back, by how many steps
+        self._reported_views: dict[str, dict[str, str]] = {}  # by gateway: the state of each peer that it last reported
+        self._views_settled: Deferred[None] | None = None
+        self._resolved_targets: dict[str, list[str]] = {}  # by step: the gateways it applied to when it began
+        self._written_states: dict[str, dict[str, str]] = {}  # by gateway: server states in its list file
+        self._held_lists: dict[str, int] = {}  # by gateway: number of steps that hold back its list
         self._timer: Any = None
-        self._began = 0.0
-        self._over = False
+        self._load_began = 0.0
+        self._closing = False
         self._restarts: list[Deferred[Any]] = []
         self.failure: str = ""
         zones = scenario.zones()
         self.listed = {
             name: {
-                server: Listed(group.name, zones[server], primary=server == group.members()[0])
+                server: ListEntry(group.name, zones[server], primary=server == group.members()[0])
                 for server, group in scenario.servers().items()
             }
             for name in scenario.gateways()
         }
-        self.places = {name: GatewayPlace(folder, scenario, name, self.seed) for name in scenario.gateways()}
+        self.places = {name: GatewayFolder(folder, scenario, name, self.seed) for name in scenario.gateways()}
         self.published = PublishedList(scenario, self.places)
 
-    def _do(self, dues: list[Due]) -> None:
-        """Carry out what is due of the steps."""
+    def _run_actions(self, actions: list[DueAction]) -> None:
+        """Carries out due actions of the steps."""
         raise NotImplementedError
 
-    def _lost(self) -> None:
-        """The guardian is gone, and all processes with it."""
+    def _guardian_lost(self) -> None:
+        """Handles the loss of the guardian and all processes."""
         raise NotImplementedError
 
-    def _look_settled(self) -> None:
-        """A gateway's belief of another has changed."""
+    def _check_views(self) -> None:
+        """Called when a gateway reports another state of a peer."""
 
     # Processes
 
     def _port_of(self, name: str, line: dict[str, Any]) -> int | None:
-        """Whether a line says that its process is ready, and on which port it listens (0: several)."""
+        """The listening port if a line says that the process is ready (0: several ports), else None."""
         if line.get("event") == "listening":
             return int(line["port"])
         return 0 if line.get("event") == "group_ready" else None
 
     def _line(self, name: str, line: dict[str, Any]) -> None:
-        """Take up what a process says of itself."""
+        """Processes a log line."""
         match line.get("event"):
             case "group_ready":
                 self._server_ports.update(line["servers"])
             case "listening":
                 self._refresh(lambda pair: name in pair)
-                self._happened([f"ready:{name}"])
+                self._events_occurred([f"ready:{name}"])
             case "peers_listening":
                 self._peers_listening(name, line)
             case "peer":
@@ -124,22 +124,22 @@
             case "elected":
                 self._elected(line["group"], line["server"])
             case "started_anew":
-                self._started_anew(line["server"], line["started"])
+                self._server_restarted(line["server"], line["started"])
             case _:
-                self._observed(name, line)
+                self._record_log_fact(name, line)
 
     def _peers_listening(self, gateway: str, line: dict[str, Any]) -> None:
         self._peer_ports[gateway] = line["port"]
-        self._believed[gateway] = {}
+        self._reported_views[gateway] = {}
         self.record({"kind": "peer_start", "gateway": gateway, "life": line["life"]})
 
     def _peer_reported(self, gateway: str, line: dict[str, Any]) -> None:
-        self._believed[gateway][line["peer"]] = line["state"]
+        self._reported_views[gateway][line["peer"]] = line["state"]
         self.record({"kind": "peer", "gateway": gateway, "peer": line["peer"], "state": line["state"]})
-        self._look_settled()
+        self._check_views()
 
     def _stopping(self, name: str) -> None:
-        if self._roster.member(name).state == READY:  # to start anew, of its own accord
+        if self._process_table.member(name).state == READY:  # a restart by itself
             self.record({"kind": "process", "name": name, "what": "leaving"})
 
     def _elected(self, group: str, primary: str) -> None:
@@ -147,34 +147,34 @@
             for server, one in listed.items():
                 if one.group == group:
                     one.primary = server == primary
-        self._tell_all()
-        self._happened([f"elected:{group}"])
+        self._write_all_lists()
+        self._events_occurred([f"elected:{group}"])
 
-    def _started_anew(self, server: str, started: float) -> None:
+    def _server_restarted(self, server: str, started: float) -> None:
         for listed in self.listed.values():
             listed[server].started = started
-        self._tell_all()
+        self._write_all_lists()
 
-    def _observed(self, name: str, line: dict[str, Any]) -> None:
-        """A line that becomes a fact as it is, if it is one of these."""
-        fact = fact_of(name, line)
+    def _record_log_fact(self, name: str, line: dict[str, Any]) -> None:
+        """Records a log line that is converted to a fact."""
+        fact = fact_from_log(name, line)
         if fact is None:
             return
         self.record(fact)
-        self._happened(self.known.heard(fact))
+        self._events_occurred(self.observations.process_log_fact(fact))
 
-    def _happened(self, events: Iterable[str]) -> None:
-        """Steps may wait for these, once the load has begun."""
-        if self._began:
+    def _events_occurred(self, events: Iterable[str]) -> None:
+        """Passes events to the schedule once the load has begun."""
+        if self._load_began:
             for event in events:
-                self._do(self.schedule.happened(self.reactor.seconds(), event))
+                self._run_actions(self.schedule.handle_event(self.reactor.seconds(), event))
 
-    def _crossed(self, source: str, target: str, data: bytes) -> None:
-        """A datagram has left a gateway."""
-        facts, events = self.known.crossed(source, target, data)
+    def _datagram_sent(self, source: str, target: str, data: bytes) -> None:
+        """Processes a datagram that a gateway sent."""
+        facts, events = self.observations.process_datagram(source, target, data)
         for fact in facts:
             self.record(fact)
-        self._happened(events)
+        self._events_occurred(events)
 
     def _start_group(self, group: Any) -> Deferred[Any]:
         spec = GroupSpec(
@@ -197,14 +197,14 @@
 
     def _start_gateway(self, name: str) -> Deferred[Any]:
         place = self.places[name]
-        self._tell(name)
+        self._write_list(name)
         program = self.scenario.program_of(name)
         kind, channels = (program.name, program.channels) if program is not None else ("", 0)
         supervised = self.scenario.fleet.rollout and kind != "landed"
         command, env = program_command("" if supervised else kind, place.settings, channels)
         if supervised:
             command.append("--supervised")
-            if channels and not place.in_force.exists():  # what the supervisor is to start, until a rollout changes it
+            if channels and not place.in_force.exists():  # the worker program, until a rollout changes it
                 place.start_with(f"{sys.executable} -m yardbank.cli.embedded_gateway {channels}")
         for clock in self.scenario.clock:
             if clock.gateway == name:
@@ -212,32 +212,32 @@
                 command += [f"--clock-rate={clock.rate}", f"--clock-offset={offset}"]
         return self.processes.start(name, self._command(name, command), place.log, env, group=supervised)
 
-    def _tell(self, gateway: str) -> None:
-        """Write a gateway's list as it is now, unless it is held back."""
-        if self._held.get(gateway) or self._over:
+    def _write_list(self, gateway: str) -> None:
+        """Writes a gateway's current list, unless it is held back."""
+        if self._held_lists.get(gateway) or self._closing:
             return
         listed = self.listed[gateway]
         ports = {server: self._relays[gateway, server].port for server in listed}
         write_atomically(self.places[gateway].list, list_text(listed, ports))
-        before = self._written.setdefault(gateway, {})
+        before = self._written_states.setdefault(gateway, {})
         for server, one in listed.items():
             if one.state != before.get(server, "ready"):
                 self.record({"kind": "told", "gateway": gateway, "server": server, "state": one.state})
             before[server] = one.state
 
-    def _tell_all(self) -> None:
+    def _write_all_lists(self) -> None:
         for gateway in self.places:
             if (gateway, next(iter(self.listed[gateway]))) in self._relays:
-                self._tell(gateway)
+                self._write_list(gateway)
 
     # The network
 
-    def _lay(self) -> None:
-        """A relay on every pair that opens connections."""
+    def _create_relays(self) -> None:
+        """Creates the relays of all pairs of endpoints that communicate, and the peer lists."""
         for gateway in self.places:
             pairs = [(CLIENTS, gateway), *((gateway, server) for server in self.scenario.servers())]
             for source, target in pairs:
-                finder, tap = self._finder(target), self._tap(source, target)
+                finder, tap = self._port_lookup(target), self._tap(source, target)
                 relay = StreamRelay(self.reactor, self.network, source, target, finder, self.seed, tap)
                 self._relays[source, target] = relay
 
@@ -245,9 +245,9 @@
             for source in self.places:
                 ports = {}
                 for target in self.places:
-                    find = self._peer_finder(target)
+                    find = self._peer_port_lookup(target)
                     datagrams = DatagramRelay(
-                        self.reactor, self.network, source, target, find, self.seed, self._crossed
+                        self.reactor, self.network, source, target, find, self.seed, self._datagram_sent
                     )
                     self._datagrams.append(datagrams)
                     ports[target] = datagrams.port
@@ -255,21 +255,21 @@
 
     def _tap(self, source: str, target: str) -> Callable[[int], Tap]:
         if source == CLIENTS:
-            return lambda port: Departures(self.record, target, port)
-        return lambda port: Attempts(self.record, source, target)
+            return lambda port: DepartureTap(self.record, target, port)
+        return lambda port: AttemptTap(self.record, source, target)
 
     def _peer_zones(self) -> dict[str, str]:
-        """What the lists of peers say of zones: nothing, as long as one of them runs a program that knows none."""
+        """Zones for the peer lists; empty if a gateway runs an older program, which does not know them."""
         fleet, zones = self.scenario.fleet, self.scenario.zones()
         parts = fleet.channels or fleet.rollout or fleet.atlas or bool(fleet.publishers)
         return {name: zones[name] for name in self.places} if parts and not self.scenario.older() else {}
 
-    def _peer_finder(self, target: str) -> Callable[[], int]:
+    def _peer_port_lookup(self, target: str) -> Callable[[], int]:
         return lambda: self._peer_ports.get(target, 0)
 
-    def _finder(self, target: str) -> Callable[[], int]:
+    def _port_lookup(self, target: str) -> Callable[[], int]:
         if target in self.places:
-            return lambda: self._roster.member(target).port
+            return lambda: self._process_table.member(target).port
         return lambda: self._server_ports.get(target, 0)
 
     def _refresh(self, which: Callable[[Pair], bool]) -> None:
@@ -277,11 +277,11 @@
             if which(pair):
                 relay.refresh()
 
-    def _changed(self, pairs: set[Pair]) -> None:
+    def _links_changed(self, pairs: set[Pair]) -> None:
         for source, target in pairs:
             sound = self.network.effect(source, target) == Effect()
             self.record({"kind": "link", "from": source, "to": target, "sound": sound})
         self._refresh(lambda pair: pair in pairs or (pair[1], pair[0]) in pairs)
         if self.scenario.fleet.atlas:
-            for source, target, ms in ways(self.network, self.scenario.zones(), list(self.places)):
+            for source, target, ms in zone_round_trips(self.network, self.scenario.zones(), list(self.places)):
                 self.record({"kind": "way", "from": source, "to": target, "ms": ms})
--- a/yardbank/testing/rig/scenario.py
+++ b/yardbank/testing/rig/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario as HCL: the fleet, its load, what goes wrong in order, and what must hold. Checked like the settings."""
+"""The schema of a scenario file in HCL: fleet, load, fault steps and claims. Validated like the settings."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from yardbank.testing.rig.cross_checks import cross
 from yardbank.testing.rig.steps import GATEWAY, NETWORK, ROLLOUT, Step, matching
 
-CLIENTS = "clients"  # all clients are one end of the network
+CLIENTS = "clients"  # all clients together are one endpoint of the network
 MAX_STAGES = 10
 
 
 class Scenario(Model):
-    """A whole file."""
+    """The content of a scenario file."""
 
     title: Annotated[str, Field(min_length=1)]
     seed: Annotated[int, Field(ge=0, strict=True)] = 1
@@ -32,15 +32,15 @@
     claim: tuple[Claim, ...] = Field(min_length=1)
 
     def gateways(self) -> list[str]:
-        """Names of the gateways."""
+        """The names of all gateways."""
         return [f"g{number}" for number in range(1, self.fleet.gateways + 1)]
 
     def servers(self) -> dict[str, Group]:
-        """Groups by name of server."""
+        """The group of each server, by server name."""
         return {name: group for group in self.group for name in group.members()}
 
     def ends(self) -> list[str]:
-        """Every end of the network."""
+        """The names of all network endpoints."""
         return [CLIENTS, *self.gateways(), *self.servers()]
 
     def zones(self) -> dict[str, str]:
@@ -50,25 +50,25 @@
         return {name: zones[index % len(zones)] for row in rows for index, name in enumerate(row)}
 
     def program_of(self, gateway: str) -> Program | None:
-        """What it runs; None: this program."""
+        """The other program that a gateway runs, or None if it runs this one."""
         return next((one for one in self.program if matching(one.who, [gateway])), None)
 
     def older(self) -> set[str]:
-        """Gateways that run a program from before gossip messages."""
+        """Gateways that run an older program, without gossip messages."""
         return {name for name in self.gateways() if (one := self.program_of(name)) and one.name == "landed"}
 
     def channels(self) -> list[str]:
-        """Names of the channels that programs carry."""
+        """The names of the channels that programs publish to."""
         return sorted({name for one in self.program for name in one.carried()})
 
-    def meant(self, patterns: tuple[str, ...], names: list[str]) -> list[str]:
-        """Of these names those that any of the patterns stands for: a name, one with ``*`` and ``?``, ``zone:NAME``."""
+    def matching_ends(self, patterns: tuple[str, ...], names: list[str]) -> list[str]:
+        """The names that match any pattern: a name, a glob with ``*`` and ``?``, or ``zone:NAME``."""
         there = {pattern[5:] for pattern in patterns if pattern.startswith("zone:")}
         zones, found = self.zones(), set(matching(patterns, names))
         return [name for name in names if name in found or zones.get(name) in there]
 
     def events(self) -> set[str]:
-        """What ``after`` and ``until`` may name beside steps."""
+        """The events that ``after`` and ``until`` may name, besides steps."""
         found = {f"elected:{group.name}" for group in self.group}
         found |= {f"owned:{name}" for name in self.channels()} | {f"ready:{name}" for name in self.gateways()}
         if self.fleet.publishers:
@@ -77,8 +77,8 @@
             found |= {f"stage:{number}" for number in range(1, MAX_STAGES + 1)} | {"went_over", "stopped"}
         return found
 
-    def words(self) -> set[str]:
-        """Words for gateways that are known only as the play goes: a channel's owner, those that went over."""
+    def dynamic_names(self) -> set[str]:
+        """Names that are resolved to gateways during the run, such as a channel's owner."""
         found = {f"owner:{name}" for name in self.channels()}
         return (
             found | ({"moved"} if self.fleet.rollout else set()) | ({"publisher"} if self.fleet.publishers else set())
@@ -90,12 +90,12 @@
 
 
 def load_scenario(path: Path) -> Scenario:
-    """Read and check a file. Raises ``ConfigError``, whose faults name file and line."""
+    """Reads and validates a file. Raises ``ConfigError`` with file and line of each fault."""
     return check_text(read_text(path), str(path), SHAPE)
 
 
 def shipped() -> dict[str, Path]:
-    """Scenarios that come with the program, by name."""
+    """The paths of the bundled scenarios, by name."""
     return {path.stem: path for path in sorted((Path(__file__).parent / "scenarios").glob("*.hcl"))}
 
 
--- a/yardbank/testing/rig/schedule.py
+++ b/yardbank/testing/rig/schedule.py
@@ -1,7 +1,7 @@
-"""When a scenario's steps begin and end. No I/O: moments come in with the time, what is to be done now goes out.
+"""Determines when the steps of a scenario begin and end. No I/O: it is given times and events and returns due actions.
 
-A step waits (for its hour, counted from the load's beginning or from what it comes after), holds, and is over. One that
-lasts for good is over for those that come after it as soon as it has begun.
+A step waits for its start time, which counts from the beginning of the load or from the step or event in ``after``;
+then it is active, then over. Steps that depend on a permanent step start when it has begun.
 """
 
 from __future__ import annotations
@@ -11,98 +11,100 @@
 
 from yardbank.testing.rig.scenario import Step
 
-WAITING, HOLDING, OVER = "waiting", "holding", "over"
-# What moves a step on: from, by, to. There is no way back.
-TABLE = (
-    (WAITING, "its hour has come", HOLDING),
-    (HOLDING, "its time is up, or what it lasts until has come", OVER),
-    (WAITING, "what it lasts until came first", OVER),
+WAITING, ACTIVE, OVER = "waiting", "holding", "over"
+# State, cause, next state. States are never revisited.
+TRANSITIONS = (
+    (WAITING, "its start time is reached", ACTIVE),
+    (ACTIVE, "its end time is reached, or the event in ``until`` occurred", OVER),
+    (WAITING, "the event in ``until`` occurred first", OVER),
 )
 
 
 @dataclass(slots=True, frozen=True)
-class Due:
-    """Begin or end this step now."""
+class DueAction:
+    """An action that is due: begin or end a step."""
 
     step: Step
     begin: bool
 
 
 @dataclass(slots=True)
-class _Turn:
+class _ScheduledStep:
     step: Step
     state: str = WAITING
-    begin_at: float | None = None  # seconds; None: not known yet
+    begin_at: float | None = None  # seconds; None: not yet known
     end_at: float | None = None
 
 
 class Schedule:
-    """All steps of a scenario."""
+    """The steps of a scenario and their states."""
 
     def __init__(self, steps: Iterable[Step]) -> None:
-        self._turns = {step.name: _Turn(step) for step in steps}
+        self._entries = {step.name: _ScheduledStep(step) for step in steps}
 
-    def begin(self, now: float) -> list[Due]:
-        """The load begins."""
-        for turn in self._turns.values():
-            if not turn.step.after:
-                turn.begin_at = now + turn.step.at / 1e9
+    def begin(self, now: float) -> list[DueAction]:
+        """Starts the schedule with the load; returns the actions due."""
+        for entry in self._entries.values():
+            if not entry.step.after:
+                entry.begin_at = now + entry.step.at / 1e9
         return self.due(now)
 
-    def happened(self, now: float, event: str) -> list[Due]:
-        """Something that steps may wait for: an event, or a step that is over or has begun for good."""
-        for turn in self._turns.values():
-            if turn.state == WAITING and turn.step.after == event and turn.begin_at is None:
-                turn.begin_at = now + turn.step.at / 1e9
-            if turn.step.until == event and turn.state != OVER:
-                turn.end_at = now
+    def handle_event(self, now: float, event: str) -> list[DueAction]:
+        """Handles an event, or the end or permanent start of a step; returns the actions due."""
+        for entry in self._entries.values():
+            if entry.state == WAITING and entry.step.after == event and entry.begin_at is None:
+                entry.begin_at = now + entry.step.at / 1e9
+            if entry.step.until == event and entry.state != OVER:
+                entry.end_at = now
         return self.due(now)
 
-    def due(self, now: float) -> list[Due]:
-        """What is to be done by now, in order."""
-        found: list[Due] = []
+    def due(self, now: float) -> list[DueAction]:
+        """The actions due by now, in order."""
+        found: list[DueAction] = []
         while True:
-            ready = [turn for turn in self._turns.values() if (at := self._next(turn)) is not None and at <= now]
+            ready = [
+                entry for entry in self._entries.values() if (at := self._next_time(entry)) is not None and at <= now
+            ]
             if not ready:
                 return found
-            found += self._move(min(ready, key=lambda turn: self._next(turn) or 0.0), now)
+            found += self._advance(min(ready, key=lambda entry: self._next_time(entry) or 0.0), now)
 
-    def _next(self, turn: _Turn) -> float | None:
-        if turn.state == WAITING:
-            times = [at for at in (turn.begin_at, turn.end_at) if at is not None]
+    def _next_time(self, entry: _ScheduledStep) -> float | None:
+        if entry.state == WAITING:
+            times = [at for at in (entry.begin_at, entry.end_at) if at is not None]
             return min(times, default=None)
-        return turn.end_at if turn.state == HOLDING else None
-
-    def _move(self, turn: _Turn, now: float) -> list[Due]:
-        step = turn.step
-        if turn.state == WAITING and turn.end_at is not None:  # what it lasts until came first
-            turn.state = OVER
-            return self.happened(now, step.name)
-        if turn.state == WAITING:
-            turn.state = HOLDING
+        return entry.end_at if entry.state == ACTIVE else None
+
+    def _advance(self, entry: _ScheduledStep, now: float) -> list[DueAction]:
+        step = entry.step
+        if entry.state == WAITING and entry.end_at is not None:  # the event in ``until`` occurred first
+            entry.state = OVER
+            return self.handle_event(now, step.name)
+        if entry.state == WAITING:
+            entry.state = ACTIVE
             if step.lasts:
-                turn.end_at = now + step.lasts / 1e9
-            more = [] if step.lasts or step.until else self.happened(now, step.name)
-            return [Due(step, True), *more]
-        turn.state = OVER
-        return [Due(step, False), *self.happened(now, step.name)]
+                entry.end_at = now + step.lasts / 1e9
+            more = [] if step.lasts or step.until else self.handle_event(now, step.name)
+            return [DueAction(step, True), *more]
+        entry.state = OVER
+        return [DueAction(step, False), *self.handle_event(now, step.name)]
 
     def next_at(self) -> float | None:
-        """When ``due`` is to be called next; None: after the next event."""
-        times = [at for turn in self._turns.values() if (at := self._next(turn)) is not None]
+        """The time of the next action; None: only after an event."""
+        times = [at for entry in self._entries.values() if (at := self._next_time(entry)) is not None]
         return min(times, default=None)
 
-    def holding(self) -> Sequence[Step]:
-        """Steps that have begun and are not over."""
-        return [turn.step for turn in self._turns.values() if turn.state == HOLDING]
+    def active_steps(self) -> Sequence[Step]:
+        """Steps that are active."""
+        return [entry.step for entry in self._entries.values() if entry.state == ACTIVE]
 
-    def quiet(self) -> bool:
-        """Whether nothing more begins or ends: all steps are over, or hold for good."""
+    def is_idle(self) -> bool:
+        """Whether all steps are over or permanently active."""
         return all(
-            turn.state == OVER or (turn.state == HOLDING and not (turn.step.lasts or turn.step.until))
-            for turn in self._turns.values()
+            entry.state == OVER or (entry.state == ACTIVE and not (entry.step.lasts or entry.step.until))
+            for entry in self._entries.values()
         )
 
-    def never_begun(self) -> list[str]:
-        """Steps whose hour never came."""
-        return [name for name, turn in self._turns.items() if turn.state == WAITING]
+    def not_begun(self) -> list[str]:
+        """Names of the steps that have not begun."""
+        return [name for name, entry in self._entries.items() if entry.state == WAITING]
--- a/yardbank/testing/rig/steps.py
+++ b/yardbank/testing/rig/steps.py
@@ -1,4 +1,4 @@
-"""What a scenario may do to the fleet, step by step, and which fields each kind of step takes."""
+"""The fault steps of a scenario, and the fields that each kind of step accepts."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from yardbank.config.base import Duration, Model, StringTuple
 
-DATAGRAMS = ("lose", "double", "reorder")  # of gateways to each other; a stream has none of it
+DATAGRAMS = ("lose", "double", "reorder")  # between gateways; TCP streams do not have these faults
 NETWORK = ("cut", "delay", "throttle", "spoil", "lose", "double", "reorder")
 GATEWAY = ("kill", "pause", "terminate")
 ROLLOUT = ("rollout", "withdraw", "stop_rollout")
 SERVER = ("crash", "hang", "slow", "full", "refuse", "lag", "hand_over", "lose_answers")
 LIST = ("tell", "hold")
-PUBLISH = ("publish",)  # servers get other entries in the list that is published
+PUBLISH = ("publish",)  # changes entries of servers in the published list
 CLIENT = ("leave",)
-_NEEDS = {
+_REQUIRED_FIELDS = {
     "delay": "by",
     "throttle": "rate",
     "spoil": "share",
@@ -31,7 +31,7 @@
     "lose_answers": "count",
     "rollout": "change",
 }
-_MAY = {
+_KINDS_BY_FIELD = {
     "by": ("delay",),
     "jitter": ("delay",),
     "rate": ("throttle",),
@@ -61,7 +61,7 @@
 
 
 class Step(Model):
-    """One thing that goes wrong, for a while or for good."""
+    """One fault or operator action, temporary or permanent."""
 
     name: str
     do: Literal[
@@ -91,9 +91,9 @@
         "stop_rollout",
         "publish",
     ]
-    at: Duration = 0  # from the load's beginning, or from what ``after`` names
-    after: str = ""  # a step (when it is over) or an event such as "elected:GROUP"
-    lasts: Duration = 0  # 0: for good, or until ``until``
+    at: Duration = 0  # after the beginning of the load, or after what ``after`` names
+    after: str = ""  # a step (its end) or an event such as "elected:GROUP"
+    lasts: Duration = 0  # 0: permanent, or until ``until``
     until: str = ""  # a step or an event that ends it
     who: StringTuple = ()
     from_: StringTuple = Field(default=(), alias="from")
@@ -102,32 +102,34 @@
     how: Literal["silent", "reset"] = "silent"
     by: Duration = 0
     jitter: Duration = 0
-    rate: Annotated[float, Field(ge=0)] = 0.0  # octets a second
+    rate: Annotated[float, Field(ge=0)] = 0.0  # octets per second
     share: Annotated[float, Field(ge=0, le=1)] = 0.0
     factor: Annotated[float, Field(ge=0)] = 0.0
-    count: Annotated[int, Field(ge=0, strict=True)] = 0  # of committed writes whose answers are lost
+    count: Annotated[int, Field(ge=0, strict=True)] = 0  # committed writes whose answers are lost
     state: Literal["", "ready", "draining", "gone"] = ""
-    store: Literal["kept", "lost", "damaged", "old"] = "kept"  # what the gateway finds when it is started again
-    gateways: StringTuple = ("*",)  # who is told; whose clients leave
-    late: Duration = 0  # they are told so long after discovery has it
-    means: Literal["close", "reset", "abandon"] = "close"  # of clients that leave
-    rollout: Annotated[str, Field(pattern=r"^[a-z0-9-]{1,32}$")] = "change"  # its name
+    store: Literal["kept", "lost", "damaged", "old"] = "kept"  # state of the gateway's store at its restart
+    gateways: StringTuple = ("*",)  # gateways to notify, or whose clients depart
+    late: Duration = 0  # delay of the notification after discovery has the change
+    means: Literal["close", "reset", "abandon"] = "close"  # how clients depart
+    rollout: Annotated[str, Field(pattern=r"^[a-z0-9-]{1,32}$")] = "change"  # name of the rollout
     change: Literal["in-service", "anew", "refuses", "locked-out", "one-class", "crashes"] = "in-service"
     stages: tuple[Annotated[float, Field(gt=0, le=1)], ...] = (0.2, 0.6, 1.0)
     hold: Duration = 1_000_000_000
-    most: Annotated[int, Field(gt=0, strict=True)] = 1  # out of service at once
-    outage: Duration = 3_000_000_000  # one that goes over is back within this
-    longest: Duration = 60_000_000_000  # to wait for evidence in one stage
-    chance: Annotated[float, Field(gt=0, le=0.5)] = 0.05  # of either wrong verdict; more of it: a verdict sooner
-    worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.2  # of the requests of a class
+    most: Annotated[int, Field(gt=0, strict=True)] = 1  # gateways out of service at once
+    outage: Duration = 3_000_000_000  # longest time out of service of one gateway
+    longest: Duration = 60_000_000_000  # longest wait for evidence in one stage
+    chance: Annotated[float, Field(gt=0, le=0.5)] = (
+        0.05  # probability of either wrong verdict; a greater one gives a verdict sooner
+    )
+    worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.2  # share of the requests of a class
 
     @model_validator(mode="after")
-    def _fitting(self) -> Step:
+    def _check_fields(self) -> Step:
         given = {"from" if name == "from_" else name for name in self.model_fields_set}
-        for field, kinds in _MAY.items():
+        for field, kinds in _KINDS_BY_FIELD.items():
             if field in given and self.do not in kinds:
                 raise ValueError(f'{field}: not for do = "{self.do}"')
-        needed = _NEEDS.get(self.do)
+        needed = _REQUIRED_FIELDS.get(self.do)
         if needed and needed not in given:
             raise ValueError(f'{needed}: missing for do = "{self.do}"')
         for field in ("from", "to") if self.do in NETWORK else () if self.do in (*ROLLOUT, *CLIENT) else ("who",):
@@ -141,5 +143,5 @@
 
 
 def matching(patterns: tuple[str, ...], names: list[str]) -> list[str]:
-    """Names that any of the patterns (``*`` and ``?``) stands for, in their own order."""
+    """The names that match any of the patterns (with ``*`` and ``?``), in the order of ``names``."""
     return [name for name in names if any(fnmatchcase(name, pattern) for pattern in patterns)]
--- a/yardbank/testing/rig/taps.py
+++ b/yardbank/testing/rig/taps.py
@@ -1,6 +1,6 @@
-"""What the relays note of the octets that cross them, for claims on single attempts and on clients that have gone.
+"""Observers of relayed connections, for claims on single attempts and on departed clients.
 
-No I/O: one tap for each connection, told what entered the way at its source and what left it at its target.
+No I/O: each connection has one tap, which gets the octets sent by the source and those delivered to the target.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 
 class Tap(Protocol):
-    """One connection's ear."""
+    """Observes one connection."""
 
-    def entered(self, now: float, data: bytes) -> None:
-        """The source has sent these octets, whatever the network does to them next."""
+    def octets_sent(self, now: float, data: bytes) -> None:
+        """The source has sent these octets; the network may still change or delay them."""
 
-    def passed(self, now: float, data: bytes) -> None:
-        """These octets were handed to the target."""
+    def octets_delivered(self, now: float, data: bytes) -> None:
+        """These octets were delivered to the target."""
 
-    def ended(self) -> None:
-        """The target's connection was ended, as its source had ended it."""
+    def closed(self) -> None:
+        """The connection to the target was closed, because the source closed its own."""
 
 
-class Attempts:
-    """From a gateway to a server: when the first octet of each whole attempt left the gateway."""
+class AttemptTap:
+    """Gateway to server: records the time at which the first octet of each complete attempt was sent."""
 
     def __init__(self, record: Record, gateway: str, server: str) -> None:
         self._record, self._gateway, self._server = record, gateway, server
-        self._frames = MessageReader()
+        self._reader = MessageReader()
 
-    def entered(self, now: float, data: bytes) -> None:
-        """Note what is whole now."""
-        for message in self._frames.push(now, data):
+    def octets_sent(self, now: float, data: bytes) -> None:
+        """Records complete messages."""
+        for message in self._reader.push(now, data):
             if message.operation in (*OPERATIONS.values(), "probe"):
                 self._record(
                     {
@@ -48,30 +48,30 @@
                     }
                 )
 
-    def passed(self, now: float, data: bytes) -> None:
-        """What becomes of it on its way is not the gateway's."""
+    def octets_delivered(self, now: float, data: bytes) -> None:
+        """Ignored: the gateway does not control delivery."""
 
-    def ended(self) -> None:
-        """Nor is this."""
+    def closed(self) -> None:
+        """Ignored, for the same reason."""
 
 
-class Departures:
-    """From a client to a gateway: when its end, or its word that it wants no answer, reached the gateway's socket."""
+class DepartureTap:
+    """Client to gateway: records when its end of stream, or a cancellation, reached the gateway's socket."""
 
     def __init__(self, record: Record, gateway: str, port: int) -> None:
-        """``port``: the client's, by which the record names the connection."""
+        """``port``: the client's port, which identifies the connection in the record."""
         self._record, self._facts = record, {"kind": "reached", "gateway": gateway, "port": port}
-        self._frames = MessageReader()
+        self._reader = MessageReader()
 
-    def entered(self, now: float, data: bytes) -> None:
-        """It may yet be held back."""
+    def octets_sent(self, now: float, data: bytes) -> None:
+        """Ignored: the octets may be delayed before they reach the gateway."""
 
-    def passed(self, now: float, data: bytes) -> None:
-        """Note requests that are given up."""
-        for message in self._frames.push(now, data):
+    def octets_delivered(self, now: float, data: bytes) -> None:
+        """Records cancelled requests."""
+        for message in self._reader.push(now, data):
             if message.operation == "abandon":
                 self._record({**self._facts, "what": "abandon", "message": message.target})
 
-    def ended(self) -> None:
-        """The client has gone."""
+    def closed(self) -> None:
+        """Records the departure of the client."""
         self._record({**self._facts, "what": "end", "message": 0})
--- a/yardbank/testing/rig/verdict.py
+++ b/yardbank/testing/rig/verdict.py
@@ -1,4 +1,4 @@
-"""Whether a scenario's claims hold: the record goes to ``yardbank.testing.audit``, one line a claim comes out."""
+"""Checks the claims of a scenario against its record with ``yardbank.testing.audit``."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from yardbank.testing.audit.zone_latencies import latencies_accurate
 from yardbank.testing.rig.scenario import Claim, Scenario, matching
 
-BOUNDS = Bounds(answer_slack=1.5)  # many processes share the machine's cores: answers are judged less closely
+BOUNDS = Bounds(answer_slack=1.5)  # seconds; wider than the default because many processes share the cores
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """One claim's."""
+    """The verdict on one claim."""
 
     claim: Claim
     finding: Finding
-    line: int = 0  # of the record, for the fact that speaks against it; 0: none
+    line: int = 0  # line in the record of the fact that contradicts it; 0: none
 
     def text(self) -> str:
-        """One line."""
+        """Formats the verdict as one line."""
         where = f" (record.jsonl:{self.line})" if self.line else ""
         return f"{'held  ' if self.finding.held else 'BROKEN'} {self.claim.name}: {self.finding.seen}{where}"
 
@@ -52,7 +52,7 @@
 
 
 def _zones(scenario: Scenario) -> dict[str, str]:
-    """By gateway; one that runs an older program takes part in nothing that goes by zones."""
+    """Zones by gateway, without gateways that run an older program: those have no zone-aware features."""
     zones = scenario.zones()
     return {name: zones[name] for name in scenario.gateways() if name not in scenario.older()}
 
@@ -61,14 +61,14 @@
     return max((step.outage / 1e9 for step in scenario.step if step.do == "rollout"), default=0.0)
 
 
-def _given(claim: Claim, *fields: str) -> dict[str, Any]:
-    """Of these fields those that the claim gives, times in seconds; for the others the judge has its own."""
+def _given_fields(claim: Claim, *fields: str) -> dict[str, Any]:
+    """The values of those fields that the claim sets, times in seconds. The audit has defaults for the others."""
     times = ("within", "late", "window", "bound", "grace")
     values = {field: getattr(claim, field) for field in fields if field in claim.model_fields_set}
     return {field: value / 1e9 if field in times else value for field, value in values.items()}
 
 
-_JUDGES: dict[str, Callable[[Sequence[Fact], Claim, Scenario], Finding]] = {
+_CHECKS: dict[str, Callable[[Sequence[Fact], Claim, Scenario], Finding]] = {
     "rules": lambda facts, claim, _: _rules(facts),
     "alive": lambda facts, claim, s: alive(facts, _gateways(claim, s)),
     "served": lambda facts, claim, _: served(facts, claim.least, claim.after, claim.until, claim.request_class),
@@ -86,33 +86,33 @@
     "stopped": lambda facts, claim, s: changes.stopped(facts, _gateways(claim, s)),
     "advanced": lambda facts, claim, s: changes.advanced(facts, _gateways(claim, s)),
     "gone_clients": lambda facts, claim, _: gone_clients(
-        facts, DepartureBounds(**_given(claim, "within", "late", "cases", "share", "fewest"))
+        facts, DepartureBounds(**_given_fields(claim, "within", "late", "cases", "share", "fewest"))
     ),
     "cold_sum": lambda facts, claim, _: cold_sum(
-        facts, ColdBounds(**_given(claim, "multiple", "window", "roots", "spare"))
+        facts, ColdBounds(**_given_fields(claim, "multiple", "window", "roots", "spare"))
     ),
     "distributed": lambda facts, claim, s: distributed(
-        facts, s.gateways(), [step.name for step in s.step if step.do == "publish"], **_given(claim, "within")
+        facts, s.gateways(), [step.name for step in s.step if step.do == "publish"], **_given_fields(claim, "within")
     ),
     "told": lambda facts, claim, _: drains_notified_in_time(
-        facts, NotificationBounds(**_given(claim, "bound", "grace"))
+        facts, NotificationBounds(**_given_fields(claim, "bound", "grace"))
     ),
     "map": lambda facts, claim, s: latencies_accurate(facts, _zones(s), claim.share, claim.within / 1e6),
 }
 
 
 def verdicts(scenario: Scenario, facts: Sequence[Fact]) -> list[Verdict]:
-    """All claims judged, in order."""
+    """Checks all claims, in their order."""
     found = []
     for claim in scenario.claim:
-        finding = _JUDGES[claim.kind](facts, claim, scenario)
+        finding = _CHECKS[claim.kind](facts, claim, scenario)
         line = next((n for n, fact in enumerate(facts, 1) if fact is finding.fact), 0)
         found.append(Verdict(claim, finding, line))
     return found
 
 
 def as_dict(scenario: Scenario, seed: int, found: Sequence[Verdict], latency: Mapping[str, Any]) -> dict[str, Any]:
-    """A play's result as plain values; times in milliseconds."""
+    """Converts the result of a run to plain values; times in milliseconds."""
     return {
         "title": scenario.title,
         "seed": seed,
--- a/yardbank/testing/rig/virtual.py
+++ b/yardbank/testing/rig/virtual.py
@@ -1,7 +1,7 @@
-"""A fleet of decision modules against emulated servers on a virtual clock.
+"""A fleet of routers against emulated servers on a virtual clock.
 
-Clients arrive in an open loop whatever becomes of earlier requests, give an attempt up after a while and retry.
-Everything is drawn from one seed; the same seed gives the same run. Nothing here decides for a gateway.
+Requests arrive in an open loop, independent of earlier answers. Clients cancel an attempt after a timeout and retry.
+All randomness comes from one seed, so runs are reproducible. No routing decision is made here.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """Half a second of a run: the weight of what was first tried in it, the weight served of that, and counts."""
+    """Half a second of a run: weight of the requests first tried in it, the part of it that was served, and counts."""
 
     second: float
     wanted: float
@@ -29,7 +29,7 @@
 
 
 def served_share(spans: Sequence[Span], begin: float, end: float) -> float:
-    """The share by weight that was served of what was first tried between two seconds.
+    """The share by weight that was served of the requests first tried between two times (s).
 
     Raises ``ValueError`` if nothing was tried.
     """
@@ -40,9 +40,9 @@
 
 
 class Fleet:
-    """Servers, gateways and clients of one run, and what became of every request over time.
+    """Servers, gateways and clients of one run, and the outcomes of requests over time.
 
-    Bound: as many pending client requests as the rate and the clients' patience allow; one count a half second.
+    Memory is bounded by the request rate times the clients' timeout, plus one set of counts for each half second.
     """
 
     def __init__(self, world: World, router: MakeRouter) -> None:
@@ -90,7 +90,7 @@
         )
 
     def run(self) -> list[Span]:
-        """Play it to the end; what happened in each half second, requests by when they were first tried."""
+        """Runs to the end. Returns one span for each half second, with requests by the time of their first attempt."""
         for gateway in self.gateways:
             gateway.handle(api.ServerList("saved", tuple(self.members)))
         for at, fault in self.world.faults:
@@ -115,7 +115,7 @@
                 do(self.servers[member.server])
 
     def _arrive(self) -> None:
-        """The next new request; the one after it is drawn at once, whatever becomes of this one."""
+        """Starts a new request and schedules the next arrival independently of its outcome."""
         second = (self.clock.now - START) / SECOND
         if second >= self.world.length:
             return
@@ -131,7 +131,10 @@
         gateway.take(client_request)
 
     def retry_later(self, client_request: ClientRequest, after: int) -> None:
-        """An attempt failed: the client retries after its backoff, or after what it was told (ns), up to its limit."""
+        """Schedules a retry after a failed attempt, up to the limit.
+
+        Waits for the client's backoff, or for ``after`` (ns) if the refusal gave a time and the client honours it.
+        """
         if client_request.ended or client_request.tries > self.world.retries:
             return
         wait = after if after and self._random.random() < self.world.honours else self.world.backoff
@@ -141,7 +144,7 @@
         )
 
     def served(self, client_request: ClientRequest, took: int) -> None:
-        """A client has its answer, after ``took`` ns."""
+        """Counts an answered request; ``took``: its latency in ns."""
         if not client_request.ended:
             client_request.ended = True
             good = took <= client_request.kind.request_class.latency_objective
@@ -150,19 +153,19 @@
             self._worth[when][1] += kind.priority_weight * (1 if good else kind.late_weight)
 
     def count(self, what: str) -> None:
-        """Count something in the current half second."""
+        """Increments a counter of the current half second."""
         self._counts[(self.clock.now - START) // BIN][what] += 1
 
     def session_age(self) -> int:
-        """How long ago the session of a read last wrote (ns); 0: never."""
+        """Draws the time since the last write of a read's session (ns); 0: no write."""
         return int(self._random.uniform(0.2, 1.0) * SECOND) if self._random.random() < 0.6 else 0
 
     def draw_work(self, kind: WorkloadClass) -> float:
-        """The work of one request (core seconds)."""
+        """Draws the work of one request (core seconds)."""
         return self._random.expovariate(1 / kind.work_s)
 
     def report(self, server: EmulatedServer) -> api.Report:
-        """What a probe brings."""
+        """The server's report that a probe returns."""
         return api.Report(server.position(), server.primary, server.load if self.world.tells_load else None)
 
 
--- a/yardbank/testing/rig/virtual_gateway.py
+++ b/yardbank/testing/rig/virtual_gateway.py
@@ -1,4 +1,4 @@
-"""One decision module on a virtual clock, its connections, and the requests that it has taken."""
+"""A simulated gateway on the virtual clock: one router with its connections and accepted requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request over all its attempts at gateways."""
+    """A client's request, over all its attempts."""
 
     kind: WorkloadClass
     group: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class _TriedRequest:
-    """One attempt of a client's request, as its gateway sees it."""
+    """One attempt of a client's request at a gateway."""
 
     client_request: ClientRequest
     asked_at: int
@@ -46,23 +46,22 @@
 
 
 class VirtualGateway:
-    """One decision module and its connections.
+    """One router with its accepted requests, idle connections by server, and a queue of events.
 
-    Owns: the requests it has taken, its idle connections by server, events that wait for their turn.
-    Invariant: events are handled one at a time, in the order in which they came.
+    Events are handled one at a time, in order of arrival.
     """
 
     def __init__(self, fleet: Fleet, number: int, settings: api.Settings, router: MakeRouter) -> None:
         self._fleet, self.number, self._clock = fleet, number, fleet.clock
         self.router = router(settings)
-        self._idle: Counter[int] = Counter()  # connections by server that carry nothing
+        self._idle: Counter[int] = Counter()  # idle connections by server
         self._tries: dict[str, _TriedRequest] = {}
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._sequence = 0
 
     def handle(self, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions; events that follow from these are queued."""
+        """Passes an event to the router and carries out its actions. Events that result from these are queued."""
         self._events.append(event)
         if self._handling:
             return
--- a/yardbank/testing/rig/virtual_world.py
+++ b/yardbank/testing/rig/virtual_world.py
@@ -1,4 +1,4 @@
-"""The parameters of a virtual run: requests, servers, load, faults. Times in ns unless said otherwise."""
+"""Parameters of a simulated run: requests, servers, load, faults. Times in ns unless stated otherwise."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 100 * SECOND
-REPORT_EVERY = 150 * MS  # servers measure their load so often
-NET = MS // 2  # one way, between any two
-BIN = SECOND // 2  # of the counts over time
+REPORT_EVERY = 150 * MS  # interval between servers' load measurements
+NET = MS // 2  # one-way latency between any two hosts
+BIN = SECOND // 2  # length of a counting interval
 
 
 class Decider(Protocol):
-    """What a run needs of a decision module."""
+    """The router interface that a run uses."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event; the actions in order."""
+        """Processes one event and returns actions in order."""
         ...
 
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkloadClass:
-    """A class of requests: its fraction of the load, and its work (mean of an exponential, core seconds)."""
+    """A request class, its fraction of the load, and its mean work (core seconds, exponentially distributed)."""
 
     request_class: api.RequestClass
     fraction: float
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class World:
-    """The parameters of a run; ``rate`` is new requests a second of the whole fleet.
+    """The parameters of a run. ``rate``: new requests per second to the whole fleet.
 
     Raises ``ValueError`` for a value out of its range.
     """
@@ -62,17 +62,17 @@
     groups: int = 12
     copies: int = 5
     rate: float = 1200.0
-    skew: float = 0.25  # groups differ by up to so much, and gateways by up to four times
+    skew: float = 0.25  # largest relative difference in load between groups; gateways differ by up to 4 times
     zones: int = 2
     capacity: Capacity = field(default_factory=Capacity)
     workload: tuple[WorkloadClass, ...] = WORKLOAD
     retries: int = 2
-    patience: float = 0.8  # the share of its deadline after which a client gives up
+    patience: float = 0.8  # share of the deadline after which a client cancels
     backoff: int = 60 * MS
-    honours: float = 0.6  # the share of clients that wait as long as a refusal says
-    load: Callable[[float], float] = lambda second: 1.0  # over time, times ``rate``
+    honours: float = 0.6  # share of clients that respect the retry time of a refusal
+    load: Callable[[float], float] = lambda second: 1.0  # factor of ``rate`` over time
     length: float = 20.0  # seconds
-    tells_load: bool = True  # whether servers' reports say how busy they are
+    tells_load: bool = True  # whether servers report their load
     faults: Sequence[tuple[float, Callable[[Fleet], None]]] = ()
 
     def __post_init__(self) -> None:
