--- a/tests/testing/soak/test_judge.py
+++ b/tests/testing/soak/test_judge.py
@@ -1,4 +1,4 @@
-"""The soak's judge on frames made by hand: what is in order passes, each broken rule is found."""
+"""The soak test's rule checks on handmade records: a good record passes, and each violation is found."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 def good_play():
-    """Two requests, a read and a write, both served; the process ends in time."""
+    """A record with a served read and a served write; the process exits in time."""
     process = Process(10.0, 13.7, 11.2, 0, 45.0, 64, 60, 96)
     play = Play(1, process, 0.0)
     play.connections[0] = ClientConnection(0, 1.0, "plain", End.ENDED, 10.7, 10.7)
@@ -35,18 +35,18 @@
     play.requests["r2"] = SentRequest("r2", 1, sent_at, 0.5, False)
 
 
-def test_a_play_in_order_breaks_no_rule():
+def test_a_good_record_has_no_violation():
     assert not judge(good_play())
 
 
-def test_a_dropped_answer_is_found_and_a_request_that_crossed_the_end_is_none():
+def test_a_dropped_answer_is_found_and_a_request_crossing_the_end_is_allowed():
     for sent_at, found in ((10.69, []), (10.3, ["one answer"])):
         play = good_play()
         unanswered(play, sent_at, End.ENDED, 10.7, 10.7)
         assert rules(play) == found
     play.attempts.append(ReceivedAttempt("r2", "s-1", 10.69, 10.69, 0.3, False, True))
     play.requests["r2"].sent_at = 10.69
-    assert rules(play) == ["one answer"]  # it was forwarded: it cannot have crossed
+    assert rules(play) == ["one answer"]  # it was forwarded, so it did not cross
 
 
 @pytest.mark.parametrize("end", [End.OPEN, End.RESET])
@@ -56,7 +56,7 @@
     assert rules(play) == ["one answer"]
 
 
-def test_two_answers_a_strangers_answer_and_a_late_one_are_found():
+def test_a_second_answer_a_wrong_answer_and_a_late_answer_are_found():
     play = good_play()
     play.requests["r1"].answers.append("served")
     assert rules(play) == ["one answer"]
@@ -68,13 +68,13 @@
     assert rules(play) == ["in time"]
 
 
-def test_a_write_that_runs_twice_is_found_and_a_repeat_within_its_window_is_none():
+def test_a_repeated_write_is_found_unless_it_is_within_its_window():
     for window, after, found in ((0.0, 0.01, ["no effect twice"]), (0.4, 0.3, []), (0.4, 0.6, ["no effect twice"])):
         play = good_play()
         play.repeat_window = window
         play.attempts.append(ReceivedAttempt("w1", "s-0", 2.01 + after, 2.01 + after, 0.0, True, True))
         assert rules(play) == found
-    play.attempts[-1].ran = False  # turned away: it had no effect
+    play.attempts[-1].ran = False  # refused: it had no effect
     assert not rules(play)
 
 
@@ -93,7 +93,7 @@
         assert rules(play) == found
 
 
-def test_an_attempt_that_is_told_more_time_than_is_left_is_found():
+def test_an_attempt_with_a_longer_time_limit_than_is_left_is_found():
     play = good_play()
     play.attempts[0].time_limit = 0.9
     assert rules(play) == ["time told"]
@@ -110,20 +110,20 @@
         ("most_descriptors", 97),
     ],
 )
-def test_a_process_that_ends_badly_or_takes_too_much_is_found(field, value):
+def test_a_bad_exit_or_excessive_resource_use_is_found(field, value):
     play = good_play()
     setattr(play.process, field, value)
     assert rules(play) == ["process"]
 
 
-def test_times_of_a_recorder_that_was_held_up_are_taken_with_that_slack():
+def test_delays_of_the_recorder_are_allowed_for():
     play = good_play()
     play.requests["w1"].answered_at = 3.4
     play.clock_gaps.append((3.3, 0.4))
     assert not judge(play)
 
 
-def test_a_seed_draws_the_same_play_each_time_and_others_draw_others():
+def test_plans_are_reproducible_and_differ_between_seeds():
     plans = {seed: draw(seed) for seed in range(50)}
     assert all(draw(seed) == plan for seed, plan in plans.items())
     assert len({repr(plan) for plan in plans.values()}) == 50
--- a/tests/testing/soak/test_soak.py
+++ b/tests/testing/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A few fixed seeds of the soak; ``make soak SEEDS=50`` plays more. A failing seed prints the command that plays it again."""
+"""A few fixed seeds of the soak test; ``make soak SEEDS=50`` runs more. A failing seed prints the command to repeat it."""
 
 import os
 import subprocess
@@ -7,7 +7,14 @@
 import pytest
 
 EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ
-SEEDS = [1, 44, 113, 120, 123, 211]  # drains, resets, series of signals, hangs, crowds and leavers among them
+SEEDS = [
+    1,
+    44,
+    113,
+    120,
+    123,
+    211,
+]  # cover drains, resets, repeated signals, hangs, crowds of clients and early departures
 FAULTS = {
     "drops_answers": (4, "one answer: "),
     "ignores_drains": (239, "drains kept: "),
@@ -16,7 +23,7 @@
 }
 
 
-def soak(folder, seed, module="yardbank.platform", **environment):
+def run_soak(folder, seed, module="yardbank.platform", **environment):
     command = [sys.executable, "-m", "yardbank.testing.soak", "--keep", str(folder), "--module", module, str(seed)]
     return subprocess.run(
         command, capture_output=True, text=True, check=False, timeout=120, env={**os.environ, **environment}
@@ -25,20 +32,20 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_seed_breaks_no_rule(tmp_path, seed):
-    played = soak(tmp_path, seed)
-    assert played.returncode == 0, played.stdout + played.stderr
+    done = run_soak(tmp_path, seed)
+    assert done.returncode == 0, done.stdout + done.stderr
 
 
-@pytest.mark.skipif(not EVERY, reason="played by make soak: whether a fault shows in a seed is a matter of timing")
+@pytest.mark.skipif(not EVERY, reason="run by make soak: whether a fault shows in a seed depends on timing")
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_put_into_the_program_is_found_and_its_frames_are_kept(tmp_path, fault):
+def test_a_seeded_fault_is_found_and_its_record_is_kept(tmp_path, fault):
     seed, found = FAULTS[fault]
-    played = soak(tmp_path, seed, "tests.support.soak_program", SOAK_FAULT=fault)
-    assert played.returncode == 1 and found in played.stdout, played.stdout + played.stderr
-    assert f"again: python -m yardbank.testing.soak {seed}" in played.stdout
+    done = run_soak(tmp_path, seed, "tests.support.soak_program", SOAK_FAULT=fault)
+    assert done.returncode == 1 and found in done.stdout, done.stdout + done.stderr
+    assert f"again: python -m yardbank.testing.soak {seed}" in done.stdout
     assert (tmp_path / f"soak-{seed}.json").exists()
 
 
-def test_a_seed_that_is_none_is_an_error_of_the_soak(tmp_path):
-    played = soak(tmp_path, "first")
-    assert played.returncode == 2 and "invalid int value: 'first'" in played.stderr
+def test_an_invalid_seed_is_a_usage_error(tmp_path):
+    done = run_soak(tmp_path, "first")
+    assert done.returncode == 2 and "invalid int value: 'first'" in done.stderr
--- a/tests/testing/standin/__init__.py
+++ b/tests/testing/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-in servers."""
+"""Tests of yardbank.testing.standin."""
--- a/tests/testing/standin/test_port.py
+++ b/tests/testing/standin/test_port.py
@@ -1,4 +1,4 @@
-"""A stand-in's port is its own, also while it is down."""
+"""A stand-in server's port stays reserved while the server is down."""
 
 import errno
 import socket
@@ -9,9 +9,9 @@
 from yardbank.testing.demo.world import Recorder, World
 
 
-# Guards against a reservation that holds against some only: two sockets with SO_REUSEADDR may be bound to one port.
+# Guards against a reservation that does not hold for all sockets: two with SO_REUSEADDR may be bound to one port.
 @pytest.mark.parametrize("option", [None, socket.SO_REUSEADDR, socket.SO_REUSEPORT], ids=["plain", "addr", "port"])
-def test_nobody_else_gets_the_port_of_a_server_that_is_down(option):
+def test_no_other_socket_can_bind_the_port_of_a_server_that_is_down(option):
     ensure_reactor()
     server = next(iter(run(lambda: World(_reactor(), Recorder())).servers.values()))
     port = server.port
--- a/tests/testing/test_ports.py
+++ b/tests/testing/test_ports.py
@@ -1,4 +1,4 @@
-"""Free ports: each of one process alone, and none that the system hands out by itself."""
+"""Free ports: each is given to one process only, and none is an ephemeral port of the system."""
 
 import socket
 import subprocess
@@ -14,8 +14,8 @@
 )
 
 
-# Guards against a port that two processes get: the second to listen there did not start.
-def test_processes_that_take_ports_at_once_take_different_ones():
+# Guards against giving one port to two processes: the second one to listen failed to start.
+def test_concurrent_processes_get_different_ports():
     processes = [
         subprocess.Popen([sys.executable, "-c", TAKE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
         for _ in range(6)
@@ -29,7 +29,7 @@
     assert all(FIRST_PORT <= int(port) < LAST_PORT for ports in taken for port in ports)
 
 
-def test_ports_on_which_somebody_listens_are_passed_over_and_a_full_block_is_followed_by_another():
+def test_ports_in_use_are_skipped_and_a_full_block_is_followed_by_another():
     supply = PortSupply()
     listening = [socket.create_server(("127.0.0.1", supply.take())) for _ in range(BLOCK_PORTS + 1)]
     assert len({each.getsockname()[1] for each in listening}) == BLOCK_PORTS + 1
@@ -37,13 +37,13 @@
         each.close()
 
 
-def test_the_system_hands_out_none_of_these_ports():
+def test_the_ports_are_below_the_ephemeral_range():
     with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
         first = int(file.read().split()[0])
     assert first >= LAST_PORT
 
 
-def test_a_reserved_port_is_listened_on_again_over_connections_that_stay():
+def test_a_reserved_port_can_be_listened_on_again_despite_open_connections():
     reserved, kept = ReservedPort(), []
     for _ in range(3):
         listening = socket.socket(fileno=socket.dup(reserved.listen()))
@@ -54,7 +54,7 @@
         reserved.refuse()
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(("127.0.0.1", reserved.number), timeout=30)
-    reserved.refuse()  # twice is once
+    reserved.refuse()  # a second call has no effect
     assert reserved.number != free_port()
     for each in kept:
         each.close()
--- a/yardbank/testing/demo/__init__.py
+++ b/yardbank/testing/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Load, experiments and the scripted bad day, on loopback sockets."""
+"""A demonstration under load and scripted faults, on loopback sockets."""
--- a/yardbank/testing/demo/day.py
+++ b/yardbank/testing/demo/day.py
@@ -1,4 +1,4 @@
-"""The scripted bad day: what goes wrong when, and the sessions that live through it."""
+"""The scripted faults of the demonstration, and the client sessions that run during them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Session:
-    """One client that writes and reads back, for as long as the day lasts."""
+    """One client that writes and reads back until the end of the demonstration."""
 
     def __init__(self, world: World, number: int, pace: float) -> None:
         self.world, self.name, self.pace = world, f"client-{number}", pace
@@ -33,22 +33,22 @@
 
     @property
     def label(self) -> str:
-        """The connection's name in the record: a session is a connection."""
+        """The name of the connection, and session, in the record."""
         return f"{self.name}.{self.connections}"
 
     def sleep(self, seconds: float) -> Deferred[Any]:
-        """Wait."""
+        """Waits."""
         return deferLater(self.world.reactor, seconds, lambda: None)
 
     @inlineCallbacks
     def ensure(self) -> Generator[Deferred[Any], Any, bool]:
-        """Be connected and bound; False if that cannot be had now."""
+        """Connects and binds if necessary; returns False if that failed."""
         if self.client is not None and not self.client.gone:
             return True
         self.connections += 1
         try:
             client = yield connect(self.world.reactor, "127.0.0.1", self.world.port, self.label, self.world.record)
-        except Exception:  # noqa: BLE001  # a session that fails is noted, and the day goes on
+        except Exception:  # noqa: BLE001  # a failed connection is recorded, and the session tries again
             yield self.sleep(0.05)
             return False
         answer = yield client.bind(DESK_DN, DESK_PASSWORD)
@@ -59,11 +59,11 @@
         return True
 
     def ask(self, operation: m.Request, need: str, group: str) -> Deferred[Any]:
-        """One request, recorded with what it needs."""
+        """Sends a request, recorded with its consistency needs."""
         assert self.client is not None
         self.asked += 1
         tag = f"{self.label}/{self.asked}"
-        by_name = self.world.session_by == "identity"  # a session that outlives its connections
+        by_name = self.world.session_by == "identity"  # the session spans several connections
         session = self.name if by_name else self.label
         facts: dict[str, Any] = {"read": need, "session": session, "request_class": CLASSES[need]}
         if need == "bounded":
@@ -74,30 +74,30 @@
         )
 
     def write(self, group: str) -> Deferred[Any]:
-        """An unsafe modify."""
+        """Sends a modify, which must not be applied twice."""
         entry = f"cn={self.random.randrange(ENTRIES)},{GROUPS[group]}"
         value = f"{self.label} {self.asked}".encode()
         return self.ask(m.ModifyRequest(entry, ((2, "description", (value,)),)), "write", group)
 
     def lookup(self) -> Deferred[Any]:
-        """A read that may be a little old."""
+        """Sends a read that accepts bounded staleness."""
         entry = f"cn={self.random.randrange(ENTRIES)},{NUMBERS}"
         return self.ask(m.SearchRequest(entry, Scope.BASE, m.Present("objectClass")), "bounded", "numbers")
 
     def status(self) -> Deferred[Any]:
-        """A read that must see what this session has written."""
+        """Sends a read that must see this session's own writes."""
         request = m.SearchRequest(REQUESTS, Scope.ONE, m.Match("=", "cn", b"%d" % self.random.randrange(ENTRIES)))
         return self.ask(request, "session", "requests")
 
     @inlineCallbacks
     def live(self) -> Generator[Deferred[Any], Any, None]:
-        """Ask until the day is over; several requests are out at a time."""
+        """Sends requests, several concurrently, until the demonstration ends."""
         while not self.over:
             connection = self.connections
             ready = yield self.ensure()
             if not ready:
                 continue
-            if self.connections != connection:  # what it wrote through an earlier connection, it reads first
+            if self.connections != connection:  # after a reconnect it first reads its earlier writes
                 yield self.status()
                 continue
             chance = self.random.random()
@@ -110,30 +110,30 @@
                 if answer.code == Code.SUCCESS:
                     yield self.sleep(self.random.expovariate(1 / 0.2))
                     pair = [self.status(), self.lookup()] if self.client and not self.client.gone else []
-                    for waiting in pair:  # noqa: UP028 - of Deferreds, one by one
+                    for waiting in pair:  # noqa: UP028 - yields Deferreds one by one
                         yield waiting
             if answer.code not in (LOST, Code.SUCCESS):
                 yield self.sleep(0.05)
             yield self.sleep(self.random.expovariate(1 / self.pace))
 
     def end(self) -> None:
-        """The day is over for this client."""
+        """Ends the session."""
         self.over = True
 
 
-Trouble = tuple[float, str, Callable[[], Any]]
+TimedFault = tuple[float, str, Callable[[], Any]]
 
 
 class Day:
-    """Troubles at their times; ``scale`` 1 is a day of 30 s."""
+    """Runs the scripted faults; ``scale`` 1 is a run of 30 s."""
 
     def __init__(self, world: World, scale: float, sessions: int = 8, pace: float = 0.03) -> None:
         self.world, self.scale = world, scale
         self.sessions = [Session(world, number, pace) for number in range(sessions)]
         self.played: list[str] = []
 
-    def troubles(self) -> list[Trouble]:
-        """What happens when, in seconds of a day of 30 s."""
+    def troubles(self) -> list[TimedFault]:
+        """The faults with their times, in seconds of a run of 30 s."""
         world, servers = self.world, self.world.servers
         n1, n2, r1, r2, r3 = (servers[name] for name in ("n1", "n2", "r1", "r2", "r3"))
 
@@ -190,7 +190,7 @@
         ]
 
     def garbage(self) -> None:
-        """A client that does not speak LDAP."""
+        """Connects and sends random octets instead of LDAP."""
         from twisted.internet.protocol import ClientCreator, Protocol
 
         def spoil(protocol: Any) -> None:
@@ -200,7 +200,7 @@
         made.addCallbacks(spoil, lambda failure: None)
 
     def leave(self) -> None:
-        """A client that asks and goes before the answer."""
+        """Makes a client send requests and disconnect before the answers."""
         session = self.sessions[0]
         if session.client is not None and not session.client.gone:
             session.write("numbers")
@@ -208,7 +208,7 @@
             session.client.leave()
 
     def kill(self) -> Deferred[Any]:
-        """Kill the gateway; it is back a moment later."""
+        """Kills the gateway and restarts it shortly afterwards."""
 
         def back(_: Any) -> Deferred[Any]:
             return deferLater(self.world.reactor, 0.3, self.world.start_gateway)
@@ -217,10 +217,10 @@
 
     @inlineCallbacks
     def play(self, say: Callable[[str], None] = lambda text: None) -> Generator[Deferred[Any], Any, None]:
-        """Live through the day; fires when every request is answered and the gateway has stopped."""
+        """Runs to the end; fires when all requests are answered and the gateway has stopped."""
         reactor, began = self.world.reactor, self.world.reactor.seconds()
         yield self.world.start_gateway()
-        lives = [session.live() for session in self.sessions]
+        running_sessions = [session.live() for session in self.sessions]
         for at, name, begin in self.troubles():
             wait = began + at * self.scale - reactor.seconds()
             if wait > 0:
@@ -233,6 +233,6 @@
         yield deferLater(reactor, max(0.0, wait), lambda: None)
         for session in self.sessions:
             session.end()
-        for life in lives:  # noqa: UP028
-            yield life
+        for session_done in running_sessions:  # noqa: UP028
+            yield session_done
         yield self.world.stop_gateway()
--- a/yardbank/testing/demo/runner.py
+++ b/yardbank/testing/demo/runner.py
@@ -1,4 +1,4 @@
-"""What ``yardbank demo`` runs."""
+"""The implementation of ``yardbank demo``."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def write_json(path: Path, value: Any) -> None:
-    """A file that is there whole or not at all."""
+    """Writes a JSON file atomically."""
     write_atomically(path, json.dumps(value, indent=2) + "\n")
 
 
@@ -55,7 +55,7 @@
 
 
 def run_day(seed: int, seconds: float, daemon: bool, json_file: Path | None, record_file: Path | None) -> int:
-    """Play the day and judge it; exit code 0 if every rule was held."""
+    """Runs the demonstration and checks its record; exit code 0 if no rule was violated."""
     reactor = _reactor()
     scale = seconds / 30
     record = Recorder(record_file)
@@ -95,7 +95,7 @@
 
 
 def run_stay(json_file: Path | None, seed: int) -> int:
-    """Keep the stack up until interrupted, for any LDAP client."""
+    """Runs gateway and servers until interrupted, for use by any LDAP client."""
     reactor = _reactor()
     world = World(reactor, Recorder(), seed=seed, session_by="identity")
     world.load(ENTRIES)
--- a/yardbank/testing/demo/world.py
+++ b/yardbank/testing/demo/world.py
@@ -1,4 +1,4 @@
-"""A small world on loopback: two groups of stand-ins, a gateway in process or as a process, one record of all."""
+"""A test environment on loopback: groups of stand-in servers, one gateway (embedded or a process), one record."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 class World:
-    """Stand-ins, what the operator tells of them, and the gateway under test."""
+    """Stand-in servers, the operator's server list, and the gateway under test."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         classes: str = CLASSES,
         listener: str = "",
     ) -> None:
-        """``groups``: suffixes by name; ``members``: names and zones of each; ``listener``: more lines of it."""
+        """``groups``: suffixes by name; ``members``: names and zones by group; ``listener``: extra settings lines."""
         self.groups, self.members = dict(groups or GROUPS), dict(members or MEMBERS)
         self._classes, self._listener = classes, listener
         self.reactor, self.record, self.seed, self.daemon = reactor, record, seed, daemon
@@ -123,20 +123,22 @@
         self.folder = Path(tempfile.mkdtemp(prefix="yardbank-"))
         self.port = 0
         self.proxy: Proxy | None = None
-        self.more_membership = ""  # more lines of that block
-        self.watched: Path | None = None  # where the list is watched; None: it stands in the settings
+        self.more_membership = ""  # extra lines of the ``membership`` block
+        self.watched: Path | None = None  # path of the watched server list; None: the list is in the settings
         self._process: subprocess.Popen[bytes] | None = None
         self._runs = 0
-        load_text(self.settings().replace("port = 0", "port = 1"))  # the parser builds its tables at first use
+        load_text(
+            self.settings().replace("port = 0", "port = 1")
+        )  # warms up the parser, which builds its tables on first use
 
     def load(self, entries: int) -> None:
-        """The same entries in every member."""
+        """Adds the same entries to every server."""
         for group, cluster in self.clusters.items():
             suffix = self.groups[group]
             cluster.load([device(number, suffix) for number in range(entries)])
 
     def settings(self) -> str:
-        """The settings file as the operator would write it now."""
+        """The current settings file."""
         parts = [
             f'listener "ldap" {{\n  port = {self.port}\n  session = "{self.session_by}"\n{self._listener}}}',
             f'gateway {{\n  zone = "norte"\n  gateways = 1\n  seed = {self.seed}\n'
@@ -168,7 +170,7 @@
         return "\n\n".join(parts) + "\n"
 
     def tell(self, **states: str) -> None:
-        """Tell the gateway what the list says now: states of servers that change with it."""
+        """Changes states of servers in the list and notifies the gateway."""
         self.states.update(states)
         for name, state in states.items():
             self.record({"kind": "told", "server": name, "state": state})
@@ -179,7 +181,7 @@
             self._process.send_signal(signal.SIGHUP)
 
     def tell_primaries(self) -> None:
-        """The list follows an election."""
+        """Updates the primaries in the list after an election."""
         for group, cluster in self.clusters.items():
             if cluster.primary:
                 self.listed_primary[group] = cluster.primary
@@ -191,9 +193,9 @@
         os.replace(path.with_suffix(".new"), path)
 
     def start_gateway(self) -> Deferred[Any]:
-        """Start it, embedded or as a process; fires when it listens."""
+        """Starts the gateway, embedded or as a process; fires when it listens."""
         self._runs += 1
-        if not self.port:  # one port for good: the settings name it
+        if not self.port:  # stays the same over restarts, because the settings contain it
             self.port = free_port()
         if not self.daemon:
             more: dict[str, Any] = {"router": self._router} if self._router else {}
@@ -220,7 +222,7 @@
         return connect(self.reactor, "127.0.0.1", self.port, "").addCallbacks(lambda client: client.leave(), again)
 
     def kill_gateway(self) -> Deferred[Any]:
-        """Kill it outright."""
+        """Kills the gateway."""
         self.record({"kind": "killed"})
         if self.proxy is not None:
             self.proxy.kill()
@@ -236,7 +238,7 @@
         return deferToThread(process.wait)
 
     def stop_gateway(self) -> Deferred[Any]:
-        """Drain and stop it."""
+        """Drains and stops the gateway."""
         if self.proxy is not None:
             proxy, self.proxy = self.proxy, None
             return proxy.stop()
@@ -246,7 +248,7 @@
         return self._ended()
 
     def close(self) -> None:
-        """Stop the stand-ins; take the record of the gateway's processes in."""
+        """Stops the servers and adds the gateway processes' records."""
         for server in self.servers.values():
             server.stop()
         for run in range(1, self._runs + 1):
--- a/yardbank/testing/emulator/__init__.py
+++ b/yardbank/testing/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Database servers as a model on a virtual clock: cores, a queue, a log and its apply. No I/O, no wall clock."""
+"""A model of database servers on a virtual clock: cores, request queue, commit log and its apply thread. No I/O."""
--- a/yardbank/testing/emulator/clock.py
+++ b/yardbank/testing/emulator/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: callbacks run in the order of their times, and of entry where times are equal."""
+"""A virtual clock: callbacks run in order of time, and in order of scheduling for equal times."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class VirtualClock:
-    """Time in ns, which advances only to the next callback that is due."""
+    """A clock in ns that advances from one scheduled callback to the next."""
 
     def __init__(self, start: int = 0) -> None:
         self.now = start
         self._due: list[tuple[int, int, Callable[[], None]]] = []
-        self._entered = 0
+        self._sequence = 0
 
     def at(self, when: int, do: Callable[[], None]) -> None:
-        """Schedule a callback; a time that has passed means now."""
-        self._entered += 1
-        heapq.heappush(self._due, (max(when, self.now), self._entered, do))
+        """Schedules a callback; a time in the past means now."""
+        self._sequence += 1
+        heapq.heappush(self._due, (max(when, self.now), self._sequence, do))
 
     def run(self, until: int) -> None:
-        """Run everything due up to a time, and set the clock to it."""
+        """Runs all callbacks due by a time and sets the clock to it."""
         due = self._due
         while due and due[0][0] <= until:
             self.now, _, do = heapq.heappop(due)
--- a/yardbank/testing/emulator/server.py
+++ b/yardbank/testing/emulator/server.py
@@ -1,8 +1,8 @@
-"""One database server: requests share its cores, more wait in a queue, and many pending ones make it less efficient.
+"""A model of one database server: requests share its cores, others wait in a queue, and crowding lowers efficiency.
 
-A primary commits writes to its group's log; a replica applies that log with one thread, which shares the cores with
-the reads. Where a server is overloaded the thread gets less, and the replica falls behind. Requests whose client has
-left are served all the same: the server is not notified, or does not look.
+A primary commits writes to its group's log. A replica applies the log with one thread, which shares the cores with
+reads, so an overloaded replica falls behind. Requests whose client has disconnected are still served, because the
+server is not notified or does not check.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Capacity:
-    """What one server can do. Raises ``ValueError`` for a value out of its range."""
+    """The capacity of one server. Raises ``ValueError`` for a value out of range."""
 
     cores: int = 3
-    slots: int = 24  # requests that run at the same time
-    queue: int = 60  # requests that wait; more are rejected as ``full``
-    crowd: float = 5.0  # pending requests a core from which on it gets less efficient
-    thrash: float = 0.15  # by how much, for each further one
-    apply_s: float = 0.012  # work of applying one write, in core seconds
-    handshake_s: float = 0.003  # work of a new connection
+    slots: int = 24  # concurrent requests
+    queue: int = 60  # waiting requests; further ones are rejected as ``full``
+    crowd: float = 5.0  # pending requests per core above which efficiency falls
+    thrash: float = 0.15  # loss of efficiency for each further one per core
+    apply_s: float = 0.012  # work to apply one write, in core seconds
+    handshake_s: float = 0.003  # work to open a connection, in core seconds
 
     def __post_init__(self) -> None:
         if min(self.cores, self.slots) < 1 or self.queue < 0:
@@ -37,19 +37,18 @@
 
 @dataclass(slots=True)
 class Work:
-    """One request at a server: its work in core seconds, and the callback that takes its status."""
+    """One request: its work in core seconds and the callback for its status."""
 
     work: float
-    end: Callable[[str], None] | None  # None: work that has no answer (a handshake)
+    end: Callable[[str], None] | None  # None: work without an answer (a handshake)
     write: bool = False
 
 
 class EmulatedServer:
-    """Takes work; calls back with ``ok``, ``full`` or ``miss`` on the virtual clock.
+    """Accepts work and calls back with ``ok``, ``full`` or ``miss`` on the virtual clock.
 
-    Owns: running and waiting requests, and the commits that a replica has not applied yet.
-    Bound: ``slots`` and ``queue`` of its capacity; the log is as long as the replica is behind.
-    Invariant: one event on the clock is valid at a time, that of the latest plan.
+    Owns the running and waiting requests, limited by ``slots`` and ``queue``, and a replica's unapplied commits, whose
+    number is its replication lag. At any time only the latest scheduled clock event is valid.
     """
 
     def __init__(self, clock: VirtualClock, capacity: Capacity, primary: bool, speed: float = 1.0) -> None:
@@ -57,34 +56,34 @@
         self.capacity = capacity
         self.primary = primary
         self.speed = speed
-        self.log: deque[int] = deque()  # a replica's: commits that it has not applied yet
-        self.copies: list[EmulatedServer] = []  # a primary's
+        self.log: deque[int] = deque()  # of a replica: commits not yet applied
+        self.copies: list[EmulatedServer] = []  # of a primary: its replicas
         self.down = False
         self.rejected = 0
         self.missed = 0
         self.done = 0
-        self.load = 0.0  # the share of its cores that was busy in the last period, as it reports
-        self._busy_s = 0.0  # core seconds used in this period
-        self._served = 0.0  # work that each request in progress has had since the start
+        self.load = 0.0  # share of busy cores in the last period, as reported
+        self._busy_s = 0.0  # core seconds used in the current period
+        self._served = 0.0  # work done for each running request since the start
         self._advanced_at = clock.now
         self._running: list[tuple[float, int, Work]] = []
         self._waiting: deque[Work] = deque()
         self._applying = False
-        self._applied_at = 0.0  # where ``_served`` stands when the commit in work is applied
+        self._applied_at = 0.0  # value of ``_served`` at which the current commit is applied
         self._sequence = 0
         self._plan_version = 0
 
     @property
     def pending(self) -> int:
-        """How many requests run and wait."""
+        """The number of running and waiting requests."""
         return len(self._running) + len(self._waiting)
 
     def position(self) -> int:
-        """The time up to which it has every commit (ns)."""
+        """The time (ns) up to which it has all commits."""
         return self.log[0] - 1 if self.log else self._clock.now
 
     def _rate(self) -> float:
-        """Work a second that each request in progress gets."""
+        """The work per second done for each running request."""
         jobs = len(self._running) + self._applying
         if not jobs:
             return 0.0
@@ -99,7 +98,7 @@
         self._busy_s += passed * min(self.capacity.cores, len(self._running) + self._applying)
 
     def submit(self, work: Work, required_position: int = 0) -> None:
-        """Take a request; a read that requires a later position than this server's is a miss at once."""
+        """Accepts a request. Writes at a replica, and reads that need a later position, are a miss at once."""
         if self.down:
             return
         if not self.primary and (work.write or self.position() < required_position):
@@ -119,7 +118,7 @@
         self._plan()
 
     def commit(self, at: int) -> None:
-        """A replica receives one more commit (clock time, ns) to apply."""
+        """Adds a commit (clock time, ns) for a replica to apply."""
         if self.down:
             return
         self._advance()
@@ -128,13 +127,13 @@
         self._plan()
 
     def measure(self, period: int) -> None:
-        """A period (ns) ends: its load is what was busy in it."""
+        """Ends a period (ns) and computes its load."""
         self._advance()
         self.load = self._busy_s * SECOND / (self.capacity.cores * period)
         self._busy_s = 0.0
 
     def stop(self) -> None:
-        """The process dies: pending requests are lost without an answer."""
+        """Stops the server; pending requests are lost without an answer."""
         self._advance()
         self.down = True
         self._running.clear()
@@ -143,7 +142,7 @@
         self._plan()
 
     def start(self) -> None:
-        """The process starts again with the log it had, and goes on to apply what came meanwhile."""
+        """Restarts the server with its log, and continues to apply it."""
         self._advance()
         self.down = False
         self._apply_next()
@@ -159,7 +158,7 @@
             self._applied_at = self._served + self.capacity.apply_s
 
     def _plan(self) -> None:
-        """Schedule the next end of a request or of a commit's apply."""
+        """Schedules the next completion of a request or of an apply."""
         self._plan_version += 1
         ends = [self._running[0][0]] if self._running else []
         if self._applying:
@@ -172,7 +171,7 @@
         self._clock.at(self._clock.now + 1 + int(left / rate * SECOND), lambda: self._due(version))
 
     def _due(self, version: int) -> None:
-        if version != self._plan_version:  # a later plan replaced this one
+        if version != self._plan_version:  # replaced by a later schedule
             return
         self._advance()
         ended: list[Work] = []
--- a/yardbank/testing/ports.py
+++ b/yardbank/testing/ports.py
@@ -1,7 +1,7 @@
-"""Loopback ports that nobody else gets: for a process that is yet to listen, and for a server that may be down.
+"""Reserves loopback ports, for processes that do not listen yet and for servers that may be down.
 
-A port that is taken from the system, closed and handed on may be given to anybody meanwhile. A bound socket alone does
-not keep it either: sockets with SO_REUSEADDR may be bound to one port as long as none of them listens.
+A port that the system chose may be given to another process once it is closed. A bound socket alone does not reserve it
+either, because several sockets with SO_REUSEADDR may be bound to the same port while none of them listens.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import socket
 
 HOST = "127.0.0.1"
-GUARD_HOST = "127.0.100.1"  # a block belongs to the process that has bound its first port here
-FIRST_PORT, LAST_PORT = 10_000, 30_000  # below those that the system hands out by itself
+GUARD_HOST = "127.0.100.1"  # a process owns a block while it has bound the block's first port on this address
+FIRST_PORT, LAST_PORT = 10_000, 30_000  # below the system's ephemeral ports
 BLOCK_PORTS = 100
 BACKLOG = 1024
 
 
 class PortSupply:
-    """Ports in blocks of one process's own: no other process that asks here gets them while it lives."""
+    """Supplies ports from blocks that belong to this process; other users of this module do not get them."""
 
     def __init__(self) -> None:
         self._guards: list[socket.socket] = []
@@ -26,7 +26,7 @@
         self._next = 0
 
     def take(self) -> int:
-        """A port on which nobody listens, the one handed out longest ago. Raises ``OSError`` if there is none."""
+        """Returns the least recently used port on which nobody listens. Raises ``OSError`` if there is none."""
         for _ in range(len(self._ports)):
             port = self._ports[self._next % len(self._ports)]
             self._next += 1
@@ -53,12 +53,12 @@
 
 
 def free_port() -> int:
-    """A port for a process that is yet to listen; this process's own among all that ask here."""
+    """A port for a process that does not listen yet; no other user of this module gets it."""
     return _supply.take()
 
 
 def _can_listen(port: int) -> bool:
-    """Whether a server could listen there now, also over what remains of closed connections."""
+    """Whether a server could listen on a port now, despite remains of closed connections."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -81,26 +81,26 @@
 
 
 class ReservedPort:
-    """A port that is this object's while it lives, whether it listens or not.
+    """Reserves a port for the lifetime of the object, whether it listens or not.
 
-    One socket is bound for good. It has SO_REUSEADDR only while it listens, when others are refused all the same:
-    its connections inherit the option, and without it they would be in the way of the next ``listen``.
+    A socket stays bound to it. It has SO_REUSEADDR only while it listens, when other sockets cannot bind the port
+    anyway: connections inherit the option, and without it they would prevent the next ``listen``.
     """
 
     def __init__(self, port: int = 0) -> None:
-        """``port`` 0: any. Raises ``OSError`` if the port cannot be had."""
+        """``port`` 0: any. Raises ``OSError`` if the port is not available."""
         self._socket = _bound_anywhere() if port == 0 else _bound_at(port)
         self.number: int = self._socket.getsockname()[1]
 
     def listen(self) -> int:
-        """Begin to listen. The descriptor belongs to this object: whoever accepts on it copies it."""
+        """Starts to listen. The returned descriptor belongs to this object: callers must duplicate it."""
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.listen(BACKLOG)
         self._socket.setblocking(False)
         return self._socket.fileno()
 
     def refuse(self) -> None:
-        """Listen no more: who waits to be accepted is reset, new connections are refused, the port is kept."""
+        """Stops listening: pending connections are reset and new ones refused; the port stays reserved."""
         try:
             self._socket.shutdown(socket.SHUT_RDWR)
         except OSError as problem:
@@ -110,17 +110,17 @@
 
 
 def _bound_anywhere() -> socket.socket:
-    """Bound by its number: a port that the system chose would go when listening ends."""
+    """Binds a port by number, because a port chosen by the system is released when listening ends."""
     while True:
-        port = free_port()  # raises where there is none
+        port = free_port()  # raises if there is none
         try:
             return _bound(HOST, port)
         except OSError:
-            continue  # closed connections remain there
+            continue  # closed connections still hold the port
 
 
 def _bound_at(port: int) -> socket.socket:
-    """A port that was asked for: also where closed connections of an earlier run remain."""
+    """Binds a given port, even if closed connections of an earlier run still hold it."""
     try:
         return _bound(HOST, port)
     except OSError:
--- a/yardbank/testing/soak/__init__.py
+++ b/yardbank/testing/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A seeded soak of the platform's program: stand-ins for all it speaks to, signals up to the kill, and a judge.
+"""A seeded soak test of the platform's program, with simulated peers and signals, up to its kill, and rule checks.
 
-It looks for faults and gives no score. ``python -m yardbank.testing.soak SEED ...`` plays seeds.
+It searches for faults and is no benchmark. ``python -m yardbank.testing.soak SEED ...`` runs seeds.
 """
--- a/yardbank/testing/soak/__main__.py
+++ b/yardbank/testing/soak/__main__.py
@@ -14,11 +14,11 @@
 from yardbank.testing.soak.plan import draw
 from yardbank.testing.soak.play import play_seed
 
-SHOWN = 5  # violations of one seed
+MAX_SHOWN = 5  # violations printed for each seed
 
 
 def main() -> int:
-    """0 if no rule was broken."""
+    """Returns 0 if no rule was violated."""
     parser = argparse.ArgumentParser(prog="yardbank.testing.soak", description=__doc__)
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int, nargs="?")
@@ -40,7 +40,7 @@
             continue
         failed.append(seed)
         print(f"seed {seed} failed; again: python -m yardbank.testing.soak {seed}")
-        for violation in violations[:SHOWN]:
+        for violation in violations[:MAX_SHOWN]:
             print(f"  {violation.rule}: {violation.what}")
         if arguments.keep is not None:
             arguments.keep.mkdir(parents=True, exist_ok=True)
--- a/yardbank/testing/soak/clients.py
+++ b/yardbank/testing/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: what each does on its connections, recorded as it sees it."""
+"""Clients of the soak test, which record what they observe on their connections."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from yardbank.testing.soak.frames import ClientConnection, End, Play, SentRequest
 from yardbank.testing.soak.plan import Behaviour, Plan
 
-PIPELINED = (4, 12)  # requests at once
-HALF_PAUSE = (0.005, 0.05)  # seconds between two halves
-LATE_READ = (0.2, 0.6)  # seconds until a slow client reads
-LEAVES_AFTER = (0.0, 0.03)
-BETWEEN_REQUESTS = (0.0, 0.02)
-WAITS_BEYOND = 1.0  # seconds beyond its time for which a client waits
+PIPELINED_REQUESTS = (4, 12)  # concurrent requests
+HALF_PAUSE_S = (0.005, 0.05)  # seconds between the halves of a request
+LATE_READ_S = (0.2, 0.6)  # seconds until a slow client reads
+LEAVES_AFTER_S = (0.0, 0.03)
+BETWEEN_REQUESTS_S = (0.0, 0.02)
+ANSWER_WAIT_S = 1.0  # seconds after the time limit for which a client waits
 RETRIES = 5
-CONNECTION_USES = 30  # requests, before a client opens another connection
+REQUESTS_PER_CONNECTION = 30  # requests on one connection
 
 
 class Connection(asyncio.Protocol):
@@ -35,13 +35,13 @@
         self._served = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up: say who it is."""
+        """Sends the startup message."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.write(wire.startup())
 
     def data_received(self, data: bytes) -> None:
-        """Answers, in any split."""
+        """Processes responses, in chunks of any size."""
         for kind, body in self._messages.feed(data):
             if kind == b"D":
                 self._served = wire.column(body).decode()
@@ -54,7 +54,7 @@
         self.changed.set()
 
     def _answered(self, answer: str) -> None:
-        """An answer; one that comes while nothing is open answers nothing."""
+        """Records an answer to the oldest open request, if any."""
         if self.waiting:
             request = self.waiting.popleft()
             request.answers.append(answer)
@@ -62,13 +62,13 @@
             request.content = self._served
 
     def eof_received(self) -> bool:
-        """The gateway has ended its sending."""
+        """Records the gateway's end of stream."""
         self.record.ended_by_gateway_at = time.monotonic()
         self._end(End.ENDED)
         return False
 
     def connection_lost(self, reason: Exception | None) -> None:
-        """The connection is gone."""
+        """Records the end of the connection."""
         self._end(End.RESET if reason is not None else End.ENDED)
         self.transport = None
 
@@ -80,11 +80,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether anything may be sent."""
+        """Whether the connection can be used."""
         return self.record.end is End.OPEN and self.transport is not None
 
     def leave(self, abort: bool) -> None:
-        """Close it."""
+        """Closes the connection."""
         if self.record.end is End.OPEN:
             self.record.end, self.record.ended_at = End.CLOSED, time.monotonic()
         if self.transport is not None:
@@ -94,12 +94,12 @@
                 self.transport.close()
 
     def sent(self, request: SentRequest) -> None:
-        """A request's last octets are about to be written."""
+        """Records the sending of a request, just before its last octets are written."""
         request.sent_at = time.monotonic()
         self.waiting.append(request)
 
     async def all_answered(self, timeout: float) -> None:
-        """Wait until nothing is open, the connection ends, or time is over."""
+        """Waits until all requests are answered, the connection ends, or the timeout."""
         end = time.monotonic() + timeout
         while self.waiting and self.is_open and (left := end - time.monotonic()) > 0:
             self.changed.clear()
@@ -110,7 +110,7 @@
 
 
 class Clients:
-    """All clients of a play."""
+    """All clients of a run."""
 
     def __init__(self, plan: Plan, play: Play, port: int) -> None:
         self._plan = plan
@@ -120,10 +120,10 @@
         self._request_numbers = count()
         self.terminated = asyncio.Event()
         self.stopped = False
-        self.takes_new = True  # whether new connections still come
+        self.takes_new = True  # whether clients still open connections
 
     async def connect(self, behaviour: str) -> Connection | None:
-        """A connection whose first words are answered; None: there is none."""
+        """Opens a connection and completes the startup; returns None if it is refused."""
         record = ClientConnection(next(self._numbers), time.monotonic(), behaviour)
         loop = asyncio.get_running_loop()
         try:
@@ -135,7 +135,7 @@
         return made
 
     def request(self, connection: Connection, random: Random) -> tuple[SentRequest, bytes]:
-        """A request of a class that is drawn, and its octets; it is the play's once it is sent."""
+        """Draws a request and encodes it; it is recorded when it is sent."""
         name = random.choice(list(self._plan.deadlines))
         limit_ms = int(self._plan.deadlines[name] * 1000 * random.uniform(0.5, 1))
         number = f"r{next(self._request_numbers)}"
@@ -154,28 +154,28 @@
         connection.transport.write(octets)
 
     async def play(self, number: int, behaviour: Behaviour) -> None:
-        """One client, from the begin to the end of the play."""
+        """Runs one client to the end of the run."""
         random = Random(f"{self._plan.seed}/client/{number}")
         while not self.stopped and self.takes_new:
             connection = await self.connect(behaviour)
             if connection is None:
                 await asyncio.sleep(0.05)
                 continue
-            for _ in range(CONNECTION_USES):
+            for _ in range(REQUESTS_PER_CONNECTION):
                 if not connection.is_open or self.stopped:
                     break
                 await self._use(connection, behaviour, random)
-                await asyncio.sleep(random.uniform(*BETWEEN_REQUESTS))
+                await asyncio.sleep(random.uniform(*BETWEEN_REQUESTS_S))
             if not self.terminated.is_set():
                 connection.leave(abort=False)
             while (
                 connection.is_open and not self.stopped
-            ):  # after SIGTERM every connection is used as long as it is open
+            ):  # after SIGTERM connections are used as long as they are open
                 await self._use(connection, behaviour, random)
-                await asyncio.sleep(random.uniform(*BETWEEN_REQUESTS))
+                await asyncio.sleep(random.uniform(*BETWEEN_REQUESTS_S))
 
     async def _use(self, connection: Connection, behaviour: Behaviour, random: Random) -> None:
-        requests = random.randint(*PIPELINED) if behaviour in (Behaviour.PIPELINE, Behaviour.SLOW) else 1
+        requests = random.randint(*PIPELINED_REQUESTS) if behaviour in (Behaviour.PIPELINE, Behaviour.SLOW) else 1
         made = [self.request(connection, random) for _ in range(requests)]
         if behaviour is Behaviour.SLOW:
             await self._read_late(connection, made, random)
@@ -192,7 +192,7 @@
 
     async def _wait(self, connection: Connection) -> None:
         longest = max((request.time_limit for request in connection.waiting), default=0.0)
-        await connection.all_answered(longest * max(1, len(connection.waiting)) + WAITS_BEYOND)
+        await connection.all_answered(longest * max(1, len(connection.waiting)) + ANSWER_WAIT_S)
 
     async def _read_late(self, connection: Connection, made: list[tuple[SentRequest, bytes]], random: Random) -> None:
         assert connection.transport is not None
@@ -200,7 +200,7 @@
         connection.transport.pause_reading()
         for request, octets in made:
             self._send(connection, request, octets)
-        await asyncio.sleep(random.uniform(*LATE_READ))
+        await asyncio.sleep(random.uniform(*LATE_READ_S))
         if connection.transport is not None and not connection.transport.is_closing():
             connection.transport.resume_reading()
         await self._wait(connection)
@@ -209,7 +209,7 @@
         assert connection.transport is not None
         cut = random.randrange(1, len(octets))
         connection.transport.write(octets[:cut])
-        await asyncio.sleep(random.uniform(*HALF_PAUSE))
+        await asyncio.sleep(random.uniform(*HALF_PAUSE_S))
         if connection.is_open:
             self._send(connection, request, octets[cut:])
             await self._wait(connection)
@@ -217,7 +217,7 @@
     async def _leave(self, connection: Connection, made: list[tuple[SentRequest, bytes]], random: Random) -> None:
         for request, octets in made:
             self._send(connection, request, octets)
-        await asyncio.sleep(random.uniform(*LEAVES_AFTER))
+        await asyncio.sleep(random.uniform(*LEAVES_AFTER_S))
         connection.leave(abort=random.random() < 0.5)
 
     async def _retry(self, connection: Connection, first: tuple[SentRequest, bytes], random: Random) -> None:
@@ -230,7 +230,7 @@
             request, octets = self.request(connection, random)
 
     async def rest(self, number: int) -> None:
-        """A client that rests on its connection, and asks once between SIGTERM and the kill if it is still open."""
+        """An idle client that sends one request between SIGTERM and the kill, if its connection is still open."""
         random = Random(f"{self._plan.seed}/crowd/{number}")
         connection = await self.connect("resting")
         await self.terminated.wait()
--- a/yardbank/testing/soak/discovery.py
+++ b/yardbank/testing/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of the soak: a list of servers over watches, and its faults."""
+"""The discovery service of the soak test: serves the server list on watches, with faults of the plan."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from yardbank.testing.soak.frames import ServerDrain
 from yardbank.testing.soak.plan import DiscoveryFault
 
-BLANK_INTERVAL = 2.0  # seconds between the empty lines of a watch
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+BLANK_INTERVAL_S = 2.0  # seconds between keep-alive lines on a watch
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def _chunk(data: bytes) -> bytes:
@@ -20,7 +20,7 @@
 
 
 class Discovery:
-    """Tells the list; ``drain_told`` hears of each drain that was written to a watch in order."""
+    """Serves the list; calls ``drain_told`` for each drain that was written to a working watch."""
 
     def __init__(self, instances: list[dict[str, Any]], drain_told: Callable[[ServerDrain], None]) -> None:
         self.generation = 41
@@ -34,16 +34,16 @@
         self._silent: set[asyncio.StreamWriter] = set()
 
     async def listen(self) -> None:
-        """Take watches on a port of its own."""
+        """Listens on a free port."""
         self._listening = await asyncio.start_server(self._watch, "127.0.0.1", 0)
         self.port = self._listening.sockets[0].getsockname()[1]
 
     def document(self) -> dict[str, Any]:
-        """The whole list."""
+        """The complete list."""
         return {"generation": self.generation, "reset": True, "instances": self.instances}
 
     def drain(self, name: str) -> None:
-        """A server begins to drain."""
+        """Marks a server as draining and sends the list."""
         for instance in self.instances:
             if instance["instanceId"] == name:
                 instance["lifecycle"] = "Terminating"
@@ -51,10 +51,10 @@
         self._untold_drains.add(name)
         if not self.is_down:
             for writer in self._watches - self._silent:
-                self._tell(writer)
+                self._send_list(writer)
 
     def begin(self, fault: DiscoveryFault) -> None:
-        """A fault begins."""
+        """Begins a fault."""
         if fault is DiscoveryFault.DOWN:
             self.is_down = True
         for writer in list(self._watches):
@@ -64,12 +64,12 @@
                 self._silent.add(writer)
 
     def end(self, fault: DiscoveryFault) -> None:
-        """A fault is over; watches that it silenced stay so."""
+        """Ends a fault; watches that it silenced stay silent."""
         if fault is DiscoveryFault.DOWN:
             self.is_down = False
 
     def close(self) -> None:
-        """End it."""
+        """Closes the service and all watches."""
         if self._listening is not None:
             self._listening.close()
         for writer in list(self._watches):
@@ -79,24 +79,24 @@
         self._watches.add(writer)
         try:
             await reader.readuntil(b"\r\n\r\n")
-            if self.is_down:  # taken and forgotten
+            if self.is_down:  # accepted but never answered
                 self._silent.add(writer)
                 await reader.read()
                 return
-            writer.write(HEAD)
-            self._tell(writer)
+            writer.write(RESPONSE_HEAD)
+            self._send_list(writer)
             while not writer.is_closing():
-                await asyncio.sleep(BLANK_INTERVAL)
+                await asyncio.sleep(BLANK_INTERVAL_S)
                 if writer not in self._silent:
                     writer.write(_chunk(b"\n"))
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the watch is over, or the play
+            pass  # the watch or the run has ended
         finally:
             self._watches.discard(writer)
             self._silent.discard(writer)
             writer.close()
 
-    def _tell(self, writer: asyncio.StreamWriter) -> None:
+    def _send_list(self, writer: asyncio.StreamWriter) -> None:
         writer.write(_chunk(json.dumps(self.document()).encode() + b"\n"))
         for name in self._untold_drains:
             self._drain_told(ServerDrain(name, time.monotonic()))
--- a/yardbank/testing/soak/frames.py
+++ b/yardbank/testing/soak/frames.py
@@ -1,4 +1,4 @@
-"""What crossed the sockets of one play, as records that a judge reads; times in seconds on one steady clock."""
+"""Records of the traffic of one run, for the rule checks; times in seconds on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class End(StrEnum):
     """How a client's connection ended, as the client saw it."""
 
-    OPEN = "open"  # it has not
+    OPEN = "open"  # still open
     CLOSED = "closed by the client"
     ENDED = "ended by the gateway"
     RESET = "reset"
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request of a client, sent whole unless its client left before."""
+    """One request of a client, sent completely unless the client disconnected first."""
 
     id: str
     connection: int
-    sent_at: float  # right before its last octets were written
+    sent_at: float  # just before its last octets were written
     time_limit: float  # seconds
     write: bool
     answered_at: float | None = None
-    answers: list[str] = field(default_factory=list)  # "served", or the code of the error
-    content: str = ""  # of the answer: a server gives the request's own number
+    answers: list[str] = field(default_factory=list)  # "served" or an error code
+    content: str = ""  # content of the answer: servers return the request's number
 
 
 @dataclass(slots=True)
@@ -40,26 +40,26 @@
     behaviour: str
     end: End = End.OPEN
     ended_at: float = 0.0
-    ended_by_gateway_at: float | None = None  # the gateway's end was seen
-    does_not_read: bool = False  # its client may be cut
+    ended_by_gateway_at: float | None = None  # when the client saw the gateway's end of stream
+    does_not_read: bool = False  # the gateway may disconnect such a client
 
 
 @dataclass(slots=True)
 class ReceivedAttempt:
-    """One statement that a server received whole."""
+    """One complete statement that a server received."""
 
     id: str
     server: str
     first_octet_at: float
     received_at: float
-    time_limit: float  # told to the server, seconds
+    time_limit: float  # seconds, as sent to the server
     write: bool
-    ran: bool  # False: the server said that it did not
+    ran: bool  # False: the server reported that it did not run
 
 
 @dataclass(slots=True)
 class ServerDrain:
-    """A server that discovery has told to be draining, on a watch that was in order."""
+    """A drain that discovery reported on a working watch."""
 
     server: str
     told_at: float
@@ -67,11 +67,11 @@
 
 @dataclass(slots=True)
 class Process:
-    """The program's life."""
+    """Lifetime and resource use of the program."""
 
     terminated_at: float  # SIGTERM
-    kill_at: float  # the earliest that the platform allows
-    ended_at: float | None = None  # by itself, before the kill
+    kill_at: float  # earliest time at which the platform may kill it
+    ended_at: float | None = None  # exited by itself, before the kill
     exit_code: int | None = None
     peak_memory_mb: float = 0.0
     memory_limit_mb: int = 0
@@ -82,9 +82,10 @@
 
 @dataclass(slots=True)
 class Play:
-    """All of one play. ``clock_gaps``: when the recorder itself was held up, and for how long.
+    """The record of one run.
 
-    ``repeat_window``: for so long after a write was first received it may be repeated (s); 0: never.
+    ``clock_gaps``: times at which the recorder itself was delayed, and by how much. ``repeat_window``: time (s) after
+    its first receipt in which a write may be repeated; 0: never.
     """
 
     seed: int
@@ -97,5 +98,5 @@
     clock_gaps: list[tuple[float, float]] = field(default_factory=list)
 
     def write(self, path: Path) -> None:
-        """Keep it as JSON."""
+        """Writes the record as JSON."""
         path.write_text(json.dumps(asdict(self), indent=1))
--- a/yardbank/testing/soak/judge.py
+++ b/yardbank/testing/soak/judge.py
@@ -1,8 +1,8 @@
-"""Judges one play by the platform's rules, from what crossed the sockets. No I/O.
+"""Checks the record of one run against the platform's rules. No I/O.
 
-Judged: one final answer in time for each request, no effect twice, drains kept, no attempt after its client's close, no
-attempt told more time than is left, the process's end, memory and descriptors. Not judged: cold servers and the age
-of reads, which take a fleet and lagging replicas.
+Checked: one final answer in time for each request, no write applied twice, drains respected, no attempt after its
+client's close, no attempt given more time than is left, and the exit, memory and descriptors of the process. Not
+checked: cold servers and staleness of reads, which need a fleet and lagging replicas.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 
 from yardbank.testing.soak.frames import ClientConnection, End, Play, ReceivedAttempt, SentRequest
 
-ANSWER_SLACK = 0.5  # seconds after its time in which an answer only earns nothing
-HELD_UP = 0.15  # the process may be held up for so long unnoticed
-CROSSING = 0.1  # a request that was sent so shortly before the end was seen has crossed it
-AFTER_CLOSE = 0.1  # an attempt may begin so long after its client's close
-DRAIN_GRACE = 0.5
-TIME_LIMIT_SLACK = 0.15
+ANSWER_SLACK_S = 0.5  # seconds after the deadline in which an answer is late but no violation
+UNDETECTED_DELAY_S = 0.15  # seconds for which the process may be delayed without detection
+CROSSING_TIME_S = 0.1  # seconds before the observed end of the connection in which a request may cross with it
+AFTER_CLOSE_S = 0.1  # seconds after its client's close in which an attempt may begin
+DRAIN_GRACE_S = 0.5
+TIME_LIMIT_SLACK_S = 0.15
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One broken rule."""
+    """One violation of a rule."""
 
     rule: str
     what: str
 
 
 def judge(play: Play) -> list[Violation]:
-    """Every broken rule of a play, in the order of the rules."""
+    """All violations in a run, in the order of the rules."""
     return [*_answers(play), *_effects(play), *_drains(play), *_departures(play), *_time_limits(play), *_process(play)]
 
 
-def _held_up(play: Play, start: float, end: float) -> float:
-    """How long the recorder was held up between two instants: its own times are late by as much."""
+def _recorder_delay(play: Play, start: float, end: float) -> float:
+    """The recorder's delays between two times, by which recorded times may be late."""
     return sum(length for at, length in play.clock_gaps if start - length <= at <= end + length)
 
 
 def _answers(play: Play) -> Iterator[Violation]:
     forwarded = {attempt.id for attempt in play.attempts}
-    due_from: dict[int, float] = {}  # by connection: when the answer before was there
+    previous_answer_at: dict[int, float] = {}  # by connection: time of the previous answer
     for request in sorted(play.requests.values(), key=lambda one: one.sent_at):
         connection = play.connections[request.connection]
         if len(request.answers) > 1:
@@ -50,9 +50,11 @@
             continue
         if request.answers[0] == "served" and request.content != request.id:
             yield Violation("one answer", f"{request.id} was served with {request.content!r}")
-        start = max(request.sent_at, due_from.get(request.connection, 0.0))
-        due_from[request.connection] = request.answered_at
-        allowed = request.time_limit + ANSWER_SLACK + HELD_UP + _held_up(play, start, request.answered_at)
+        start = max(request.sent_at, previous_answer_at.get(request.connection, 0.0))
+        previous_answer_at[request.connection] = request.answered_at
+        allowed = (
+            request.time_limit + ANSWER_SLACK_S + UNDETECTED_DELAY_S + _recorder_delay(play, start, request.answered_at)
+        )
         if request.answered_at - start > allowed and not connection.does_not_read:
             took = request.answered_at - start
             yield Violation("in time", f"{request.id} took {took:.3f} s of {request.time_limit:.3f}")
@@ -62,7 +64,9 @@
     if connection.end is End.CLOSED or connection.does_not_read:
         return
     ended_at = connection.ended_by_gateway_at or connection.ended_at
-    crossed = request.sent_at > ended_at - CROSSING - HELD_UP - _held_up(play, request.sent_at, ended_at)
+    crossed = request.sent_at > ended_at - CROSSING_TIME_S - UNDETECTED_DELAY_S - _recorder_delay(
+        play, request.sent_at, ended_at
+    )
     if connection.end is not End.OPEN and crossed and not forwarded:
         return
     later = f"{connection.end} {ended_at - request.sent_at:.3f} s later"
@@ -77,7 +81,11 @@
             continue
         first = first_ran.setdefault(attempt.id, attempt.received_at)
         later = attempt.received_at - first
-        allowed = play.repeat_window + HELD_UP + _held_up(play, first, attempt.received_at) if play.repeat_window else 0
+        allowed = (
+            play.repeat_window + UNDETECTED_DELAY_S + _recorder_delay(play, first, attempt.received_at)
+            if play.repeat_window
+            else 0
+        )
         if later > allowed:
             yield Violation("no effect twice", f"the write {attempt.id} ran again after {later:.3f} s")
 
@@ -86,7 +94,11 @@
     told = {drain.server: drain.told_at for drain in play.drains}
     for attempt in play.attempts:
         late = attempt.first_octet_at - told.get(attempt.server, attempt.first_octet_at)
-        allowed = DRAIN_GRACE + HELD_UP + _held_up(play, attempt.first_octet_at - late, attempt.first_octet_at)
+        allowed = (
+            DRAIN_GRACE_S
+            + UNDETECTED_DELAY_S
+            + _recorder_delay(play, attempt.first_octet_at - late, attempt.first_octet_at)
+        )
         if late > allowed:
             what = f"{attempt.id} went to {attempt.server} {late:.3f} s after its drain was told"
             yield Violation("drains kept", what)
@@ -98,14 +110,14 @@
         if connection.end is not End.CLOSED or request.answered_at is not None:
             continue
         late = attempt.received_at - connection.ended_at
-        if late > AFTER_CLOSE + HELD_UP + _held_up(play, connection.ended_at, attempt.received_at):
+        if late > AFTER_CLOSE_S + UNDETECTED_DELAY_S + _recorder_delay(play, connection.ended_at, attempt.received_at):
             yield Violation("client gone", f"{attempt.id} was sent {late:.3f} s after its client's close")
 
 
 def _time_limits(play: Play) -> Iterator[Violation]:
     for attempt, request in _of_clients(play):
         left = request.sent_at + request.time_limit - attempt.received_at
-        slack = TIME_LIMIT_SLACK + HELD_UP + _held_up(play, request.sent_at, attempt.received_at)
+        slack = TIME_LIMIT_SLACK_S + UNDETECTED_DELAY_S + _recorder_delay(play, request.sent_at, attempt.received_at)
         if attempt.time_limit > max(0.0, left) + slack:
             told = f"{attempt.time_limit:.3f} s told, {left:.3f} left"
             yield Violation("time told", f"{attempt.id} at {attempt.server}: {told}")
--- a/yardbank/testing/soak/plan.py
+++ b/yardbank/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""What one seed plays: settings, servers, discovery, clients, signals. No I/O."""
+"""The plan of one seed: settings, servers, discovery, clients and signals. No I/O."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from random import Random
 
 LONGEST_DEADLINE = 3.0
-KILL_AFTER = 0.7  # seconds beyond the longest deadline from SIGTERM to the earliest kill
-ARRIVALS_AFTER = 0.3  # seconds after SIGTERM in which new connections still come
+KILL_AFTER = 0.7  # seconds after the longest deadline, counted from SIGTERM, to the earliest kill
+ARRIVALS_AFTER = 0.3  # seconds after SIGTERM in which clients still open connections
 
 
 class ServerFault(StrEnum):
-    """What goes wrong at a server for a while."""
+    """A temporary fault of a server."""
 
     HANG = "answers nothing"
     DROP = "closes connections as they open"
@@ -24,7 +24,7 @@
 
 
 class DiscoveryFault(StrEnum):
-    """What goes wrong at discovery for a while."""
+    """A temporary fault of discovery."""
 
     SILENT = "open watches say nothing more"
     RESET = "open watches are reset"
@@ -32,7 +32,7 @@
 
 
 class Behaviour(StrEnum):
-    """What a client does on a connection."""
+    """The behaviour of a client on a connection."""
 
     PLAIN = "one request after the other"
     PIPELINE = "many at once"
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerStep:
-    """A server's fault from a time on, for a while (s)."""
+    """A server's fault with its start and duration (s)."""
 
     server: int
     fault: ServerFault
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryStep:
-    """Discovery's fault from a time on, for a while (s)."""
+    """Discovery's fault with its start and duration (s)."""
 
     fault: DiscoveryFault
     at: float
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SignalStep:
-    """A signal by its name, so long after the play begins (s); a hold-up is SIGSTOP and SIGCONT after ``lasts``."""
+    """A signal at a time (s) after the start of the run. SIGSTOP is followed by SIGCONT after ``lasts``."""
 
     name: str
     at: float
@@ -72,12 +72,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One play; times in seconds from its begin."""
+    """One run; times in seconds from its start."""
 
     seed: int
     deadlines: dict[str, float]  # by class
-    effect: str  # of writes, as the platform's settings name it
-    window: float  # for repeats of writes, s
+    effect: str  # effect class of writes in the platform's settings
+    window: float  # seconds in which writes may be repeated
     sockets: int
     memory_mb: int
     servers: int  # the first is the primary
@@ -85,18 +85,18 @@
     server_steps: tuple[ServerStep, ...]
     discovery_steps: tuple[DiscoveryStep, ...]
     clients: tuple[Behaviour, ...]
-    crowd: int  # clients that rest, and ask once after SIGTERM
+    crowd: int  # idle clients that send one request after SIGTERM
     signals: tuple[SignalStep, ...]
     terminate_at: float
 
     @property
     def kill_at(self) -> float:
-        """The earliest kill that the platform allows."""
+        """The earliest time at which the platform may kill the program."""
         return self.terminate_at + min(LONGEST_DEADLINE, max(self.deadlines.values())) + KILL_AFTER
 
 
 def draw(seed: int) -> Plan:
-    """The play of a seed, the same each time."""
+    """Draws the plan of a seed; the same seed gives the same plan."""
     random = Random(f"soak/{seed}")
     longest = random.choice([0.2, 0.3, 0.5, 1.0, 1.5, 3.0])
     effect = random.choice(["side_effect", "side_effect", "token"])
--- a/yardbank/testing/soak/play.py
+++ b/yardbank/testing/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one seed: the program as a process, everything it speaks to, signals, and the kill."""
+"""Runs one seed: the program as a process, its simulated peers, signals, and the kill."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 )
 from yardbank.testing.soak.servers import Server
 
-TICK = 0.01  # seconds between two looks at the recorder's own clock
-LEAST_GAP = 0.03  # beyond the tick: the recorder was held up
-SAMPLE_EVERY = 0.2  # seconds between two looks at the process
-NANOSECONDS = 10**9
+CLOCK_CHECK_S = 0.01  # seconds between checks for delays of the recorder itself
+MIN_GAP_S = 0.03  # seconds beyond the interval from which a delay is recorded
+SAMPLE_INTERVAL_S = 0.2  # seconds between samples of the process
+NS_PER_SECOND = 10**9
 
 
 def settings(plan: Plan) -> dict[str, Any]:
-    """The decision module's settings, in the platform's words."""
+    """The router's settings, in the platform's format."""
     services = []
     for name, deadline in plan.deadlines.items():
-        nanoseconds = int(deadline * NANOSECONDS)
+        nanoseconds = int(deadline * NS_PER_SECOND)
         effect = plan.effect if name == "commit" else "pure"
         services.append(
             {
@@ -47,7 +47,7 @@
                 "hard_limit": nanoseconds,
                 "effect": effect,
                 "key_scope": "cell",
-                "window": int(plan.window * NANOSECONDS) if effect == "token" else 0,
+                "window": int(plan.window * NS_PER_SECOND) if effect == "token" else 0,
                 "credit": 1.0,
                 "late_worth": 0.3,
             }
@@ -56,26 +56,26 @@
         "domain": {
             "checks": "bounce",
             "class_read": ["lag_bound", "mutate"],
-            "lag_allowed": [NANOSECONDS, 0],
+            "lag_allowed": [NS_PER_SECOND, 0],
             "session_marks": "brought",
         },
         "services": services,
         "ceilings": {
             "max_attempts": 4,
             "cancel": True,
-            "connect_timeout": NANOSECONDS // 4,
-            "idle_close": 20 * NANOSECONDS,
+            "connect_timeout": NS_PER_SECOND // 4,
+            "idle_close": 20 * NS_PER_SECOND,
             "retry_after": True,
-            "max_retry_after": NANOSECONDS,
+            "max_retry_after": NS_PER_SECOND,
         },
     }
 
 
-class Player:
-    """One play."""
+class PlanRunner:
+    """Runs one plan."""
 
     def __init__(self, plan: Plan, module: str = "yardbank.platform") -> None:
-        """``module`` is run as the program."""
+        """``module``: the module to run as the program."""
         self._plan = plan
         self._module = module
         self._port = free_port()
@@ -92,7 +92,7 @@
         self._clients = Clients(plan, self.play, self._port)
 
     async def run(self) -> Play:
-        """Play it; everything that was started has ended when this returns."""
+        """Runs the plan; everything that it started has ended when this returns."""
         for server in self._servers:
             await server.listen()
         self._discovery.instances = [self._instance(server) for server in self._servers]
@@ -100,9 +100,9 @@
         with tempfile.TemporaryDirectory(prefix="soak-") as folder:
             try:
                 await self._start(Path(folder) / "config.json")
-                await self._play_out()
+                await self._run_tasks()
             finally:
-                self._end()
+                self._stop_all()
         await self._until_ended()
         return self.play
 
@@ -147,11 +147,11 @@
             if b'"listening"' in line:
                 self._listening.set()
 
-    async def _play_out(self) -> None:
+    async def _run_tasks(self) -> None:
         plan, process = self._plan, self.play.process
         process.terminated_at = self._begin + plan.terminate_at
         process.kill_at = self._begin + plan.kill_at
-        tasks = [asyncio.create_task(each) for each in self._parts()]
+        tasks = [asyncio.create_task(each) for each in self._tasks()]
         await self._at(plan.terminate_at + ARRIVALS_AFTER)
         self._clients.takes_new = False
         await self._at(plan.kill_at)
@@ -160,7 +160,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _parts(self) -> list[Any]:
+    def _tasks(self) -> list[Any]:
         plan = self._plan
         return [
             self._watch_clock(),
@@ -207,7 +207,7 @@
             self._signal(signal.SIGCONT)
 
     def _signal(self, number: signal.Signals) -> None:
-        """Not by the process's own method, which looks whether it has ended and then takes the exit code along."""
+        """Sends a signal by id: the process object's own method may reap the process and consume its exit code."""
         assert self._process is not None
         if self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
@@ -219,12 +219,12 @@
         self.play.process.ended_at, self.play.process.exit_code = time.monotonic(), code
 
     async def _watch_clock(self) -> None:
-        """Note when this process itself was held up: the times that it records are late then."""
+        """Records delays of this process itself, because recorded times are late then."""
         before = time.monotonic()
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(CLOCK_CHECK_S)
             now = time.monotonic()
-            if now - before > TICK + LEAST_GAP:
+            if now - before > CLOCK_CHECK_S + MIN_GAP_S:
                 self.play.clock_gaps.append((now, now - before))
             before = now
 
@@ -239,10 +239,10 @@
                 return
             if found is not None:
                 process.peak_memory_mb = max(process.peak_memory_mb, int(found[1]) * 1024 / 1e6)
-            await asyncio.sleep(SAMPLE_EVERY)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    def _end(self) -> None:
-        """The earliest kill; then the stand-ins go."""
+    def _stop_all(self) -> None:
+        """Kills the program and closes the simulated peers."""
         if self._process is not None:
             self._signal(signal.SIGKILL)
         for server in self._servers:
@@ -256,5 +256,5 @@
 
 
 def play_seed(plan: Plan, module: str = "yardbank.platform") -> Play:
-    """Play a plan to its end."""
-    return asyncio.run(Player(plan, module).run())
+    """Runs a plan to its end."""
+    return asyncio.run(PlanRunner(plan, module).run())
--- a/yardbank/testing/soak/servers.py
+++ b/yardbank/testing/soak/servers.py
@@ -1,4 +1,4 @@
-"""Database servers of the soak: serve, and misbehave as a play says."""
+"""Database servers of the soak test, with the faults of the plan."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from yardbank.testing.soak.frames import ReceivedAttempt
 from yardbank.testing.soak.plan import ServerFault
 
-PIECE_PAUSE = 0.005  # seconds between pieces of an answer
+PIECE_PAUSE_S = 0.005  # seconds between the parts of an answer
 PIECES = 3
 
 
 class Server:
-    """One server, the primary or a replica, that keeps what it receives."""
+    """One server, the primary or a replica, that reports the attempts it receives."""
 
     def __init__(self, name: str, is_primary: bool, service_time: float, received: Callable[[ReceivedAttempt], None]):
         self.name = name
@@ -29,21 +29,21 @@
         self._connections: set[_Connection] = set()
 
     async def listen(self) -> None:
-        """Take connections on a port of its own."""
+        """Listens on a free port."""
         loop = asyncio.get_running_loop()
         self._listening = await loop.create_server(lambda: _Connection(self), "127.0.0.1", 0)
         self.port = self._listening.sockets[0].getsockname()[1]
 
     def opened(self, connection: _Connection) -> None:
-        """A connection is up."""
+        """Adds an open connection."""
         self._connections.add(connection)
 
     def lost(self, connection: _Connection) -> None:
-        """A connection is gone."""
+        """Removes a closed connection."""
         self._connections.discard(connection)
 
     def close(self) -> None:
-        """End it and all connections."""
+        """Closes the server and all connections."""
         if self._listening is not None:
             self._listening.close()
         for connection in list(self._connections):
@@ -72,7 +72,7 @@
         self._server.lost(self)
 
     def abort(self) -> None:
-        """Cut it."""
+        """Aborts the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -85,9 +85,9 @@
             if not kind:
                 self._write(wire.WELCOME)
             elif kind == b"Q":
-                self._asked(body)
+                self._statement_received(body)
 
-    def _asked(self, body: bytes) -> None:
+    def _statement_received(self, body: bytes) -> None:
         statement = wire.parse_statement(body)
         if statement is None:
             self._write(wire.error("42501") + wire.READY)
@@ -126,7 +126,7 @@
         size = -(-len(answer) // PIECES)
         for at in range(0, len(answer), size):
             self._write(answer[at : at + size])
-            await asyncio.sleep(PIECE_PAUSE)
+            await asyncio.sleep(PIECE_PAUSE_S)
 
     def _write(self, octets: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
--- a/yardbank/testing/standin/__init__.py
+++ b/yardbank/testing/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in directory servers: an emulated ordered log, copies that lag, faults on command."""
+"""Stand-in directory servers: an emulated commit log, lagging replicas, and faults on command."""
--- a/yardbank/testing/standin/cluster.py
+++ b/yardbank/testing/standin/cluster.py
@@ -1,8 +1,9 @@
-"""The ordered log of one group and how its members follow it. No I/O: time and timers are passed in.
+"""The commit log of one server group and its replication. No I/O: time and timers are passed in.
 
-A primary commits at once. A copy gets each commit after a shipping delay and applies it on one thread; one
-that falls behind answers as fast as ever. A primary that is lost or hangs is given up after ``detect``; the
-copy that holds most of the log takes over ``elect`` later, and what it never got is lost with the old one.
+A primary commits at once. A replica ("copy") gets each commit after a shipping delay and applies commits on one
+thread; a replica that falls behind still answers reads at full speed. A primary that is lost or hangs is declared
+failed after ``detect``. After a further ``elect`` the replica with most of the log becomes primary, and commits that it
+does not have are lost.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
     """One write in the log."""
 
     csn: str
-    at: float  # seconds, on the clock of the world
+    at: float  # seconds, on the clock that is passed in
     request: m.Request
-    tag: str  # by which records know the request
+    tag: str  # identifies the request in records
 
 
 @dataclass(slots=True)
 class Timing:
-    """How fast the log moves, in seconds."""
+    """Delays of replication and failover, in seconds."""
 
     ship: float = 0.005
     apply: float = 0.002
@@ -40,23 +41,23 @@
 
 
 class Member:
-    """One server's place in its group."""
+    """The replication state of one server."""
 
     def __init__(self, name: str, number: int, suffix: str) -> None:
         self.name, self.number = name, number
         self.directory = Directory(suffix)
-        self.context: dict[int, str] = {}  # newest change applied, by origin
-        self.applied = 0  # commits of the log
-        self.last = ""  # change sequence number of the newest
-        self.lag = 1.0  # applies so many times more slowly
+        self.context: dict[int, str] = {}  # latest change applied, by origin
+        self.applied = 0  # number of commits applied
+        self.last = ""  # change sequence number of the latest one
+        self.lag = 1.0  # factor by which it applies more slowly
         self.up = True
         self.hung = False
-        self.skew = 0.0  # of its clock, seconds
-        self.busy = False  # its apply thread
+        self.skew = 0.0  # offset of its clock, seconds
+        self.busy = False  # whether its apply thread is in use
 
 
 class Cluster:
-    """A primary and its copies."""
+    """A primary and its replicas."""
 
     def __init__(
         self,
@@ -79,7 +80,7 @@
         self.on_change: Callable[[], None] = lambda: None
 
     def load(self, requests: list[m.Request]) -> None:
-        """Put entries in every member before the day begins."""
+        """Adds entries to all members before any client connects."""
         for request in requests:
             self.commit(self.primary or "", request, "")
         for member in self.members.values():
@@ -87,14 +88,14 @@
                 self._apply(member)
 
     def commit(self, name: str, request: m.Request, tag: str) -> tuple[Outcome, str]:
-        """A write at the primary: its result, and the change sequence number under which it was committed."""
+        """Commits a write at the primary; returns its result and its change sequence number."""
         member = self.members[name]
         now = self._seconds()
-        stamp = now + member.skew  # a server's number never falls behind its own last one
-        stamp = max(stamp, self._newest.get(member.number, 0.0))
-        self._newest[member.number] = stamp
+        commit_time = now + member.skew  # a server's sequence numbers never go back
+        commit_time = max(commit_time, self._newest.get(member.number, 0.0))
+        self._newest[member.number] = commit_time
         self._count += 1
-        number = csn.render(stamp, self._count & 0xFFFFFF, member.number)
+        number = csn.render(commit_time, self._count & 0xFFFFFF, member.number)
         outcome = member.directory.apply(request, number)
         if outcome != OK:
             return outcome, ""
@@ -104,18 +105,18 @@
         self._record({"kind": "applied", "server": name, "suffix": self.suffix, "csn": number, "tag": tag})
         for other in self.members.values():
             if other is not member:
-                self._call_later(self.timing.ship, self._pump, other)
+                self._call_later(self.timing.ship, self._schedule_apply, other)
         return outcome, number
 
-    def _pump(self, member: Member) -> None:
-        """Let a copy's one apply thread take the next commit that has reached it."""
+    def _schedule_apply(self, member: Member) -> None:
+        """Starts applying the next commit that has reached a replica, if its apply thread is free."""
         if member.busy or not member.up or member.hung or member.name == self.primary:
             return
         if member.applied >= len(self.log):
             return
         wait = self.log[member.applied].at + self.timing.ship - self._seconds()
         if wait > 1e-6:
-            self._call_later(wait, self._pump, member)
+            self._call_later(wait, self._schedule_apply, member)
             return
         member.busy = True
         self._call_later(self.timing.apply * member.lag, self._applied, member, self._term)
@@ -126,7 +127,7 @@
         member.busy = False
         if member.up and not member.hung and member.applied < len(self.log):
             self._apply(member)
-        self._pump(member)
+        self._schedule_apply(member)
 
     def _apply(self, member: Member) -> None:
         commit = self.log[member.applied]
@@ -136,16 +137,16 @@
         member.context[origin] = commit.csn
 
     def lose(self, name: str, hangs: bool = False) -> None:
-        """A member dies, or hangs; a primary is replaced after a while."""
+        """Crashes or hangs a member; a lost primary is replaced later."""
         member = self.members[name]
         if hangs:
             member.hung = True
         else:
             member.up = False
         if name == self.primary:
-            self._call_later(self.timing.detect, self._give_up, name, self._term)
+            self._call_later(self.timing.detect, self._declare_failed, name, self._term)
 
-    def _give_up(self, name: str, term: int) -> None:
+    def _declare_failed(self, name: str, term: int) -> None:
         member = self.members[name]
         if term != self._term or (member.up and not member.hung):
             return
@@ -155,12 +156,12 @@
         self._call_later(self.timing.elect, self._elect)
 
     def _elect(self) -> None:
-        well = [member for member in self.members.values() if member.up and not member.hung]
-        if not well or self.primary is not None:
+        candidates = [member for member in self.members.values() if member.up and not member.hung]
+        if not candidates or self.primary is not None:
             if self.primary is None:
                 self._call_later(self.timing.elect, self._elect)
             return
-        best = max(well, key=lambda member: (member.applied, -member.number))
+        best = max(candidates, key=lambda member: (member.applied, -member.number))
         lost = self.log[best.applied :]
         del self.log[best.applied :]
         self._record(
@@ -174,36 +175,36 @@
         self.on_change()
 
     def _new_term(self) -> None:
-        """Applies that are under way belong to the old term; every copy begins anew."""
+        """Begins a term: discards applies in progress, which belong to the old term, and restarts all replicas."""
         self._term += 1
         for member in self.members.values():
             member.busy = False
-            self._pump(member)
+            self._schedule_apply(member)
 
     def _rebuild(self, member: Member) -> None:
-        """Back to the log as it now is: what was lost with an old primary is undone."""
+        """Rebuilds a member from the current log, which undoes commits that were lost with an old primary."""
         member.directory, member.context = Directory(self.suffix), {}
         member.applied, member.last = 0, ""
         while member.applied < len(self.log):
             self._apply(member)
 
     def back(self, name: str) -> None:
-        """A member is back where it stood; a primary that was replaced follows as a copy."""
+        """Brings a member back with its previous state; a replaced primary becomes a replica."""
         member = self.members[name]
         member.up, member.hung, member.busy = True, False, False
         if member.applied > len(self.log):
             self._rebuild(member)
-        self._pump(member)
+        self._schedule_apply(member)
 
     def hand_over(self) -> None:
-        """Move the primary by plan: no writes until the best copy has all of the log."""
+        """Performs a planned change of primary: no writes until the most advanced replica has the whole log."""
         old, self.primary = self.primary, None
         self._new_term()
         self._record({"kind": "hand_over", "server": old})
 
         def take_over() -> None:
-            well = [x for x in self.members.values() if x.up and not x.hung and x.name != old]
-            best = max(well, key=lambda x: x.applied, default=None)
+            candidates = [x for x in self.members.values() if x.up and not x.hung and x.name != old]
+            best = max(candidates, key=lambda x: x.applied, default=None)
             if best is None:
                 self._call_later(self.timing.hand_over, take_over)
                 return
@@ -217,5 +218,5 @@
         self._call_later(self.timing.hand_over, take_over)
 
     def behind(self, name: str) -> int:
-        """Commits that a member lacks."""
+        """The number of commits that a member has not applied."""
         return len(self.log) - self.members[name].applied
--- a/yardbank/testing/standin/directory.py
+++ b/yardbank/testing/standin/directory.py
@@ -1,4 +1,4 @@
-"""A small directory tree held in memory: what operations do to it, and which entries a search finds. No I/O."""
+"""A small in-memory directory tree with write and search operations. No I/O."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One entry; attributes by folded name, each with its name as written."""
+    """One entry. Attributes are keyed by case-folded name and keep their original name."""
 
     dn: str
     attributes: dict[str, tuple[str, list[bytes]]] = field(default_factory=dict)
     csn: str = ""
 
     def copy(self) -> Entry:
-        """An entry that changes apart from this one."""
+        """Returns an independent copy."""
         return Entry(self.dn, {key: (name, list(values)) for key, (name, values) in self.attributes.items()}, self.csn)
 
     def values(self, name: str) -> list[bytes]:
-        """The values of an attribute, entryCSN included."""
+        """The values of an attribute, including the operational attribute entryCSN."""
         if name.lower() == "entrycsn":
             return [self.csn.encode()] if self.csn else []
         return self.attributes.get(name.lower(), ("", []))[1]
@@ -43,7 +43,7 @@
         }
 
     def apply(self, request: m.Request, csn: str) -> Outcome:
-        """Carry out a write, whole or not at all."""
+        """Applies a write atomically."""
         match request:
             case m.AddRequest():
                 return self._add(request, csn)
@@ -73,24 +73,24 @@
             return Code.NO_SUCH_OBJECT, ""
         entry = self.entries[dn].copy()
         for kind, name, values in request.changes:
-            held = entry.attributes.get(name.lower(), (name, []))[1]
+            current = entry.attributes.get(name.lower(), (name, []))[1]
             if kind == 0:
-                if any(value in held for value in values):
+                if any(value in current for value in values):
                     return Code.ATTRIBUTE_OR_VALUE_EXISTS, name
-                held = held + list(values)
+                current = current + list(values)
             elif kind == 1:
-                if not held or any(value not in held for value in values):
+                if not current or any(value not in current for value in values):
                     return Code.NO_SUCH_ATTRIBUTE, name
-                held = [value for value in held if values and value not in values]
+                current = [value for value in current if values and value not in values]
             elif kind == 2:
-                held = list(values)
+                current = list(values)
             else:
                 try:
-                    held = [str(int(value) + int(values[0])).encode() for value in held]
+                    current = [str(int(value) + int(values[0])).encode() for value in current]
                 except (ValueError, IndexError):
                     return Code.UNWILLING, f"{name} cannot be incremented"
-            if held:
-                entry.attributes[name.lower()] = name, held
+            if current:
+                entry.attributes[name.lower()] = name, current
             else:
                 entry.attributes.pop(name.lower(), None)
         entry.csn = csn
@@ -129,15 +129,15 @@
         name, _, value = request.new_rdn.partition("=")
         old_name, _, old_value = request.entry.partition(",")[0].partition("=")
         if request.delete_old and old_name.lower() in entry.attributes:
-            shown, held = entry.attributes[old_name.lower()]
-            entry.attributes[old_name.lower()] = shown, [v for v in held if v.lower() != old_value.lower().encode()]
-        shown, held = entry.attributes.setdefault(name.lower(), (name, []))
-        if value.encode() not in held:
-            held.append(value.encode())
+            shown, current = entry.attributes[old_name.lower()]
+            entry.attributes[old_name.lower()] = shown, [v for v in current if v.lower() != old_value.lower().encode()]
+        shown, current = entry.attributes.setdefault(name.lower(), (name, []))
+        if value.encode() not in current:
+            current.append(value.encode())
         return OK
 
     def search(self, request: m.SearchRequest) -> tuple[Outcome, list[Entry]]:
-        """Entries that a search finds, in the order in which they were added."""
+        """The entries that match a search, in insertion order."""
         base = naming.fold(request.base)
         if base not in self.entries:
             return (Code.NO_SUCH_OBJECT, ""), []
@@ -156,15 +156,15 @@
         entry = self.entries.get(naming.fold(request.entry))
         if entry is None:
             return Code.NO_SUCH_OBJECT, ""
-        held = entry.values(request.attribute)
-        if not held:
+        current = entry.values(request.attribute)
+        if not current:
             return Code.NO_SUCH_ATTRIBUTE, ""
-        found = any(value.lower() == request.value.lower() for value in held)
+        found = any(value.lower() == request.value.lower() for value in current)
         return (Code.COMPARE_TRUE if found else Code.COMPARE_FALSE), ""
 
 
-def show(entry: Entry, request: m.SearchRequest, extra: m.Attributes = ()) -> m.SearchEntry:
-    """An entry as a search asks to see it; ``extra`` are operational attributes."""
+def search_entry(entry: Entry, request: m.SearchRequest, extra: m.Attributes = ()) -> m.SearchEntry:
+    """The entry with the attributes that a search requests; ``extra``: operational attributes."""
     asked = [name.lower() for name in request.attributes]
     operational = "+" in asked
     shown = wanted_attributes(tuple((name, tuple(values)) for name, values in entry.attributes.values()), request)
--- a/yardbank/testing/standin/process.py
+++ b/yardbank/testing/standin/process.py
@@ -1,7 +1,7 @@
-"""One group of stand-ins as a process that obeys JSON lines on its standard input and tells its news on its output.
+"""Runs a group of stand-in servers as a process, with commands and events as JSON lines on its standard streams.
 
-The members of a group share one emulated log, so they share a process; a member's crash is emulated (its sockets are
-reset, its work is gone), and killing the process loses the group with all it held.
+The members of a group share an emulated log and therefore a process. The crash of one member is emulated: its
+connections are reset and its queued work is discarded. Killing the process loses the whole group and its data.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 @dataclass(slots=True, frozen=True)
 class GroupSpec:
-    """What a process is made with; times in seconds."""
+    """The parameters of a group process; times in seconds."""
 
     group: str
     suffix: str
     names: list[str]
     bind: tuple[str, str]
-    record: str  # a file for its facts
+    record: str  # file for recorded facts
     entries: int = 50
     slots: int = 4
     read_s: float = 0.002
@@ -43,20 +43,20 @@
 
 
 def device(number: int, suffix: str) -> m.AddRequest:
-    """One entry as every stand-in's tree begins with."""
+    """An initial entry of every stand-in's directory."""
     attributes = (("objectClass", (b"device",)), ("cn", (b"%d" % number,)), ("description", (b"new",)))
     return m.AddRequest(f"cn={number},{suffix}", attributes)
 
 
 class GroupProcess(LineOnlyReceiver):
-    """The servers of one group, and who commands them."""
+    """The servers of one group and their command stream."""
 
     delimiter = b"\n"
     transport: Any
 
     def __init__(self, spec: GroupSpec, reactor: Any) -> None:
         self._spec, self._reactor = spec, reactor
-        self._file = Path(spec.record).open("a", encoding="utf-8")  # noqa: SIM115 - open as long as the process
+        self._file = Path(spec.record).open("a", encoding="utf-8")  # noqa: SIM115 - stays open until the process exits
         timing = Timing(ship=spec.ship, detect=spec.detect, elect=spec.elect)
         self.cluster = Cluster(spec.suffix, spec.names, reactor.seconds, reactor.callLater, timing, self._record)
         self.cluster.load([device(number, spec.suffix) for number in range(spec.entries)])
@@ -68,47 +68,47 @@
             for name in spec.names
         }
         self._commands: dict[str, Callable[[Standin, dict[str, Any]], Any]] = {
-            "crash": lambda server, order: server.crash(),
-            "restart": lambda server, order: server.restart(),
-            "hang": lambda server, order: server.hang(),
-            "unhang": lambda server, order: server.unhang(),
-            "refuse": lambda server, order: server.refuse(order["on"]),
-            "full": lambda server, order: setattr(server.faults, "full", order["on"]),
-            "slow": lambda server, order: setattr(server.faults, "slow", order["factor"]),
-            "lag": lambda server, order: setattr(server.member, "lag", order["factor"]),
-            "lose_answers": lambda server, order: setattr(server.faults, "lose_next", order["count"]),
-            "hand_over": lambda server, order: self.cluster.hand_over(),
+            "crash": lambda server, command: server.crash(),
+            "restart": lambda server, command: server.restart(),
+            "hang": lambda server, command: server.hang(),
+            "unhang": lambda server, command: server.unhang(),
+            "refuse": lambda server, command: server.refuse(command["on"]),
+            "full": lambda server, command: setattr(server.faults, "full", command["on"]),
+            "slow": lambda server, command: setattr(server.faults, "slow", command["factor"]),
+            "lag": lambda server, command: setattr(server.member, "lag", command["factor"]),
+            "lose_answers": lambda server, command: setattr(server.faults, "lose_next", command["count"]),
+            "hand_over": lambda server, command: self.cluster.hand_over(),
         }
 
     def _record(self, fact: dict[str, Any]) -> None:
         self._file.write(json.dumps({"at": time.monotonic(), **fact}, separators=(",", ":")) + "\n")
         self._file.flush()
         if fact["kind"] == "elected":
-            self._say({"event": "elected", "group": self._spec.group, "server": fact["server"]})
+            self._send_event({"event": "elected", "group": self._spec.group, "server": fact["server"]})
         elif fact["kind"] == "start":
-            self._say({"event": "started_anew", "server": fact["server"], "started": time.time()})
+            self._send_event({"event": "started_anew", "server": fact["server"], "started": time.time()})
 
-    def _say(self, news: dict[str, Any]) -> None:
-        self.transport.write(json.dumps(news).encode() + b"\n")
+    def _send_event(self, event: dict[str, Any]) -> None:
+        self.transport.write(json.dumps(event).encode() + b"\n")
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Whoever commands is there: tell where the servers listen."""
+        """Reports the servers' ports."""
         ports = {name: server.port for name, server in self.servers.items()}
-        self._say({"event": "group_ready", "group": self._spec.group, "servers": ports})
+        self._send_event({"event": "group_ready", "group": self._spec.group, "servers": ports})
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """One command, for one server."""
-        order = json.loads(line)
-        self._commands[order["do"]](self.servers[order["server"]], order)
+        """Carries out a command for one server."""
+        command = json.loads(line)
+        self._commands[command["do"]](self.servers[command["server"]], command)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Nobody commands any more."""
+        """Stops when the command stream ends."""
         if self._reactor.running:
             self._reactor.stop()
 
 
 def run_group(text: str) -> None:
-    """Serve until nobody commands any more. Raises ``msgspec.ValidationError`` for a faulty description."""
+    """Runs until the command stream ends. Raises ``msgspec.ValidationError`` for invalid parameters."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
--- a/yardbank/testing/standin/server.py
+++ b/yardbank/testing/standin/server.py
@@ -1,4 +1,4 @@
-"""A stand-in LDAP server on a loopback socket: serves its member's copy, and misbehaves on command."""
+"""A stand-in LDAP server on a loopback socket: serves its member's directory, with faults on command."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from yardbank.ldap.state import Abandoned, Asked, Broken, Closed, ServerEnd
 from yardbank.testing.ports import ReservedPort
 from yardbank.testing.standin.cluster import Cluster, Record
-from yardbank.testing.standin.directory import show
+from yardbank.testing.standin.directory import search_entry
 
-TAG_CONTROL = "1.3.6.1.4.1.32473.1.1"  # under the arc for documentation: names a request in records
+TAG_CONTROL = "1.3.6.1.4.1.32473.1.1"  # OID of the documentation arc; its value identifies a request in records
 _WRITES = (m.AddRequest, m.ModifyRequest, m.ModifyDNRequest, m.DeleteRequest)
 
 
 @dataclass(slots=True)
 class Capacity:
-    """How much a server can do, and how it warms up."""
+    """The capacity of a server and its warm-up."""
 
     slots: int = 4
     queue: int = 64
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with a server now."""
+    """The current faults of a server."""
 
     hang: bool = False
     refuse: bool = False
@@ -49,21 +49,21 @@
     full: bool = False
     slow: float = 1.0
     trickle: bool = False
-    reset_next: int = 0  # so many answers break off half way
-    lose_next: int = 0  # so many committed writes go unanswered, the connection closed
-    garbage_next: int = 0  # so many answers are random octets
+    reset_next: int = 0  # number of answers to cut off half way
+    lose_next: int = 0  # number of committed writes to leave unanswered, with the connection closed
+    garbage_next: int = 0  # number of answers to replace with random octets
 
 
 @dataclass(slots=True)
 class _Job:
-    link: _Link
+    link: _Connection
     message: m.Message
     tag: str
     kind: str
 
 
 class Standin:
-    """One server: a member of a cluster, listening on a port that is its own as long as the object lives."""
+    """One server: a member of a cluster. Its port stays reserved for the lifetime of the object."""
 
     def __init__(
         self,
@@ -84,8 +84,8 @@
         self.started = 0.0  # 0: long ago
         self.record = record or (lambda fact: None)
         self.random = random.Random(f"{seed}/{name}")
-        self.links: dict[_Link, None] = {}
-        self._jobs: deque[_Job] = deque()
+        self.links: dict[_Connection, None] = {}
+        self._queue: deque[_Job] = deque()
         self._busy = 0
         self._paused: list[Callable[[], None]] = []
         self._port: Any = None
@@ -97,18 +97,18 @@
     # Faults on command
 
     def listen(self) -> None:
-        """Take connections, always on the same port."""
-        self._port = self.reactor.adoptStreamPort(self._reserved_port.listen(), socket.AF_INET, _Door(self))
+        """Starts listening, always on the same port."""
+        self._port = self.reactor.adoptStreamPort(self._reserved_port.listen(), socket.AF_INET, _ListenerFactory(self))
 
     def note(self, kind: str, **facts: Any) -> None:
-        """Record what happened here."""
+        """Records a fact about this server."""
         self.record({"kind": kind, "server": self.name, **facts})
 
     def crash(self) -> None:
-        """The process dies: connections are reset, work is gone."""
+        """Emulates a crash: resets connections and discards work."""
         self.note("crash")
         self._epoch += 1
-        self._jobs.clear()
+        self._queue.clear()
         self._busy = 0
         self._paused.clear()
         self.faults = Faults()
@@ -116,29 +116,29 @@
         self.cluster.lose(self.name)
 
     def restart(self) -> None:
-        """It is back, cold, where its log stood."""
+        """Restarts the server, cold, with its previous log."""
         self.started = self.reactor.seconds()
         self.listen()
         self.cluster.back(self.name)
         self.note("start", cold_s=self.capacity.cold_s, cold_share=self.capacity.cold_share, per_s=self.per_second())
 
     def hang(self) -> None:
-        """Takes connections and work, answers nothing."""
+        """Keeps accepting connections and requests, but answers nothing."""
         self.note("hang")
         self.faults.hang = True
         self.cluster.lose(self.name, hangs=True)
 
     def unhang(self) -> None:
-        """It goes on where it stopped."""
+        """Ends the hang and processes held work."""
         self.note("unhang")
         self.faults.hang = False
         self.cluster.back(self.name)
         paused, self._paused = self._paused, []
-        for go_on in paused:
-            go_on()
+        for resume_work in paused:
+            resume_work()
 
     def refuse(self, on: bool) -> None:
-        """Refuse new connections while the process runs."""
+        """Refuses new connections, or accepts them again."""
         self.note("refuse", on=on)
         if on:
             self._stop_listening()
@@ -152,7 +152,7 @@
             self._reserved_port.refuse()
 
     def stop(self) -> None:
-        """Close everything at once."""
+        """Stops listening and resets all connections."""
         self._stop_listening()
         for link in list(self.links):
             link.reset()
@@ -160,69 +160,69 @@
     # Work
 
     def warmth(self) -> float:
-        """The share of its capacity that it has now."""
+        """The current share of the full capacity."""
         if not self.started:
             return 1.0
         age: float = (self.reactor.seconds() - self.started) / self.capacity.cold_s
         return min(1.0, self.capacity.cold_share + (1 - self.capacity.cold_share) * age)
 
     def per_second(self) -> float:
-        """Reads a second when warm."""
+        """Reads per second when warm."""
         return float(self.capacity.slots / self.capacity.read_s)
 
     def take(self, job: _Job) -> None:
-        """Begin work, queue it, or turn it away."""
+        """Starts or queues a request, or rejects it as busy."""
         self.note("received", tag=job.tag, op=job.kind)
-        if self.faults.full or len(self._jobs) >= self.capacity.queue:
+        if self.faults.full or len(self._queue) >= self.capacity.queue:
             self.note("full", tag=job.tag)
             job.link.finish(job, Code.BUSY, "the queue is full")
             return
-        self._jobs.append(job)
-        self._next()
+        self._queue.append(job)
+        self._start_queued()
 
-    def _next(self) -> None:
-        while self._jobs and self._busy < self.capacity.slots:
-            job = self._jobs.popleft()
+    def _start_queued(self) -> None:
+        while self._queue and self._busy < self.capacity.slots:
+            job = self._queue.popleft()
             if not job.link.end.owes(job.message.id):
                 continue
             self._busy += 1
             write = isinstance(job.message.operation, _WRITES)
             cost = self.capacity.write_s if write else self.capacity.read_s
             cost *= self.faults.slow / self.warmth()
-            self.reactor.callLater(cost, self._worked, job, self._epoch)
+            self.reactor.callLater(cost, self._job_ready, job, self._epoch)
 
-    def _worked(self, job: _Job, epoch: int) -> None:
+    def _job_ready(self, job: _Job, epoch: int) -> None:
         if epoch != self._epoch:
             return
         if self.faults.hang:
-            self._paused.append(lambda: self._worked(job, epoch))
+            self._paused.append(lambda: self._job_ready(job, epoch))
             return
         self._busy -= 1
         job.link.run(job)
-        self._next()
+        self._start_queued()
 
 
-class _Door(Factory):
+class _ListenerFactory(Factory):
     noisy = False
 
     def __init__(self, server: Standin) -> None:
         self._server = server
 
-    def buildProtocol(self, addr: Any) -> _Link:  # noqa: N802
-        return _Link(self._server)
+    def buildProtocol(self, addr: Any) -> _Connection:  # noqa: N802
+        return _Connection(self._server)
 
 
-class _Link(Protocol):
-    """One connection to a stand-in."""
+class _Connection(Protocol):
+    """One connection to a stand-in server."""
 
-    transport: Any  # Twisted's stubs name no methods of a TCP transport
+    transport: Any  # Twisted's stubs lack the methods of a TCP transport
 
     def __init__(self, server: Standin) -> None:
         self.server = server
         self.end = ServerEnd(16 << 20, 10_000)
         self.bound = server.bind is None
-        self.dead = False  # half open: the other end is gone and nobody says so
-        self._trickling: deque[bytes] = deque()
+        self.dead = False  # half open: input is ignored and nothing is sent
+        self._trickle_queue: deque[bytes] = deque()
 
     def connectionMade(self) -> None:  # noqa: N802
         self.server.links[self] = None
@@ -234,7 +234,7 @@
         self.end.close()
 
     def reset(self) -> None:
-        """Go without a word."""
+        """Aborts the connection."""
         self.end.close()
         if self.transport is not None:
             self.transport.abortConnection()
@@ -276,7 +276,7 @@
         job = _Job(self, message, tag, kind)
         if not self.bound:
             self.finish(job, Code.INSUFFICIENT_ACCESS, "bind first")
-        elif probe:  # answered beside the queue, unless the process hangs
+        elif probe:  # bypasses the queue, but not a hang
             if server.faults.hang:
                 server._paused.append(lambda: self.run(job))
             else:
@@ -285,7 +285,7 @@
             server.take(job)
 
     def run(self, job: _Job) -> None:
-        """Carry one operation out and answer it."""
+        """Carries out an operation and answers it."""
         operation, server = job.message.operation, self.server
         if isinstance(operation, m.SearchRequest):
             self._search(job, operation)
@@ -314,7 +314,7 @@
             found, code = found[: request.size_limit], Code.SIZE_LIMIT
         manage = any(c.oid == m.Oid.MANAGE_DSA_IT for c in job.message.controls)
         for entry in found:
-            if (uris := entry.values("ref")) and not manage:  # a continuation (RFC 3296 section 5.1)
+            if (uris := entry.values("ref")) and not manage:  # a continuation reference (RFC 3296 section 5.1)
                 raw = codec.encode_operation(m.SearchReference(tuple(uri.decode() for uri in uris)))
                 out.append(self.end.part(job.message.id, codec.Envelope(0, m.Tag.REFERENCE, raw, b"")))
                 continue
@@ -322,7 +322,7 @@
             if naming.fold(entry.dn) == server.member.directory.suffix:
                 marks = tuple(value.encode() for value in server.member.context.values())
                 extra = (("contextCSN", marks), ("replicationRole", (role.encode(),)))
-            raw = codec.encode_operation(show(entry, request, extra))
+            raw = codec.encode_operation(search_entry(entry, request, extra))
             out.append(self.end.part(job.message.id, codec.Envelope(0, m.Tag.ENTRY, raw, b"")))
         self.finish(job, code, text, controls, b"".join(out), last=server.member.last, role=role, suffix=cluster.suffix)
 
@@ -346,7 +346,7 @@
         self.finish(job, code, text, self._post_read(job, request) if number else ())
 
     def _assertion_fails(self, job: _Job, name: str) -> bool:
-        """An assertion control (RFC 4528) that is false of the entry ends the operation here."""
+        """Ends the operation if it has an assertion control (RFC 4528) that the entry does not satisfy."""
         control = next((c for c in job.message.controls if c.oid == m.Oid.ASSERTION), None)
         entry = self.server.member.directory.entries.get(naming.fold(name))
         if (
@@ -369,7 +369,7 @@
         asked = m.SearchRequest(
             "", 0, m.Present("objectClass"), control_codec.read_post_read_request(wanted.value or b"")
         )
-        entry = show(self.server.member.directory.entries[dn], asked)
+        entry = search_entry(self.server.member.directory.entries[dn], asked)
         return (m.Control(m.Oid.POST_READ, False, codec.encode_operation(entry)),)
 
     def finish(
@@ -381,7 +381,7 @@
         before: bytes = b"",
         **facts: Any,
     ) -> None:
-        """The final answer, with what goes wrong with it now."""
+        """Sends the final answer, subject to current faults."""
         server, faults = self.server, self.server.faults
         tag = m.RESPONSE_TAG.get(type(job.message.operation), m.Tag.EXTENDED_RESPONSE)
         data = self.end.final(job.message.id, m.Result(tag, code, diagnostic=text), controls)
@@ -403,25 +403,25 @@
             self.send(data)
 
     def send(self, data: bytes) -> None:
-        """Write, one octet at a time where asked."""
+        """Writes data, one octet at a time under the ``trickle`` fault."""
         if self.transport is None or not data or self.dead:
             return
-        if not self.server.faults.trickle and not self._trickling:
+        if not self.server.faults.trickle and not self._trickle_queue:
             self.transport.write(data)
             return
-        idle = not self._trickling
-        self._trickling.extend(data[at : at + 1] for at in range(len(data)))
+        idle = not self._trickle_queue
+        self._trickle_queue.extend(data[at : at + 1] for at in range(len(data)))
         if idle:
             self._trickle()
 
     def _trickle(self) -> None:
-        if self._trickling and self.transport is not None:
-            self.transport.write(self._trickling.popleft())
+        if self._trickle_queue and self.transport is not None:
+            self.transport.write(self._trickle_queue.popleft())
             self.server.reactor.callLater(0.0001, self._trickle)
 
 
 def _page(found: list[Any], control: m.Control) -> tuple[list[Any], tuple[m.Control, ...]]:
-    """One page (RFC 2696); the cookie is where the next one begins, so any copy can go on with it."""
+    """One page of results (RFC 2696). The cookie is the start of the next page, so any replica can continue."""
     size, given = control_codec.read_paged_value(control.value or b"")
     start = int(given or b"0")
     rest = start + size
