--- a/tests/testing/__init__.py
+++ b/tests/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of testing."""
+"""Tests of yardbank.testing."""
--- a/yardbank/testing/audit/changes.py
+++ b/yardbank/testing/audit/changes.py
@@ -72,7 +72,8 @@
     restart by themselves count as out: not those that the rig killed or stopped, nor those that are out for longer
     than the configured ``outage`` (s), because the others stop waiting for them.
     """
-    sizes, over = Counter(zones.values()), defaultdict[str, dict[str, int]](dict)  # by rollout and gateway: its stage
+    # ``stage_of``: by rollout and gateway.
+    sizes, stage_of = Counter(zones.values()), defaultdict[str, dict[str, int]](dict)
     healthy_stage: dict[tuple[str, str], int] = {}  # by gateway and rollout: the last stage found healthy
     out: dict[str, float] = {}  # by gateway: out of service since
     worst = 0
@@ -92,14 +93,15 @@
             healthy_stage[fact["gateway"], fact["rollout"]] = fact["stage"]
         elif fact["kind"] == "rollout" and fact["what"] == GOING_OVER:
             stage, name, rollout = fact["stage"], fact["gateway"], fact["rollout"]
-            before = max((one for one in begun if one < stage), default=0)
-            follows = (
-                sum(one >= stage for other, one in over[rollout].items() if other != name) >= 2
-            )  # it was away and catches up
-            if before and healthy_stage.get((name, rollout), 0) < before and not follows:
-                return Finding(False, f"{name} went in stage {stage} and had not found stage {before} well", fact)
-            over[rollout][name] = stage
-            changed_by_zone = Counter(zones[one] for one in over[rollout])
+            previous_stage = max((one for one in begun if one < stage), default=0)
+            # Was away while others went on, and catches up.
+            catching_up = sum(one >= stage for other, one in stage_of[rollout].items() if other != name) >= 2
+            if previous_stage and healthy_stage.get((name, rollout), 0) < previous_stage and not catching_up:
+                return Finding(
+                    False, f"{name} went in stage {stage} and had not found stage {previous_stage} well", fact
+                )
+            stage_of[rollout][name] = stage
+            changed_by_zone = Counter(zones[one] for one in stage_of[rollout])
             complete_zones = [zone for zone, size in sizes.items() if changed_by_zone[zone] == size]
             if complete_zones and stage < last and len(sizes) > 1:
                 return Finding(False, f"zone {complete_zones[0]} has gone as a whole in stage {stage} of {last}", fact)
@@ -109,5 +111,5 @@
                 and max(changed_by_zone.values()) - min(changed_by_zone[zone] for zone in sizes) > 1
             ):
                 return Finding(False, f"stage {stage} is not spread over zones: {dict(changed_by_zone)}", fact)
-    moves = sum(map(len, over.values()))  # one that tries in service and then restarts counts once
+    moves = sum(map(len, stage_of.values()))  # one that tries in service and then restarts counts once
     return Finding(moves > 0, f"{moves} went over in {last} stages, {worst} out of service together at most")
--- a/yardbank/testing/demo/day.py
+++ b/yardbank/testing/demo/day.py
@@ -124,7 +124,7 @@
 TimedFault = tuple[float, str, Callable[[], Any]]
 
 
-class Day:
+class FaultScript:
     """Runs the scripted faults; ``scale`` 1 is a run of 30 s."""
 
     def __init__(self, world: World, scale: float, sessions: int = 8, pace: float = 0.03) -> None:
@@ -132,7 +132,7 @@
         self.sessions = [Session(world, number, pace) for number in range(sessions)]
         self.played: list[str] = []
 
-    def troubles(self) -> list[TimedFault]:
+    def timed_faults(self) -> list[TimedFault]:
         """The faults with their times, in seconds of a run of 30 s."""
         world, servers = self.world, self.world.servers
         n1, n2, r1, r2, r3 = (servers[name] for name in ("n1", "n2", "r1", "r2", "r3"))
@@ -166,8 +166,8 @@
             (7.2, "", n2.crash),
             (7.4, "", lambda: world.tell(n2="gone")),
             (8.0, "garbage from a server", fault("n3", "garbage_next", 2)),
-            (8.3, "garbage from a client", self.garbage),
-            (8.6, "a client leaves mid-request", self.leave),
+            (8.3, "garbage from a client", self.send_garbage),
+            (8.6, "a client leaves mid-request", self.leave_mid_request),
             (9.0, "a server breaks off mid-answer", fault("r2", "reset_next", 3)),
             (9.5, "a copy returns cold", copy_back),
             (10.0, "primary hangs and is replaced", n1.hang),
@@ -184,12 +184,12 @@
             (24.5, "half-open connections", fault("n3", "half_open", True)),
             (25.5, "", fault("n3", "half_open", False)),
             (25.5, "", lambda: n2.refuse(False)),
-            (26.0, "gateway killed, back with its last list", self.kill),
+            (26.0, "gateway killed, back with its last list", self.kill_and_restart_gateway),
             (27.5, "slow server", fault("n2", "slow", 8.0)),
             (28.5, "", fault("n2", "slow", 1.0)),
         ]
 
-    def garbage(self) -> None:
+    def send_garbage(self) -> None:
         """Connects and sends random octets instead of LDAP."""
         from twisted.internet.protocol import ClientCreator, Protocol
 
@@ -199,7 +199,7 @@
         made = ClientCreator(self.world.reactor, Protocol).connectTCP("127.0.0.1", self.world.port)
         made.addCallbacks(spoil, lambda failure: None)
 
-    def leave(self) -> None:
+    def leave_mid_request(self) -> None:
         """Makes a client send requests and disconnect before the answers."""
         session = self.sessions[0]
         if session.client is not None and not session.client.gone:
@@ -207,7 +207,7 @@
             session.lookup()
             session.client.leave()
 
-    def kill(self) -> Deferred[Any]:
+    def kill_and_restart_gateway(self) -> Deferred[Any]:
         """Kills the gateway and restarts it shortly afterwards."""
 
         def back(_: Any) -> Deferred[Any]:
@@ -221,7 +221,7 @@
         reactor, began = self.world.reactor, self.world.reactor.seconds()
         yield self.world.start_gateway()
         running_sessions = [session.live() for session in self.sessions]
-        for at, name, begin in self.troubles():
+        for at, name, begin in self.timed_faults():
             wait = began + at * self.scale - reactor.seconds()
             if wait > 0:
                 yield deferLater(reactor, wait, lambda: None)
--- a/yardbank/testing/demo/runner.py
+++ b/yardbank/testing/demo/runner.py
@@ -15,7 +15,7 @@
 from yardbank.testing.audit import judge
 from yardbank.testing.audit.report import as_dict, show
 from yardbank.testing.audit.summary import ClassRow, by_class, table
-from yardbank.testing.demo.day import ENTRIES, Day
+from yardbank.testing.demo.day import ENTRIES, FaultScript
 from yardbank.testing.demo.world import BASE, DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS, Recorder, World
 from yardbank.testing.standin.cluster import Timing
 
@@ -62,13 +62,13 @@
     timing = Timing(detect=1.2 * scale, elect=1.2 * scale, hand_over=0.4 * scale)
     world = World(reactor, record, seed=seed, daemon=daemon, timing=timing)
     world.load(ENTRIES)
-    day = Day(world, scale)
+    script = FaultScript(world, scale)
     failed: list[Any] = []
     click.echo(
-        f"A bad day of {seconds:g} s: 6 stand-ins in 2 groups, {len(day.sessions)} clients, "
+        f"A bad day of {seconds:g} s: 6 stand-ins in 2 groups, {len(script.sessions)} clients, "
         f"the gateway {'as a process' if daemon else 'embedded'}."
     )
-    done = day.play(click.echo)
+    done = script.play(click.echo)
     done.addErrback(failed.append)
     done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
@@ -85,7 +85,7 @@
             json_file,
             {
                 **as_dict(verdict),
-                "troubles": day.played,
+                "troubles": script.played,
                 "seed": seed,
                 "seconds": seconds,
                 "classes": [_row(row) for row in rows],
--- a/yardbank/testing/demo/world.py
+++ b/yardbank/testing/demo/world.py
@@ -127,9 +127,8 @@
         self.watched: Path | None = None  # path of the watched server list; None: the list is in the settings
         self._process: subprocess.Popen[bytes] | None = None
         self._runs = 0
-        load_text(
-            self.settings().replace("port = 0", "port = 1")
-        )  # warms up the parser, which builds its tables on first use
+        # Warms up the parser, which builds its tables on first use.
+        load_text(self.settings().replace("port = 0", "port = 1"))
 
     def load(self, entries: int) -> None:
         """Adds the same entries to every server."""
