--- a/tests/testing/audit/test_operator_terms.py
+++ b/tests/testing/audit/test_operator_terms.py
@@ -31,7 +31,7 @@
 
 
 def departing_clients(number, first_attempt):
-    """Clients with one request each that depart at 2.0; ``first_attempt`` gives the time of a client's attempt, if any."""
+    """Clients with one request each that depart at 2.0; ``first_attempt`` gives the time of its attempt, if any."""
     rows = []
     for n in range(number):
         rows += request_sent(f"c{n}/1", client=f"c{n}", port=5000 + n)
@@ -74,9 +74,8 @@
     reused = in_order(request_sent("c1/1"), request_sent("c2/1", 1.5, "c2"), reached(2.0))
     assert list(departures(reused)) == ["c2/1"]
     no_departures = gone_clients(in_order(request_sent("c1/1"), begun("c1/1", 1.1)))
-    assert not no_departures.held and no_departures.seen.startswith(
-        "0 requests"
-    )  # a record without departures proves nothing
+    # A record without departures proves nothing.
+    assert not no_departures.held and no_departures.seen.startswith("0 requests")
 
 
 def test_cancelling_a_request_does_not_affect_others_on_its_connection():
@@ -140,13 +139,11 @@
     assert not cold_sum(in_order([start(), *calls(20, 10.0), *calls(20, 11.2)]), bounds).held
     warmer = cold_sum([start(), *calls(69, 12.0)], bounds)  # budget 2 x 25 x 1.25 = 62.5, 80 with the allowance
     assert warmer.held and not cold_sum([start(), *calls(81, 12.0)], bounds).held
-    assert not cold_sum(
-        [start(), *calls(121 + 1, 13.9999)], bounds
-    ).held  # the window extends past the warm-up: the budget is near 100
-    assert not cold_sum([start(), *calls(500, 14.1)], bounds).held  # no call while it was cold proves nothing
-    assert cold_sum(
-        [start(), begun("x", 10.0), *calls(500, 14.1)], bounds
-    ).held  # calls to a warm server are not limited
+    # The window extends past the warm-up: the budget is near 100.
+    assert not cold_sum([start(), *calls(121 + 1, 13.9999)], bounds).held
+    assert not cold_sum([start(), *calls(500, 14.1)], bounds).held  # no proof without calls while it was cold
+    # Calls to a warm server are not limited.
+    assert cold_sum([start(), begun("x", 10.0), *calls(500, 14.1)], bounds).held
     assert not cold_sum([*calls(500, 9.0), start()], bounds).held
     assert "0 calls" in cold_sum([*calls(500, 9.0), start()], bounds).seen
 
--- a/tests/testing/rig/test_claims.py
+++ b/tests/testing/rig/test_claims.py
@@ -57,9 +57,7 @@
     assert found([sent(2.1), stop, lost(2.2)]) == []
     assert found([sent(1.98), stop, lost(2.2)]) == []  # still in transit when the gateway stopped
     assert found([sent(1.98), {**taken, "at": 1.99}, stop, lost(2.2)]) == ["one_answer"]
-    assert found([stop, process(3.0, "ready"), sent(4.0), lost(4.1)]) == [
-        "one_answer"
-    ]  # the stop was of the previous run
+    assert found([stop, process(3.0, "ready"), sent(4.0), lost(4.1)]) == ["one_answer"]  # it stopped in an earlier run
 
 
 def test_a_second_answer_is_a_violation_even_during_a_fault():
--- a/tests/testing/rig/test_cluster_claims.py
+++ b/tests/testing/rig/test_cluster_claims.py
@@ -56,11 +56,11 @@
 
 
 def test_duplicate_reordered_or_silently_lost_items_at_a_follower_are_found():
-    process_datagram = items_of_owner("g1", 1, 0, 0.4)  # five items
+    sent_items = items_of_owner("g1", 1, 0, 0.4)  # five items
     gap = fact(1.5, "channel", gateway="f", channel="c", what="gap", epoch=1)
     places = [(1, 1), (1, 2), (1, 3)]
     whole = [item_received(1 + n / 10, *place) for n, place in enumerate(places)]
-    assert feeds.followers(by_time(process_datagram, whole)).held
+    assert feeds.followers(by_time(sent_items, whole)).held
     for more, held in (
         ([item_received(2, 1, 3)], False),
         ([item_received(2, 1, 2)], False),
@@ -74,21 +74,21 @@
         ([gap, item_received(2, 2, 1), item_received(3, 1, 4)], False),
         ([gap, item_received(2, 1, 5), item_received(3, 2, 2)], False),
     ):
-        assert feeds.followers(by_time(process_datagram, whole, more)).held == held, more
-    assert not feeds.followers(process_datagram).held
+        assert feeds.followers(by_time(sent_items, whole, more)).held == held, more
+    assert not feeds.followers(sent_items).held
 
 
 def test_each_channel_must_have_one_owner_at_the_end_and_few_changes_of_owner():
-    change_over = [fact(9.0, "load_over")]
+    load_over = [fact(9.0, "load_over")]
     steps = [fact(4.0, "step", name="x", phase="begin")]
-    good = by_time(items_of_owner("g1", 1, 0, 5), items_of_owner("g2", 2, 6, 9), change_over, steps)
+    good = by_time(items_of_owner("g1", 1, 0, 5), items_of_owner("g2", 2, 6, 9), load_over, steps)
     assert feeds.owned_again(good, "x", ["c"], 1.0).held
     assert "d has 0 owners" in feeds.owned_again(good, "x", ["c", "d"], 1.0).seen
     assert not feeds.owned_again(by_time(good, [item(8.5, "g1", 1, 99)]), "x", ["c"], 1.0).held
-    assert not feeds.owned_again(by_time(items_of_owner("g1", 1, 0, 5), change_over, steps), "x", ["c"], 1.0).held
+    assert not feeds.owned_again(by_time(items_of_owner("g1", 1, 0, 5), load_over, steps), "x", ["c"], 1.0).held
     assert not feeds.owned_again(good, "y", ["c"], 1.0).held
     assert feeds.steady(good, 1, "x", "").held and not feeds.steady(good, 0, "x", "").held
-    assert feeds.steady(good, 0, "", "x").held and not feeds.steady([*steps, *change_over], 0, "x", "").held
+    assert feeds.steady(good, 0, "", "x").held and not feeds.steady([*steps, *load_over], 0, "x", "").held
 
 
 ZONES = {"g1": "n", "g2": "s", "g3": "n", "g4": "s"}
@@ -125,10 +125,8 @@
 
 def test_rollout_stages_must_be_in_order_spread_over_zones_and_limited():
     assert changes.stages([*UP, *GOOD], ZONES, 1).held and changes.advanced([*UP, *GOOD], list(ZONES)).held
-    tried = [
-        rollout_event(0.5, "g1", "going_over", 1),
-        rollout_event(0.6, "g1", "due", 1),
-    ]  # tried in service, which was not possible
+    # Tried in service, which was not possible.
+    tried = [rollout_event(0.5, "g1", "going_over", 1), rollout_event(0.6, "g1", "due", 1)]
     assert changes.stages([*UP, *tried, *GOOD], ZONES, 1).seen.startswith("4 went over")
     early = changes.stages([*UP, rollout_event(0, "g1", "stage", 1), *without(GOOD, 6)], ZONES, 1)
     assert not early.held and "g3 went in stage 2 and had not found stage 1 well" in early.seen
@@ -140,9 +138,8 @@
     leaving = [process(1, "g1", "leaving"), process(2, "g2", "leaving"), process(3, "g1", "ready")]
     assert changes.stages(by_time(GOOD, leaving), ZONES, 2).held
     assert "g1, g2 are out" in changes.stages(by_time(GOOD, leaving), ZONES, 1).seen
-    assert changes.stages(
-        by_time(GOOD, leaving), ZONES, 1, outage=1.0
-    ).held  # g1 exceeds the outage and does not count any more
+    # g1 exceeds the outage and does not count any more.
+    assert changes.stages(by_time(GOOD, leaving), ZONES, 1, outage=1.0).held
     assert not changes.stages([], ZONES, 1).held
 
 
@@ -197,9 +194,8 @@
         facts[0]["to"] == "g2" and events == ["owned:notices-1"] and observations.resolve(["owner:notices-1"]) == ["g1"]
     )
     assert observations.process_datagram("g2", "g1", datagram("g2", body))[1] == []  # relayed
-    assert (
-        observations.process_datagram("g2", "g1", datagram("g2", [*body[:2], 2, 1, b"", "g2", 7]))[1] == []
-    )  # an older epoch
+    # An older epoch.
+    assert observations.process_datagram("g2", "g1", datagram("g2", [*body[:2], 2, 1, b"", "g2", 7]))[1] == []
     assert observations.process_datagram("g2", "g1", datagram("g2", [*body[:2], 4, 1, b"", "g2", 7]))[1] == [
         "owned:notices-1"
     ]
--- a/tests/testing/rig/test_rare_moments.py
+++ b/tests/testing/rig/test_rare_moments.py
@@ -10,11 +10,12 @@
 from yardbank.testing.rig.scenario import load_scenario, shipped
 
 EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ
+# The smaller fleets get a proportionally tighter bound.
 REDUCTIONS = {
     "moments-drain": {'"8s"': '"3800ms"'},  # no notification or drain is later than that
     "moments-leavers": {'"9s"': '"6s"'},
     "moments-cold": {'"12s"': '"8s"', "multiple = 1.0": "multiple = 0.5"},
-}  # the smaller fleet gets a proportionally tighter bound
+}
 
 
 def small(name, folder):
@@ -57,10 +58,8 @@
     first = {}
     for index, fact in enumerate(facts):
         first.setdefault((fact["kind"], fact.get("gateway"), fact.get("server"), fact.get("reached")), index)
-    for late in (
-        "g2",
-        "g3",
-    ):  # discovery is unreachable: the change is listed meanwhile, and sent when it is reachable again
+    # Discovery is unreachable: the change is listed meanwhile, and sent when it is reachable again.
+    for late in ("g2", "g3"):
         order = [
             ("discovery", late, None, False),
             ("listed", late, "numbers-2", None),
--- a/tests/testing/rig/test_seeded_faults.py
+++ b/tests/testing/rig/test_seeded_faults.py
@@ -53,10 +53,8 @@
     ("deaf_to_stop", "rollout", "12s", 'kind = "stopped"', ASK + STOP, "g1"),
     ("all_near", "atlas", "10s", 'kind = "map"\n  within = "5ms"\n  share = 0.2', FAR, "g1 says "),
 ]
-FAULTS_IN_CI = {
-    "eager",
-    "all_near",
-}  # without "keeps_on": it needs g1 to own a channel when it is cut off, and no step can wait for that
+# Without "keeps_on": it needs g1 to own a channel when it is cut off, and no step can wait for that.
+FAULTS_IN_CI = {"eager", "all_near"}
 
 
 def play(tmp_path, fault, part, length, claim, more):
--- a/tests/testing/soak/test_soak.py
+++ b/tests/testing/soak/test_soak.py
@@ -7,14 +7,8 @@
 import pytest
 
 EVERY = "YARDBANK_EVERY_SCENARIO" in os.environ
-SEEDS = [
-    1,
-    44,
-    113,
-    120,
-    123,
-    211,
-]  # cover drains, resets, repeated signals, hangs, crowds of clients and early departures
+# Cover drains, resets, repeated signals, hangs, crowds of clients and early departures.
+SEEDS = [1, 44, 113, 120, 123, 211]
 FAULTS = {
     "drops_answers": (4, "one answer: "),
     "ignores_drains": (239, "drains kept: "),
--- a/yardbank/testing/audit/claims.py
+++ b/yardbank/testing/audit/claims.py
@@ -46,7 +46,7 @@
 def served(facts: Sequence[Fact], least: float, after: str, until: str, request_class: str) -> Finding:
     """Checks that at least a share ``least`` of the operations that clients started in the window was served.
 
-    An operation counts as served if one of the client's retries was.
+    An operation counts as served if any of its attempts was, retries included.
     """
     window = step_window(facts, after, until)
     if window is None:
@@ -168,7 +168,7 @@
 
 
 def unmoved(facts: Sequence[Fact]) -> Finding:
-    """Checks that no gateway avoids a server because of peers' reports, although gateways received such reports."""
+    """Checks that no gateway avoids a server because of peers' reports, although gateways heard each other."""
     moved = next((fact for fact in facts if fact["kind"] == "hearsay" and fact["doubted"]), None)
     if moved is not None:
         return Finding(False, f"{moved['gateway']} spares {', '.join(moved['doubted'])}", moved)
--- a/yardbank/testing/audit/client_departure.py
+++ b/yardbank/testing/audit/client_departure.py
@@ -21,7 +21,7 @@
     """Tolerances for attempts that cross with the client's departure; times in seconds."""
 
     within: float = 0.1  # an attempt that begins later than this after the departure counts as a case
-    cases: int = 3  # as many cases violate the claim
+    cases: int = 3  # this many cases, or more, violate the claim
     late: float = 0.3  # a waiting request first sent later than this counts for the share
     share: float = 0.25  # a greater share of the requests that waited for their first attempt is a violation
     fewest: int = 5  # but fewer late requests than this are not
--- a/yardbank/testing/audit/rules.py
+++ b/yardbank/testing/audit/rules.py
@@ -106,9 +106,8 @@
         fact["tag"]: fact for fact in facts if fact["kind"] == "sent" and fact.get("need", {}).get("read") == "write"
     }
     applied: dict[str, Fact] = {}
-    at_risk: dict[str, dict[str, Fact]] = defaultdict(
-        dict
-    )  # by tag and server: received, and not known to be unapplied
+    # By tag and server: received, and not known to be unapplied.
+    at_risk: dict[str, dict[str, Fact]] = defaultdict(dict)
     for fact in facts:
         tag = fact.get("tag")
         if not tag or tag not in writes:
--- a/yardbank/testing/audit/stale.py
+++ b/yardbank/testing/audit/stale.py
@@ -19,9 +19,8 @@
     def __init__(self) -> None:
         self.csns: list[str] = []
         self.commit_times: list[float] = []
-        self.position: dict[
-            str, int
-        ] = {}  # by change sequence number, from 1; for a lost commit, the last that survived
+        # By change sequence number, from 1; for a lost commit, the last that survived.
+        self.position: dict[str, int] = {}
         self.lost: set[str] = set()
 
     def append_commit(self, fact: Fact) -> None:
--- a/yardbank/testing/rig/claim.py
+++ b/yardbank/testing/rig/claim.py
@@ -12,11 +12,8 @@
 CHANNEL_CLAIMS = ("owners", "followers", "owned_again", "steady")
 ROLLOUT_CLAIMS = ("stages", "stopped", "advanced")
 DISTRIBUTION_CLAIMS = ("distributed",)
-TIMED_CLAIMS = (
-    "gone_clients",
-    "cold_sum",
-    "told",
-)  # judged by times of single octets, so the rig records its own delays for them
+# Judged by times of single octets, so the rig records its own delays for them.
+TIMED_CLAIMS = ("gone_clients", "cold_sum", "told")
 _REQUIRED_FIELDS = {
     "served": ("least",),
     "serves_again": ("after",),
@@ -83,12 +80,10 @@
     overlap: Duration | None = None  # allowed time with two owners; default: the fleet's overlap
     slack: Duration = 50_000_000  # allowance for the rig's recording delay
     tail: Duration = 1_000_000_000  # last part of the load, in which each channel has one owner
-    share: Annotated[float, Field(ge=0, le=1)] = (
-        0.0  # allowed error of a reported round trip, as a share of it; share of late requests
-    )
+    share: Annotated[float, Field(ge=0, le=1)] = 0.0  # allowed error of a round trip; share of late requests
     within: Duration = 0  # absolute error; or time from departure to attempt, or until all hold a list version
     late: Duration = 300_000_000  # a waiting request first sent later than this after the departure counts as late
-    cases: Annotated[int, Field(gt=0, strict=True)] = 3  # as many cases violate the claim
+    cases: Annotated[int, Field(gt=0, strict=True)] = 3  # this many cases, or more, violate the claim
     fewest: Annotated[int, Field(gt=0, strict=True)] = 5  # late requests from which the share applies
     multiple: Annotated[float, Field(gt=0)] = 2.5  # factor of a cold server's present capacity
     window: Annotated[Duration, Field(gt=0)] = 1_500_000_000
--- a/yardbank/testing/rig/steps.py
+++ b/yardbank/testing/rig/steps.py
@@ -118,9 +118,7 @@
     most: Annotated[int, Field(gt=0, strict=True)] = 1  # gateways out of service at once
     outage: Duration = 3_000_000_000  # longest time out of service of one gateway
     longest: Duration = 60_000_000_000  # longest wait for evidence in one stage
-    chance: Annotated[float, Field(gt=0, le=0.5)] = (
-        0.05  # probability of either wrong verdict; a greater one gives a verdict sooner
-    )
+    chance: Annotated[float, Field(gt=0, le=0.5)] = 0.05  # of either wrong verdict; more of it gives a verdict sooner
     worse_by: Annotated[float, Field(gt=0, le=0.5)] = 0.2  # share of the requests of a class
 
     @model_validator(mode="after")
--- a/yardbank/testing/soak/clients.py
+++ b/yardbank/testing/soak/clients.py
@@ -168,9 +168,8 @@
                 await asyncio.sleep(random.uniform(*BETWEEN_REQUESTS_S))
             if not self.terminated.is_set():
                 connection.leave(abort=False)
-            while (
-                connection.is_open and not self.stopped
-            ):  # after SIGTERM connections are used as long as they are open
+            # After SIGTERM connections are used as long as they are open.
+            while connection.is_open and not self.stopped:
                 await self._use(connection, behaviour, random)
                 await asyncio.sleep(random.uniform(*BETWEEN_REQUESTS_S))
 
