--- a/yardbank/testing/rig/client.py
+++ b/yardbank/testing/rig/client.py
@@ -49,7 +49,7 @@
     def __init__(self, name: str, record: Record | None = None) -> None:
         self.name = name
         self._end = ClientEnd()
-        self._pending: dict[int, _PendingRequest] = {}
+        self._asked: dict[int, _PendingRequest] = {}
         self._record = record
         self.gone = False
         self._closing = self._departed = False
@@ -65,7 +65,7 @@
     @property
     def open_requests(self) -> int:
         """The number of requests without a final answer."""
-        return len(self._pending)
+        return len(self._asked)
 
     def _record_fact(self, kind: str, **facts: Any) -> None:
         if self._record:
@@ -81,7 +81,7 @@
             return done
         raw = codec.encode_operation(operation)
         number, data = self._end.ask(raw, raw[0], control_codec.encode_controls(controls))
-        self._pending[number] = _PendingRequest(done, tag, Answer(LOST))
+        self._asked[number] = _PendingRequest(done, tag, Answer(LOST))
         if tag:
             self._record_fact("sent", tag=tag, message=number, **facts)
         self.transport.write(data)
@@ -104,7 +104,7 @@
                 self.reason = event.reason
                 self._record_fact("notice", reason=event.reason)
                 continue
-            pending = self._pending[event.id]
+            pending = self._asked[event.id]
             try:
                 operation = codec.decode_operation(event.raw.operation)
             except BerError as problem:  # valid envelope, malformed operation: the connection is unusable
@@ -117,7 +117,7 @@
                 pending.answer.references.append(operation.uris)
             if not event.final:
                 continue
-            del self._pending[event.id]
+            del self._asked[event.id]
             assert isinstance(operation, m.Result)
             pending.answer.code, pending.answer.diagnostic = operation.code, operation.diagnostic
             pending.answer.result, pending.answer.controls = (
@@ -135,7 +135,7 @@
         """Completes all open requests."""
         self.gone = True
         self._record_fact("lost", reason=self.reason or reason.getErrorMessage())
-        pending, self._pending = self._pending, {}
+        pending, self._asked = self._asked, {}
         for one in pending.values():
             one.done.callback(Answer(GONE if self._departed else LOST, "connection lost"))
 
@@ -145,13 +145,13 @@
         self._close_if_answered()
 
     def _close_if_answered(self) -> None:
-        if self._closing and not self._pending and not self.gone:
+        if self._closing and not self._asked and not self.gone:
             self.leave()
 
     def depart(self, means: str) -> None:
         """Departs without waiting for answers: by "close" (FIN), "reset", or "abandon" of all open requests."""
         if means == "abandon":
-            pending, self._pending = self._pending, {}
+            pending, self._asked = self._asked, {}
             self.transport.write(b"".join(self._end.abandon(number) for number in pending))
             for one in pending.values():
                 if one.tag:
