--- a/yardbank/testing/demo/runner.py
+++ b/yardbank/testing/demo/runner.py
@@ -1,4 +1,4 @@
-"""What ``yardbank demo`` runs."""
+"""The implementation of ``yardbank demo``."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from yardbank.testing.audit import judge
 from yardbank.testing.audit.report import as_dict, show
 from yardbank.testing.audit.summary import ClassRow, by_class, table
-from yardbank.testing.demo.day import ENTRIES, Day
+from yardbank.testing.demo.day import ENTRIES, FaultScript
 from yardbank.testing.demo.world import BASE, DESK_DN, DESK_PASSWORD, NUMBERS, REQUESTS, Recorder, World
 from yardbank.testing.standin.cluster import Timing
 
@@ -37,14 +37,14 @@
 
 
 def write_json(path: Path, value: Any) -> None:
-    """A file that is there whole or not at all."""
+    """Writes a JSON file atomically."""
     write_atomically(path, json.dumps(value, indent=2) + "\n")
 
 
 def _row(row: ClassRow) -> dict[str, Any]:
     return {
         "class": row.name,
-        "requests": row.asked,
+        "requests": row.requests,
         "served": row.served,
         "from_copies": row.by_copy,
         "from_primary": row.by_primary,
@@ -55,20 +55,20 @@
 
 
 def run_day(seed: int, seconds: float, daemon: bool, json_file: Path | None, record_file: Path | None) -> int:
-    """Play the day and judge it; exit code 0 if every rule was held."""
+    """Runs the demonstration and checks its record; exit code 0 if no rule was violated."""
     reactor = _reactor()
     scale = seconds / 30
     record = Recorder(record_file)
     timing = Timing(detect=1.2 * scale, elect=1.2 * scale, hand_over=0.4 * scale)
     world = World(reactor, record, seed=seed, daemon=daemon, timing=timing)
     world.load(ENTRIES)
-    day = Day(world, scale)
+    script = FaultScript(world, scale)
     failed: list[Any] = []
     click.echo(
-        f"A bad day of {seconds:g} s: 6 stand-ins in 2 groups, {len(day.sessions)} clients, "
+        f"A bad day of {seconds:g} s: 6 stand-ins in 2 groups, {len(script.sessions)} clients, "
         f"the gateway {'as a process' if daemon else 'embedded'}."
     )
-    done = day.play(click.echo)
+    done = script.play(click.echo)
     done.addErrback(failed.append)
     done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
@@ -85,7 +85,7 @@
             json_file,
             {
                 **as_dict(verdict),
-                "troubles": day.played,
+                "troubles": script.played,
                 "seed": seed,
                 "seconds": seconds,
                 "classes": [_row(row) for row in rows],
@@ -95,7 +95,7 @@
 
 
 def run_stay(json_file: Path | None, seed: int) -> int:
-    """Keep the stack up until interrupted, for any LDAP client."""
+    """Runs gateway and servers until interrupted, for use by any LDAP client."""
     reactor = _reactor()
     world = World(reactor, Recorder(), seed=seed, session_by="identity")
     world.load(ENTRIES)
