--- a/yardbank/__init__.py
+++ b/yardbank/__init__.py
@@ -1,4 +1,4 @@
-"""yardbank: routing of reads and writes in a replicated store, read-after-write at session level."""
+"""yardbank: splits reads and writes across primaries and replicas, with read-after-write consistency per session."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -10,7 +10,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load the decision module when it is asked for: programs have signals to mind before that."""
+    """Import the decision module on first use: programs set up signal handling before that."""
     if name == "Router":
         from yardbank.policy import Router
 
--- a/yardbank/cli/__init__.py
+++ b/yardbank/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one command a file (click), results on standard output, faults on standard error."""
+"""The command line interface (click): one module per command, results on stdout, errors on stderr."""
 
 from __future__ import annotations
 
--- a/yardbank/cli/audit.py
+++ b/yardbank/cli/audit.py
@@ -14,7 +14,7 @@
 @click.argument("record", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as JSON.")
 def audit(record: Path, as_json: bool) -> None:
-    """Judge the five rules from a RECORD of what crossed the sockets. Exit code 1: a rule was broken."""
+    """Check the five rules against a RECORD of the traffic on all sockets. Exit code 1: a rule was broken."""
     from yardbank.testing.audit import judge, read_record
     from yardbank.testing.audit.report import show
 
--- a/yardbank/cli/check.py
+++ b/yardbank/cli/check.py
@@ -15,7 +15,7 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Check the settings in FILE and say what will be routed how."""
+    """Check the settings in FILE and show how each kind of request will be routed."""
     config = load_or_exit(file)
     console = Console(width=120)
     console.print(
@@ -40,25 +40,27 @@
     classes = Table(title="Classes", title_justify="left")
     for column in ("class", "goes to", "effect", "aim", "deadline", "worth"):
         classes.add_column(column)
-    goes = {
+    destinations = {
         "any": "any member",
         "session": "a copy that has the session's writes, else the primary",
         "fresh": "the primary",
         "write": "the primary",
     }
-    for made in build.request_classes(config):
-        where = goes.get(made.read, f"a copy at most {made.staleness_bound / 1e6:.0f} ms behind, else the primary")
+    for configured in build.request_classes(config):
+        destination = destinations.get(
+            configured.read, f"a copy at most {configured.staleness_bound / 1e6:.0f} ms behind, else the primary"
+        )
         classes.add_row(
-            made.name,
-            where,
-            made.effect,
-            f"{made.latency_objective / 1e6:.0f} ms",
-            f"{made.deadline / 1e6:.0f} ms",
-            f"{made.priority_weight:g}",
+            configured.name,
+            destination,
+            configured.effect,
+            f"{configured.latency_objective / 1e6:.0f} ms",
+            f"{configured.deadline / 1e6:.0f} ms",
+            f"{configured.priority_weight:g}",
         )
     console.print(classes)
-    unmatched = [kind.name for kind in config.classes if not kind.match]
-    if unmatched:
-        console.print(f"Nothing is routed as {', '.join(unmatched)}: no match block.")
+    classes_without_match = [kind.name for kind in config.classes if not kind.match]
+    if classes_without_match:
+        console.print(f"Nothing is routed as {', '.join(classes_without_match)}: no match block.")
     for warning in advice.warnings(config):
         console.print(f"Warning: {warning}", markup=False, highlight=False)
--- a/yardbank/cli/common.py
+++ b/yardbank/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: settings or a plain fault, logs, exit codes."""
+"""Shared by several commands: loading of settings with error reports, logging setup, exit codes."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 from yardbank.config import Config, ConfigError, load
 
-Checked = TypeVar("Checked")
-EXIT_FAULT = 2  # bad settings, arguments or input
+Parsed = TypeVar("Parsed")
+EXIT_FAULT = 2  # invalid settings, arguments or input
 
 
-def checked_or_exit(read: Callable[[Path], Checked], path: Path) -> Checked:
-    """What a file holds; otherwise one line for each fault and exit code 2."""
+def checked_or_exit(read: Callable[[Path], Parsed], path: Path) -> Parsed:
+    """Return what ``read`` makes of the file; on errors print one line for each and exit with code 2."""
     try:
         return read(path)
     except ConfigError as problem:
@@ -28,14 +28,17 @@
 
 
 def load_or_exit(path: Path) -> Config:
-    """Checked settings, or the exit."""
+    """Load and check settings; on errors print them and exit with code 2."""
     return checked_or_exit(load, path)
 
 
-def set_up_logs(level: str, form: str) -> Any:
-    """Structured logs on standard error, JSON lines or a console; one write a line, as workers share the file."""
+def set_up_logs(level: str, output_format: str) -> Any:
+    """Set up structured logs on stderr, as JSON lines or console text.
+
+    Each line is a single write, because workers share the file.
+    """
     renderer: Any = (
-        structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
+        structlog.processors.JSONRenderer() if output_format == "json" else structlog.dev.ConsoleRenderer(colors=False)
     )
     structlog.configure(
         processors=[
--- a/yardbank/cli/embedded_gateway.py
+++ b/yardbank/cli/embedded_gateway.py
@@ -1,9 +1,9 @@
-"""A gateway under a supervisor whose program carries channels; scenarios of the rig start it.
+"""A supervised gateway that also serves channels; scenarios of the test rig start it as a process.
 
 Run as ``python -m yardbank.cli.embedded_gateway COUNT serve FILE``.
 
-The example's notices (``examples/porting_notices.py``) beside the daemon's own worker, so that a fleet that carries
-channels can go through a rollout.
+Adds the notices of ``examples/porting_notices.py`` to the daemon's worker, so that a rollout can be tested on a fleet
+that serves channels.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 from yardbank.testing.rig.notices import EXAMPLE, PUBLISH_PERIOD_S
 
 
-def carrying(count: int) -> Any:
-    """The gateway with so many channels."""
+def proxy_with_channels(count: int) -> Any:
+    """Return a proxy class that serves ``count`` channels."""
     from yardbank.proxy import Proxy
 
-    made: Any = runpy.run_path(str(EXAMPLE))["Notices"]
+    notices_class: Any = runpy.run_path(str(EXAMPLE))["Notices"]
 
-    class Carrying(Proxy):
-        """Begins to own and follow as it begins to listen."""
+    class ChannelProxy(Proxy):
+        """Starts to own and follow channels when it starts to listen."""
 
         def start(self) -> None:
             super().start()
             from twisted.internet import reactor
 
             names = [f"notices-{number}" for number in range(1, count + 1)]
-            self.notices = made(self.channels, reactor, self.log, names, PUBLISH_PERIOD_S)
+            self.notices = notices_class(self.channels, reactor, self.log, names, PUBLISH_PERIOD_S)
 
-    return Carrying
+    return ChannelProxy
 
 
 def main() -> None:
-    """Serve."""
+    """Run the command line with a proxy that serves COUNT channels."""
     from yardbank.cli import main as command
     from yardbank.daemon import worker
 
-    worker.Proxy = carrying(int(sys.argv[1]))  # type: ignore[attr-defined]  # the daemon's worker makes one of it
+    worker.Proxy = proxy_with_channels(int(sys.argv[1]))  # type: ignore[attr-defined]  # the daemon's worker instantiates it
     sys.argv = ["yardbank", *sys.argv[2:]]
     command()
 
--- a/yardbank/cli/fleet.py
+++ b/yardbank/cli/fleet.py
@@ -20,15 +20,18 @@
 from yardbank.state.snapshot import Snapshot, SnapshotError
 from yardbank.state.store import Store, StoreError
 
-EXIT_HELD = 3
+EXIT_HELD_BACK = 3
 
 FILE = click.argument("file", type=click.Path(path_type=Path))
 SETTINGS = click.option(
-    "--settings", type=click.Path(path_type=Path), required=True, help="The gateway's settings, for groups and paths."
+    "--settings",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="The gateway's settings, which name groups and paths.",
 )
 
 
-def _read(path: Path, config: Config) -> ServerListDocument:
+def _load_list(path: Path, config: Config) -> ServerListDocument:
     try:
         return read_set(read_files(path), build.fleet_groups(config))
     except ServerListError as problem:
@@ -39,23 +42,23 @@
     sys.exit(EXIT_FAULT)
 
 
-def _in_force(settings: Path, config: Config) -> tuple[ServerSpec, ...]:
+def _active_servers(settings: Path, config: Config) -> tuple[ServerSpec, ...]:
     if config.membership is None:
         return build.servers(config)
-    return _read(settings.parent / config.membership.path, config).servers
+    return _load_list(settings.parent / config.membership.path, config).servers
 
 
 @click.group(name="list")
 def fleet_list() -> None:
-    """The list of servers: check it, compare it, put it in place."""
+    """Check, show, compare and apply server lists."""
 
 
 @fleet_list.command()
 @FILE
 @SETTINGS
 def check(file: Path, settings: Path) -> None:
-    """Check a list FILE, or a directory of parts; exit code 2 names each fault."""
-    fleet = _read(file, load_or_exit(settings))
+    """Check a list FILE, or a directory of parts. Exit code 2: it has errors, which are printed."""
+    fleet = _load_list(file, load_or_exit(settings))
     click.echo(f"{file}: fine. {len(fleet.servers)} servers, digest {fleet.digest}.")
 
 
@@ -63,11 +66,11 @@
 @FILE
 @SETTINGS
 def show(file: Path, settings: Path) -> None:
-    """Show the servers of a list."""
+    """Show the servers in a list."""
     table = Table()
     for column in ("server", "group", "zone", "address", "role", "state", "weight"):
         table.add_column(column)
-    for s in _read(file, load_or_exit(settings)).servers:
+    for s in _load_list(file, load_or_exit(settings)).servers:
         role = "primary" if s.primary else "copy"
         table.add_row(s.name, s.group, s.zone, f"{s.host}:{s.port}", role, s.state, f"{s.weight:g}")
     Console(width=120).print(table)
@@ -77,27 +80,27 @@
 @FILE
 @SETTINGS
 def diff(file: Path, settings: Path) -> None:
-    """What FILE would change of the list in force; exit code 3 if it would be held back."""
+    """Show what FILE would change in the active list. Exit code 3: gateways would hold it back."""
     config = load_or_exit(settings)
-    _tell(_in_force(settings, config), _read(file, config))
+    _print_changes(_active_servers(settings, config), _load_list(file, config))
 
 
-def _tell(old: tuple[ServerSpec, ...], fleet: ServerListDocument) -> None:
+def _print_changes(old: tuple[ServerSpec, ...], fleet: ServerListDocument) -> None:
     change = compare(old, fleet.servers)
     click.echo("\n".join(change.lines()) or "no change")
     if reason := suspicion(old, fleet.servers):
         click.echo(f"would be held back: {reason}")
-        sys.exit(EXIT_HELD)
+        sys.exit(EXIT_HELD_BACK)
 
 
 @fleet_list.command()
 @FILE
 @SETTINGS
-@click.option("--force", is_flag=True, help="Apply also what would be held back.")
+@click.option("--force", is_flag=True, help="Apply a change even if it would be held back.")
 def apply(file: Path, settings: Path, force: bool) -> None:
-    """Put FILE in place of the watched list, in one step; gateways take it from there.
+    """Replace the watched list with FILE atomically; gateways read it from there.
 
-    With --force the file says so itself (``force = true``), and gateways do not hold it back.
+    With --force the written file contains ``force = true``, so that gateways do not hold it back.
     """
     config = load_or_exit(settings)
     if config.membership is None:
@@ -107,24 +110,24 @@
     if target.is_dir():
         click.echo(f"yardbank: {target}: a directory of parts; change its parts", err=True)
         sys.exit(EXIT_FAULT)
-    fleet = _read(file, config)
-    old = _read(target, config).servers if target.exists() else ()
+    fleet = _load_list(file, config)
+    old = _load_list(target, config).servers if target.exists() else ()
     reason = suspicion(old, fleet.servers)
     if reason and not force:
         click.echo(f"yardbank: held back: {reason}; --force applies it", err=True)
-        sys.exit(EXIT_HELD)
-    part = target.with_name(f".{target.name}.new")
-    part.write_text(("force = true\n\n" if reason else "") + render(fleet.servers, fleet.set_name))
-    os.replace(part, target)
+        sys.exit(EXIT_HELD_BACK)
+    temporary = target.with_name(f".{target.name}.new")
+    temporary.write_text(("force = true\n\n" if reason else "") + render(fleet.servers, fleet.set_name))
+    os.replace(temporary, target)
     click.echo(f"{target}: {len(fleet.servers)} servers in place.")
 
 
 @click.group()
 def state() -> None:
-    """The durable state of a gateway."""
+    """Show and verify the durable state of a gateway."""
 
 
-def _snapshot(path: Path) -> Snapshot:
+def _load_snapshot(path: Path) -> Snapshot:
     try:
         store = Store(path, create=False)
         found = store.read_only()
@@ -141,11 +144,13 @@
 @state.command(name="show")
 @click.argument("path", type=click.Path(path_type=Path))
 def show_state(path: Path) -> None:
-    """Show what the state in directory PATH holds."""
-    found = _snapshot(path)
+    """Show the contents of the state in directory PATH."""
+    found = _load_snapshot(path)
     written = datetime.fromtimestamp(found.written, UTC)
-    how = "last word of a stop in good order" if found.clean else "of a running or killed gateway"
-    click.echo(f"written {written:%Y-%m-%d %H:%M:%S} UTC, list version {found.version}, run {found.generation}, {how}")
+    source = "last word of a stop in good order" if found.clean else "of a running or killed gateway"
+    click.echo(
+        f"written {written:%Y-%m-%d %H:%M:%S} UTC, list version {found.version}, run {found.generation}, {source}"
+    )
     table = Table()
     for column in ("server", "group", "state", "role", "marks told"):
         table.add_column(column)
@@ -157,6 +162,6 @@
 @state.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def verify(path: Path) -> None:
-    """Check the state in directory PATH; exit code 2 says what is wrong with it."""
-    found = _snapshot(path)
+    """Check the state in directory PATH. Exit code 2: it is unusable, and the reason is printed."""
+    found = _load_snapshot(path)
     click.echo(f"{path}: fine. {len(found.servers)} servers, list version {found.version}.")
--- a/yardbank/cli/peers.py
+++ b/yardbank/cli/peers.py
@@ -17,10 +17,10 @@
 
 @click.group()
 def peers() -> None:
-    """The other gateways of the fleet, as one of them sees them."""
+    """Show the other gateways of the fleet as one gateway sees them."""
 
 
-def _age(milliseconds: int | None) -> str:
+def _age_text(milliseconds: int | None) -> str:
     return "never" if milliseconds is None else f"{milliseconds / 1e3:.1f} s"
 
 
@@ -28,7 +28,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="Print the view as JSON.")
 def show(file: Path, as_json: bool) -> None:
-    """Show the view of the gateway that runs by the settings in FILE, with ages as of its writing."""
+    """Show the view of the gateway that runs with the settings in FILE; ages are those when it was written."""
     block = load_or_exit(file).peers
     if block is None:
         click.echo(f"yardbank: {file}: no peers block: this gateway knows of no others", err=True)
@@ -40,12 +40,12 @@
     console = Console(width=120)
     _print_heading(console, view)
     _print_peers(console, view)
-    _print_words(console, view)
+    _print_server_reports(console, view)
     _print_totals(console, view)
 
 
 def _read_view(path: Path) -> Any:
-    """The view as the gateway wrote it; ends the command where there is none."""
+    """Read the view that the gateway wrote; exit with code 2 if it cannot be read."""
     try:
         return json.loads(path.read_text(encoding="utf-8"))
     except OSError as problem:
@@ -71,25 +71,35 @@
     table = Table()
     for column in ("peer", "state", "incarnation", "for", "heard itself"):
         table.add_column(column)
-    for name, one in sorted(view["peers"].items()):
-        table.add_row(name, one["state"], str(one["incarnation"]), _age(one["changed_ms"]), _age(one["heard_ms"]))
+    for name, entry in sorted(view["peers"].items()):
+        table.add_row(
+            name,
+            entry["state"],
+            str(entry["incarnation"]),
+            _age_text(entry["changed_ms"]),
+            _age_text(entry["heard_ms"]),
+        )
     console.print(table)
 
 
-def _print_words(console: Console, view: Any) -> None:
-    words = Table(title="Words on servers", title_justify="left")
+def _print_server_reports(console: Console, view: Any) -> None:
+    server_table = Table(title="Words on servers", title_justify="left")
     for column in ("server", "spared by hearsay for", "who says what, how long ago"):
-        words.add_column(column)
-    for name, one in sorted(view["servers"].items()):
-        said = ", ".join(f"{who} {word['kind']} {_age(word['age_ms'])}" for who, word in sorted(one["words"].items()))
-        words.add_row(name, _age(one["doubted_ms"]) if one["doubted_ms"] else "", said)
-    console.print(words)
+        server_table.add_column(column)
+    for name, entry in sorted(view["servers"].items()):
+        reports = ", ".join(
+            f"{who} {word['kind']} {_age_text(word['age_ms'])}" for who, word in sorted(entry["words"].items())
+        )
+        server_table.add_row(name, _age_text(entry["doubted_ms"]) if entry["doubted_ms"] else "", reports)
+    console.print(server_table)
 
 
 def _print_totals(console: Console, view: Any) -> None:
-    totals = Table(title="Counts over the fleet", title_justify="left")
+    total_table = Table(title="Counts over the fleet", title_justify="left")
     for column in ("count", "sum", "gateways in it", "missing", "oldest part"):
-        totals.add_column(column)
-    for key, one in sorted(view["totals"].items()):
-        totals.add_row(key, str(one["value"]), str(one["parts"]), str(one["missing"]), _age(one["oldest_ms"]))
-    console.print(totals)
+        total_table.add_column(column)
+    for key, entry in sorted(view["totals"].items()):
+        total_table.add_row(
+            key, str(entry["value"]), str(entry["parts"]), str(entry["missing"]), _age_text(entry["oldest_ms"])
+        )
+    console.print(total_table)
--- a/yardbank/cli/plan.py
+++ b/yardbank/cli/plan.py
@@ -22,15 +22,15 @@
 from yardbank.server_list.document import ServerListError, read_plans, read_set
 from yardbank.server_list.watcher import read_files
 
-EXIT_INFEASIBLE, EXIT_HELD = 4, 3
+EXIT_INFEASIBLE, EXIT_HELD_BACK = 4, 3
 
 
 @click.group()
 def plan() -> None:
-    """Shares of reads worked out ahead."""
+    """Compute, compare and apply plans: precomputed shares of reads for each server."""
 
 
-def _solved(
+def _solve_file(
     file: Path, before: Path | None = None, without: tuple[str, ...] = (), seconds: float = 0.0
 ) -> tuple[Problem, Plan, bytes]:
     old: dict[tuple[str, str, str], dict[str, float]] = {}
@@ -73,11 +73,13 @@
 @plan.command(name="solve")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--zone", help="Write the weights for this zone's gateways.")
-@click.option("--out", type=click.Path(path_type=Path), help="Where to: a part of a watched list.")
-@click.option("--fade", default="1h", show_default=True, help="So old, the plan begins to give way to equal shares.")
-@click.option("--from", "before", type=click.Path(path_type=Path), help="The plan in force, as JSON, for most_moved.")
-@click.option("--relax", multiple=True, type=click.Choice(RELAXABLE), help="Take these limits away; the plan says so.")
-@click.option("--seconds", type=click.FloatRange(0), default=60.0, show_default=True, help="Bound of each program.")
+@click.option("--out", type=click.Path(path_type=Path), help="File to write them to: a part of a watched list.")
+@click.option("--fade", default="1h", show_default=True, help="Age at which the plan starts to fade to equal shares.")
+@click.option("--from", "before", type=click.Path(path_type=Path), help="The active plan, as JSON, for most_moved.")
+@click.option("--relax", multiple=True, type=click.Choice(RELAXABLE), help="Drop these limits; the plan names them.")
+@click.option(
+    "--seconds", type=click.FloatRange(0), default=60.0, show_default=True, help="Time limit per linear program."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the plan as JSON.")
 def solve_command(
     file: Path,
@@ -89,8 +91,8 @@
     seconds: float,
     as_json: bool,
 ) -> None:
-    """Solve the model in FILE. Exit code 4: nothing is feasible, and nothing is written."""
-    problem, found, data = _solved(file, before, relax, seconds)
+    """Solve the model in FILE. Exit code 4: no plan is feasible, and nothing is written."""
+    problem, found, data = _solve_file(file, before, relax, seconds)
     _stop_if_infeasible(found)
     try:
         duration(fade)
@@ -101,9 +103,9 @@
         click.echo("yardbank: --out and --zone belong together", err=True)
         sys.exit(EXIT_FAULT)
     if out is not None and zone is not None:
-        part = out.with_name(f".{out.name}.new")
-        part.write_text(render(problem, found, zone, data, time.time(), fade, " ".join(relax)))
-        os.replace(part, out)
+        temporary = out.with_name(f".{out.name}.new")
+        temporary.write_text(render(problem, found, zone, data, time.time(), fade, " ".join(relax)))
+        os.replace(temporary, out)
     if as_json:
         shares = [
             {"class": kind, "group": group, "zone": asked, "shares": by_server}
@@ -113,9 +115,9 @@
         whole |= {"gap": found.gap, "proven": found.proven, "relaxed": list(relax)}
         click.echo(json.dumps(whole, indent=2))
         return
-    marks = "" if found.proven else f"; NOT PROVEN: at most {found.gap:.2%} of reads above the least"
-    marks += f"; WITHOUT {' '.join(relax)}" if relax else ""
-    table = Table(title=f"Shares; {found.crossing:g}/s between zones{marks}", title_justify="left")
+    remarks = "" if found.proven else f"; NOT PROVEN: at most {found.gap:.2%} of reads above the least"
+    remarks += f"; WITHOUT {' '.join(relax)}" if relax else ""
+    table = Table(title=f"Shares; {found.crossing:g}/s between zones{remarks}", title_justify="left")
     for column in ("class", "group", "asked in", "server", "share"):
         table.add_column(column)
     for (kind, group, asked), by_server in sorted(found.shares.items()):
@@ -127,8 +129,8 @@
 @plan.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def explain(file: Path) -> None:
-    """Say which limits hold the plan of FILE back, how full servers are, or why there is none."""
-    problem, found, _ = _solved(file)
+    """Show the utilization of servers and which limits cost cross-zone traffic, or why there is no plan for FILE."""
+    problem, found, _ = _solve_file(file)
     _stop_if_infeasible(found)
     for server in problem.servers:
         click.echo(f"{server.name}: {found.used[server.name]:.0%} of {server.usable:g}/s")
@@ -136,8 +138,8 @@
         click.echo(line)
 
 
-def _plans(file: Path) -> tuple[MadePlan, ...]:
-    """The plans in a file. Ends the program with a fault if it is none."""
+def _load_plans(file: Path) -> tuple[MadePlan, ...]:
+    """Read the plans in a file; exit with code 2 if it holds none or has errors."""
     try:
         return read_plans(read_files(file))
     except ServerListError as problem:
@@ -152,26 +154,26 @@
 @click.argument("old", type=click.Path(path_type=Path))
 @click.argument("new", type=click.Path(path_type=Path))
 def diff(old: Path, new: Path) -> None:
-    """Say what plan NEW changes of plan OLD, zone by zone, and which part of the reads moves."""
-    before, after = ({made.zone: made for made in _plans(file)} for file in (old, new))
+    """Show what plan NEW changes against plan OLD in each zone, and what share of reads moves."""
+    before, after = ({made.zone: made for made in _load_plans(file)} for file in (old, new))
     for zone in sorted({*before, *after}):
         if zone not in before or zone not in after:
             click.echo(f"zone {zone}: only in {new if zone in after else old}")
             continue
-        one, two = before[zone].weights, after[zone].weights
-        click.echo(f"zone {zone}: {moved(one, two):.1%} of reads move")
-        for name in sorted({*one, *two}):
-            if one.get(name) != two.get(name):
-                click.echo(f"  {name}: {one.get(name, 0):g} -> {two.get(name, 0):g}")
+        old_weights, new_weights = before[zone].weights, after[zone].weights
+        click.echo(f"zone {zone}: {moved(old_weights, new_weights):.1%} of reads move")
+        for name in sorted({*old_weights, *new_weights}):
+            if old_weights.get(name) != new_weights.get(name):
+                click.echo(f"  {name}: {old_weights.get(name, 0):g} -> {new_weights.get(name, 0):g}")
 
 
 @plan.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--settings", type=click.Path(path_type=Path), required=True, help="The gateways' settings.")
+@click.option("--settings", type=click.Path(path_type=Path), required=True, help="Settings of the gateways.")
 def apply(file: Path, settings: Path) -> None:
-    """Put the plan FILE in place, beside the watched list. Exit code 3: it was made for another list."""
+    """Put the plan FILE into the directory of the watched list. Exit code 3: it was made for another list."""
     config = load_or_exit(settings)
-    plans = _plans(file)
+    plans = _load_plans(file)
     if config.membership is None or not (target := settings.parent / config.membership.path).is_dir():
         click.echo(f"yardbank: {settings}: membership: a plan needs a watched directory of parts", err=True)
         sys.exit(EXIT_FAULT)
@@ -183,8 +185,8 @@
     wanted = list_hash(fleet.servers)
     if any(made.list_hash != wanted for made in plans):
         click.echo(f"yardbank: {file}: made for another list than the one in {target}; solve it anew", err=True)
-        sys.exit(EXIT_HELD)
-    part = target / ".plan.new"
-    part.write_bytes(file.read_bytes())
-    os.replace(part, target / "plan.hcl")
+        sys.exit(EXIT_HELD_BACK)
+    temporary = target / ".plan.new"
+    temporary.write_bytes(file.read_bytes())
+    os.replace(temporary, target / "plan.hcl")
     click.echo(f"{target / 'plan.hcl'}: in place for zones {', '.join(made.zone for made in plans)}")
--- a/yardbank/cli/rig.py
+++ b/yardbank/cli/rig.py
@@ -26,12 +26,12 @@
 
 @click.group()
 def rig() -> None:
-    """Many processes of the program, faults between them, and claims judged from what crossed the sockets."""
+    """Run many gateway processes, inject faults between them, and check claims against the recorded traffic."""
 
 
 @rig.command("list")
 def list_() -> None:
-    """Scenarios that come with the program."""
+    """List the scenarios that are shipped with the program."""
     from yardbank.testing.rig.scenario import load_scenario, shipped
 
     for name, path in shipped().items():
@@ -41,7 +41,7 @@
 @rig.command()
 @click.argument("file")
 def check(file: str) -> None:
-    """Check a scenario: a FILE, or the name of one that comes with the program."""
+    """Check a scenario: a FILE, or the name of a shipped one."""
     scenario = _load(file)
     steps = "\n".join(f"  {step.name}: {step.do}" for step in scenario.step)
     click.echo(
@@ -52,11 +52,20 @@
 
 @rig.command()
 @click.argument("file")
-@click.option("--seed", type=click.IntRange(0), help="Instead of the scenario's own.")
-@click.option("--json", "json_file", type=click.Path(path_type=Path), help="Write claims and latencies here.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Keep record, logs and settings in this new folder.")
+@click.option("--seed", type=click.IntRange(0), help="Overrides the seed of the scenario.")
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(path_type=Path),
+    help="Write claim results and latencies to this file.",
+)
+@click.option(
+    "--keep",
+    type=click.Path(path_type=Path),
+    help="Keep record, logs and settings in this empty or new folder.",
+)
 def run(file: str, seed: int | None, json_file: Path | None, keep: Path | None) -> None:
-    """Play a scenario. Exit code 0: every claim holds; 1: one does not; 2: a fault of the scenario or the machine."""
+    """Run a scenario. Exit code 0: all claims hold; 1: a claim failed; 2: the scenario or the machine has an error."""
     from yardbank.testing.rig.play import Play, PlayError, steady_reactor
     from yardbank.testing.rig.verdict import as_dict, verdicts
 
@@ -69,13 +78,13 @@
     folder.mkdir(parents=True, exist_ok=True)
     reactor = steady_reactor()
     play = Play(reactor, scenario, folder.resolve(), seed=seed, say=click.echo)
-    ended: list[Any] = []  # None, or what went wrong
-    play.run().addBoth(ended.append).addBoth(lambda _: reactor.callLater(0, reactor.stop))
+    outcomes: list[Any] = []  # None, or the failure
+    play.run().addBoth(outcomes.append).addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
-    if not ended:
+    if not outcomes:
         click.echo(f"yardbank: {file}: interrupted, so nothing is judged; its folder: {folder}", err=True)
         sys.exit(EXIT_FAULT)
-    failed = [problem for problem in ended if problem is not None]
+    failed = [problem for problem in outcomes if problem is not None]
     if failed:
         problem = failed[0]
         text = str(problem.value) if problem.check(PlayError) else problem.getTraceback()
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -17,13 +17,13 @@
     from yardbank.cluster.rollout.active_version import Started
 
 
-def _in_force(file: Path, config: Config, log: Any) -> tuple[Started, Path, Config]:
-    """How this process was started, the settings file in force, and what it says."""
+def _active_settings(file: Path, config: Config, log: Any) -> tuple[Started, Path, Config]:
+    """Return how this process was started, the active settings file, and its contents."""
     from yardbank.cluster.rollout.active_version import ActiveVersion, Started, of_worker
 
     try:
         started = of_worker(os.environ, file)
-    except ValueError as problem:  # it runs by what it was started with, and says so
+    except ValueError as problem:  # fall back to the settings given at start, and log the error
         log.error("active_version_unreadable", fault=str(problem))
         started = Started(ActiveVersion(), file, False)
     if not started.supervised and started.active_version.now.program:
@@ -42,11 +42,23 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="Processes on one port.")
-@click.option("--record", type=click.Path(path_type=Path), help="Write what happens to this file, as JSON lines.")
-@click.option("--clock-rate", type=click.FloatRange(0.1, 10), default=1.0, hidden=True, help="For tests of the fleet.")
-@click.option("--clock-offset", type=float, default=0.0, hidden=True, help="Of the wall clock, in seconds; for tests.")
-@click.option("--supervised", is_flag=True, help="Keep one worker running, through rollouts too.")
+@click.option(
+    "--workers",
+    type=click.IntRange(1, 64),
+    default=1,
+    show_default=True,
+    help="Processes sharing the port.",
+)
+@click.option("--record", type=click.Path(path_type=Path), help="Record all events in this file, as JSON lines.")
+@click.option(
+    "--clock-rate",
+    type=click.FloatRange(0.1, 10),
+    default=1.0,
+    hidden=True,
+    help="Rate of the clock; for fleet tests.",
+)
+@click.option("--clock-offset", type=float, default=0.0, hidden=True, help="Wall clock offset in seconds; for tests.")
+@click.option("--supervised", is_flag=True, help="Keep one worker running, also across rollouts.")
 @click.option("--worker", type=int, hidden=True, help="This process is worker N of --workers.")
 def serve(
     file: Path,
@@ -57,9 +69,9 @@
     supervised: bool,
     worker: int | None,
 ) -> None:
-    """Run a gateway by the settings in FILE. SIGTERM drains and stops it, SIGHUP reads FILE again.
+    """Run a gateway with the settings in FILE. SIGTERM drains and stops it, SIGHUP reloads FILE.
 
-    With a rollout block, what a rollout has brought is in force in place of FILE (rollout-in-force.json beside it).
+    With a rollout block, settings that a rollout has activated replace FILE (rollout-in-force.json beside it).
     """
     from yardbank.daemon import run_supervisor, run_worker
     from yardbank.daemon.clocks import Clocks
@@ -84,7 +96,7 @@
         options += ["--clock-rate", str(clock_rate), "--clock-offset", str(clock_offset)] if clocks.odd else []
         sys.exit(run_versioned_supervisor(file, config.rollout.young, options, log))
     if config.rollout is not None:
-        started, file, config = _in_force(file, config, log)
+        started, file, config = _active_settings(file, config, log)
     try:
         if workers > 1 and worker is None:
             code = run_supervisor(file, config, workers, record, log)
--- a/yardbank/files.py
+++ b/yardbank/files.py
@@ -1,4 +1,4 @@
-"""Files that others read while they are written."""
+"""Atomic writes of files that other processes read."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """A file that is there whole or not at all. Raises ``OSError``."""
-    part = path.with_name(path.name + ".part")
-    part.write_text(text, encoding="utf-8")
-    os.replace(part, path)
+    """Write to a temporary file and rename it, so that readers see it whole or not at all. Raises ``OSError``."""
+    temporary = path.with_name(path.name + ".part")
+    temporary.write_text(text, encoding="utf-8")
+    os.replace(temporary, path)
