--- a/yardbank/cli/plan.py
+++ b/yardbank/cli/plan.py
@@ -16,7 +16,7 @@
 from yardbank.config import build
 from yardbank.config.base import duration
 from yardbank.plan.active_plan import MadePlan, list_hash
-from yardbank.plan.document import PlanError, moved, read_problem, render
+from yardbank.plan.document import PlanError, moved_share, read_problem, render
 from yardbank.plan.model import RELAXABLE, Problem, relaxed
 from yardbank.plan.solver import Plan, solve
 from yardbank.server_list.document import ServerListError, read_plans, read_set
@@ -161,7 +161,7 @@
             click.echo(f"zone {zone}: only in {new if zone in after else old}")
             continue
         old_weights, new_weights = before[zone].weights, after[zone].weights
-        click.echo(f"zone {zone}: {moved(old_weights, new_weights):.1%} of reads move")
+        click.echo(f"zone {zone}: {moved_share(old_weights, new_weights):.1%} of reads move")
         for name in sorted({*old_weights, *new_weights}):
             if old_weights.get(name) != new_weights.get(name):
                 click.echo(f"  {name}: {old_weights.get(name, 0):g} -> {new_weights.get(name, 0):g}")
--- a/yardbank/plan/__init__.py
+++ b/yardbank/plan/__init__.py
@@ -1,6 +1,7 @@
-"""Shares of reads worked out ahead: a model without I/O, solved by HiGHS, settled in exact rationals; and their use.
+"""Plans: precomputed shares of reads for each server, and how a gateway applies them.
 
-The solver is loaded when it is first asked for: a gateway that only uses plans does not need it.
+The model has no I/O. It is solved by HiGHS, and the result is made exact in rational arithmetic. The solver is imported
+on first use, because a gateway that only applies plans does not need it.
 """
 
 from __future__ import annotations
--- a/yardbank/plan/active_plan.py
+++ b/yardbank/plan/active_plan.py
@@ -1,9 +1,12 @@
-"""Whether a plan is in force for the list at hand, and what weights follow from it now. No I/O; wall clock passed in.
+"""Decides whether a plan is active for the current server list, and computes the weights that result from it.
 
-A plan names the list that it was made for by a hash of the servers' names, groups and zones: states and addresses may
-change under it, since what a gateway sees of a server outranks its share in the module anyway. Of two plans for a zone
-the one made later counts. A plan fades: older than its own bound it gives way to equal shares, step by step, until at
-twice the bound nothing is left of it. A server that has just started gets its warmth's part of its share.
+No I/O; the wall clock time is passed in.
+
+A plan identifies the list that it was made for by a hash of the servers' names, groups and zones. States and addresses
+may change without invalidating it, because the decision module ranks what a gateway observes of a server above its
+share anyway. Of two plans for a zone the later one applies. A plan fades: once it is older than its ``fade`` time, its
+weights move in steps to equal shares, which they reach at twice that age. The weight of a server that has just started
+is scaled by its warmth.
 """
 
 from __future__ import annotations
@@ -17,44 +20,44 @@
 
 from yardbank.config.fleet_position import FleetPosition
 from yardbank.gateway.api import ServerSpec
-from yardbank.plan.aperture import LEAST_WEIGHT, ApertureError, aperture
+from yardbank.plan.aperture import MIN_WEIGHT, ApertureError, aperture
 from yardbank.plan.model import warmth_of
 
-STEPS = 10  # in which a plan fades and a server warms up
+FADE_AND_WARMUP_STEPS = 10  # a plan fades and a server warms up in this many steps
 
 
 @dataclass(slots=True, frozen=True)
 class MadePlan:
-    """A plan as its file says it, for the gateways of one zone. Times are wall clock, in seconds."""
+    """A plan as read from its file, for the gateways of one zone. Times are wall clock, in seconds."""
 
     zone: str
     list_hash: str
     made: float
-    fade: float  # so old, it begins to give way to equal shares
+    fade: float  # age at which it starts to fade to equal shares; 0: never
     weights: Mapping[str, float]
     proven: bool = True
-    switchover: Mapping[str, str] = field(default_factory=dict)  # by group: who should take over
-    relaxed: str = ""  # limits that were taken away by name to get a plan at all
+    switchover: Mapping[str, str] = field(default_factory=dict)  # by group: the server that should take over as primary
+    relaxed: str = ""  # names of the limits that were dropped to make the plan feasible
 
 
 @dataclass(slots=True, frozen=True)
 class Warming:
-    """How started servers warm up, in seconds."""
+    """How servers warm up after a start."""
 
-    cold: float = 0.0
-    share: float = 1.0
+    cold: float = 0.0  # seconds until a server is warm
+    share: float = 1.0  # share of its capacity at the start
 
 
 @dataclass(slots=True, frozen=True)
-class View:
-    """The list as this gateway routes by it, and what became of the plan."""
+class RoutingView:
+    """The list that this gateway routes by, and the status of the plan."""
 
     servers: tuple[ServerSpec, ...]
-    note: str  # empty: no plan is there; else which one is in force, or why it is not
-    next_at: float | None = None  # when it is to be worked out again
+    note: str  # empty without a plan; else which plan is active, or why none is
+    next_at: float | None = None  # when the weights change next
 
 
-class _Named(Protocol):
+class _ListedServer(Protocol):
     @property
     def name(self) -> str: ...
     @property
@@ -63,8 +66,8 @@
     def zone(self) -> str: ...
 
 
-def list_hash(servers: Iterable[_Named]) -> str:
-    """The name of a list as plans know it."""
+def list_hash(servers: Iterable[_ListedServer]) -> str:
+    """Hash by which plans identify a list."""
     hasher = xxhash.xxh3_64()
     for server in sorted(servers, key=lambda s: s.name):
         hasher.update(f"{server.name}\0{server.group}\0{server.zone}\n".encode())
@@ -72,39 +75,41 @@
 
 
 def choose(plans: Sequence[MadePlan], zone: str, servers: Sequence[ServerSpec]) -> tuple[MadePlan | None, str]:
-    """The plan that counts for a zone, or why none does."""
-    mine = sorted((p for p in plans if p.zone in ("", zone)), key=lambda p: (p.made, p.zone != ""))
-    if not mine:
+    """Return the plan that applies to a zone, or None and the reason. A plan for zone ``""`` applies to every zone."""
+    applicable = sorted((p for p in plans if p.zone in ("", zone)), key=lambda p: (p.made, p.zone != ""))
+    if not applicable:
         return None, f"no plan for zone {zone}" if plans else ""
-    last = mine[-1]
-    if any(p.made == last.made and p.zone == last.zone and p != last for p in mine[:-1]):
+    latest = applicable[-1]
+    if any(p.made == latest.made and p.zone == latest.zone and p != latest for p in applicable[:-1]):
         return None, "held back: two plans made at the same moment"
-    wanted = list_hash(servers)
-    if last.list_hash != wanted:
-        return None, f"held back: made for list {last.list_hash}, and this is {wanted}"
-    marks = ["not proven optimal"] * (not last.proven) + [f"without its limits of {last.relaxed}"] * bool(last.relaxed)
-    return last, f"plan of {last.made:.0f} in force" + (f" ({', '.join(marks)})" if marks else "")
+    current_hash = list_hash(servers)
+    if latest.list_hash != current_hash:
+        return None, f"held back: made for list {latest.list_hash}, and this is {current_hash}"
+    remarks = ["not proven optimal"] * (not latest.proven) + [f"without its limits of {latest.relaxed}"] * bool(
+        latest.relaxed
+    )
+    return latest, f"plan of {latest.made:.0f} in force" + (f" ({', '.join(remarks)})" if remarks else "")
 
 
-def _faded(plan: MadePlan, wall: float) -> tuple[float, float | None]:
-    """How much of a plan is left, from 1 to 0, and when that changes."""
+def _remaining_strength(plan: MadePlan, wall: float) -> tuple[float, float | None]:
+    """Return how strongly a plan still applies, from 1 to 0, and when that changes next."""
     if plan.fade <= 0:
         return 1.0, None
-    over = max(0.0, wall - plan.made - plan.fade) / plan.fade
-    step = int(over * STEPS + 1e-6)  # an instant told as the next step's belongs to it
-    if step >= STEPS:
+    overdue = max(0.0, wall - plan.made - plan.fade) / plan.fade
+    step = int(overdue * FADE_AND_WARMUP_STEPS + 1e-6)  # at the announced time the step has begun
+    if step >= FADE_AND_WARMUP_STEPS:
         return 0.0, None
-    return 1 - step / STEPS, plan.made + plan.fade * (1 + (step + 1) / STEPS)
+    return 1 - step / FADE_AND_WARMUP_STEPS, plan.made + plan.fade * (1 + (step + 1) / FADE_AND_WARMUP_STEPS)
 
 
 def _warmth(server: ServerSpec, warming: Warming, wall: float) -> tuple[float, float | None]:
-    """A server's warmth in steps, never more than it surely has, and when the next step is due."""
+    """Return a server's warmth, rounded down to a step so as not to overestimate it, and when the next step is due."""
     age = wall - server.started
     if not server.started or warming.cold <= 0 or age >= warming.cold:
         return 1.0, None
-    step = max(0, int(age / warming.cold * STEPS + 1e-6))
-    part = warming.cold / STEPS
-    return warmth_of(step * part, warming.cold, warming.share), server.started + (step + 1) * part
+    step = max(0, int(age / warming.cold * FADE_AND_WARMUP_STEPS + 1e-6))
+    step_seconds = warming.cold / FADE_AND_WARMUP_STEPS
+    return warmth_of(step * step_seconds, warming.cold, warming.share), server.started + (step + 1) * step_seconds
 
 
 def view(
@@ -114,56 +119,56 @@
     wall: float,
     place: FleetPosition,
     warming: Warming,
-) -> View:
-    """The servers that this gateway routes by, with their weights: by the plan, or as the list has them."""
+) -> RoutingView:
+    """Return the servers that this gateway routes to, with weights from the plan or else from the list."""
     plan, note = choose(plans, zone, servers)
-    left, due = _faded(plan, wall) if plan else (0.0, None)
-    if plan is not None and not left:
+    strength, change_at = _remaining_strength(plan, wall) if plan else (0.0, None)
+    if plan is not None and not strength:
         note, plan = f"plan of {plan.made:.0f} has faded: equal shares", None
-    dues = [due] if due is not None else []
+    changes = [change_at] if change_at is not None else []
     weighted: dict[str, ServerSpec] = {}
     for server in servers:
         weight = server.weight
         if plan is not None:
-            weight = 1 + (plan.weights.get(server.name, LEAST_WEIGHT) - 1) * left
-            warmth, due = _warmth(server, warming, wall)
+            weight = 1 + (plan.weights.get(server.name, MIN_WEIGHT) - 1) * strength
+            warmth, change_at = _warmth(server, warming, wall)
             weight *= warmth
-            dues += [due] if due is not None else []
+            changes += [change_at] if change_at is not None else []
         weighted[server.name] = _with_weight(server, weight)
     if place.most <= 0:
-        return View(tuple(weighted.values()), note, min(dues, default=None))
-    kept: list[ServerSpec] = []
+        return RoutingView(tuple(weighted.values()), note, min(changes, default=None))
+    selected: list[ServerSpec] = []
     by_group: dict[str, list[ServerSpec]] = {}
     for server in weighted.values():
         by_group.setdefault(server.group, []).append(server)
     for group in sorted(by_group):
         try:
-            kept += _subset(by_group[group], place)
-        except ApertureError as problem:
-            kept += by_group[group]
-            note = f"{note}; {group}: {problem}: all are used" if note else f"{group}: {problem}: all are used"
-    return View(tuple(kept), note, min(dues, default=None))
+            selected += _subset(by_group[group], place)
+        except ApertureError as error:
+            selected += by_group[group]
+            note = f"{note}; {group}: {error}: all are used" if note else f"{group}: {error}: all are used"
+    return RoutingView(tuple(selected), note, min(changes, default=None))
 
 
-def _subset(members: list[ServerSpec], place: FleetPosition) -> list[ServerSpec]:
-    """One group's servers within the bound. Primaries and those that drain are always told of."""
+def _subset(members: list[ServerSpec], position: FleetPosition) -> list[ServerSpec]:
+    """Return the servers of one group within the gateway's limit, and always primaries and draining servers."""
     shares = {s.name: Fraction(s.weight) if s.state == "ready" and not s.primary else Fraction(0) for s in members}
     if not any(shares.values()):
         return members
-    mine = aperture(shares, place.index, place.gateways, place.most, place.spares)
-    found = []
+    selection = aperture(shares, position.index, position.gateways, position.most, position.spares)
+    selected = []
     for server in members:
-        if server.name in mine.weights:
-            found.append(_with_weight(server, mine.weights[server.name]))
+        if server.name in selection.weights:
+            selected.append(_with_weight(server, selection.weights[server.name]))
         elif server.primary or server.state != "ready":
-            found.append(server)
-        elif server.name in mine.spares:
-            found.append(_with_weight(server, LEAST_WEIGHT))
-    return found
+            selected.append(server)
+        elif server.name in selection.spares:
+            selected.append(_with_weight(server, MIN_WEIGHT))
+    return selected
 
 
 def _with_weight(server: ServerSpec, weight: float) -> ServerSpec:
-    weight = max(LEAST_WEIGHT, round(weight, 4))
+    weight = max(MIN_WEIGHT, round(weight, 4))
     if weight == server.weight:
         return server
     return ServerSpec(
--- a/yardbank/plan/aperture.py
+++ b/yardbank/plan/aperture.py
@@ -1,10 +1,10 @@
-"""Which servers of a group one gateway connects to, and with which weights, when it may not have them all. No I/O.
+"""Selects the servers of a group that one gateway connects to, and their weights, when it may not use all. No I/O.
 
-Servers lie on a ring, each as long as its share, in an order that hashing their names gives. The ring is cut into as
-many equal arcs as there are gateways, and each gateway covers the same number of arcs, beginning with its own. So every
-point is covered by equally many gateways: what all send together is the plan's shares exactly, without a word between
-them, and a server that comes or goes moves the others' places by no more than its share. (Deterministic apertures, as
-known from Finagle; the arcs' lengths are the plan's.)
+Servers lie on a ring, ordered by the hash of their names, and each occupies a length equal to its share. The ring is
+divided into as many equal arcs as there are gateways, and each gateway covers the same number of arcs, starting with
+its own. So every point is covered by the same number of gateways: together they send exactly the shares of the plan,
+without communicating, and adding or removing a server shifts the others by no more than its share. (These are
+deterministic apertures as in Finagle, with lengths taken from the plan.)
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 import xxhash
 
-LEAST_WEIGHT = 0.001  # of a server that the plan gives nothing: a spare, where all others fail
+MIN_WEIGHT = 0.001  # of a server without a share in the plan: used only if all others fail
 
 
 class ApertureError(ValueError):
-    """The gateways together cannot reach every server within their bound."""
+    """The gateways together cannot cover all servers within the limit of servers per gateway."""
 
 
 @dataclass(slots=True, frozen=True)
 class Aperture:
-    """One gateway's part of a group: weights by server, and spares that serve where all others fail."""
+    """One gateway's part of a group: weights by server, and spares that serve if all others fail."""
 
     weights: Mapping[str, float]
     spares: tuple[str, ...]
 
 
 class Ring:
-    """Servers on a ring as long as their shares together. Servers without a share have no place."""
+    """Servers on a ring whose length is the sum of their shares. Servers without a share are left out."""
 
     def __init__(self, shares: Mapping[str, Fraction]) -> None:
         self.names = [
@@ -40,41 +40,41 @@
             for name in sorted(shares, key=lambda name: (xxhash.xxh3_64_intdigest(name.encode()), name))
             if shares[name] > 0
         ]
-        self.lows, self.highs, at = [], [], Fraction(0)
+        self.starts, self.ends, offset = [], [], Fraction(0)
         for name in self.names:
-            self.lows.append(at)
-            at += shares[name]
-            self.highs.append(at)
-        self.length = at
+            self.starts.append(offset)
+            offset += shares[name]
+            self.ends.append(offset)
+        self.length = offset
 
     def covered(self, start: Fraction, width: Fraction) -> list[int]:
-        """Places of the servers that an arc touches, each once; arcs go round."""
+        """Return the indexes of the servers that an arc touches, each once. Arcs wrap around the end of the ring."""
         if width >= self.length:
             return list(range(len(self.names)))
-        first, end = bisect_right(self.highs, start), start + width
+        first, end = bisect_right(self.ends, start), start + width
         if end <= self.length:
-            return list(range(first, bisect_left(self.lows, end)))
-        rest = bisect_left(self.lows, end - self.length)
-        return [*range(first, len(self.names)), *range(min(rest, first))]
+            return list(range(first, bisect_left(self.starts, end)))
+        end_after_wrap = bisect_left(self.starts, end - self.length)
+        return [*range(first, len(self.names)), *range(min(end_after_wrap, first))]
 
-    def overlap(self, place: int, start: Fraction, width: Fraction) -> Fraction:
-        """How much of one server an arc covers."""
-        low, high, end = self.lows[place], self.highs[place], start + width
-        part = max(Fraction(0), min(high, end) - max(low, start))
-        return part + max(Fraction(0), min(high, end - self.length) - low)
+    def overlap(self, index: int, start: Fraction, width: Fraction) -> Fraction:
+        """Return the length of one server that an arc covers."""
+        low, high, end = self.starts[index], self.ends[index], start + width
+        before_wrap = max(Fraction(0), min(high, end) - max(low, start))
+        return before_wrap + max(Fraction(0), min(high, end - self.length) - low)
 
     def arcs(self, gateways: int, most: int) -> int:
-        """How many arcs each gateway covers: as many as keep all within their bound. Raises ``ApertureError``."""
+        """Return how many arcs each gateway covers: the most that respect the limit. Raises ``ApertureError``."""
         if most <= 0 or most >= len(self.names):
             return gateways
         arc = self.length / gateways
         low, high = 0, gateways
-        while low < high:  # more arcs never touch fewer servers
-            middle = (low + high + 1) // 2
-            if all(len(self.covered(arc * g, arc * middle)) <= most for g in range(gateways)):
-                low = middle
+        while low < high:  # binary search: more arcs never touch fewer servers
+            candidate = (low + high + 1) // 2
+            if all(len(self.covered(arc * g, arc * candidate)) <= most for g in range(gateways)):
+                low = candidate
             else:
-                high = middle - 1
+                high = candidate - 1
         if low == 0:
             raise ApertureError(
                 f"at most {most} servers a gateway: {gateways} gateways cannot cover {len(self.names)} by their shares"
@@ -83,16 +83,16 @@
 
 
 def aperture(shares: Mapping[str, Fraction], gateway: int, gateways: int, most: int, spares: int = 0) -> Aperture:
-    """One gateway's servers of a group. ``most``: so many at the most (0: all). Raises ``ApertureError``."""
+    """Return one gateway's servers of a group, at most ``most`` (0: all). Raises ``ApertureError``."""
     ring = Ring(shares)
     idle = sorted(name for name, share in shares.items() if share == 0)
     if not ring.names:
         return Aperture({}, tuple(idle[:spares]))
     arc = ring.length / gateways
     start, width = arc * (gateway % gateways), arc * ring.arcs(gateways, most)
-    places = ring.covered(start, width)
-    parts = {ring.names[place]: ring.overlap(place, start, width) for place in places}
+    indexes = ring.covered(start, width)
+    parts = {ring.names[index]: ring.overlap(index, start, width) for index in indexes}
     mean = sum(parts.values(), Fraction(0)) / len(parts)
     count = len(ring.names)
-    after = [ring.names[(places[-1] + step) % count] for step in range(1, count - len(places) + 1)]
-    return Aperture({name: float(part / mean) for name, part in parts.items()}, tuple([*after, *idle][:spares]))
+    followers = [ring.names[(indexes[-1] + step) % count] for step in range(1, count - len(indexes) + 1)]
+    return Aperture({name: float(part / mean) for name, part in parts.items()}, tuple([*followers, *idle][:spares]))
--- a/yardbank/plan/highs.py
+++ b/yardbank/plan/highs.py
@@ -1,4 +1,4 @@
-"""Linear programs to HiGHS and back."""
+"""Solves linear programs with HiGHS."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     values: np.ndarray
     low: float
     high: float
-    words: str = ""
+    description: str = ""
 
 
 @contextmanager
-def _no_banner() -> Iterator[None]:
-    """The library prints a line on standard output when it starts, before it can be told not to: see it to stderr."""
+def _stdout_to_stderr() -> Iterator[None]:
+    """Redirect stdout to stderr: the library prints a banner on creation, before its output can be turned off."""
     sys.stdout.flush()
-    kept = os.dup(1)
+    saved_stdout = os.dup(1)
     try:
         os.dup2(2, 1)
         yield
     finally:
-        os.dup2(kept, 1)
-        os.close(kept)
+        os.dup2(saved_stdout, 1)
+        os.close(saved_stdout)
 
 
-def run(cost: np.ndarray, rows: list[Row], seconds: float = 0.0) -> tuple[np.ndarray, np.ndarray] | None:
-    """Least cost: values of the columns and prices of the rows; None where HiGHS finds no optimum."""
+def solve_lp(cost: np.ndarray, rows: list[Row], seconds: float = 0.0) -> tuple[np.ndarray, np.ndarray] | None:
+    """Minimize the cost. Return the column values and row duals, or None if HiGHS finds no optimum (in ``seconds``)."""
     lp = highspy.HighsLp()
     lp.num_col_, lp.num_row_ = len(cost), len(rows)
     lp.col_cost_ = cost
@@ -48,7 +48,7 @@
     lp.a_matrix_.start_ = np.concatenate([[0], np.cumsum([len(row.columns) for row in rows])]).astype(np.int32)
     lp.a_matrix_.index_ = np.concatenate([row.columns for row in rows]).astype(np.int32)
     lp.a_matrix_.value_ = np.concatenate([row.values for row in rows])
-    with _no_banner():
+    with _stdout_to_stderr():
         model = highspy.Highs()
     for name, value in (("output_flag", False), ("threads", 1), ("random_seed", 1)):
         model.setOptionValue(name, value)
--- a/yardbank/plan/model.py
+++ b/yardbank/plan/model.py
@@ -1,4 +1,4 @@
-"""What a plan is made for: demand, servers, limits. Rates are requests a second."""
+"""The model that a plan is computed from: demand, servers, limits. Rates are requests per second."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanServer:
-    """One server: what it can do when warm, how warm it is, and what of it is taken already (writes)."""
+    """One server: its capacity when warm, how warm it is, and the capacity already taken (by writes)."""
 
     name: str
     group: str
     zone: str
     capacity: float
-    warmth: float = 1.0  # the share of its capacity that it surely has now
+    warmth: float = 1.0  # the share of its capacity that it has now, never overestimated
     taken: float = 0.0
     primary: bool = False
     kind: str = ""  # of machine
 
     @property
     def usable(self) -> float:
-        """What is left for reads."""
+        """Capacity left for reads."""
         return max(0.0, self.capacity * self.warmth - self.taken)
 
 
 @dataclass(slots=True, frozen=True)
 class Demand:
-    """Reads of one class for one group, asked for in one zone."""
+    """Reads of one class from one group, requested in one zone."""
 
     kind: str
     group: str
@@ -37,31 +37,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What a plan must keep."""
+    """Constraints on a plan."""
 
-    most_used: float = 1.0  # of each server's usable capacity
-    spill: Mapping[str, float] = field(default_factory=dict)  # by zone: the share of a group's reads that may leave
-    survive_server: bool = False  # any one server of a group lost: the rest carries its demand
-    survive_zone: bool = False  # any one zone lost: the rest carries each group's demand of the other zones
-    prices: Mapping[tuple[str, str], float] = field(default_factory=dict)  # of a read from zone to zone; else 1
-    most_moved: float = 1.0  # the part of a group's reads that may go elsewhere than by ``before``
-    before: Mapping[tuple[str, str, str], Mapping[str, float]] = field(default_factory=dict)  # the shares in force
+    most_used: float = 1.0  # highest utilization of each server's usable capacity
+    spill: Mapping[str, float] = field(default_factory=dict)  # by zone: share of a group's reads that may leave it
+    survive_server: bool = False  # without any one server of a group, the rest carries its demand
+    survive_zone: bool = False  # without any one zone, the rest carries each group's demand from the other zones
+    prices: Mapping[tuple[str, str], float] = field(default_factory=dict)  # per cross-zone read; else 1
+    most_moved: float = 1.0  # the share of a group's reads that may move away from ``before``
+    before: Mapping[tuple[str, str, str], Mapping[str, float]] = field(default_factory=dict)  # the active shares
 
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """All of it. Raises ``ValueError`` naming what does not fit together."""
+    """The whole input. Raises ``ValueError`` that names what is inconsistent."""
 
     servers: tuple[PlanServer, ...]
     demands: tuple[Demand, ...]
     limits: Limits = Limits()
 
     def __post_init__(self) -> None:
-        self._check_doubles()
+        self._check_duplicates()
         self._check_servers_and_demands()
         self._check_limits()
 
-    def _check_doubles(self) -> None:
+    def _check_duplicates(self) -> None:
         names = [server.name for server in self.servers]
         if len(set(names)) != len(names):
             raise ValueError("servers: a name is given twice")
@@ -81,21 +81,24 @@
         for zone, share in self.limits.spill.items():
             if not 0 <= share <= 1:
                 raise ValueError(f"spill of zone {zone!r} is not between 0 and 1")
-        for (here, there), price in self.limits.prices.items():
+        for (source, target), price in self.limits.prices.items():
             if not 0 < price < 1e6:
-                raise ValueError(f"price from {here!r} to {there!r} is not above 0, or beyond 1e6")
+                raise ValueError(f"price from {source!r} to {target!r} is not above 0, or beyond 1e6")
         if not 0 <= self.limits.most_moved <= 1:
             raise ValueError("most_moved is not between 0 and 1")
         if not 0 < self.limits.most_used <= 1:
             raise ValueError("most_used is not above 0 and at most 1")
 
     def groups(self) -> tuple[str, ...]:
-        """Groups with demand or servers, in order of name."""
+        """Names of the groups with demand or servers, sorted."""
         return tuple(sorted({s.group for s in self.servers} | {d.group for d in self.demands}))
 
 
 def warmth_of(age: float, cold: float, cold_share: float) -> float:
-    """The share of its capacity that a server started ``age`` seconds ago surely has; warm after ``cold``."""
+    """Return the share of its capacity that a server has ``age`` seconds after its start.
+
+    It rises linearly from ``cold_share`` and reaches 1 after ``cold`` seconds.
+    """
     if cold <= 0 or age >= cold:
         return 1.0
     return cold_share + (1 - cold_share) * max(0.0, age) / cold
@@ -105,7 +108,7 @@
 
 
 def relaxed(problem: Problem, names: tuple[str, ...]) -> Problem:
-    """The problem without some limits, by name. Raises ``ValueError`` for a name that is none."""
+    """Return the problem without the named limits. Raises ``ValueError`` for an unknown name."""
     limits = problem.limits
     for name in names:
         match name:
--- a/yardbank/plan/zone_latencies.py
+++ b/yardbank/plan/zone_latencies.py
@@ -1,4 +1,4 @@
-"""What ways between zones cost, taken into a plan's model. No I/O."""
+"""Adds measured latencies between zones to the prices of a plan's model. No I/O."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from yardbank.plan.model import Problem
 
-HIGHEST = 999_999.0  # below what the model refuses
+MAX_PRICE = 999_999.0  # just below the limit that the model accepts
 
 
 def with_ways(problem: Problem, ways: Mapping[tuple[str, str], int], reference: int) -> Problem:
-    """The model with the map's word on each way (ns, from zone to zone) in its prices.
+    """Return the model with prices scaled by latency; ``ways`` are latencies in ns, by pair of zones.
 
-    The operator's price of crossing, 1 where none is named, stays, and is paid once more for each ``reference`` ns that
-    the way costs. Two digits are kept, so that small changes of a way make no new plan. Raises ``ValueError`` for a
+    The operator's price, 1 if none is given, is multiplied by 1 + latency / ``reference`` (both in ns). Two significant
+    digits are kept, so that small changes of latency do not lead to a new plan. Raises ``ValueError`` for a
     ``reference`` that is not above 0.
     """
     if reference <= 0:
         raise ValueError(f"reference is not above 0: {reference}")
-    own = problem.limits.prices
-    found = {
-        pair: min(HIGHEST, float(f"{own.get(pair, 1.0) * (1 + max(0, ns) / reference):.1e}"))
+    operator_prices = problem.limits.prices
+    scaled_prices = {
+        pair: min(MAX_PRICE, float(f"{operator_prices.get(pair, 1.0) * (1 + max(0, ns) / reference):.1e}"))
         for pair, ns in ways.items()
         if pair[0] != pair[1]
     }
-    return replace(problem, limits=replace(problem.limits, prices={**own, **found}))
+    return replace(problem, limits=replace(problem.limits, prices={**operator_prices, **scaled_prices}))
