--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Holds the suite to KNOWN-RED.txt; see ``known_red``."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures; see ``known_red``."""
 
 import pytest
 
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden tests: stored data and datagrams keep their octets, and octets written by version 0.2 keep their meaning."""
+"""Golden tests: the encodings of stored data and datagrams are unchanged, and data of version 0.2 is still decoded."""
--- a/tests/golden/test_golden_atlas.py
+++ b/tests/golden/test_golden_atlas.py
@@ -1,4 +1,4 @@
-"""Letters of the map of round trips; figures are rounded on the way, so what is read differs from what was given."""
+"""Messages of the latency map. Encoding rounds the numbers, so decoded values differ from the original ones."""
 
 from tests.golden.cases import each, load
 from yardbank.cluster.latency_map.measurements import GatewayHealth
@@ -15,14 +15,14 @@
 
 
 @each("atlas", "letters")
-def test_a_letter_keeps_its_octets(octets, meaning):
-    number, state, given, read = meaning
-    zones = {zone for own, row in given for zone in (own, *row)}
-    told = decode(octets, {digest(zone): zone for zone in zones})
-    assert told == ReceivedRows(number=number, state=state, own=given[0][0], rows=rows(read))
-    assert encode(number, state, rows(given)) == octets
+def test_the_encoding_of_a_message_is_unchanged(octets, meaning):
+    number, state, original, rounded = meaning
+    zones = {zone for own, row in original for zone in (own, *row)}
+    decoded = decode(octets, {digest(zone): zone for zone in zones})
+    assert decoded == ReceivedRows(number=number, state=state, own=original[0][0], rows=rows(rounded))
+    assert encode(number, state, rows(original)) == octets
 
 
-def test_topic_and_states_stay_the_same():
+def test_topic_and_states_are_unchanged():
     assert LatencyMapPart.topic == load("atlas")["topic"]
     assert load("atlas")["states"] == [GatewayHealth.WELL, GatewayHealth.DOUBTFUL, GatewayHealth.SLOW]
--- a/tests/golden/test_golden_channels.py
+++ b/tests/golden/test_golden_channels.py
@@ -1,4 +1,4 @@
-"""Letters of channels."""
+"""Messages of channels."""
 
 from tests.golden.cases import each, load
 from yardbank.cluster.channels.members import Members
@@ -17,19 +17,25 @@
     Subscribe,
     TransferNotice,
 )
-from yardbank.cluster.channels.messages import decode as read
-from yardbank.cluster.channels.messages import encode as write
+from yardbank.cluster.channels.messages import decode as decode_message
+from yardbank.cluster.channels.messages import encode as encode_message
 from yardbank.cluster.channels.part import ChannelPart
 
 
 def state(channel, epoch, sequence, age, owner, boot_epoch, after):
-    place = after and tuple(after)
+    after_position = after and tuple(after)
     return ChannelState(
-        channel=channel, epoch=epoch, sequence=sequence, age=age, owner=owner, boot_epoch=boot_epoch, after=place
+        channel=channel,
+        epoch=epoch,
+        sequence=sequence,
+        age=age,
+        owner=owner,
+        boot_epoch=boot_epoch,
+        after=after_position,
     )
 
 
-LETTERS = {
+MESSAGE_FACTORIES = {
     "item": lambda channel, epoch, sequence, data, owner, boot_epoch, after: Item(
         channel=channel,
         epoch=epoch,
@@ -61,13 +67,13 @@
 
 
 @each("channels", "letters")
-def test_a_letter_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_a_message_is_unchanged(octets, meaning):
     kind, *values = meaning
-    assert read(octets) == LETTERS[kind](*values)
-    assert write(LETTERS[kind](*values)) == octets
+    assert decode_message(octets) == MESSAGE_FACTORIES[kind](*values)
+    assert encode_message(MESSAGE_FACTORIES[kind](*values)) == octets
 
 
-def test_topic_and_digests_of_interests_stay_the_same():
+def test_topic_and_interest_digests_are_unchanged():
     assert ChannelPart.topic == load("channels")["topic"]
     for owns, follows, digest in load("channels")["interests"]:
         members = Members("g1")
--- a/tests/golden/test_golden_distribution.py
+++ b/tests/golden/test_golden_distribution.py
@@ -1,4 +1,4 @@
-"""Letters of the distribution, documents in pieces, and copies of the list as text."""
+"""Messages of list distribution, documents split into chunks, and stored copies of the list."""
 
 import zlib
 from unittest.mock import Mock
@@ -18,7 +18,7 @@
     return Version(epoch=epoch, number=number)
 
 
-LETTERS = {
+MESSAGE_FACTORIES = {
     "version announcement": lambda held, digest: Have(version=version(held), digest=bytes.fromhex(digest)),
     "fetch": lambda base, digest, wanted, first, count: Fetch(
         base=version(base), base_digest=bytes.fromhex(digest), version=version(wanted), first=first, count=count
@@ -35,33 +35,33 @@
 
 
 @each("distribution", "letters")
-def test_a_letter_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_a_message_is_unchanged(octets, meaning):
     kind, *values = meaning
-    assert decode(octets) == LETTERS[kind](*values)
-    assert encode(LETTERS[kind](*values)) == octets
+    assert decode(octets) == MESSAGE_FACTORIES[kind](*values)
+    assert encode(MESSAGE_FACTORIES[kind](*values)) == octets
 
 
 @each("distribution", "documents")
-def test_a_document_keeps_its_octets(octets, meaning):
-    base, held, digest, entries, letters = meaning
+def test_the_encoding_of_a_document_is_unchanged(octets, meaning):
+    base, held, digest, entries, messages = meaning
     changes = tuple(Entry(key=key, value=value) for key, value in entries)
     increment = Increment(base=version(base), version=version(held), digest=bytes.fromhex(digest), entries=changes)
-    pieces = [decode(bytes.fromhex(one)) for one in letters]
+    pieces = [decode(bytes.fromhex(message)) for message in messages]
     assembly = Assembly(pieces[-1])
     for piece in reversed(pieces):
         assembly.add(piece)
     assert assembly.increment() == increment
-    packed = b"".join(piece.body for piece in split(increment))
-    assert zlib.decompress(packed) == octets  # how it is compressed depends on the installed zlib
+    compressed = b"".join(piece.body for piece in split(increment))
+    assert zlib.decompress(compressed) == octets  # the compressed form depends on the installed zlib
 
 
 @each("distribution", "sources")
-def test_a_source_gives_the_same_entries(octets, meaning):
+def test_a_source_yields_the_same_entries(octets, meaning):
     assert entries_of({"source.hcl": octets}, ["g0", "g1"]) == meaning
 
 
 @each("distribution", "copies")
-def test_a_copy_keeps_its_octets(octets, meaning, tmp_path):
+def test_the_text_of_a_stored_copy_is_unchanged(octets, meaning, tmp_path):
     held, digest, entries = meaning
     (tmp_path / "list.hcl").write_bytes(octets)
     table = stored_table(tmp_path / "list.hcl", Mock())
@@ -69,6 +69,6 @@
     assert text_of(table).encode() == octets
 
 
-def test_topic_and_lease_stay_the_same():
+def test_topic_and_lease_name_are_unchanged():
     assert DistributionPart.topic == load("distribution")["topic"]
     assert load("distribution")["lease"] == RESOURCE
--- a/tests/golden/test_golden_lease.py
+++ b/tests/golden/test_golden_lease.py
@@ -1,4 +1,4 @@
-"""Letters of leases, and what a gateway stores of leases."""
+"""Messages of leases, and the stored lease state of a gateway."""
 
 from random import Random
 from unittest.mock import Mock
@@ -21,7 +21,7 @@
 from yardbank.cluster.peers.node import GossipNode
 from yardbank.cluster.peers.parts import KeyValueStore
 
-LETTERS = {
+MESSAGE_FACTORIES = {
     "vote request": lambda resource, boot_epoch, number, epoch, renewal, current, known_lists: LeaseRequest(
         resource=resource,
         boot_epoch=boot_epoch,
@@ -63,14 +63,14 @@
 
 
 @each("lease", "letters")
-def test_a_letter_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_a_message_is_unchanged(octets, meaning):
     kind, *values = meaning
-    assert decode(octets) == LETTERS[kind](*values)
-    assert encode(LETTERS[kind](*values)) == octets
+    assert decode(octets) == MESSAGE_FACTORIES[kind](*values)
+    assert encode(MESSAGE_FACTORIES[kind](*values)) == octets
 
 
 @each("lease", "memory")
-def test_stored_memory_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_stored_state_is_unchanged(octets, meaning):
     boot_epoch, (term, drift, overlap, voters), zones, epoch, lists, longest = meaning
     storage = Mock(spec=KeyValueStore)
     storage.load.return_value = octets
@@ -81,11 +81,11 @@
     )
     part.listed(0)
     assert (part.epochs.highest_epoch, part.electorate.longest_lease) == (epoch, longest)
-    assert part.electorate.stored_lists() == [tuple(one) for one in lists]
+    assert part.electorate.stored_lists() == [tuple(entry) for entry in lists]
     storage.save.assert_called_once_with(octets)
 
 
-def test_topic_and_verdicts_stay_the_same():
+def test_topic_and_verdicts_are_unchanged():
     assert LeasePart.topic == load("lease")["topic"]
     assert load("lease")["verdicts"] == [
         Verdict.GRANTED,
--- a/tests/golden/test_golden_peers.py
+++ b/tests/golden/test_golden_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams of both versions, files of parts, and the file with the number of the last start."""
+"""Datagrams of both versions, state files of parts, and the file that stores the boot epoch."""
 
 from unittest.mock import Mock
 
@@ -48,38 +48,39 @@
         number=number,
         target=target,
         updates=tuple(
-            MembershipUpdate(name=one, state=two, incarnation=three, witness=four) for one, two, three, four in updates
+            MembershipUpdate(name=name, state=state, incarnation=update_incarnation, witness=witness)
+            for name, state, update_incarnation, witness in updates
         ),
         counters=tuple(CounterValue(key=key, version=version, value=value) for key, version, value in counters),
         health_reports=tuple(health_report(*values) for values in reports),
     )
 
 
-def batch(fleet, sender, boot_epoch, sequence, letters):
-    entries = tuple(BatchEntry(topic=topic, body=bytes.fromhex(body)) for topic, body in letters)
+def batch(fleet, sender, boot_epoch, sequence, messages):
+    entries = tuple(BatchEntry(topic=topic, body=bytes.fromhex(body)) for topic, body in messages)
     return Batch(fleet=fleet, sender=sender, boot_epoch=boot_epoch, sequence=sequence, entries=entries)
 
 
 @each("peers", "datagrams")
-def test_a_datagram_of_version_1_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_a_version_1_datagram_is_unchanged(octets, meaning):
     assert decode_datagram(octets, KEYS, DATA["fleet"]) == datagram(*meaning)
     assert encode_datagram(datagram(*meaning), KEYS) == octets
 
 
 @each("peers", "parcels")
-def test_a_datagram_of_version_2_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_a_version_2_datagram_is_unchanged(octets, meaning):
     assert decode_batch(octets, KEYS, DATA["fleet"]) == batch(*meaning)
     assert encode_batch(batch(*meaning), KEYS) == octets
 
 
-def test_numbers_and_kinds_stay_the_same():
+def test_numeric_codes_are_unchanged():
     assert DATA["states"] == [ALIVE, SUSPECT, GONE]
     assert DATA["findings"] == [WELL, SILENT, FAILING, FULL, NOTHING]
     assert DATA["probes"] == [PING, ACK, ASK, NACK]
 
 
 @each("peers", "files")
-def test_the_file_of_a_part_keeps_its_octets(octets, meaning, tmp_path):
+def test_the_state_file_of_a_part_is_unchanged(octets, meaning, tmp_path):
     (tmp_path / "old").write_bytes(octets)
     assert FileStore(tmp_path / "old", Mock()).load() == bytes.fromhex(meaning)
     assert FileStore(tmp_path / "new", Mock()).save(bytes.fromhex(meaning))
@@ -87,7 +88,7 @@
 
 
 @each("peers", "lives")
-def test_the_number_of_a_start_follows_the_stored_one(octets, meaning, tmp_path):
+def test_the_boot_epoch_follows_the_stored_one(octets, meaning, tmp_path):
     stored, wall, boot_epoch = meaning
     if stored is not None:
         (tmp_path / "peers-life").write_bytes(bytes.fromhex(stored))
--- a/tests/golden/test_golden_rollout.py
+++ b/tests/golden/test_golden_rollout.py
@@ -1,4 +1,4 @@
-"""What a gateway stores of rollouts, the file of the version in force, and letters of records."""
+"""The stored rollout state of a gateway, the file of its active version, and messages with gateway records."""
 
 from unittest.mock import Mock
 
@@ -16,7 +16,7 @@
 
 
 def memory(change, phase, down, restarts, stopped, finished):
-    reasons = [tuple(one) for one in stopped]
+    reasons = [tuple(reason) for reason in stopped]
     return Memory(change=change, phase=phase, down=down, restarts=restarts, stopped=reasons, finished=finished)
 
 
@@ -47,7 +47,7 @@
 
 
 @each("rollout", "changes")
-def test_a_rollout_is_stored_and_numbered_as_before(octets, meaning):
+def test_the_stored_form_and_number_of_a_rollout_are_unchanged(octets, meaning):
     text, mark = meaning
     change = taken(text.encode(), "rollout.hcl", SHAPE).change
     assert change.to_json().encode() == octets
@@ -56,7 +56,7 @@
 
 
 @each("rollout", "memory")
-def test_stored_memory_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_stored_state_is_unchanged(octets, meaning):
     values, (rollout, mark), stored = meaning
     storage = Mock(spec=KeyValueStore)
     storage.load.return_value = octets
@@ -64,11 +64,11 @@
     RolloutStateMachine(
         Mock(), storage, Options(active_version=ActiveVersion(now=Version(rollout=rollout, mark=mark)))
     ).begun(0)
-    storage.save.assert_called_once_with(bytes.fromhex(stored))  # a start changes at most the place
+    storage.save.assert_called_once_with(bytes.fromhex(stored))  # a start changes the phase at most
 
 
 @each("rollout", "in_force")
-def test_the_file_of_the_version_in_force_keeps_its_octets(octets, meaning, tmp_path):
+def test_the_file_of_the_active_version_is_unchanged(octets, meaning, tmp_path):
     now, before, restarts, changed, fell, fell_from = meaning
     active_version = ActiveVersion(
         now=version(*now), before=version(*before), restarts=restarts, changed=changed, fell=fell, fell_from=fell_from
@@ -81,13 +81,13 @@
 
 
 @each("rollout", "letters")
-def test_a_letter_of_records_keeps_its_octets(octets, meaning):
-    said = [record(*values) for values in meaning]
-    assert [one for one, _ in decode_message(octets)] == said
-    assert encode_message([encode_record(one) for one in said]) == octets
+def test_the_encoding_of_a_message_with_records_is_unchanged(octets, meaning):
+    records = [record(*values) for values in meaning]
+    assert [record_entry for record_entry, _ in decode_message(octets)] == records
+    assert encode_message([encode_record(record_entry) for record_entry in records]) == octets
 
 
-def test_topic_and_places_stay_the_same():
+def test_topic_and_phases_are_unchanged():
     assert RolloutPart.topic == DATA["topic"]
     assert DATA["places"] == [
         Phase.OLD,
--- a/tests/golden/test_golden_state.py
+++ b/tests/golden/test_golden_state.py
@@ -1,4 +1,4 @@
-"""State snapshots, and the folder they are stored in."""
+"""State snapshots, and the directory in which they are stored."""
 
 import shutil
 
@@ -37,18 +37,18 @@
 
 
 @each("state", "snapshots")
-def test_a_snapshot_keeps_its_octets(octets, meaning):
+def test_the_encoding_of_a_snapshot_is_unchanged(octets, meaning):
     assert decode(octets) == snapshot(*meaning)
     assert encode(snapshot(*meaning)) == octets
 
 
 @each("state", "older_snapshots")
-def test_a_snapshot_of_format_1_is_read(octets, meaning):
+def test_a_snapshot_of_format_1_is_decoded(octets, meaning):
     written, version, digest, servers = meaning
     assert decode(octets) == snapshot(written, version, digest, False, servers, [], 0)
 
 
-def test_a_store_keeps_its_files(tmp_path):
+def test_the_files_of_a_store_are_unchanged(tmp_path):
     data = load("state")["store"]
     store = Store(shutil.copytree(FOLDER / "store", tmp_path / "old"))
     assert (store.apart, store.read(), store.fault) == (data["generation"], snapshot(*data["meaning"]), "")
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -1,4 +1,4 @@
-"""Plans in use: what a gateway makes of one, and what all gateways make of it together."""
+"""How a gateway applies a plan, and that all gateways together send the planned shares."""
 
 import itertools
 import random
@@ -63,34 +63,34 @@
 
 @given(st.lists(st.integers(0, 50), min_size=1, max_size=40), st.integers(1, 30), st.integers(1, 40))
 @settings(max_examples=300, deadline=None)
-def test_all_gateways_together_send_the_plans_shares_exactly(sizes, gateways, most):
+def test_apertures_of_all_gateways_add_up_to_the_planned_shares(sizes, gateways, most):
     shares = {f"s{n}": Fraction(size) for n, size in enumerate(sizes)}
     ring = Ring(shares)
     if not ring.names:
         assert aperture(shares, 0, gateways, most).weights == {}
         return
     try:
-        number = ring.arcs(gateways, most)
+        arcs = ring.arcs(gateways, most)
     except ApertureError:
         arc = ring.length / gateways
-        assert any(len(ring.covered(arc * g, arc)) > most for g in range(gateways))  # one arc alone is too many
+        assert any(len(ring.covered(arc * g, arc)) > most for g in range(gateways))  # one arc touches too many servers
         return
     total = dict.fromkeys(ring.names, Fraction(0))
     arc = ring.length / gateways
     for gateway in range(gateways):
-        places = ring.covered(arc * gateway, arc * number)
+        places = ring.covered(arc * gateway, arc * arcs)
         assert len(places) == len(set(places)) and (most >= len(ring.names) or len(places) <= most)
-        parts = {ring.names[p]: ring.overlap(p, arc * gateway, arc * number) for p in places}
-        assert all(part > 0 for part in parts.values()) and sum(parts.values()) == arc * number
+        parts = {ring.names[p]: ring.overlap(p, arc * gateway, arc * arcs) for p in places}
+        assert all(part > 0 for part in parts.values()) and sum(parts.values()) == arc * arcs
         for name, part in parts.items():
             total[name] += part
         found = aperture(shares, gateway, gateways, most, spares=3)
         assert set(found.weights) == set(parts) and not set(found.spares) & set(parts)
         assert len(found.spares) == min(3, len(sizes) - len(parts))
-    assert all(total[name] == number * shares[name] for name in total)
+    assert all(total[name] == arcs * shares[name] for name in total)
 
 
-def test_a_server_that_comes_or_goes_moves_few_connections():
+def test_removing_a_server_changes_few_connections_of_each_gateway():
     names = {f"s{n}": Fraction(1) for n in range(300)}
     before = [set(aperture(names, g, 30, 20).weights) for g in range(30)]
     moved = []
@@ -101,25 +101,26 @@
     assert max(moved) <= 2 and sum(moved) / len(moved) <= 1.1
 
 
-def test_more_servers_than_all_gateways_may_reach_is_said():
+def test_too_many_servers_for_the_limit_is_an_error_and_all_are_used():
     with pytest.raises(ApertureError, match="at most 2 servers a gateway: 3 gateways cannot cover 9"):
         aperture({f"s{n}": Fraction(1) for n in range(9)}, 0, 3, 2)
     found, seen = weights((), place=FleetPosition(0, 1, 2, 0))
     assert set(found) == {s.name for s in SERVERS} and "all are used" in seen.note
 
 
-def test_a_plan_is_in_force_for_its_own_list_only():
+def test_a_plan_applies_only_to_the_list_it_was_made_for():
     assert weights((plan(),))[0] == {"s0": 0.001, "s1": 2.0, "s2": 0.5, "s3": 0.001, "s4": 0.001, "s5": 0.001}
     assert set(weights((plan(list_hash="x"),))[0].values()) == {1.0}
     assert "held back: made for list x" in weights((plan(list_hash="x"),))[1].note
-    lost = SERVERS[:-1]  # a server lost between solving and applying
+    lost = SERVERS[:-1]  # a server was removed between solving and applying
     assert "held back" in weights((plan(),), servers=lost)[1].note
     moved = tuple(spec(n, port=100 + n, state="draining" if n == 3 else "ready") for n in range(6))
-    assert "in force" in weights((plan(),), servers=moved)[1].note  # a drain or another port is no other list
+    # A draining server or another port does not change the identity of the list.
+    assert "in force" in weights((plan(),), servers=moved)[1].note
     assert weights((plan(zone="b"),))[1].note == "no plan for zone a" and weights(())[1].note == ""
 
 
-def test_of_two_plans_the_one_made_later_counts_and_a_tie_neither():
+def test_the_later_of_two_plans_applies_and_neither_if_made_at_the_same_time():
     older, newer = plan(made=NOW - 20), plan(made=NOW - 5, weights={"s4": 3.0})
     for both in itertools.permutations((older, newer)):
         assert choose(both, "a", SERVERS)[0] is newer
@@ -127,38 +128,42 @@
     found, why = choose((plan(), tie), "a", SERVERS)
     assert found is None and "same moment" in why
     assert choose((plan(zone=""), plan(made=NOW - 11)), "a", SERVERS)[0].zone == ""
-    stale = plan(made=NOW - 1, list_hash="other")  # the newest is the operator's last word, also if it does not fit
+    stale = plan(made=NOW - 1, list_hash="other")  # the newest plan decides, even if it is for another list
     assert choose((plan(), stale), "a", SERVERS)[0] is None
 
 
 def test_an_old_plan_fades_to_equal_shares_in_steps():
     made = plan()
-    seen, at, steps = [], NOW, 0
-    while (found := view(SERVERS, (made,), "a", at, FleetPosition(), Warming())).next_at is not None:
-        assert found.next_at > at
-        seen.append({s.name: s.weight for s in found.servers}["s1"])
-        at, steps = found.next_at, steps + 1
-    assert seen[0] == 2.0 and seen == sorted(seen, reverse=True) and steps == 10
-    assert at == pytest.approx(made.made + 200) and {s.weight for s in found.servers} == {1.0} and "faded" in found.note
+    weights_of_s1, time_now, steps = [], NOW, 0
+    while (found := view(SERVERS, (made,), "a", time_now, FleetPosition(), Warming())).next_at is not None:
+        assert found.next_at > time_now
+        weights_of_s1.append({s.name: s.weight for s in found.servers}["s1"])
+        time_now, steps = found.next_at, steps + 1
+    assert weights_of_s1[0] == 2.0 and weights_of_s1 == sorted(weights_of_s1, reverse=True) and steps == 10
+    assert (
+        time_now == pytest.approx(made.made + 200)
+        and {s.weight for s in found.servers} == {1.0}
+        and "faded" in found.note
+    )
     assert "proven" in weights((plan(proven=False),))[1].note
 
 
-def test_a_started_server_never_has_more_than_its_warmths_part():
+def test_the_weight_of_a_started_server_never_exceeds_its_warmth():
     cold = Warming(10.0, 0.3)
     started = tuple(spec(n, started=NOW - 2 if n == 1 else 0.0) for n in range(6))
-    at, last = NOW - 2, 0.0
+    time_now, last = NOW - 2, 0.0
     while True:
-        found = view(started, (plan(),), "a", at, FleetPosition(), cold)
-        mine = {s.name: s.weight for s in found.servers}["s1"]
-        assert last <= mine <= 2.0 * (0.3 + 0.7 * min(1.0, (at - NOW + 2) / 10.0)) + 1e-9
-        last = mine
+        found = view(started, (plan(),), "a", time_now, FleetPosition(), cold)
+        weight = {s.name: s.weight for s in found.servers}["s1"]
+        assert last <= weight <= 2.0 * (0.3 + 0.7 * min(1.0, (time_now - NOW + 2) / 10.0)) + 1e-9
+        last = weight
         if found.next_at is None or found.next_at > NOW + 9:
             break
-        at = found.next_at
+        time_now = found.next_at
     assert last == 2.0
 
 
-def test_a_subset_keeps_primaries_and_drains_and_has_spares():
+def test_a_subset_keeps_primaries_and_draining_servers_and_has_spares():
     servers = tuple(spec(n, state="draining" if n == 5 else "ready") for n in range(40))
     for index in range(8):
         found, _ = weights((), servers=servers, place=FleetPosition(index, 8, 10, 2))
@@ -168,15 +173,17 @@
 
 
 def test_random_lists_and_plans_give_positive_weights_and_the_same_view_twice():
-    chance = random.Random(3)
+    random_source = random.Random(3)
     for _ in range(100):
-        servers = tuple(spec(n, started=NOW - chance.uniform(0, 30)) for n in range(chance.randint(1, 20)))
+        servers = tuple(
+            spec(n, started=NOW - random_source.uniform(0, 30)) for n in range(random_source.randint(1, 20))
+        )
         made = plan(
             list_hash=list_hash(servers),
-            made=NOW - chance.uniform(0, 250),
-            weights={f"s{n}": chance.uniform(0, 9) for n in range(10)},
+            made=NOW - random_source.uniform(0, 250),
+            weights={f"s{n}": random_source.uniform(0, 9) for n in range(10)},
         )
-        place = FleetPosition(chance.randrange(5), 5, chance.choice((0, 6)), 1)
+        place = FleetPosition(random_source.randrange(5), 5, random_source.choice((0, 6)), 1)
         one, two = (view(servers, (made,), "a", NOW, place, Warming(18, 0.3)) for _ in range(2))
         assert one == two and all(s.weight > 0 for s in one.servers) and (one.next_at is None or one.next_at > NOW)
 
@@ -202,7 +209,7 @@
         (b"  made", b'  fade = "soon"\n  made', "is no duration"),
     ],
 )
-def test_a_broken_plan_is_a_fault_of_the_set_with_its_line(old, new, reason):
+def test_an_invalid_plan_is_reported_with_file_and_line(old, new, reason):
     texts = {"list.hcl": render(LISTED).encode(), "plan.hcl": plan_file(n1=2)}
     assert read_set(texts, ["numbers"]).plans[0].weights == {"n1": 2.0}
     texts["plan.hcl"] = texts["plan.hcl"].replace(old, new)
@@ -211,14 +218,14 @@
     assert any(reason in fault for fault in caught.value.faults)
 
 
-def test_a_plan_stays_with_a_list_that_is_read_by_its_change():
+def test_reading_a_list_incrementally_keeps_its_plan():
     reader, texts = ListReader(["numbers"]), {"list.hcl": render(LISTED).encode(), "plan.hcl": plan_file(n1=2)}
     first = reader.read(texts)
     texts["list.hcl"] = texts["list.hcl"].replace(b"port    = 2", b"port    = 99")
     assert reader.read(texts).plans == first.plans and reader.edits == 1
 
 
-def test_the_gateway_routes_by_a_plan_while_it_fits_and_equally_when_it_does_not(tmp_path):
+def test_the_gateway_uses_plan_weights_while_the_plan_applies_and_equal_ones_otherwise(tmp_path):
     with world(start=False) as place:
         folder = tmp_path / "list.d"
         folder.mkdir()
@@ -235,7 +242,7 @@
         until(lambda: gateway.list_version == 1)
         seen = lambda name: run(lambda: gateway._endpoints.specs[name].weight)  # noqa: E731
         assert (seen("n2"), seen("n3")) == (1.8, 0.2)
-        (folder / "servers.hcl").write_text(render(specs[:-1]))  # a server lost after the plan was made
+        (folder / "servers.hcl").write_text(render(specs[:-1]))  # a server was removed after the plan was made
         until(lambda: gateway.list_version == 2)
         assert seen("n2") == seen("n3") == 1.0
         (folder / "plan.hcl").write_bytes(plan_file(specs[:-1], time.time(), n2=1.5, n3=0.5))
@@ -243,11 +250,11 @@
         assert (seen("n2"), seen("n3")) == (1.5, 0.5)
         (folder / "plan.hcl").write_bytes(plan_file(specs[:-1], time.time() - 7300, n2=1.5, n3=0.5))
         until(lambda: gateway.list_version == 4)
-        assert seen("n2") == seen("n3") == 1.0  # twice an hour old: faded
+        assert seen("n2") == seen("n3") == 1.0  # older than twice the default fade of 1 h: faded completely
         assert Desk(place).read("numbers", "bounded", staleness=0.8).code == 0
 
 
-def test_a_gateway_plans_for_itself_when_its_list_changes(tmp_path):
+def test_a_gateway_computes_its_own_plan_when_its_list_changes(tmp_path):
     with world(start=False) as place:
         folder = tmp_path / "list.d"
         folder.mkdir()
@@ -271,10 +278,12 @@
         assert weight("n2") == pytest.approx(2 * weight("n1"), rel=1e-3) and weight("n3") == 0.001
         (folder / "servers.hcl").write_text(render([s for s in specs if s.name != "n2"]))
         until(lambda: gateway.list_version == 2 and gateway._endpoints.specs["n3"].weight > 0.001)
-        assert weight("n1") == pytest.approx(weight("n3"), rel=1e-3)  # ten each: half must cross now
+        assert weight("n1") == pytest.approx(
+            weight("n3"), rel=1e-3
+        )  # 10/s each: half of the reads must go to the other zone
         (folder / "servers.hcl").write_text(render([s for s in specs if s.name in ("n1", "r1", "r2")]))
         until(lambda: gateway.list_version == 3 and place.proxy._fleet._own is None)
-        assert weight("n1") == 1.0  # no plan is feasible: equal shares, and the reason in the log
+        assert weight("n1") == 1.0  # no plan is feasible: equal shares (the log has the reason)
 
 
 def test_commands_solve_diff_and_apply(tmp_path):
@@ -296,7 +305,7 @@
     (made,) = read_plans({"made.hcl": out.read_bytes()})
     assert (
         made.list_hash == list_hash(LISTED) and made.fade == 7200.0 and made.switchover == {"numbers": "n1"}
-    )  # of the primary's kind
+    )  # the server of the same kind as the primary
     folder = tmp_path / "list.d"
     folder.mkdir()
     settings_file = tmp_path / "gateway.hcl"
@@ -310,20 +319,20 @@
     assert read_set(read_files(folder), ["numbers"]).plans == (made,)
     other = tmp_path / "other.hcl"
     other.write_bytes(plan_file(n0=0.001, n1=1.5, n2=1.5))
-    told = call("diff", out, other).output
-    assert "zone norte:" in told and "5.0% of reads move" in told and "n2: 1.35 -> 1.5" in told
+    output = call("diff", out, other).output
+    assert "zone norte:" in output and "5.0% of reads move" in output and "n2: 1.35 -> 1.5" in output
     assert call("diff", model, other).exit_code == 2 and call("solve", model, "--fade", "x").exit_code == 2
 
 
-def test_a_cold_server_is_not_pushed_over_by_its_share(tmp_path):
-    """The plan gives n2 nearly everything; it comes back cold under load, and the sockets show what it got."""
+def test_a_restarted_server_is_not_overloaded_by_its_planned_share(tmp_path):
+    """The plan gives n2 nearly all reads. It restarts cold under load; the record shows how many requests it received."""
     capacity = Capacity(slots=1, queue=10_000, read_s=0.01, cold_s=6.0, cold_share=0.2)
     with world(start=False, capacity=capacity, entries=2) as place:
         folder = tmp_path / "list.d"
         folder.mkdir()
 
         def listed():
-            wall = time.time() - time.monotonic()
+            boot_time = time.time() - time.monotonic()
             return [
                 ServerSpec(
                     name,
@@ -333,7 +342,7 @@
                     place.servers[name].port,
                     name in ("n1", "r1"),
                     "ready",
-                    wall + place.servers[name].started if place.servers[name].started else 0.0,
+                    boot_time + place.servers[name].started if place.servers[name].started else 0.0,
                 )
                 for group, members in place.members.items()
                 for name, zone in members
@@ -351,11 +360,13 @@
         run(place.servers["n2"].restart)
         (folder / "servers.hcl").write_text(render(listed()))
         until(lambda: gateway.list_version == 2)
-        assert run(lambda: gateway._endpoints.specs["n2"].weight) <= 2.9 * 0.35  # its warmth's part, in steps
+        assert run(lambda: gateway._endpoints.specs["n2"].weight) <= 2.9 * 0.35  # scaled by its warmth, in steps
         request = m.SearchRequest("cn=1,ou=numbers,dc=porting", 0, m.Present("cn"))
         for _ in range(4):
             run(lambda: gatherResults([desk.ask(request, "bounded", staleness=0.8) for _ in range(60)]))
-        got = [f for f in place.record.facts if f["kind"] == "received" and f["server"] == "n2" and f["op"] == "search"]
+        received = [
+            f for f in place.record.facts if f["kind"] == "received" and f["server"] == "n2" and f["op"] == "search"
+        ]
         verdict = judge(sorted(place.record.facts, key=lambda fact: fact["at"]))
         assert verdict.rules["cold_not_pushed_over"].judged == 1 and verdict.held
-        assert got  # it was given work all the same
+        assert received  # it still received requests
--- a/tests/plan/test_solver.py
+++ b/tests/plan/test_solver.py
@@ -1,4 +1,4 @@
-"""Plans against exact brute force: min-cost flow in rationals, by other code than the solver's."""
+"""Checks plans against exact minimum-cost flows, computed in rationals by code independent of the solver."""
 
 import json
 import random
@@ -17,43 +17,43 @@
 from yardbank.server_list.document import read_plans
 
 
-def test_the_same_verdict_and_optimum_as_brute_force():
+def test_feasibility_and_optimum_match_brute_force():
     found = [check(problem) for problem in grid(6, 47)]
     assert len(found) > 300 and 50 < sum(found) < len(found) - 50
 
 
-def far_apart(chance):
-    """A problem whose numbers are of very different scale, many of them just feasible or just not."""
+def problem_of_mixed_magnitude(random_source):
+    """A problem with numbers of very different magnitude, often just feasible or just infeasible."""
 
     def scale(low, high):
-        return float(f"{10 ** chance.uniform(low, high):.{chance.choice((1, 3, 6))}g}")
+        return float(f"{10 ** random_source.uniform(low, high):.{random_source.choice((1, 3, 6))}g}")
 
     servers = tuple(
         PlanServer(
             f"s{n}",
             "g",
-            chance.choice("abc"),
-            chance.choice((0.0, scale(-3, 6), scale(-1, 4))),
-            chance.choice((1.0, 0.3, 0.001)),
-            chance.choice((0.0, 0.0, scale(-3, 2))),
+            random_source.choice("abc"),
+            random_source.choice((0.0, scale(-3, 6), scale(-1, 4))),
+            random_source.choice((1.0, 0.3, 0.001)),
+            random_source.choice((0.0, 0.0, scale(-3, 2))),
         )
-        for n in range(chance.randint(1, 7))
+        for n in range(random_source.randint(1, 7))
     )
-    demands = [Demand("read", "g", zone, scale(-3, 4)) for zone in "abc" if chance.random() < 0.8]
-    limits = Limits(spill={zone: chance.choice((0.0, 1.0, round(chance.random(), 4))) for zone in "ab"})
-    if demands and chance.random() < 0.4:  # exactly what there is, or the least bit more
+    demands = [Demand("read", "g", zone, scale(-3, 4)) for zone in "abc" if random_source.random() < 0.8]
+    limits = Limits(spill={zone: random_source.choice((0.0, 1.0, round(random_source.random(), 4))) for zone in "ab"})
+    if demands and random_source.random() < 0.4:  # demand equals the total capacity, or slightly exceeds it
         room = sum(
             (max(Fraction(0), written(s.capacity) * written(s.warmth) - written(s.taken)) for s in servers), Fraction(0)
         )
         rest = room - sum((written(d.rate) for d in demands[1:]), Fraction(0))
         exactly = float(rest)
         if rest > 0 and written(exactly) == rest:
-            demands[0] = Demand("read", "g", demands[0].zone, chance.choice((exactly, exactly * 1.000001)))
+            demands[0] = Demand("read", "g", demands[0].zone, random_source.choice((exactly, exactly * 1.000001)))
     return Problem(servers, tuple(demands), limits)
 
 
 def within_limits(problem, plan):
-    """The test's own judge of a plan, in rationals."""
+    """Checks a plan against all limits in rationals, independently of the solver."""
     zone = {s.name: s.zone for s in problem.servers}
     load, out, asked = {}, {}, {}
     for d in problem.demands:
@@ -71,21 +71,21 @@
         assert out.get(name, 0) <= written(most) * asked.get(name, 0) * (1 + Fraction(1, 10**9))
 
 
-def test_numbers_of_very_different_scale_are_judged_exactly():
-    chance, feasible = random.Random(19), 0
+def test_feasibility_is_exact_for_numbers_of_very_different_magnitude():
+    random_source, feasible = random.Random(19), 0
     for _ in range(400):
-        problem = far_apart(chance)
-        wanted, plan = exact(problem), solve(problem)
-        assert plan.feasible == (wanted is not None), problem
-        if wanted is not None and problem.demands:
+        problem = problem_of_mixed_magnitude(random_source)
+        optimum, plan = exact(problem), solve(problem)
+        assert plan.feasible == (optimum is not None), problem
+        if optimum is not None and problem.demands:
             feasible += 1
             within_limits(problem, plan)
             total = sum(d.rate for d in problem.demands)
-            assert abs(plan.crossing - float(wanted)) <= 1e-6 * total, problem
+            assert abs(plan.crossing - float(optimum)) <= 1e-6 * total, problem
     assert 80 < feasible < 350
 
 
-def test_a_demand_far_below_the_largest_number_is_not_rounded_away():
+def test_a_tiny_demand_beside_a_huge_capacity_is_not_rounded_away():
     servers = (PlanServer("big", "g", "a", 1e6), PlanServer("none", "g", "b", 0.0))
     problem = Problem(servers, (Demand("read", "g", "b", 0.001),), Limits(spill={"b": 0.0}))
     (conflict,) = solve(problem).conflicts
@@ -97,36 +97,41 @@
     assert conflict.unserved == pytest.approx(0.001)
 
 
-def holds_alone(problem, conflict, without=""):
-    """Whether a conflict's limits, less one, can hold together; the others are lifted."""
-    words = [limit for limit in conflict.limits if limit != without]
+def can_hold_together(problem, conflict, without=""):
+    """Whether the limits of a conflict, except ``without``, can all hold if no other limit applies."""
+    descriptions = [limit for limit in conflict.limits if limit != without]
     named = {
-        server.name for server in problem.servers if any(w.startswith(f"capacity of {server.name}:") for w in words)
+        server.name
+        for server in problem.servers
+        if any(w.startswith(f"capacity of {server.name}:") for w in descriptions)
     }
     servers = tuple(s if s.name in named else replace(s, capacity=1e11, warmth=1.0, taken=0.0) for s in problem.servers)
-    demands = tuple(d for d in problem.demands if any(w.startswith(f"demand of {d.kind} in {d.zone}:") for w in words))
+    demands = tuple(
+        d for d in problem.demands if any(w.startswith(f"demand of {d.kind} in {d.zone}:") for w in descriptions)
+    )
     spill = {
         zone: share
         for zone, share in problem.limits.spill.items()
-        if any(w.startswith(f"spill out of {zone}:") for w in words)
+        if any(w.startswith(f"spill out of {zone}:") for w in descriptions)
     }
     return exact(Problem(servers, demands, Limits(spill=spill))) is not None
 
 
 def test_conflicts_are_minimal():
-    chance, seen = random.Random(5), 0
+    random_source, seen = random.Random(5), 0
     while seen < 80:
-        problem = far_apart(chance)  # one demand a zone: a spill limit is a share of that one
+        # With one demand per zone, a spill limit is a share of that demand.
+        problem = problem_of_mixed_magnitude(random_source)
         if (plan := solve(problem)).feasible:
             continue
         seen += 1
         (conflict,) = plan.conflicts
-        assert not holds_alone(problem, conflict), problem
+        assert not can_hold_together(problem, conflict), problem
         for limit in conflict.limits:
-            assert holds_alone(problem, conflict, limit), (problem, conflict, limit)
+            assert can_hold_together(problem, conflict, limit), (problem, conflict, limit)
 
 
-def test_of_several_classes_only_those_that_matter_are_in_conflict():
+def test_a_conflict_names_only_the_classes_that_contribute():
     servers = (PlanServer("s1", "g", "a", 10), PlanServer("s2", "g", "a", 0))
     demands = (Demand("large", "g", "a", 40), Demand("small", "g", "a", 1), Demand("other", "g", "b", 1))
     (conflict,) = solve(Problem(servers, demands)).conflicts
@@ -134,7 +139,7 @@
     assert conflict.unserved == pytest.approx(32)
 
 
-def test_a_conflict_is_minimal_and_says_by_how_much():
+def test_a_conflict_is_minimal_and_gives_the_unserved_rate():
     servers = (PlanServer("s1", "g", "a", 5), PlanServer("s2", "g", "b", 100))
     problem = Problem(servers, (Demand("read", "g", "a", 20),), Limits(spill={"a": 0.5}))
     (conflict,) = solve(problem).conflicts
@@ -160,33 +165,33 @@
         ((PlanServer("s1", "g", "a", 20), PlanServer("s2", "g", "b", 0)), Limits(survive_zone=True), None),
         ((PlanServer("s1", "g", "a", 0),), Limits(), "capacity of s1: 0/s"),
         ((), Limits(), "demand of read in a"),
-        ((PlanServer("s1", "g", "a", 20, 0.3),), Limits(), "capacity of s1: 6/s"),  # all of a zone cold
+        ((PlanServer("s1", "g", "a", 20, 0.3),), Limits(), "capacity of s1: 6/s"),  # all servers of the zone are cold
         ((PlanServer("s1", "g", "a", 20, taken=15),), Limits(), "capacity of s1: 5/s"),
     ],
 )
-def test_hard_cases(servers, limits, word):
+def test_infeasible_and_borderline_cases(servers, limits, word):
     plan = solve(Problem(servers, (Demand("read", "g", "a", 9),), limits))
     assert plan.feasible == (word is None)
     assert word is None or any(word in limit for limit in plan.conflicts[0].limits)
 
 
-def test_no_more_is_moved_than_may_be_unless_limits_ask_for_it():
+def test_reads_move_at_most_as_far_as_most_moved_allows():
     servers = (PlanServer("s1", "g", "a", 100), PlanServer("s2", "g", "a", 100))
     key, asked = ("read", "g", "a"), (Demand("read", "g", "a", 80),)
     old = {key: {"s1": 1.0}}
     half = solve(Problem(servers, asked, Limits(most_moved=0.2, before=old))).shares[key]
-    assert half == pytest.approx({"s1": 0.8, "s2": 0.2})  # equal shares would move one half
+    assert half == pytest.approx({"s1": 0.8, "s2": 0.2})  # equal shares would move half of the reads
     assert solve(Problem(servers, asked, Limits(most_moved=0.5, before=old))).shares[key] == {"s1": 0.5, "s2": 0.5}
-    small = (PlanServer("s1", "g", "a", 60), servers[1])  # s1 has shrunk: a quarter must go
+    small = (PlanServer("s1", "g", "a", 60), servers[1])  # s1 has less capacity: a quarter must move
     (conflict,) = solve(Problem(small, asked, Limits(most_moved=0.2, before=old))).conflicts
     assert conflict.limits == ("moved: at most 20% of reads, and 25% must go elsewhere", "capacity of s1: 60/s")
     just = solve(Problem(small, asked, Limits(most_moved=0.25, before=old))).shares[key]
     assert just == pytest.approx({"s1": 0.75, "s2": 0.25})
     gone = solve(Problem(servers, asked, Limits(most_moved=0.0, before={key: {"lost": 0.5, "s2": 0.5}}))).shares[key]
-    assert gone == {"s2": 1.0}  # what a lost server had goes with the rest of the plan in force
+    assert gone == {"s2": 1.0}  # the share of a removed server goes to the others of the active plan
 
 
-def test_prices_decide_where_what_must_cross_goes():
+def test_cross_zone_reads_go_to_the_zone_with_the_lower_price():
     servers = (PlanServer("b1", "g", "b", 100), PlanServer("c1", "g", "c", 100))
     asked = (Demand("read", "g", "a", 80),)
     for near, far in (("b", "c"), ("c", "b")):
@@ -196,18 +201,19 @@
         Problem(servers, asked, Limits(prices={("a", "b"): 0.0}))
 
 
-def test_the_gap_tells_how_far_from_the_least_a_plan_is():
+def test_the_gap_is_the_distance_from_the_optimal_price():
     servers = (PlanServer("a1", "g", "a", 100), PlanServer("b1", "g", "b", 100))
     asked, key = (Demand("read", "g", "a", 80),), ("read", "g", "a")
     plan = solve(Problem(servers, asked))
     assert plan.proven and plan.gap == 0
     held = solve(Problem(servers, asked, Limits(most_moved=0.25, before={key: {"b1": 1.0}})))
-    assert held.gap == pytest.approx(0.75) and not held.proven  # three quarters still cross, and need not
-    late = solve(Problem(servers, asked), seconds=1e-12)  # no time for any program: within all limits all the same
+    assert held.gap == pytest.approx(0.75) and not held.proven  # three quarters still cross zones without need
+    # Without time for any linear program, the plan still respects all limits.
+    late = solve(Problem(servers, asked), seconds=1e-12)
     assert late.feasible and sum(late.shares[key].values()) == pytest.approx(1)
 
 
-def test_limits_are_taken_away_only_by_name_and_the_plan_says_so(tmp_path):
+def test_limits_are_relaxed_only_by_name_and_the_plan_names_them(tmp_path):
     file, out = tmp_path / "model.hcl", tmp_path / "made.hcl"
     file.write_text(MODEL.replace("a = 0.5", "a = 0.4"))
     assert call("solve", file, "--zone", "a", "--out", out).exit_code == 4 and not out.exists()
@@ -220,7 +226,7 @@
         relaxed(Problem((), ()), ("demand",))
 
 
-def test_equals_are_shared_evenly_and_the_same_input_gives_the_same_plan():
+def test_equal_servers_get_equal_shares_and_the_same_input_gives_the_same_plan():
     servers = tuple(PlanServer(f"s{n}", "g", "a", 10) for n in range(4))
     problem = Problem(servers, (Demand("read", "g", "a", 20), Demand("status", "g", "a", 4)))
     plan = solve(problem)
@@ -229,14 +235,14 @@
     assert again.shares == plan.shares
 
 
-def test_scales_far_apart_and_binding_limits_in_words():
+def test_binding_limits_are_described_for_capacities_of_different_magnitude():
     servers = (PlanServer("small", "g", "a", 0.5), PlanServer("large", "g", "b", 1e6))
     plan = solve(Problem(servers, (Demand("read", "g", "a", 1000.0),)))
     assert plan.feasible and abs(plan.crossing - 999.5) < 1
     assert any(limit.startswith("capacity of small") and "spare 1/s" in limit for limit in plan.binding)
 
 
-def test_what_makes_no_sense_is_named():
+def test_an_invalid_problem_is_rejected_with_its_cause():
     with pytest.raises(ValueError, match="given twice"):
         Problem((PlanServer("s", "g", "a", 1), PlanServer("s", "g", "b", 1)), ())
     with pytest.raises(ValueError, match="out of range"):
@@ -281,7 +287,7 @@
     return CliRunner().invoke(main, ["plan", *map(str, words)])
 
 
-def test_commands(tmp_path):
+def test_commands_solve_and_explain(tmp_path):
     file, out = tmp_path / "model.hcl", tmp_path / "weights.hcl"
     file.write_text(MODEL)
     done = call("solve", file, "--zone", "a", "--out", out)
@@ -306,14 +312,14 @@
         assert done.exit_code == 2 and reason in done.output
 
 
-def test_standard_output_holds_the_answer_and_nothing_else(tmp_path):
+def test_stdout_contains_only_the_result(tmp_path):
     (tmp_path / "model.hcl").write_text(MODEL)
     command = [sys.executable, "-m", "yardbank", "plan", "solve", str(tmp_path / "model.hcl"), "--json"]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     assert json.loads(done.stdout)["crossing"] == pytest.approx(10, abs=1e-3)
 
 
-def test_weights_of_a_plan_are_a_part_of_a_watched_list(tmp_path):
+def test_a_written_plan_is_read_as_a_part_of_a_watched_list(tmp_path):
     from yardbank.gateway import ServerSpec
     from yardbank.server_list import read_set
     from yardbank.server_list.document import render
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents name only files that are there."""
+"""Checks that paths and links in documents lead to existing files."""
 
 import re
 
@@ -14,20 +14,20 @@
 LINK = re.compile(r"\]\((?!https?:)([^)#]+)")
 
 
-def alternatives(path):
-    """``a/{b,c}.py`` as the paths that it stands for."""
-    before, brace, rest = path.partition("{")
+def expand_braces(path):
+    """Expands braces: ``a/{b,c}.py`` is ``a/b.py`` and ``a/c.py``."""
+    prefix, brace, after_brace = path.partition("{")
     if not brace:
         return [path]
-    inside, _, after = rest.partition("}")
-    return [f"{before}{one}{after}" for one in inside.split(",")]
+    inside, _, suffix = after_brace.partition("}")
+    return [f"{prefix}{choice}{suffix}" for choice in inside.split(",")]
 
 
 @pytest.mark.parametrize("document", DOCUMENTS)
-def test_every_path_and_link_of_a_document_leads_somewhere(document):
+def test_every_path_and_link_in_a_document_exists(document):
     file = ROOT / document
     text = file.read_text()
-    named = [path for found in PATH.findall(text) for path in alternatives(found)]
-    absent = [path for path in named if not list(ROOT.glob(path.rstrip("/")))]
-    absent += [link for link in LINK.findall(text) if not (file.parent / link).exists()]
-    assert absent == []
+    named = [path for found in PATH.findall(text) for path in expand_braces(found)]
+    missing = [path for path in named if not list(ROOT.glob(path.rstrip("/")))]
+    missing += [link for link in LINK.findall(text) if not (file.parent / link).exists()]
+    assert missing == []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what it may say, and that the suite holds to it."""
+"""The format of KNOWN-RED.txt, and its effect on a run of the test suite."""
 
 import subprocess
 import sys
@@ -13,36 +13,41 @@
     return KnownRed(test, "make test", fails, "it is late", "38")
 
 
-def test_an_absent_or_empty_file_lists_none_and_lines_have_five_parts():
+def test_an_empty_file_has_no_entries_and_lines_have_five_fields():
     assert read("") == read("\n\n") == []
     line = "tests/test_a.py::test_b[c] | make test | always | it is late | 38\n"
     assert read(line) == [listed("tests/test_a.py::test_b[c]")]
     assert read(line.replace("always", "sometimes")) == [listed("tests/test_a.py::test_b[c]", Fails.SOMETIMES)]
-    wrong = ["tests/test_a.py::test_b", "a | b", "a | b | c", "a | b | always | d", "a | b | always |  | c"]
-    for each in (*wrong, "a | b | always | c | d | e", "a | b | now and then | c | d", "a | b | Always | c | d"):
+    invalid_lines = ["tests/test_a.py::test_b", "a | b", "a | b | c", "a | b | always | d", "a | b | always |  | c"]
+    for invalid in (
+        *invalid_lines,
+        "a | b | always | c | d | e",
+        "a | b | now and then | c | d",
+        "a | b | Always | c | d",
+    ):
         with pytest.raises(KnownRedError, match=r"KNOWN-RED\.txt:2: "):
-            read("\n" + each)
+            read("\n" + invalid)
 
 
-def test_no_fault_is_left_out_for_its_number():
+def test_the_number_of_entries_is_not_limited():
     line = "tests/test_a.py::test_b | make test | always | cause | 38\n"
     assert len(read(40 * line)) == 40
 
 
-def test_only_the_field_says_when_a_test_fails():
+def test_only_the_third_field_decides_whether_a_test_always_fails():
     (entry,) = read("tests/test_a.py::test_b | make test | always | now and then: late | 38\n")
     assert entry.always_fails
 
 
-def test_a_line_that_names_no_test_is_found():
-    here = "tests/test_known_red.py::"
-    name = "test_no_fault_is_left_out_for_its_number"
-    there = [listed(here + name), listed(here + name + "[x]")]
-    absent = [listed(here + "test_none"), listed("tests/none.py::test_a"), listed("tests")]
-    assert missing(there + absent, known_red.ROOT) == [entry.test for entry in absent]
+def test_entries_for_tests_that_do_not_exist_are_found():
+    this_file = "tests/test_known_red.py::"
+    name = "test_the_number_of_entries_is_not_limited"
+    existing = [listed(this_file + name), listed(this_file + name + "[x]")]
+    absent = [listed(this_file + "test_none"), listed("tests/none.py::test_a"), listed("tests")]
+    assert missing(existing + absent, known_red.ROOT) == [entry.test for entry in absent]
 
 
-def test_a_line_without_a_case_lists_all_cases():
+def test_an_entry_without_parameters_covers_all_cases():
     known = [listed("t.py::test_a"), listed("t.py::test_b[x]")]
     assert entry_for("t.py::test_a[y]", known) == entry_for("t.py::test_a", known) == known[0]
     assert entry_for("t.py::test_b[x]", known) == known[1] and entry_for("t.py::test_b[y]", known) is None
@@ -52,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("test", "fails", "code", "said"),
+    ("test", "fails", "code", "expected_output"),
     [
         ("test_red", "always", 0, "KNOWN RED: tests/test_x.py::test_red: fails always: a cause (make test; issue 38)"),
         ("test_green", "always", 1, "XPASS(strict)"),
@@ -63,15 +68,15 @@
         (None, "", 1, "assert False"),
     ],
 )
-def test_the_suite_passes_over_just_what_is_listed(tmp_path, test, fails, code, said):
-    """A suite of its own, with this one's conftest: a listed test must fail, and nothing else may."""
-    ran = run_suite(tmp_path, SUITE, [(test, fails)] if test else [])
-    assert ran.returncode == code and said in ran.stdout + ran.stderr
+def test_only_listed_tests_may_fail(tmp_path, test, fails, code, expected_output):
+    """Runs a separate suite with this conftest: a test listed as always failing must fail, and no unlisted one may."""
+    result = run_suite(tmp_path, SUITE, [(test, fails)] if test else [])
+    assert result.returncode == code and expected_output in result.stdout + result.stderr
 
 
-def test_what_fails_sometimes_may_pass_and_decides_nothing(tmp_path):
-    ran = run_suite(tmp_path, "def test_green():\n    pass\n", [("test_green", "sometimes")])
-    assert ran.returncode == 0 and "KNOWN RED: tests/test_x.py::test_green" in ran.stdout
+def test_a_test_that_fails_sometimes_may_pass(tmp_path):
+    result = run_suite(tmp_path, "def test_green():\n    pass\n", [("test_green", "sometimes")])
+    assert result.returncode == 0 and "KNOWN RED: tests/test_x.py::test_green" in result.stdout
 
 
 def run_suite(folder, suite, entries):
