--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -278,9 +278,8 @@
         assert weight("n2") == pytest.approx(2 * weight("n1"), rel=1e-3) and weight("n3") == 0.001
         (folder / "servers.hcl").write_text(render([s for s in specs if s.name != "n2"]))
         until(lambda: gateway.list_version == 2 and gateway._endpoints.specs["n3"].weight > 0.001)
-        assert weight("n1") == pytest.approx(
-            weight("n3"), rel=1e-3
-        )  # 10/s each: half of the reads must go to the other zone
+        # 10/s each: half of the reads must go to the other zone.
+        assert weight("n1") == pytest.approx(weight("n3"), rel=1e-3)
         (folder / "servers.hcl").write_text(render([s for s in specs if s.name in ("n1", "r1", "r2")]))
         until(lambda: gateway.list_version == 3 and place.proxy._fleet._own is None)
         assert weight("n1") == 1.0  # no plan is feasible: equal shares (the log has the reason)
@@ -303,9 +302,8 @@
     out = tmp_path / "made.hcl"
     assert call("solve", model, "--zone", "norte", "--out", out, "--fade", "2h").exit_code == 0
     (made,) = read_plans({"made.hcl": out.read_bytes()})
-    assert (
-        made.list_hash == list_hash(LISTED) and made.fade == 7200.0 and made.switchover == {"numbers": "n1"}
-    )  # the server of the same kind as the primary
+    # The switchover names the server of the same kind as the primary.
+    assert made.list_hash == list_hash(LISTED) and made.fade == 7200.0 and made.switchover == {"numbers": "n1"}
     folder = tmp_path / "list.d"
     folder.mkdir()
     settings_file = tmp_path / "gateway.hcl"
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several test files share: worlds on a virtual clock, stand-ins for sockets, seeded faults."""
+"""Shared test support: simulations on a virtual clock, fake sockets, seeded faults."""
--- a/tests/support/channels_fleet.py
+++ b/tests/support/channels_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on a virtual clock whose gateways carry channels; what each published and each listener saw, and the verdict."""
+"""A simulated fleet on a virtual clock that serves channels; records what is published and received, and checks it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Listener:
-    """One start of one gateway: what its program was told, in order."""
+    """One run of a gateway process, with the events that its program received, in order."""
 
     name: str
     part: ChannelPart
@@ -27,7 +27,7 @@
 
 
 class ChannelFleet:
-    """Gateways that would all carry and all follow the same channels, and publish a number on what they carry."""
+    """Gateways that all bid for and follow the same channels; the owner of a channel publishes on it periodically."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
         self.publishing = True
         self.listeners: list[Listener] = []
         self.running: dict[str, Listener] = {}
-        self.published: dict[tuple[str, int], int] = {}  # by channel and epoch: the last sequence given out
+        self.published: dict[tuple[str, int], int] = {}  # by channel and epoch: the last published sequence
         self.refused: dict[str, int] = defaultdict(int)
-        self.owned_by: dict[str, list[tuple[int, str, int]]] = defaultdict(list)  # when, who, epoch
-        self.owners: dict[str, list[tuple[int, tuple[str, ...]]]] = defaultdict(list)  # whenever that changes
+        self.owned_by: dict[str, list[tuple[int, str, int]]] = defaultdict(list)  # (time, gateway, epoch)
+        self.owners: dict[str, list[tuple[int, tuple[str, ...]]]] = defaultdict(list)  # (time, owners) at each change
         self.gossip = GossipFleet(self.names, seed, zones=zones, parts=self._parts)
 
     def _parts(self, node: GossipNode, random: Random) -> list[Part]:
@@ -79,7 +79,7 @@
         del self.running[name]
 
     def stop(self, name: str) -> None:
-        """As SIGTERM does: hand all on, then end."""
+        """Stop as on SIGTERM: hand all channels over, then end."""
         self.running[name].part.stopping(self.gossip.own(name))
         self.gossip.prompt(name)
         self.run_until(lambda: not self.running[name].part.held_channels(), 5 * SECOND)
@@ -103,9 +103,9 @@
                 if name not in self.gossip.paused:
                     self._look(name, listener, publish, holders)
             for channel, names in holders.items():
-                known = self.owners[channel]
-                if not known or known[-1][1] != tuple(names):
-                    known.append((self.gossip.now, tuple(names)))
+                changes = self.owners[channel]
+                if not changes or changes[-1][1] != tuple(names):
+                    changes.append((self.gossip.now, tuple(names)))
 
     def _look(self, name: str, listener: Listener, publish: bool, holders: dict[str, list[str]]) -> None:
         now, part = self.gossip.own(name), listener.part
@@ -124,8 +124,8 @@
         if why:
             self.refused[why] += 1
         else:
-            mine = part.feed.owned_channels[channel]
-            self.published[channel, mine.epoch] = mine.sequence
+            owned = part.feed.owned_channels[channel]
+            self.published[channel, owned.epoch] = owned.sequence
         return why
 
     def run_until(self, condition: Callable[[], bool], most: int) -> int | None:
@@ -137,7 +137,7 @@
         return self.gossip.now if condition() else None
 
     def owner(self, channel: str) -> tuple[str, ...]:
-        """Who may publish on it now."""
+        """The gateways that may publish on the channel now."""
         known = self.owners[channel]
         return tuple(name for name in known[-1][1] if name in self.running) if known else ()
 
@@ -145,7 +145,7 @@
         return all(len(self.owner(channel)) == 1 for channel in self.channels)
 
     def votable_owned(self) -> bool:
-        """Each channel has one owner, those apart of whose voters most are dead."""
+        """Whether each channel has one owner; channels whose voters are mostly dead are exempt."""
         leases = next(iter(self.running.values())).leases
         voters = {channel: leases.electorate.voters(resource(channel)) for channel in self.channels}
         return all(
@@ -155,19 +155,19 @@
         )
 
     def loads(self) -> dict[str, int]:
-        found = dict.fromkeys(self.running, 0)
+        counts = dict.fromkeys(self.running, 0)
         for channel in self.channels:
             for name in self.owner(channel):
-                found[name] += 1
-        return found
+                counts[name] += 1
+        return counts
 
     def moved(self) -> int:
         return sum(len(found) for found in self.owned_by.values())
 
-    # The verdict
+    # Checks
 
     def faults(self) -> list[str]:
-        """Whatever a listener must not see: twice, out of order, or missing and not told."""
+        """Violations that a listener saw: duplicates, items out of order, and losses without a gap event."""
         return [
             fault
             for listener in self.listeners
@@ -176,25 +176,25 @@
         ]
 
     def _faults(self, name: str, channel: str, events: Iterable[Event]) -> Iterable[str]:
-        last, gap = (0, 0), True  # one begins wherever it is
+        last, gap = (0, 0), True  # a listener may start at any position
         for event in events:
             if isinstance(event, Gap):
                 gap = True
             elif isinstance(event, Delivered):
-                place = event.epoch, event.sequence
-                if place <= last:
-                    yield f"{name} {channel}: {place} after {last}"
-                same = place == (last[0], last[1] + 1)
-                whole = place[1] == 1 and self.published.get((channel, last[0])) == last[1]
-                whole = whole and not any(
-                    c == channel and last[0] < e < place[0] and n for (c, e), n in self.published.items()
+                position = event.epoch, event.sequence
+                if position <= last:
+                    yield f"{name} {channel}: {position} after {last}"
+                next_in_epoch = position == (last[0], last[1] + 1)
+                next_epoch_complete = position[1] == 1 and self.published.get((channel, last[0])) == last[1]
+                next_epoch_complete = next_epoch_complete and not any(
+                    c == channel and last[0] < e < position[0] and n for (c, e), n in self.published.items()
                 )
-                if not (same or whole or gap):
-                    yield f"{name} {channel}: from {last} to {place}, no gap told"
-                last, gap = place, False
+                if not (next_in_epoch or next_epoch_complete or gap):
+                    yield f"{name} {channel}: from {last} to {position}, no gap told"
+                last, gap = position, False
 
     def two_owners(self) -> int:
-        """The longest time that two or more might publish on one channel."""
+        """The longest time during which two or more gateways might publish on one channel."""
         longest = 0
         for changes in self.owners.values():
             for (since, names), (until, _) in zip(changes, [*changes[1:], (self.gossip.now, ())]):
--- a/tests/support/client_sockets.py
+++ b/tests/support/client_sockets.py
@@ -1,4 +1,4 @@
-"""Real TCP sockets before the client factory: a reactor that turns only when told, a clock of the test's own."""
+"""Real TCP sockets in front of the client factory, with a reactor that the test steps and a separate virtual clock."""
 
 import select
 import socket
@@ -14,7 +14,7 @@
 
 
 class Wire(World):
-    """Real sockets before the factory, a clock of the test's own behind it."""
+    """Real client sockets; the gateway behind the factory runs on the test's virtual clock."""
 
     def __init__(self, **more):
         super().__init__(**more)
@@ -29,15 +29,15 @@
         self.factory.buildProtocol = remember
 
     def until(self, condition, turns=500):
-        """Turn until something is so; each turn waits for sockets for a moment at most."""
+        """Step the reactor until the condition holds; each step waits at most 10 ms for sockets."""
         for _ in range(turns):
             if condition():
                 return
             self.reactor.iterate(0.01)
-        raise AssertionError("it never came to pass")
+        raise AssertionError("the condition never held")
 
     def client(self, first=START, answers=1):
-        """A client whose first words are answered: its end and the gateway's."""
+        """Connect a client and wait for the answers to its first message; returns its socket and the gateway's protocol."""
         far = socket.create_connection(self.port.socket.getsockname())
         far.settimeout(30)
         self.until(lambda: any(made.transport.getPeer().port == far.getsockname()[1] for made in self.made))
@@ -45,10 +45,10 @@
         if first:
             far.sendall(first)
             self.until(lambda: readable(far))
-            got = b""
-            while got.count(READY) < answers:
+            received = b""
+            while received.count(READY) < answers:
                 self.until(lambda: readable(far))
-                got += far.recv(1 << 16)
+                received += far.recv(1 << 16)
         return far, near
 
     def close(self):
@@ -63,7 +63,7 @@
 
 
 def arrives(near, events):
-    """Wait, without a turn of the reactor, until the system has something for the gateway's end."""
+    """Wait, without stepping the reactor, until the system has events for the gateway's socket."""
     poll = select.poll()
     poll.register(near.transport.socket, events)
     assert poll.poll(30_000)
--- a/tests/support/delayed_gateway.py
+++ b/tests/support/delayed_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway whose connections open when the test says so, and lists that lie unread; its decision module is heard."""
+"""A gateway whose connections open on the test's command, with unread server lists and a recording decision module."""
 
 from twisted.internet.task import Clock
 
@@ -15,8 +15,8 @@
 MOVED = ServerSpec("p", "g", "a", "h", 3, True)
 
 
-class Heard(Router):
-    """The decision module; keeps what it was told and what it said."""
+class RecordingRouter(Router):
+    """The decision module; records its events and actions."""
 
     def __init__(self, settings):
         super().__init__(settings)
@@ -29,8 +29,8 @@
         return actions
 
 
-class Scripted(Heard):
-    """Does what the test says of a request and of its attempts' ends."""
+class Scripted(RecordingRouter):
+    """Returns scripted actions for requests and outcomes of attempts."""
 
     script = staticmethod(lambda event: [])
 
@@ -40,13 +40,13 @@
 
 
 class Place:
-    """A gateway whose connections open when the test says so."""
+    """A gateway whose connections open on the test's command."""
 
-    def __init__(self, *servers, router=Heard, **more):
+    def __init__(self, *servers, router=RecordingRouter, **more):
         self.clock, self.backend, self.log = Clock(), FakeBackend(), Log()
         self.clock.advance(100)
         self.backend.mode = "when told"
-        self.feed = []  # lists that lie unread
+        self.feed = []  # server lists that are not read yet
         settings = Settings(1, "a", 1, (READ, WRITE, KEYED), reports="none", max_attempts=4, max_retry_after=100 * MS)
 
         def made(settings):
@@ -76,7 +76,7 @@
         return sink
 
     def up(self, at=0):
-        """A connection that was opening is up."""
+        """Complete a pending connection."""
         server, ready, lost = self.backend.waiting[at]
         made = FakeConnection(self.backend, server, lost)
         self.backend.connections.append(made)
--- a/tests/support/drawn_adapter_play.py
+++ b/tests/support/drawn_adapter_play.py
@@ -1,4 +1,4 @@
-"""The decision module behind the bench's wire, played by the same scripts as the platform's gateway; see ``drawn_play``."""
+"""The decision module behind the JSON adapter, driven by the same scripts as ``drawn_platform_play``."""
 
 import orjson
 
@@ -10,7 +10,7 @@
 
 
 class WirePlay:
-    """One gateway; ``names`` calls classes, zones, groups, servers and tenants, the last four also by numbers."""
+    """One gateway; ``names`` maps classes, zones, groups, servers and tenants to names, the last four also to numbers."""
 
     def __init__(self, told, names):
         self.told, self.names, self.trace = told, names, []
@@ -84,7 +84,7 @@
             }
         )
 
-    # Steps
+    # Script steps
 
     def ask(self, client, kind, group, key, limit):
         kind %= len(self.told["settings"]["services"])
--- a/tests/support/drawn_platform_play.py
+++ b/tests/support/drawn_platform_play.py
@@ -1,7 +1,7 @@
-"""A gateway of the platform with drawn settings, played over string transports; the trace is free of names.
+"""A gateway of the platform with generated settings, driven over string transports; its trace contains no names.
 
-What the test plays is told by numbers: the deployment says of which class, group, zone and server, its names by what
-they are called. Two plays of one script with other names have the same trace, unless something decides by a name.
+Scripts refer to classes, groups, zones and servers by number, and the deployment gives each number a name. Two runs of
+one script with different names have the same trace, unless a decision depends on a name.
 """
 
 import re
@@ -31,7 +31,7 @@
 
 
 class Silent:
-    """The socket of a connection on which nothing waits."""
+    """The socket of a connection without pending input."""
 
     def recv(self, *_):
         raise BlockingIOError
@@ -52,7 +52,7 @@
 
 
 class Reactor(Clock):
-    """Dials that the play ends."""
+    """Records outgoing connections; the test completes them."""
 
     def __init__(self):
         super().__init__()
@@ -66,7 +66,7 @@
 
 
 class Play:
-    """One gateway; ``told`` has settings and servers by number, ``names`` what each number is called."""
+    """One gateway; ``told`` has settings and servers by number, ``names`` has the name of each number."""
 
     def __init__(self, told, names):
         self.told, self.names, self.trace = told, names, []
@@ -127,7 +127,7 @@
         return self.trace
 
     def settle(self):
-        """Dials end, what was written is taken down, what was closed is gone; until nothing more comes of it."""
+        """Complete connections, record written data and remove closed connections, until nothing changes."""
         for _ in range(100):
             before = len(self.trace)
             dials, self.reactor.dials = self.reactor.dials, []
@@ -148,7 +148,7 @@
                     made.connectionLost()
             if len(self.trace) == before and not self.reactor.dials:
                 return
-        raise AssertionError("it does not come to rest")
+        raise AssertionError("the gateway does not settle")
 
     def dialled(self, dial):
         self.trace.append(("dial", dial.port))
@@ -166,7 +166,7 @@
         made.dataReceived(AUTHENTICATED)
 
     def statements(self, octets):
-        """What was written to a server, by numbers."""
+        """Yield the statements written to a server, with names replaced by numbers."""
         for number, name, left, group, after, verb in _STATEMENT.findall(octets):
             yield (
                 number,
@@ -179,7 +179,7 @@
         if not _STATEMENT.search(octets) and octets:
             yield octets
 
-    # Steps
+    # Script steps
 
     def ask(self, client, kind, group, key, limit):
         kind %= len(self.kinds)
@@ -200,12 +200,12 @@
         self.clients[client][0].dataReceived(query(text))
 
     def burst(self, count, kind, group, limit):
-        """Several clients ask at once, of class after class; more than servers are sent waits at the gateway."""
+        """Several clients send requests at once, of successive classes; what exceeds the servers' limits queues in the gateway."""
         for at in range(count):
             self.ask(10 + at, kind + at, group, at % 7, limit)
 
     def answer(self, which, how, part, behind, load):
-        """The server's word on a statement that is out; ``how``: served, an error, a reset, noise."""
+        """Answer a pending statement. ``how``: 0 served, 1 to 6 an error, 7 a reset, 8 garbage."""
         out = [made for made, wire, _ in self.servers if wire is not None and made._session.busy]
         if not out:
             return
@@ -245,5 +245,5 @@
 
 
 def milliseconds(number):
-    """In the wire's unit."""
+    """Converts milliseconds to the adapter's unit, nanoseconds."""
     return number * MS
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,8 +1,9 @@
-"""Tests of faults that are known and not mended yet: KNOWN-RED.txt, read, checked, and held to.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of known faults that are not fixed yet.
 
-One line each, ``test | command and seed | when it fails | what was seen | issue``, as many as there are faults. A listed
-test runs like any other. One that fails ``always`` must fail: if it passes, its line has to go. One that fails ``sometimes``
-may also pass: it runs, it is printed, and it decides nothing. A line that names no test fails the run.
+Each line is ``test | command and seed | when it fails | what was seen | issue``; the number of lines is not limited. A
+listed test runs like any other. A test that fails ``always`` must fail: if it passes, its line has to be removed. A test
+that fails ``sometimes`` may also pass: it runs and is printed, but does not affect the result. A line that names no
+existing test fails the run.
 """
 
 from __future__ import annotations
@@ -26,22 +27,22 @@
 
 
 class KnownRedError(ValueError):
-    """The file breaks its own rules; the text names the line."""
+    """The file has an invalid line, which the message names."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
     """One test that is known to fail."""
 
-    test: str  # as pytest names it: file::function, with [case] or without
-    command: str  # how the failure was brought about, with the seed if there is one
+    test: str  # pytest ID: file::function, with or without [parameters]
+    command: str  # command that reproduces the failure, with its seed if any
     fails: Fails
     seen: str
     issue: str
 
     @property
     def always_fails(self) -> bool:
-        """Whether a pass is an error."""
+        """Whether passing is an error."""
         return self.fails is Fails.ALWAYS
 
     def __str__(self) -> str:
@@ -49,27 +50,27 @@
 
 
 def read(text: str) -> list[KnownRed]:
-    """The entries of the file. Raises ``KnownRedError``."""
-    found: list[KnownRed] = []
+    """Parses the entries of the file. Raises ``KnownRedError``."""
+    entries: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != len(FIELDS) or not all(parts):
+        fields = [field_text.strip() for field_text in line.split("|")]
+        if len(fields) != len(FIELDS) or not all(fields):
             raise KnownRedError(f"KNOWN-RED.txt:{number}: '{' | '.join(FIELDS)}' is expected")
-        test, command, fails, seen, issue = parts
+        test, command, fails, seen, issue = fields
         if fails not in set(Fails):
             raise KnownRedError(f"KNOWN-RED.txt:{number}: '{' or '.join(Fails)}' is expected, not {fails!r}")
-        found.append(KnownRed(test, command, Fails(fails), seen, issue))
-    return found
+        entries.append(KnownRed(test, command, Fails(fails), seen, issue))
+    return entries
 
 
 def missing(known: list[KnownRed], root: Path) -> list[str]:
-    """Tests that are named and are not there."""
+    """Returns the listed tests that do not exist."""
     absent = []
     for entry in known:
-        file, _, rest = entry.test.partition("::")
-        function = rest.partition("[")[0].rpartition("::")[2]
+        file, _, qualified_name = entry.test.partition("::")
+        function = qualified_name.partition("[")[0].rpartition("::")[2]
         path = root / file
         tree = ast.parse(path.read_text() if path.is_file() else "")
         functions = {node.name for node in ast.walk(tree) if isinstance(node, ast.FunctionDef)}
@@ -79,6 +80,6 @@
 
 
 def entry_for(nodeid: str, known: list[KnownRed]) -> KnownRed | None:
-    """The entry that lists a test; one without a case lists all cases of its function."""
+    """Returns the entry for a test; an entry without parameters covers all cases of its function."""
     function = nodeid.partition("[")[0]
     return next((entry for entry in known if entry.test in (nodeid, function)), None)
--- a/tests/support/lease_bus.py
+++ b/tests/support/lease_bus.py
@@ -1,4 +1,4 @@
-"""A few gateways' leases on one clock; letters arrive at once unless they are cut off."""
+"""Leases of a few gateways on one clock; messages are delivered immediately, except to and from gateways in ``cut``."""
 
 from random import Random
 
@@ -34,14 +34,16 @@
         return part
 
     def flush(self):
-        while letters := [(name, one) for name, part in self.parts.items() for one in part.outgoing_messages()]:
-            for name, letter in letters:
-                self.said.append((name, letter.to, decode(letter.body)))
-                if letter.to in self.parts and name not in self.cut and letter.to not in self.cut:
-                    self.parts[letter.to].receive(self.now, name, self.parts[name].boot_epoch, letter.body)
-
-    def run(self, span):
-        end = self.now + span
+        while messages := [
+            (name, outgoing) for name, part in self.parts.items() for outgoing in part.outgoing_messages()
+        ]:
+            for name, message in messages:
+                self.said.append((name, message.to, decode(message.body)))
+                if message.to in self.parts and name not in self.cut and message.to not in self.cut:
+                    self.parts[message.to].receive(self.now, name, self.parts[name].boot_epoch, message.body)
+
+    def run(self, duration):
+        end = self.now + duration
         while True:
             self.flush()
             due = [
--- a/tests/support/list_distribution_faults.py
+++ b/tests/support/list_distribution_faults.py
@@ -1,29 +1,29 @@
-"""Seeded faults of a gateway's copy of the distributed list; each changes one thing."""
+"""Seeded faults in a gateway's replica of the distributed list; each patches one method."""
 
 
 def deaf_to_lists():
-    """Hears nothing of new versions."""
+    """Ignores messages about new versions."""
     from yardbank.cluster.list_distribution.replica import Replica
 
     Replica.receive = lambda self, now, sender, message: None
 
 
 def alters_entries():
-    """Says of other entries that they are the published version."""
+    """Announces the published version with a wrong digest."""
     from yardbank.cluster.list_distribution.replica import Replica
 
     Replica._own = lambda self: type(own(self))(own(self).version, bytes(16)) if self.table.entries else own(self)
 
 
 def own(replica):
-    """What a sound one announces."""
+    """The announcement of a correct replica."""
     from yardbank.cluster.list_distribution.messages import Have
 
     return Have(replica.table.version, replica.table.digest)
 
 
 def goes_back():
-    """Falls back to nothing every other second."""
+    """Announces an empty replica in every other tick."""
     from yardbank.cluster.list_distribution.messages import Have
     from yardbank.cluster.list_distribution.replica import EMPTY, Replica
 
@@ -40,7 +40,7 @@
 
 
 def appoints_itself():
-    """Publishes without a lease, always under one epoch, entries of its own."""
+    """Publishes its own entries without a lease, always with the same epoch."""
     from yardbank.cluster.list_distribution.part import DistributionPart
 
     publish = DistributionPart._publish
--- a/tests/support/list_distribution_fleet.py
+++ b/tests/support/list_distribution_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on a virtual clock whose gateways hold copies of a published list; checks the invariants as it goes."""
+"""A simulated fleet on a virtual clock whose gateways replicate a published list; checks invariants while it runs."""
 
 from collections import defaultdict
 
@@ -11,20 +11,20 @@
 
 
 class OneHolder:
-    """Leases as far as a publisher asks for them: one gateway holds, others do not."""
+    """A minimal lease service for publishers: one gateway of the fleet holds the lease."""
 
     def __init__(self, fleet, name):
         self._fleet, self._name = fleet, name
 
     def acquire(self, now, resource):
-        """Asked for."""
+        """Has no effect: the test sets the holder."""
 
     def epoch(self, now, resource):
         return self._fleet.epoch if self._fleet.holder == self._name else None
 
 
 class ListFleet:
-    """``kept``: copies that outlive their gateway's process."""
+    """Gateways with replicas; ``kept`` has the copies that survive a restart."""
 
     def __init__(self, gateways, seed=1, zones=None, options=None, publishers=2):
         self.names = [f"g{number:03}" for number in range(gateways)]
@@ -32,11 +32,11 @@
         self.holder, self.epoch, self.publishers = self.names[0], 1, self.names[:publishers]
         self.options, self.wanted = options, {"db-1": "a"}
         self.parts, self.kept = {}, defaultdict(Table)
-        self.reached = {}  # by gateway: the last version, unless it lost its copy since
+        self.reached = {}  # by gateway: the last adopted version, unless its copy was lost since
         self.published, self.adopted = (
             {},
             defaultdict(list),
-        )  # entries by version; by gateway: when, version, whether by a snapshot
+        )  # entries by version; by gateway: (time, version, whether from a snapshot)
         self.gossip = GossipFleet(self.names, seed, zones=self.zones, parts=self._made)
 
     def _made(self, node, random):
@@ -60,7 +60,7 @@
         del self.parts[name]
 
     def want(self, **entries):
-        """The operator's list changes, at all who may publish it."""
+        """Change the operator's list at all gateways that may publish it."""
         self.wanted = {key: value for key, value in {**self.wanted, **entries}.items() if value is not None}
         for name in self.publishers:
             if name in self.parts:
@@ -81,20 +81,20 @@
     def check(self):
         running = {name: part for name, part in self.parts.items() if name not in self.gossip.paused}
         for name, part in running.items():
-            for one in part.adoptions():
-                assert one.version > self.reached.get(name, NOTHING)
-                self.reached[name] = one.version
-                self.adopted[name].append((self.gossip.now, one.version, one.whole))
-                if one.source == name:
-                    assert one.version not in self.published
-                    self.published[one.version] = dict(part.replica.table.entries)
+            for adoption in part.adoptions():
+                assert adoption.version > self.reached.get(name, NOTHING)
+                self.reached[name] = adoption.version
+                self.adopted[name].append((self.gossip.now, adoption.version, adoption.whole))
+                if adoption.source == name:
+                    assert adoption.version not in self.published
+                    self.published[adoption.version] = dict(part.replica.table.entries)
         for name, part in running.items():
             table = part.replica.table
             assert table.version == NOTHING or dict(table.entries) == self.published[table.version]
             self.kept[name] = table
 
     def same(self, names=None):
-        """Whether these hold what is wanted now."""
+        """Whether these gateways hold the current list of the operator."""
         return all(dict(self.parts[name].replica.table.entries) == self.wanted for name in names or self.parts)
 
     def versions(self):
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where things lie in the repository."""
+"""Paths in the repository."""
 
 from pathlib import Path
 
--- a/tests/support/pg_statements.py
+++ b/tests/support/pg_statements.py
@@ -1,4 +1,4 @@
-"""Statements with the class and the taints that each must have."""
+"""SQL statements with the expected class and taints of each."""
 
 from yardbank.pg.classify import Kind, Taint
 
--- a/tests/support/plan_brute_force.py
+++ b/tests/support/plan_brute_force.py
@@ -1,4 +1,4 @@
-"""Exact brute force of plans by other code than the solver's; the whole grid: python -m tests.support.plan_brute_force."""
+"""Exact brute-force check of plans, independent of the solver; all cases: python -m tests.support.plan_brute_force."""
 
 import itertools
 from concurrent.futures import ProcessPoolExecutor
@@ -8,12 +8,12 @@
 
 
 def written(value):
-    """A number as the operator writes it: 0.1 is one tenth."""
+    """The exact decimal value of a number as the operator writes it: 0.1 is one tenth."""
     return Fraction(str(value))
 
 
 def exact(problem):
-    """Least crossing for each group by successive shortest paths in rationals; None: not feasible."""
+    """Returns the lowest cross-zone rate, by successive shortest paths in rationals; None if infeasible."""
     total = Fraction(0)
     for group in problem.groups():
         servers = [s for s in problem.servers if s.group == group]
@@ -43,7 +43,7 @@
             usable = written(s.capacity) * written(s.warmth) - written(s.taken)
             add(s, "to", max(Fraction(0), usable), 0)
         flow = cost = Fraction(0)
-        while True:  # Bellman and Ford: costs may be negative on the way back
+        while True:  # Bellman-Ford, because residual edges have negative costs
             best, before = {"from": 0}, {}
             for _ in range(len(ends)):
                 for (a, b), (cap, price) in edges.items():
@@ -67,7 +67,7 @@
 
 
 def grid(most_servers, stride):
-    """Cases up to so many servers and 3 zones."""
+    """Yields every ``stride``-th case with up to ``most_servers`` servers in 3 zones."""
     zones, number = ("a", "b", "c"), 0
     for count in range(1, most_servers + 1):
         for places in itertools.product(zones, repeat=count):
@@ -96,23 +96,23 @@
         assert abs(sum(shares.values()) - (demand.rate > 0)) < 1e-5
         for name, share in shares.items():
             used[name] += share * demand.rate
-    for server in problem.servers:  # a just-started server's share is one that it can carry
+    for server in problem.servers:  # a server that has just started can carry its share
         assert used[server.name] <= server.usable + 1e-4
     return True
 
 
-def judged(part):
-    """(cases, feasible ones) of one part of the whole grid."""
+def check_part(part):
+    """Checks one of 64 parts of all cases; returns the number of cases and of feasible ones."""
     found = [check(problem) for problem in itertools.islice(grid(6, 1), part, None, 64)]
     return len(found), sum(found)
 
 
 def main():
-    """Every case of up to 6 servers and 3 zones; the figures are kept."""
+    """Checks every case of up to 6 servers and 3 zones and stores the figures."""
     from benchmarks.common import keep, table
 
     with ProcessPoolExecutor(6) as pool:
-        parts = list(pool.map(judged, range(64)))
+        parts = list(pool.map(check_part, range(64)))
     cases, feasible = (sum(part[n] for part in parts) for n in (0, 1))
     row = [f"{cases:,}", f"{feasible:,}", f"{cases - feasible:,}", "0"]
     notes = [
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -1,4 +1,4 @@
-"""What the tests of the platform share: a deployment, octets of each protocol, a gateway over string transports."""
+"""Shared by the platform tests: a deployment, octets of each protocol, a gateway over string transports."""
 
 import os
 import subprocess
@@ -119,7 +119,7 @@
 
 
 class Backend:
-    """Takes statements and answers when told."""
+    """Accepts statements; the test answers them."""
 
     def __init__(self):
         self.out = []
@@ -187,7 +187,7 @@
 
 
 class Reactor(MemoryReactorClock):
-    """Remembers that it was stopped."""
+    """Counts how often it was stopped."""
 
     stops = 0
 
@@ -216,9 +216,9 @@
 
 
 def serving(tmp_path, discovery, *flags, **change):
-    """The program on a free port, up: its process, the port, the lines that it has written, its file.
+    """Start the program on a free port; returns its process, the port, the lines written so far and its file.
 
-    ``change``: fields of its file that are others than ``CONFIG`` has.
+    ``change``: fields of its file that differ from ``CONFIG``.
     """
     port = free_port()
     file = tmp_path / "config.json"
--- a/tests/support/rare_moment_faults.py
+++ b/tests/support/rare_moment_faults.py
@@ -1,22 +1,22 @@
-"""Gateways with the guard of one term taken out, for ``tests.support.rig_runner``: the claims on rare moments must find them."""
+"""Seeded faults for ``tests.support.rig_runner``: each disables one guard, and the claims on rare moments must detect it."""
 
 
 def keeps_the_gone():
-    """Goes on with a request whose client has left or wants no answer, as if nothing had been said."""
+    """Continues a request although its client has disconnected or cancelled it."""
     from yardbank.gateway.attempt_runner import AttemptRunner
 
     AttemptRunner.leave = lambda self, number: None
 
 
 def never_cold():
-    """Takes a server that has just started for one that is warm."""
+    """Treats a server that has just started as warm."""
     from yardbank.policy.servers import ServerTable
 
     ServerTable.warmup_fraction = lambda self, now, server: 1.0
 
 
 def hears_late():
-    """Reads the list as it starts and never again: what is written to it later is not taken in."""
+    """Reads the server list at the start and ignores later changes."""
     from yardbank.policy import Router
 
     heard = Router.on_server_list
@@ -29,4 +29,4 @@
 
 
 BUGS = {made.__name__: made for made in (keeps_the_gone, never_cold, hears_late)}
-EVERYWHERE = set(BUGS)  # these are of the fleet: all gateways have them
+EVERYWHERE = set(BUGS)  # faults of the whole fleet: all gateways have them
--- a/tests/support/reactor_thread.py
+++ b/tests/support/reactor_thread.py
@@ -1,4 +1,4 @@
-"""A reactor in a thread of its own, so that tests can wait for what happens on real sockets."""
+"""Runs the reactor in a separate thread, so that tests can wait for events on real sockets."""
 
 import threading
 import time
@@ -27,12 +27,12 @@
 
 
 def run(function, *args, **kwargs):
-    """Call in the reactor's thread; wait for a Deferred's result."""
+    """Call a function in the reactor's thread and wait for its result, also of a Deferred."""
     return blockingCallFromThread(reactor, maybeDeferred, function, *args, **kwargs)
 
 
 def until(condition, seconds=20):
-    """Wait in the reactor's thread until something holds; fails if it never does."""
+    """Wait until a condition, evaluated in the reactor's thread, holds; fails after ``seconds``."""
     done, end = Deferred(), time.monotonic() + seconds
 
     def look():
@@ -43,7 +43,7 @@
                 done.errback(AssertionError("what the test waits for never happened"))
             else:
                 reactor.callLater(0.005, look)
-        except Exception as problem:  # noqa: BLE001  # handed to the thread that waits
+        except Exception as problem:  # noqa: BLE001  # raised in the waiting thread
             done.errback(problem)
 
     def begin():
@@ -54,7 +54,7 @@
 
 
 class Desk:
-    """A bound client, used from the test's thread."""
+    """A bound LDAP client for use from the test's thread."""
 
     def __init__(self, world, name="desk", bind=True):
         self.world = world
@@ -64,7 +64,7 @@
             assert run(self.client.bind, DESK_DN, DESK_PASSWORD).code == Code.SUCCESS
 
     def ask(self, operation, need="write", group="numbers", controls=(), **more):
-        """Send a recorded request; the result is a Deferred."""
+        """Send a recorded request; returns a Deferred."""
         self.asked += 1
         tag = f"{self.client.name}/{self.asked}"
         facts = {"read": need, "session": self.client.name} | more
@@ -85,7 +85,7 @@
         return self.get(m.SearchRequest(entry, 0, m.Present("objectClass")), need, group, **more)
 
     def spread(self, base="dc=porting", scope=2, parts=(), deadline=1.5, controls=(), **more):
-        """A search over several groups; ``parts``: what each group's suffix needs. The result is a Deferred."""
+        """Search across several groups; ``parts`` has the consistency that each group's suffix needs. Returns a Deferred."""
         self.asked += 1
         tag = f"{self.client.name}/{self.asked}"
         request = m.SearchRequest(base, scope, more.pop("filter", m.Present("objectClass")), **more)
@@ -95,14 +95,14 @@
 
 
 def shown(answer, name="description"):
-    """The values of an attribute in the one entry of an answer."""
+    """The values of an attribute in the single entry of an answer."""
     (entry,) = answer.entries
     return dict(entry.attributes)[name]
 
 
 @contextmanager
 def world(daemon=False, entries=5, start=True, **more):
-    """A world with its gateway up."""
+    """A simulated deployment, with its gateway running if ``start``."""
     ensure_reactor()
     made = run(World, reactor, Recorder(), daemon=daemon, **more)
     try:
--- a/tests/support/rig_runner.py
+++ b/tests/support/rig_runner.py
@@ -1,6 +1,6 @@
-"""Plays a scenario with one gateway that has a fault of its own: python -m tests.support.rig_runner FAULT SCENARIO FOLDER.
+"""Runs a scenario with a seeded fault in one gateway: python -m tests.support.rig_runner FAULT SCENARIO FOLDER.
 
-Prints the claims as JSON. As ``python -m tests.support.rig_runner serve FAULT ...`` it is that gateway.
+Prints the claims as JSON. ``python -m tests.support.rig_runner serve FAULT ...`` runs the faulty gateway.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 class Forgets(Router):
-    """Takes reads and never answers them."""
+    """Accepts reads and never answers them."""
 
     def handle(self, now, event):
         if isinstance(event, api.Request) and event.class_name == "lookup":
@@ -27,7 +27,7 @@
 
 
 class RefusesAll(Router):
-    """Turns away whatever comes."""
+    """Refuses every request."""
 
     def handle(self, now, event):
         actions = super().handle(now, event)
@@ -37,7 +37,7 @@
 
 
 class Resends(Router):
-    """Sends a write again whatever became of it, and its gateway, the only one of its process, lets it."""
+    """Resends a write regardless of its outcome; disables the check in the gateway, the only one in its process."""
 
     def __init__(self, settings):
         super().__init__(settings)
@@ -48,7 +48,7 @@
 
 
 class IgnoresDrains(Router):
-    """Never hears that a server drains."""
+    """Ignores that a server drains."""
 
     def on_server_list(self, event):
         if not self.servers:
@@ -56,7 +56,7 @@
 
 
 class ReadsAnywhere(Router):
-    """Forgets what a read must see; its gateway is the only one of its process."""
+    """Ignores the required position of reads; patches a class, since its gateway is the only one in its process."""
 
     def __init__(self, settings):
         super().__init__(settings)
@@ -65,7 +65,7 @@
 
 
 class Dies(Router):
-    """Ends the process in the middle of its work."""
+    """Exits the process after 20 requests."""
 
     taken = 0
 
@@ -78,11 +78,11 @@
 
 
 class Credulous(Router):
-    """Believes all that is said of servers, by anybody, of any number, whatever it sees itself."""
+    """Believes every report on servers, from any single gateway and on any number of servers, over its own findings."""
 
 
 class DeafToPeers(Router):
-    """Hears nothing of other gateways."""
+    """Ignores all datagrams from other gateways."""
 
 
 FAULTS = {
@@ -91,11 +91,11 @@
 }
 
 
-# Faults of the parts on the link: each changes one thing of a part's class.
+# Faults in the parts that use the gossip link: each patches the class of one part.
 
 
 def keeps_on():
-    """Holds for good what it was granted once."""
+    """Keeps every lease forever that was granted once."""
     from yardbank.cluster.lease.part import LeasePart
 
     epoch, take_events, had = LeasePart.epoch, LeasePart.take_events, {}
@@ -110,7 +110,7 @@
 
 
 def takes_twice():
-    """Gives its program an item again that comes again."""
+    """Delivers duplicate items to its program."""
     from yardbank.cluster.channels.items import Stream
 
     take = Stream.take
@@ -124,14 +124,14 @@
 
 
 def mute():
-    """Owns channels and gives nothing out."""
+    """Owns channels but publishes nothing."""
     from yardbank.cluster.channels.part import ChannelPart
 
     ChannelPart.publish = lambda self, now, channel, data: ""
 
 
 def restless():
-    """Hands on whatever it has, as soon as it can."""
+    """Transfers every owned channel as soon as possible."""
     from yardbank.cluster.channels.transfers import Transfers
 
     def always(self, now, loads):
@@ -143,7 +143,7 @@
 
 
 def eager():
-    """Finds itself in the last stage at once."""
+    """Enters the last stage of a rollout immediately."""
     from yardbank.cluster.rollout.progress import Progress
 
     begin = Progress._begin
@@ -156,7 +156,7 @@
 
 
 def deaf_to_stop():
-    """Goes on whatever is said against it."""
+    """Continues a rollout despite reasons to stop or hold it."""
     from yardbank.cluster.rollout.part import RolloutPart
 
     judge = RolloutPart._judge
@@ -169,19 +169,19 @@
 
 
 def all_near():
-    """Finds every zone as near as a measurement can say."""
+    """Measures the smallest valid round trip to every zone."""
     from yardbank.cluster.latency_map.options import LEAST
 
     _measures_always(LEAST)
 
 
 def measures_out_of_range():
-    """Measures round trips that cannot be: all of them are dropped."""
+    """Measures impossible round trips, which are all dropped."""
     _measures_always(1)
 
 
 def _measures_always(round_trip):
-    """Whatever a round trip took; and it never finds itself slow, when it would go by others' reports."""
+    """Records this round trip instead of the real one, and never finds itself slow, which would make it use others' reports."""
     from yardbank.cluster.latency_map.measurements import Measurements
 
     saw, ticked = Measurements.saw, Measurements.ticked
@@ -231,7 +231,7 @@
     def command(gateway, usual):
         if gateway != "g1" and fault not in EVERYWHERE:
             return usual
-        if "--supervised" in usual:  # the fault is the worker's
+        if "--supervised" in usual:  # the fault is in the worker, not in the supervisor
             made.places[gateway].start_with(f"{sys.executable} -m tests.support.rig_runner serve {fault}")
             return usual
         rest = usual[1:] if usual[1].endswith(".py") else usual[3:]
--- a/tests/support/rollout_fleet.py
+++ b/tests/support/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""A virtual fleet in which rollouts run: the program's own deciders, leases and records; drawn requests, no sockets."""
+"""A simulated fleet for rollouts: real decision logic, leases and records; random requests, no sockets."""
 
 from dataclasses import dataclass, field
 
@@ -19,7 +19,7 @@
 
 
 class Disk:
-    """A ``KeyValueStore`` that may be full; outlives its gateway's process."""
+    """A ``KeyValueStore`` that may be full; survives restarts of its gateway."""
 
     def __init__(self):
         self.data, self.full = None, False
@@ -35,7 +35,7 @@
 
 @dataclass
 class Kind:
-    """What comes of requests: a second, and the shares that are not served in time."""
+    """Outcomes of requests of one class: the rate per second, and the shares that are late, refused or failed."""
 
     rate: float = 30.0
     late: float = 0.01
@@ -46,7 +46,7 @@
 
 @dataclass
 class Process:
-    """What outlives a gateway's part: its disk, what is in force, its counts."""
+    """State of a gateway outside of its part: disks, active version, counts of requests."""
 
     disk: Disk = field(default_factory=Disk)
     lease_disk: Disk = field(default_factory=Disk)
@@ -60,14 +60,14 @@
 
 
 class World:
-    """A fleet. ``kinds(name, new, second)``: what comes of its requests by class; may be replaced while it runs."""
+    """A fleet. ``kinds(name, new, second)`` returns the outcomes by class; it may be replaced during a run."""
 
     def __init__(self, zones, seed=1, down=True, way=WAY, terms=None, names=None):
         self.zones = zones if isinstance(zones, dict) else {f"g{n:03d}": "" for n in range(zones)}
         self.kinds = lambda name, new, second: {"lookup:0": Kind()}
         self.memory = lambda name, new, second: 100 << 20
-        self.dies = lambda name, new, age: False  # whether the process ends at this age (s)
-        self.down, self.young = down, 20  # whether the change needs a start anew; seconds
+        self.dies = lambda name, new, age: False  # whether the process dies at this age (s)
+        self.down, self.young = down, 20  # whether the change needs a restart; seconds
         self.processes = {name: Process() for name in self.zones}
         self.random = {name: np.random.default_rng([seed, n]) for n, name in enumerate(self.zones)}
         self.turns, self.requests, self.most_away, self.asked, self.words = [], {}, 0, {}, {}
@@ -99,7 +99,7 @@
             self.take_command(self.words[name], [name])
 
     def end(self, name, again=SECOND, active_version=None):
-        """The process ends; its supervisor starts it after ``again`` ns; None: it stays away."""
+        """End the process; its supervisor restarts it after ``again`` ns, or never if None."""
         process = self.processes[name]
         process.down = True
         if active_version is not None:
@@ -110,7 +110,7 @@
             self.gossip.at(self.gossip.now + again, lambda: process.down and self.start(name))
 
     def crash(self, name, why="crashed"):
-        """It dies; the supervisor goes by its age."""
+        """Kill the process; the supervisor rolls an uncommitted version back if the process was young."""
         process = self.processes[name]
         age = (self.gossip.now - process.began_at) / SECOND
         fell = process.active_version.uncommitted and age < self.young
@@ -165,18 +165,18 @@
 
     def _serve(self, name):
         process, random, now = self.processes[name], self.random[name], self.gossip.now
-        span = (now - process.counted_at) / SECOND
+        elapsed_s = (now - process.counted_at) / SECOND
         process.counted_at = now
         new = process.active_version.now.name == NEW_NAME
         for key, kind in self.kinds(name, new, now / SECOND).items():
-            number = random.poisson(kind.rate * span)
+            number = random.poisson(kind.rate * elapsed_s)
             shares = [kind.late, kind.refused, kind.failed]
             drawn = random.multinomial(number, [1 - sum(shares), *shares])
             process.counts[key] = process.counts.get(key, np.zeros(4, int)) + drawn
             slow = random.binomial(number, 0.02)
-            kept = process.latencies.setdefault(key, {})
+            latency_counts = process.latencies.setdefault(key, {})
             for bound, count in ((20, number - slow), (kind.p99, slow)):
-                kept[bound * 10**6] = kept.get(bound * 10**6, 0) + int(count)
+                latency_counts[bound * 10**6] = latency_counts.get(bound * 10**6, 0) + int(count)
             if new:
                 self.requests[name] = self.requests.get(name, 0) + int(number)
 
@@ -189,7 +189,7 @@
         new = process.active_version.now.name == NEW_NAME
         return Metrics(classes, self.memory(name, new, (self.gossip.now - process.began_at) / SECOND))
 
-    # What is asked and seen
+    # Commands and observations
 
     def tell(self, name, change):
         self.asked[name] = change
@@ -233,8 +233,8 @@
 
 
 def change(**more):
-    """One that is through in minutes."""
-    given = {
+    """A change that completes in minutes."""
+    fields = {
         "id": "c1",
         "settings": "new.hcl",
         "stages": (0.1, 0.5, 1.0),
@@ -245,4 +245,4 @@
         "most_at_once": 2,
         "worse_by": 0.03,
     }
-    return Change.model_construct(None, **{**given, **more})
+    return Change.model_construct(None, **{**fields, **more})
--- a/tests/support/rollout_member.py
+++ b/tests/support/rollout_member.py
@@ -1,4 +1,4 @@
-"""One gateway among its peers with leases and a rollout: python -m tests.support.rollout_member FOLDER NAME PORT."""
+"""A gateway process with peers, leases and a rollout: python -m tests.support.rollout_member FOLDER NAME PORT."""
 
 import sys
 import time
@@ -20,7 +20,7 @@
 
 
 class NothingShared:
-    """A gateway that has seen nothing of servers and believes nothing of them."""
+    """A gateway without findings on servers, which ignores the reports of others."""
 
     def figures(self):
         return {"figure": 1}
@@ -36,7 +36,7 @@
 
 
 class SilentLog:
-    """Drops every line."""
+    """Discards every line."""
 
     def __getattr__(self, level):
         return lambda event, **fields: None
@@ -67,11 +67,11 @@
     peers.node.add(rollout)
     change = taken(CHANGE, "r", SHAPE).change
 
-    def ask_for_change():
+    def request_change():
         rollout.asked(time.monotonic_ns(), change, "new")
         peers.prompt()
 
-    reactor.callLater(1, ask_for_change)
+    reactor.callLater(1, request_change)
     peers.start()
     reactor.run()
 
--- a/tests/support/router_world.py
+++ b/tests/support/router_world.py
@@ -1,4 +1,4 @@
-"""A small world for the router's tests: settings, servers and shorthand for events."""
+"""Test harness for the router: settings, servers and shorthand for events."""
 
 import time
 
@@ -31,7 +31,7 @@
 
 
 class World:
-    """A router with a clock and the actions of its last event."""
+    """A router with a virtual clock and the actions of its last event."""
 
     def __init__(self, members=None, **settings):
         base = {
@@ -74,7 +74,7 @@
         return self.feed(Timer("sweep"), after)
 
     def known(self, server, lag=0, primary=False, after=0):
-        """The server proves its position and role by a probe."""
+        """A probe reports the server's position and role."""
         return self.feed(Probed(server, "ok", MS, Report(self.now + after - lag, primary)), after)
 
 
@@ -101,7 +101,7 @@
 
 
 def wait_for(condition, seconds=60):
-    """Wait in the test's own thread for what other processes do; fails if it never happens."""
+    """Wait in the test's thread until a condition on other processes holds; fails after ``seconds``."""
     end = time.monotonic() + seconds
     while not condition():
         assert time.monotonic() < end, "what the test waits for never happened"
--- a/tests/support/soak_program.py
+++ b/tests/support/soak_program.py
@@ -1,4 +1,4 @@
-"""The platform's program with a fault put in, for the soak's judge to find: SOAK_FAULT names it.
+"""The platform's program with a seeded fault that the soak checker must detect; SOAK_FAULT names it.
 
 ``python -m tests.support.soak_program`` is run in place of ``python -m yardbank.platform``.
 """
@@ -9,31 +9,31 @@
 
 from yardbank.platform.signals import Signals
 
-EVERY = 40  # answers of which one is dropped
+DROP_INTERVAL = 40  # one of so many answers is dropped
 
 
 def drops_answers():
-    """One answer in so many never reaches its client."""
+    """Drops one of ``DROP_INTERVAL`` answers to clients."""
     from yardbank.platform.connection import ClientConnection
 
     answer, numbers = ClientConnection.answer, count(1)
 
     def drop_some(self, command, octets):
-        if next(numbers) % EVERY:
+        if next(numbers) % DROP_INTERVAL:
             answer(self, command, octets)
 
     ClientConnection.answer = drop_some
 
 
 def ignores_drains():
-    """A server that drains counts as ready."""
+    """Treats a draining server as ready."""
     from yardbank.platform import listing
 
     listing.STATES["Terminating"] = "ready"
 
 
 def sends_writes_twice():
-    """A write is sent again whatever became of it."""
+    """Resends a write regardless of its outcome."""
     from yardbank.gateway import send_check
     from yardbank.policy.router import Router
 
@@ -42,7 +42,7 @@
 
 
 def forwards_for_the_departed():
-    """What a client has left open is sent on all the same."""
+    """Still forwards requests of a client that has disconnected."""
     from yardbank.platform.connection import ClientConnection
 
     ClientConnection.present = lambda self: True
--- a/tests/support/virtual_gateway.py
+++ b/tests/support/virtual_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway on a virtual clock, against a backend that does as it is told."""
+"""A gateway on a virtual clock, with a backend that the test controls."""
 
 from twisted.internet.task import Clock
 
