--- a/benchmarks/atlas.py
+++ b/benchmarks/atlas.py
@@ -29,7 +29,7 @@
     def __init__(self, fleet: Fleet) -> None:
         self.seconds = 0.0
         for part in fleet.parts.values():
-            for name in ("tick", "receive", "saw_peer", "saw_server", "letters"):
+            for name in ("tick", "receive", "saw_peer", "saw_server", "outgoing_messages"):
                 setattr(part, name, self._clocked(getattr(part, name)))
         for name, node in fleet.gossip.nodes.items():
             node.on_round_trip[:] = [fleet.parts[name].saw_peer]
