--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that compare side by side in one run; no part of CI."""
+"""Benchmarks that compare alternatives side by side in one run; not part of CI."""
--- a/benchmarks/classify.py
+++ b/benchmarks/classify.py
@@ -1,4 +1,4 @@
-"""Classes of statements, cold and from the cache: python -m benchmarks.classify."""
+"""Classification of statements, parsed and from the cache: python -m benchmarks.classify."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Measure and keep."""
+    """Measure and store the results."""
     rows = []
     long = "select number from ported where number in (" + ", ".join(f"'{n}'" for n in range(1000)) + ")"
     for name, texts in (
@@ -21,9 +21,9 @@
         warm = Classifier()
         for text in texts:
             warm.of(text)
-        turn, again = cycle(texts), cycle(texts)
-        cold = per_second(lambda t=turn: Classifier().of(next(t)))  # type: ignore[misc]
-        cached = per_second(lambda t=again, made=warm: made.of(next(t)))  # type: ignore[misc]
+        cold_texts, cached_texts = cycle(texts), cycle(texts)
+        cold = per_second(lambda t=cold_texts: Classifier().of(next(t)))  # type: ignore[misc]
+        cached = per_second(lambda t=cached_texts, classifier=warm: classifier.of(next(t)))  # type: ignore[misc]
         rows.append([name, f"{1e6 / cold:,.1f}", f"{1e6 / cached:,.2f}", f"{cached / cold:,.0f}"])
     head = ["statements", "cold, us", "cached, us", "cold / cached"]
     notes = ["Medians of 5 runs of 0.3 s each. Cold: parsed by PostgreSQL's grammar and walked; cached: by its text."]
--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -1,4 +1,4 @@
-"""One search request and one entry of ten attributes: our codec against ldaptor's and pyasn1's."""
+"""Compares the LDAP codec with those of ldaptor and pyasn1 on a search request and an entry of ten attributes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Measure and keep."""
+    """Measure and store the results."""
     warnings.simplefilter("ignore")
     from ldap3.protocol import rfc4511
     from ldaptor.protocols import pureber, pureldap
@@ -36,22 +36,22 @@
                 inherit=pureldap.LDAPBERDecoderContext(fallback=pureber.BERDecoderContext()),
             )
         )
-        theirs = pureber.berDecodeObject(ldaptor_context, data)[0]
+        ldaptor_message = pureber.berDecodeObject(ldaptor_context, data)[0]
         asn1, _ = decoder.decode(data, asn1Spec=rfc4511.LDAPMessage())
         assert codec.decode(data) == message and codec.encode(message) == data
         ours = (per_second(lambda d=data: codec.decode(d)), per_second(lambda x=message: codec.encode(x)))
         ldaptor = (
             per_second(lambda c=ldaptor_context, d=data: pureber.berDecodeObject(c, d)),
-            per_second(lambda x=theirs: x.toWire()),
+            per_second(lambda x=ldaptor_message: x.toWire()),
         )
         pyasn1 = (
             per_second(lambda d=data: decoder.decode(d, asn1Spec=rfc4511.LDAPMessage())),
             per_second(lambda x=asn1: encoder.encode(x)),
         )
-        for way, a, b, c in zip(("decode", "encode"), ours, ldaptor, pyasn1, strict=True):
-            rows.append([f"{name}, {way}", f"{a:,.0f}", f"{b:,.0f}", f"{c:,.0f}", f"{a / b:.1f}", f"{a / c:.1f}"])
-        opened = per_second(lambda d=data: codec.open_envelope(d).with_id(9))
-        rows.append([f"{name}, passed on under another ID", f"{opened:,.0f}", "", "", "", ""])
+        for direction, a, b, c in zip(("decode", "encode"), ours, ldaptor, pyasn1, strict=True):
+            rows.append([f"{name}, {direction}", f"{a:,.0f}", f"{b:,.0f}", f"{c:,.0f}", f"{a / b:.1f}", f"{a / c:.1f}"])
+        reenveloped_rate = per_second(lambda d=data: codec.open_envelope(d).with_id(9))
+        rows.append([f"{name}, passed on under another ID", f"{reenveloped_rate:,.0f}", "", "", "", ""])
     head = ["what", "ours, 1/s", "ldaptor, 1/s", "pyasn1, 1/s", "ours / ldaptor", "ours / pyasn1"]
     notes = ["Medians of 5 runs of 0.3 s each, one after the other in one process. Aim: 8 times ldaptor."]
     keep("codec", "LDAP codec", [table("Messages a second", head, rows, notes)])
--- a/benchmarks/collapse.py
+++ b/benchmarks/collapse.py
@@ -1,7 +1,8 @@
-"""A burst, then calm, over a fleet of thin gateways: python -m benchmarks.collapse [--seeds N].
+"""Recovery of a simulated fleet from a burst of load: python -m benchmarks.collapse [--seeds N].
 
-Decision modules on a virtual clock against servers with cores, a queue, an apply thread that contends with reads, and
-clients that come again. ``blind`` is the same module where servers tell nothing of their load: what it falls back on.
+Decision modules run on a virtual clock against simulated servers with cores, a queue and an apply thread that contends
+with reads, and clients that retry. Each case also runs with servers that do not report their load, to measure the
+fallback of the module.
 """
 
 from __future__ import annotations
@@ -14,55 +15,57 @@
 from benchmarks.common import keep, table
 from yardbank.testing.rig.virtual import Fleet, Span, World, served_share
 
-BEFORE, BURST, AFTER, END = 1.5, 5.0, 8.0, 16.0
-SHAPES: dict[str, Callable[[float], float]] = {
-    "half as much again, 3 s": lambda second: 1.5 if BURST <= second < AFTER else 1.0,
-    "twice, 1 s": lambda second: 2.0 if BURST <= second < BURST + 1 else 1.0,
-    "a ramp to twice": lambda second: 1 + (second - BURST) / (AFTER - BURST) if BURST <= second < AFTER else 1.0,
+BASELINE_START, BURST_START, BURST_END, RUN_END = 1.5, 5.0, 8.0, 16.0
+LOAD_SHAPES: dict[str, Callable[[float], float]] = {
+    "half as much again, 3 s": lambda second: 1.5 if BURST_START <= second < BURST_END else 1.0,
+    "twice, 1 s": lambda second: 2.0 if BURST_START <= second < BURST_START + 1 else 1.0,
+    "a ramp to twice": lambda second: (
+        1 + (second - BURST_START) / (BURST_END - BURST_START) if BURST_START <= second < BURST_END else 1.0
+    ),
 }
 SIZES = (20, 200, 500)
-RATE_OF_A_GROUP = 125.0  # first tries a second: servers of three cores are busy for two thirds
+GROUP_RATE = 125.0  # first attempts per second, which utilize servers with three cores to two thirds
 
 
 def world(gateways: int, shape: str, seed: int, tells_load: bool = True) -> World:
-    """Ten groups of six servers; the fleet differs in size only, not in what it is asked."""
+    """Ten groups of six servers. The number of gateways varies, the total load does not."""
     return World(
         seed=seed,
         gateways=gateways,
         groups=10,
-        rate=10 * RATE_OF_A_GROUP,
-        load=SHAPES[shape],
-        length=END,
+        rate=10 * GROUP_RATE,
+        load=LOAD_SHAPES[shape],
+        length=RUN_END,
         tells_load=tells_load,
     )
 
 
-def play(asked: tuple[int, str, int, bool]) -> list[Span]:
-    """One run, in a process of its own."""
+def play(case: tuple[int, str, int, bool]) -> list[Span]:
+    """Run one case, in a separate process."""
     from yardbank.policy import Router
 
-    return Fleet(world(*asked), Router).run()
+    return Fleet(world(*case), Router).run()
 
 
-def row(asked: tuple[int, str, int, bool], spans: list[Span]) -> list[str]:
-    gateways, shape, seed, tells = asked
-    before = served_share(spans, BEFORE, BURST)
+def row(case: tuple[int, str, int, bool], spans: list[Span]) -> list[str]:
+    gateways, shape, seed, tells_load = case
+    before = served_share(spans, BASELINE_START, BURST_START)
     shares = [
         before,
-        served_share(spans, BURST, AFTER),
-        served_share(spans, AFTER + 2, AFTER + 4),
-        served_share(spans, END - 4, END),
+        served_share(spans, BURST_START, BURST_END),
+        served_share(spans, BURST_END + 2, BURST_END + 4),
+        served_share(spans, RUN_END - 4, RUN_END),
     ]
     counts: Counter[str] = sum((span.counts for span in spans), Counter())
-    each = [counts[name] / counts["wanted"] for name in ("attempts", "probes", "connections")]
+    per_request = [counts[name] / counts["wanted"] for name in ("attempts", "probes", "connections")]
     return [
         str(gateways),
         shape,
         str(seed),
-        "yes" if tells else "no",
+        "yes" if tells_load else "no",
         *(f"{share:.2f}" for share in shares),
         f"{shares[2] / before:.2f}",
-        *(f"{one:.2f}" for one in each),
+        *(f"{value:.2f}" for value in per_request),
     ]
 
 
@@ -70,14 +73,14 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=2)
     runs = [
-        (gateways, shape, seed, tells)
+        (gateways, shape, seed, with_load)
         for gateways in SIZES
-        for shape in SHAPES
-        for tells in (True, False)
+        for shape in LOAD_SHAPES
+        for with_load in (True, False)
         for seed in range(1, parser.parse_args().seeds + 1)
     ]
     with ProcessPoolExecutor() as pool:
-        rows = [row(asked, spans) for asked, spans in zip(runs, pool.map(play, runs), strict=True)]
+        rows = [row(case, spans) for case, spans in zip(runs, pool.map(play, runs), strict=True)]
     head = [
         "gateways",
         "burst",
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""Medians, machine facts, and tables kept under docs/measurements."""
+"""Medians, a description of the machine, and tables stored under docs/measurements."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from pathlib import Path
 from time import perf_counter
 
-KEPT = Path(__file__).parent.parent / "docs" / "measurements"
+MEASUREMENTS = Path(__file__).parent.parent / "docs" / "measurements"
 
 
 def machine() -> str:
-    """What the figures were taken on."""
+    """Describe the machine on which the figures were measured."""
     model = "unknown processor"
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
@@ -26,30 +26,30 @@
 
 
 def per_second(work: Callable[[], object], seconds: float = 0.3, runs: int = 5) -> float:
-    """Calls a second: the median of several runs."""
-    found = []
+    """Return calls per second, the median of several runs."""
+    rates = []
     for _ in range(runs):
         count, began = 0, perf_counter()
-        while (took := perf_counter() - began) < seconds:
+        while (elapsed := perf_counter() - began) < seconds:
             for _ in range(50):
                 work()
             count += 50
-        found.append(count / took)
-    return statistics.median(found)
+        rates.append(count / elapsed)
+    return statistics.median(rates)
 
 
 def table(title: str, head: list[str], rows: list[list[str]], notes: list[str]) -> str:
-    """A section in Markdown."""
+    """Render a section in Markdown."""
     lines = [f"## {title}", "", "| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join([*lines, "", *notes, ""])
 
 
 def keep(name: str, title: str, sections: list[str]) -> Path:
-    """Write a page of figures."""
+    """Write and print a page of figures."""
     commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=False)
-    KEPT.mkdir(parents=True, exist_ok=True)
-    path = KEPT / f"{name}.md"
+    MEASUREMENTS.mkdir(parents=True, exist_ok=True)
+    path = MEASUREMENTS / f"{name}.md"
     head = f"# {title}\n\n{datetime.now(UTC):%Y-%m-%d}, on {commit.stdout.strip()}; {machine()}.\n"
     path.write_text("\n".join([head, *sections]))
     print("\n".join([head, *sections]))
@@ -57,7 +57,7 @@
 
 
 def chart(name: str, title: str, labels: list[str], bars: dict[str, list[float]]) -> None:
-    """Bars by label, a colour for each key, kept beside the tables."""
+    """Draw a bar chart, one color for each key, stored beside the tables."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -67,10 +67,10 @@
     figure, axes = pyplot.subplots(figsize=(8, 3.5))
     width = 0.8 / len(bars)
     for index, (key, values) in enumerate(bars.items()):
-        axes.bar([place + index * width for place in range(len(labels))], values, width, label=key)
-    axes.set_xticks([place + 0.4 - width / 2 for place in range(len(labels))], labels)
+        axes.bar([position + index * width for position in range(len(labels))], values, width, label=key)
+    axes.set_xticks([position + 0.4 - width / 2 for position in range(len(labels))], labels)
     axes.set_title(title)
     axes.legend()
     figure.tight_layout()
-    figure.savefig(KEPT / f"{name}.svg", metadata={"Date": None})
+    figure.savefig(MEASUREMENTS / f"{name}.svg", metadata={"Date": None})
     pyplot.close(figure)
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,4 +1,4 @@
-"""What one request costs the decision module, by the number of members of its group."""
+"""Cost of one request in the decision module, by the size of its group."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 def cost(members: int, requests: int = 3000) -> float:
-    """Microseconds a request, with its outcome, all servers well and known."""
+    """Return microseconds per request with its outcome, when all servers are healthy and their positions are known."""
     router = Router(Settings(1, "a", 4, CLASSES, reports="probe", may_probe=True, max_attempts=4))
     now = 1000 * MS
     router.handle(now, ServerList("saved", tuple(Member(n, "a", 0, n == 0, "ready") for n in range(members))))
-    spent = 0.0
+    elapsed = 0.0
     for number in range(requests):
         now += 5 * MS
         if number % 20 == 0:
@@ -32,20 +32,20 @@
         request = Request(f"r{number}", 0, kind.name, now + kind.deadline, session=f"s{number % 50}")
         began = perf_counter()
         (send,) = (a for a in router.handle(now, request) if isinstance(a, Send))
-        done = Outcome(
+        outcome = Outcome(
             send.id, 0, send.server, "ok", 4 * MS, True, Role.PRIMARY if kind.read == "write" else Role.UNKNOWN
         )
-        router.handle(now + 4 * MS, done)
-        spent += perf_counter() - began
-    return spent / requests * 1e6
+        router.handle(now + 4 * MS, outcome)
+        elapsed += perf_counter() - began
+    return elapsed / requests * 1e6
 
 
 def main() -> None:
-    """Measure and keep."""
+    """Measure and store the results."""
     rows = []
     for members in (4, 40, 200):
-        found = [cost(members) for _ in range(5)]
-        rows.append([str(members), f"{statistics.median(found):.0f}", f"{min(found):.0f} to {max(found):.0f}"])
+        costs = [cost(members) for _ in range(5)]
+        rows.append([str(members), f"{statistics.median(costs):.0f}", f"{min(costs):.0f} to {max(costs):.0f}"])
     notes = [
         "Medians of 5 runs of 3,000 requests (a third each: bounded reads, session reads, writes), request and outcome."
     ]
--- a/benchmarks/scale/line.py
+++ b/benchmarks/scale/line.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.common import KEPT
+from benchmarks.common import MEASUREMENTS
 
-FOLDER = KEPT / "scale"
+FOLDER = MEASUREMENTS / "scale"
 COUNTED, TIMED = "counted", "timed"
 Values = Mapping[str, float]
 
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,4 +1,4 @@
-"""From the start of a gateway's process to its first good answer: warm (a state is there) against fresh."""
+"""Time from the start of a gateway process to its first successful answer, with and without durable state."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 @inlineCallbacks
-def first_answer(world: World, list_late: float) -> Generator[Deferred[Any], Any, float]:
-    """Seconds until a session read is served; the list comes ``list_late`` seconds after the start."""
+def first_answer(world: World, list_delay_s: float) -> Generator[Deferred[Any], Any, float]:
+    """Return seconds until a session read succeeds; the list is written ``list_late`` seconds after the start."""
     reactor, path = world.reactor, world.watched
     assert path is not None
-    if list_late:
+    if list_delay_s:
         path.unlink(missing_ok=True)
-        reactor.callLater(list_late, write_list, world, path)
+        reactor.callLater(list_delay_s, write_list, world, path)
     began = time.monotonic()
     yield world.start_gateway()
     while True:
@@ -44,10 +44,10 @@
 
 
 @inlineCallbacks
-def play(reactor: Any, found: dict[str, list[float]]) -> Generator[Deferred[Any], Any, None]:
-    """Each case in turn, several times."""
+def play(reactor: Any, times_by_case: dict[str, list[float]]) -> Generator[Deferred[Any], Any, None]:
+    """Run all cases in turn, several times."""
     for _ in range(RUNS):
-        for name, durable, late in (
+        for name, durable, list_delay_s in (
             ("fresh, list there", False, 0.0),
             ("warm, list there", True, 0.0),
             ("fresh, list 2 s late", False, 2.0),
@@ -59,26 +59,26 @@
             write_list(world, world.watched)
             yield first_answer(world, 0.0)
             yield world.kill_gateway()
-            found.setdefault(name, []).append((yield first_answer(world, late)))
+            times_by_case.setdefault(name, []).append((yield first_answer(world, list_delay_s)))
             yield world.stop_gateway()
             world.close()
 
 
 def main() -> None:
-    """Measure and keep."""
+    """Measure and store the results."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
     reactor.seconds = time.monotonic
     set_up_logs("error", "console")
-    found: dict[str, list[float]] = {}
-    done = play(reactor, found)
-    done.addErrback(lambda failure: failure.printTraceback())
-    done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
+    times_by_case: dict[str, list[float]] = {}
+    finished = play(reactor, times_by_case)
+    finished.addErrback(lambda failure: failure.printTraceback())
+    finished.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
     rows = [
         [name, f"{statistics.median(times):.2f}", f"{min(times):.2f} to {max(times):.2f}"]
-        for name, times in found.items()
+        for name, times in times_by_case.items()
     ]
     notes = [
         f"{RUNS} runs each, cases in turn; from starting the process to the first session read served, after a kill -9."
--- a/examples/porting_notices.py
+++ b/examples/porting_notices.py
@@ -1,10 +1,10 @@
-"""A program that embeds the proxy and sends porting notices to carriers: each channel from one gateway of the fleet.
+"""A program that embeds the proxy and publishes porting notices: one gateway of the fleet publishes on each channel.
 
     python examples/porting_notices.py gateway.hcl --channels 4
 
-Every gateway of the fleet runs it by its own settings, with the blocks ``peers``, ``leases`` and ``channels``. Each
-would own ``notices-1`` to ``notices-N``, gives out a running number on those that it owns, and follows all of them. Its
-log has a line ``channel`` whenever one is owned, ended or has a gap, and ``feed_item`` for each item that it takes.
+Every gateway of the fleet runs it with its own settings, which have the blocks ``peers``, ``leases`` and ``channels``.
+Each gateway bids for ``notices-1`` to ``notices-N``, publishes a running number on those that it owns, and follows all.
+It logs ``channel`` when a channel is owned, ends or has a gap, and ``feed_item`` for each received item.
 """
 
 from __future__ import annotations
@@ -24,49 +24,53 @@
 
 
 class Notices:
-    """Gives out a running number on each channel that is owned here, and logs what comes on all."""
+    """Publishes a running number on each owned channel, and logs the items received on all channels."""
 
     def __init__(self, channels: Any, reactor: Any, log: Any, names: list[str], every: float) -> None:
         self._channels, self._reactor, self._log, self._every = channels, reactor, log, every
-        self._owned: dict[str, int] = {}  # by channel: under which epoch
+        self._owned: dict[str, int] = {}  # by channel: epoch of the lease
         self._numbers: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()  # by reason
         for name in names:
-            channels.follow(name, self._item)  # gaps are logged by the channels themselves
-            channels.own(name, self._begin, self._end)
+            channels.follow(name, self._on_item)  # the channels log gaps themselves
+            channels.own(name, self._on_owned, self._on_ended)
         self._timer = reactor.callLater(every, self._publish)
 
-    def _begin(self, name: str, epoch: int) -> None:
+    def _on_owned(self, name: str, epoch: int) -> None:
         self._owned[name] = epoch
 
-    def _end(self, name: str, epoch: int) -> None:
+    def _on_ended(self, name: str, epoch: int) -> None:
         self._owned.pop(name, None)
 
     def _publish(self) -> None:
         self._timer = self._reactor.callLater(self._every, self._publish)
         for name in self._owned:
             if why := self._channels.publish(name, f"{name} {self._numbers[name] + 1}".encode()):
-                self.refused[why] += 1  # not the owner any more, or too fast: this number is tried again
+                self.refused[why] += 1  # no longer the owner, or too fast: this number is retried
             else:
                 self._numbers[name] += 1
 
-    def _item(self, item: Delivered) -> None:
+    def _on_item(self, item: Delivered) -> None:
         self._log.info("feed_item", name=item.channel, epoch=item.epoch, sequence=item.sequence)
 
     def stop(self) -> None:
-        """Give out no more."""
+        """Stop publishing."""
         if self._timer.active():
             self._timer.cancel()
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--channels", "count", type=click.IntRange(1, 200), default=2, show_default=True, help="How many.")
+@click.option(
+    "--channels", "count", type=click.IntRange(1, 200), default=2, show_default=True, help="Number of channels."
+)
 @click.option("--every", type=click.FloatRange(0.01, 60), default=0.2, show_default=True, help="Seconds between items.")
-@click.option("--clock-rate", type=click.FloatRange(0.1, 10), default=1.0, hidden=True, help="For tests of the fleet.")
-@click.option("--clock-offset", type=float, default=0.0, hidden=True, help="Of the wall clock, in seconds; for tests.")
+@click.option(
+    "--clock-rate", type=click.FloatRange(0.1, 10), default=1.0, hidden=True, help="Rate of the clock; for fleet tests."
+)
+@click.option("--clock-offset", type=float, default=0.0, hidden=True, help="Wall clock offset in seconds; for tests.")
 def main(file: Path, count: int, every: float, clock_rate: float, clock_offset: float) -> None:
-    """Run a gateway by the settings in FILE, and the notices beside it. SIGTERM hands all on, drains and stops."""
+    """Run a gateway with the settings in FILE and publish notices. SIGTERM hands channels over, drains and stops."""
     from twisted.internet import reactor as installed
 
     config = load_or_exit(file)
@@ -89,8 +93,8 @@
     def stop() -> None:
         proxy.stop().addCallback(lambda _: (notices.stop(), reactor.callLater(0, reactor.stop)))
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(stop))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: reactor.callFromThread(stop))
     reactor.run(installSignalHandlers=False)
 
 
--- a/fuzz/ldap_codec.py
+++ b/fuzz/ldap_codec.py
@@ -1,6 +1,6 @@
 """Coverage-guided fuzzing of the LDAP codec (atheris): python fuzz/ldap_codec.py fuzz/corpus -runs=1000000.
 
-Whatever comes, it is read or refused with ``BerError``; what is read survives the way to bytes and back.
+Every input must be decoded or rejected with ``BerError``; a decoded message must survive encoding and decoding.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
     from yardbank.ldap.state import ServerEnd
 
 
-def one(data: bytes) -> None:
-    """Judge one input."""
+def check_input(data: bytes) -> None:
+    """Check one input."""
     ServerEnd().receive(data)
     try:
         message = codec.decode(data)
@@ -26,5 +26,5 @@
 
 
 if __name__ == "__main__":
-    atheris.Setup(sys.argv, one)
+    atheris.Setup(sys.argv, check_input)
     atheris.Fuzz()
--- a/fuzz/pg_codec.py
+++ b/fuzz/pg_codec.py
@@ -1,6 +1,6 @@
-"""Coverage-guided fuzzing of the PostgreSQL codec, connections, classes: python fuzz/pg_codec.py -runs=100000.
+"""Coverage-guided fuzzing of the PostgreSQL codec, connections and classifier: python fuzz/pg_codec.py -runs=100000.
 
-Whatever comes, it is read or ends in one break; what is read survives the way to bytes and back.
+Every input must be decoded or end in a single ``Broken`` event; a decoded message must survive encoding and decoding.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
     from yardbank.pg.state import Broken, ServerEnd
     from yardbank.pg.wire import Framer, WireError
 
-CLASSES = Classifier()
+CLASSIFIER = Classifier()
 
 
-def one(data: bytes) -> None:
-    """Judge one input."""
+def check_input(data: bytes) -> None:
+    """Check one input."""
     events = ServerEnd().receive(data)
     assert sum(isinstance(event, Broken) for event in events) <= 1
     try:
@@ -27,11 +27,11 @@
             message = pg.decode_client(frame)
             assert pg.decode_client(pg.encode_client(message)) == message
             if isinstance(message, pg.Query):
-                assert CLASSES.of(message.text).kind in Kind
+                assert CLASSIFIER.of(message.text).kind in Kind
     except WireError:
         return
 
 
 if __name__ == "__main__":
-    atheris.Setup(sys.argv, one)
+    atheris.Setup(sys.argv, check_input)
     atheris.Fuzz()
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale measurements in small: they run, their laws are found, and what they count is the same each time."""
+"""Small runs of the scale benchmarks: they complete, growth laws are found, and counts are deterministic."""
 
 import math
 
@@ -24,25 +24,25 @@
         ("square", lambda n: 5 + 0.01 * n * n),
     ],
 )
-def test_a_law_is_found_with_its_figures(shape, value):
+def test_fit_finds_the_growth_law_and_its_coefficients(shape, value):
     law = fit(SIZES, [value(size) for size in SIZES])
     assert law.shape == shape and law.at(1800) == pytest.approx(value(1800))
     assert law.worst < 1e-6
 
 
-def test_a_law_needs_two_sizes():
+def test_fit_needs_two_sizes():
     with pytest.raises(ValueError, match="two sizes"):
         fit([8, 8], [1, 1])
 
 
-QUICK = sorted(
+QUICK_LINES = sorted(
     set(LINES)
     - {"link-gateways", "join-gateways", "rollout-gateways", "feeds-channels", "map-zones", "questions-gateways"}
 )
 
 
-@pytest.mark.parametrize("name", QUICK)
-def test_each_line_measures_all_that_it_names_and_counts_alike(name):
+@pytest.mark.parametrize("name", QUICK_LINES)
+def test_each_line_measures_its_quantities_and_counts_are_deterministic(name):
     line = LINES[name]
     first, second = (line.measure(line.small[0], 1) for _ in range(2))
     assert set(first) == {quantity.name for quantity in line.quantities}
@@ -51,24 +51,24 @@
             assert first[quantity.name] == second[quantity.name]
 
 
-def test_the_link_of_a_small_fleet_stays_within_what_it_may_send():
+def test_gossip_traffic_and_failure_detection_of_a_small_fleet_stay_within_bounds():
     found = link_by_gateways(8, 1)
     assert 50 < found["octets"] < 400 and found["death"] < 60 and found["death at 5 % loss"] < 60
 
 
-def test_what_databases_are_asked_is_counted_alike_and_grows_with_the_gateways_that_have_less_traffic():
+def test_probe_counts_are_deterministic_and_connections_grow_with_the_number_of_gateways():
     few, again, many = (questions_by_gateways(size, 1) for size in (5, 5, 50))
     assert few == again and many["opened"] > few["opened"]
 
 
-def test_a_small_whole_fleet_is_within_its_budgets_in_counts():
+def test_a_small_whole_fleet_stays_within_its_budgets():
     found = play(33, 30, 60.0)
     assert found["versions"] >= 5 and found["reachable and never"] == 0
     assert found["in force, most, s"] < 7 and found["octets/s, mean"] < 7000
     assert found["returned and not caught up"] == 0 and found["returns"] > 5
 
 
-def test_what_is_kept_is_read_again_and_makes_a_page(tmp_path):
+def test_saved_results_are_loaded_and_rendered_as_a_page(tmp_path):
     line = LINES["module-sessions"]
     found = Found(line.name, "abc", "a machine")
     for size in (1000, 2500, 5000):
@@ -80,11 +80,11 @@
     assert "extrapolated 10.0 times" in text
 
 
-def test_every_line_has_four_sizes_and_a_small_one():
+def test_every_line_has_four_sizes_and_a_small_size():
     for line in LINES.values():
         assert len(line.sizes) >= 4 and line.small and line.note
 
 
-def test_values_that_no_law_explains_are_called_flat():
+def test_values_that_fit_no_law_are_reported_as_flat():
     law = fit(SIZES, [20, 18, 30, 18, 20])
     assert law.shape == "flat" and law.at(1800) == pytest.approx(21.2) and law.r_squared < 0.5
