--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""Lists and durable state: what they cost, by size."""
+"""Cost of server lists and durable state, by size."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 MS = 1_000_000
 
 
-class Silent:
-    """A log that keeps nothing."""
+class SilentLog:
+    """A log that discards everything."""
 
-    def bind(self, **facts: Any) -> Silent:
-        """The same log."""
+    def bind(self, **facts: Any) -> SilentLog:
+        """Returns the same log."""
         return self
 
     def is_enabled_for(self, level: int) -> bool:
-        """No level is."""
+        """Returns False: no level is enabled."""
         return False
 
     def __getattr__(self, name: str) -> Any:
@@ -50,35 +50,35 @@
     kind = RequestClass("read", 400 * MS, 1000 * MS, 1, 0, "safe", read="any")
     clock = Clock()
     clock.advance(100)
-    return Gateway(Settings(1, "z", 1, (kind,)), None, reactor=clock, seconds=clock.seconds, log=Silent())  # type: ignore[arg-type]
+    return Gateway(Settings(1, "z", 1, (kind,)), None, reactor=clock, seconds=clock.seconds, log=SilentLog())  # type: ignore[arg-type]
 
 
 def apply_cost(count: int) -> tuple[float, float, float]:
-    """Milliseconds: a list read for the first time; again with one line changed; that change applied."""
+    """Return milliseconds to read a list first, to read it with one changed line, and to apply that change."""
     groups = {f"g{n}" for n in range(count // 5 + 1)}
-    first, life, made = [], [], []
+    first_read_times, change_read_times, apply_times = [], [], []
     for turn in range(5):
         membership, target = ServerListLifecycle(groups, settle=0), gateway()
         text = render(servers(count)).encode()
         began = time.perf_counter()
         (action,) = membership.seen(1, {"l": text})
         assert isinstance(action, Apply)
-        first.append(time.perf_counter() - began)
+        first_read_times.append(time.perf_counter() - began)
         target.apply_list(action.fleet.servers, 1)
         changed = render(servers(count, changed=1 + turn % (count - 1))).encode()
         began = time.perf_counter()
         (action,) = membership.seen(2, {"l": changed})
-        life.append(time.perf_counter() - began)
+        change_read_times.append(time.perf_counter() - began)
         assert isinstance(action, Apply)
         began = time.perf_counter()
         assert action.delta is not None
         target.apply_changes({name: now for name, (_, now) in action.delta.items()}, 2)
-        made.append(time.perf_counter() - began)
-    return tuple(statistics.median(times) * 1e3 for times in (first, life, made))  # type: ignore[return-value]
+        apply_times.append(time.perf_counter() - began)
+    return tuple(statistics.median(times) * 1e3 for times in (first_read_times, change_read_times, apply_times))  # type: ignore[return-value]
 
 
-def seen_cost(count: int, turns: int) -> list[float]:
-    """Milliseconds from a file renamed into place to the list applied, notified by the system."""
+def notified_apply_cost(count: int, turns: int) -> list[float]:
+    """Return milliseconds from renaming a file into place to applying the list, with change notifications."""
     from twisted.internet import defer, reactor
 
     folder = Path(tempfile.mkdtemp())
@@ -100,7 +100,7 @@
 
     membership = ServerListLifecycle(groups)
     now = lambda: time.monotonic_ns()  # noqa: E731
-    watcher = Watcher(path, membership, act, reactor=reactor, now=now, log=Silent(), every=60.0)
+    watcher = Watcher(path, membership, act, reactor=reactor, now=now, log=SilentLog(), every=60.0)
     found: list[float] = []
 
     @defer.inlineCallbacks
@@ -126,10 +126,12 @@
 
 
 def snapshot_cost(count: int) -> tuple[int, float, float]:
-    """Octets, and milliseconds to write and to read."""
+    """Return the octets of a snapshot, and milliseconds to write and to read it."""
     marks: dict[str, list[int | str]] = {"001": ["20260101000000.000000Z", 1, 0]}
-    kept = [ServerState(s.name, s.group, s.zone, s.host, s.port, s.primary, marks=marks) for s in servers(count)]
-    snapshot = Snapshot(1.0, 1, "d", False, kept, [GroupState(f"g{n}", marks) for n in range(count // 5)])
+    server_states = [
+        ServerState(s.name, s.group, s.zone, s.host, s.port, s.primary, marks=marks) for s in servers(count)
+    ]
+    snapshot = Snapshot(1.0, 1, "d", False, server_states, [GroupState(f"g{n}", marks) for n in range(count // 5)])
     store = Store(Path(tempfile.mkdtemp()) / "s")
     writes, reads = [], []
     for _ in range(5):
@@ -144,23 +146,23 @@
 
 
 def main() -> None:
-    """Measure and keep."""
-    rows, kept = [], []
+    """Measure and store the results."""
+    rows, snapshot_rows = [], []
     for count in (10, 1_000, 10_000):
-        first, life, made = apply_cost(count)
-        seen = sorted(seen_cost(count, 30 if count < 10_000 else 10))
+        first_read, change_read, apply = apply_cost(count)
+        notified = sorted(notified_apply_cost(count, 30 if count < 10_000 else 10))
         rows.append(
             [
                 f"{count:,}",
-                f"{first:.1f}",
-                f"{life:.1f}",
-                f"{made:.2f}",
-                f"{statistics.median(seen):.0f}",
-                f"{seen[-1]:.0f}",
+                f"{first_read:.1f}",
+                f"{change_read:.1f}",
+                f"{apply:.2f}",
+                f"{statistics.median(notified):.0f}",
+                f"{notified[-1]:.0f}",
             ]
         )
         octets, write, read = snapshot_cost(count)
-        kept.append([f"{count:,}", f"{octets:,}", f"{write:.1f}", f"{read:.1f}"])
+        snapshot_rows.append([f"{count:,}", f"{octets:,}", f"{write:.1f}", f"{read:.1f}"])
     assert read_set({"l": render(servers(10)).encode()}, {"g0", "g1"}).servers
     head = [
         "servers",
@@ -177,7 +179,7 @@
         "Lists and durable state",
         [
             table("Lists", head, rows, notes),
-            table("Snapshots", ["servers", "octets", "write ms", "read ms"], kept, more),
+            table("Snapshots", ["servers", "octets", "write ms", "read ms"], snapshot_rows, more),
         ],
     )
 
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,4 +1,4 @@
-"""Gateways killed (kill -9) at random moments under load, judged by the audit: python -m benchmarks.kills."""
+"""Gateways killed (kill -9) at random times under load, checked by the audit: python -m benchmarks.kills."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def write_list(world: World, path: Path) -> None:
-    """The list as it now stands, renamed into place."""
+    """Write the current list and rename it into place."""
     specs = [
         ServerSpec(
             name,
@@ -49,44 +49,44 @@
 
 
 @inlineCallbacks
-def live(world: World, chance: random.Random) -> Generator[Deferred[Any], Any, None]:
-    """Load, lagging copies, a drain, a copy that returns cold, and three kills."""
+def run_scenario(world: World, random_source: random.Random) -> Generator[Deferred[Any], Any, None]:
+    """Run load with lagging copies, a drain, a copy that restarts cold, and three kills."""
     reactor, path = world.reactor, world.watched
     assert path is not None
     sleep = lambda seconds: deferLater(reactor, seconds, lambda: None)  # noqa: E731
     yield world.start_gateway()
     sessions = [Session(world, number, 0.01) for number in range(4)]
-    lives = [session.live() for session in sessions]
+    running_sessions = [session.live() for session in sessions]
     for name in ("n2", "n3", "r2", "r3"):
-        world.servers[name].member.lag = chance.choice([1, 30, 100])
+        world.servers[name].member.lag = random_source.choice([1, 30, 100])
 
     def drain() -> None:
         world.states["n3"] = "draining"
         write_list(world, path)
         reactor.callLater(0.1, world.record, {"kind": "told", "server": "n3", "state": "draining"})
 
-    def cold() -> None:
+    def restart() -> None:
         world.servers["r3"].restart()
         write_list(world, path)
 
-    reactor.callLater(chance.uniform(0.3, 1.5), drain)
-    crashed = chance.uniform(0.3, 1.2)
+    reactor.callLater(random_source.uniform(0.3, 1.5), drain)
+    crashed = random_source.uniform(0.3, 1.2)
     reactor.callLater(crashed, world.servers["r3"].crash)
-    reactor.callLater(crashed + 0.4, cold)
+    reactor.callLater(crashed + 0.4, restart)
     for _ in range(3):
-        yield sleep(chance.uniform(0.05, 0.9))
+        yield sleep(random_source.uniform(0.05, 0.9))
         yield world.kill_gateway()
         yield world.start_gateway()
     yield sleep(0.5)
     for session in sessions:
         session.end()
-    for one in lives:  # noqa: UP028 - of Deferreds, one by one
-        yield one
+    for running in running_sessions:  # noqa: UP028 - waits for one Deferred after the other
+        yield running
     yield world.stop_gateway()
 
 
-def one(seed: int, durable: bool) -> None:
-    """One seed in this process: prints its verdict."""
+def run_seed(seed: int, durable: bool) -> None:
+    """Run one seed in this process and print its verdict."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
@@ -98,7 +98,7 @@
     world.watched = folder / "list.hcl"
     write_list(world, world.watched)
     failed: list[Any] = []
-    done = live(world, random.Random(seed))
+    done = run_scenario(world, random.Random(seed))
     done.addErrback(failed.append)
     done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
@@ -115,9 +115,9 @@
 @click.option("--seeds", default=200)
 @click.option("--jobs", default=6)
 def main(seed: int | None, fresh: bool, seeds: int, jobs: int) -> None:
-    """Play one SEED, or many side by side, with and without durable state."""
+    """Run one SEED, or many in parallel, with and without durable state."""
     if seed is not None:
-        one(seed, not fresh)
+        run_seed(seed, not fresh)
         return
 
     def play(task: tuple[int, bool]) -> dict[str, Any]:
@@ -132,24 +132,24 @@
         found = list(pool.map(play, tasks))
     rows = []
     for durable in (True, False):
-        mine = [f for f in found if f["durable"] == durable]
-        good = [f for f in mine if "error" not in f]
-        served = sum(f["answers"]["served"] for f in good)
-        total = sum(sum(f["answers"].values()) for f in good)
-        broken = {name: sum(not f["rules"][name]["held"] for f in good) for name in good[0]["rules"]}
+        results = [f for f in found if f["durable"] == durable]
+        complete = [f for f in results if "error" not in f]
+        served = sum(f["answers"]["served"] for f in complete)
+        total = sum(sum(f["answers"].values()) for f in complete)
+        broken = {name: sum(not f["rules"][name]["held"] for f in complete) for name in complete[0]["rules"]}
         named = ", ".join(f"{name} {count}" for name, count in broken.items() if count) or "none"
-        judged = sum(rule["judged"] for f in good for rule in f["rules"].values())
+        judged = sum(rule["judged"] for f in complete for rule in f["rules"].values())
         rows.append(
             [
                 "with" if durable else "without",
-                str(len(good)),
-                str(len(mine) - len(good)),
+                str(len(complete)),
+                str(len(results) - len(complete)),
                 f"{judged:,}",
                 named,
                 f"{served / total:.4f}",
             ]
         )
-        for f in mine:
+        for f in results:
             if "error" in f:
                 print(f["seed"], f["error"])
             elif not f["held"]:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,4 +1,4 @@
-"""Searches through one gateway process, against a bare byte relay and against going direct; then workers."""
+"""Searches through one gateway process, compared with a plain TCP relay and direct access; then several workers."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 class FastServer(asyncio.Protocol):
-    """Answers every search with one entry at once: as little work as a server can do."""
+    """Answers every search immediately with one entry, with as little work as possible."""
 
     role = b"copy"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Prepare one entry as the answer to every search."""
+        """Prepare the entry that answers every search."""
         self.transport, self.framer = transport, Framer()
         entry = m.SearchEntry(
             f"cn=1,{BASE}",
@@ -59,8 +59,8 @@
         self.transport.write(b"".join(out))
 
 
-class Asker(asyncio.Protocol):
-    """One client: asks again as soon as it has its answer."""
+class LoadClient(asyncio.Protocol):
+    """A closed-loop client: sends the next search as soon as it has the answer."""
 
     def __init__(self, times: HdrHistogram, counts: list[int]) -> None:
         self.times, self.counts, self.number = times, counts, 1
@@ -71,7 +71,7 @@
         transport.write(BIND)
 
     def data_received(self, data: bytes) -> None:
-        """Ask again as each answer ends."""
+        """Send the next search after each answer."""
         for frame in self.framer.feed(data):
             raw = codec.open_envelope(frame)
             if raw.tag == m.Tag.DONE:
@@ -87,7 +87,7 @@
 
 
 def serve_fast(role: str) -> None:
-    """The server's process: prints its port."""
+    """Run the server process; prints its port."""
 
     async def run() -> None:
         FastServer.role = role.encode()
@@ -99,7 +99,7 @@
 
 
 def serve_relay(port: int) -> None:
-    """The relay's process (Twisted's portforward): prints its port."""
+    """Run the relay process (Twisted's portforward); prints its port."""
     from twisted.internet import reactor
     from twisted.protocols.portforward import ProxyFactory
 
@@ -109,52 +109,54 @@
 
 
 def load(port: int, clients: int, seconds: float) -> None:
-    """A load process: prints searches a second, failures, p50 and p99 in microseconds."""
+    """Run a load process; prints searches per second, failures, p50 and p99 in microseconds."""
 
     async def run() -> None:
         times, counts = HdrHistogram(1, 10_000_000, 3), [0, 0]
         loop = asyncio.get_running_loop()
-        made = [await loop.create_connection(lambda: Asker(times, counts), "127.0.0.1", port) for _ in range(clients)]
+        connections = [
+            await loop.create_connection(lambda: LoadClient(times, counts), "127.0.0.1", port) for _ in range(clients)
+        ]
         await asyncio.sleep(0.5)
         times.reset()
         counts[:] = [0, 0]
         began = time.perf_counter()
         await asyncio.sleep(seconds)
-        took = time.perf_counter() - began
+        elapsed = time.perf_counter() - began
         print(
-            counts[0] / took,
+            counts[0] / elapsed,
             counts[1],
             times.get_value_at_percentile(50),
             times.get_value_at_percentile(99),
             flush=True,
         )
-        for transport, _ in made:
+        for transport, _ in connections:
             transport.abort()
 
     asyncio.run(run())
 
 
 def start(*words: object) -> subprocess.Popen[str]:
-    """One of these processes."""
+    """Start one of these processes."""
     command = [sys.executable, "-m", "benchmarks.path", *map(str, words)]
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
 def first_line(process: subprocess.Popen[str]) -> int:
-    """The port that it prints."""
+    """Read the port that the process prints."""
     assert process.stdout is not None
     return int(process.stdout.readline())
 
 
 def measure(port: int, clients: int, seconds: float, processes: int = 1) -> tuple[float, int, float, float]:
-    """Searches a second, failures, p50 and p99 (microseconds) of load on a port."""
+    """Put load on a port; returns searches per second, failures, p50 and p99 in microseconds."""
     running = [start("load", port, clients // processes, seconds) for _ in range(processes)]
     rows = [[float(word) for word in process.communicate()[0].split()] for process in running]
     return sum(r[0] for r in rows), int(sum(r[1] for r in rows)), max(r[2] for r in rows), max(r[3] for r in rows)
 
 
 def settings(folder: Path, port: int, servers: dict[str, int]) -> Path:
-    """A gateway's settings for the fast servers."""
+    """Write a gateway's settings for the fast servers."""
     parts = [
         f'listener "ldap" {{\n  port = {port}\n}}\nlogging {{\n  level = "warning"\n}}\ngateway {{\n  zone = "a"\n}}',
         f'backend "ldap" {{\n  bind_dn = "{GATEWAY_DN}"\n  bind_password = "{GATEWAY_PASSWORD}"\n'
@@ -163,10 +165,10 @@
         'class "lookup" {\n  effect = "safe"\n  read = "bounded"\n  staleness = "800ms"\n  aim = "500ms"\n'
         f'  deadline = "1500ms"\n  match {{\n    operation = "search"\n    base = "{BASE}"\n  }}\n}}',
     ]
-    for name, place in servers.items():
+    for name, server_port in servers.items():
         primary = "true" if name == "primary" else "false"
         parts.append(
-            f'server "{name}" {{\n  group = "numbers"\n  zone = "a"\n  address = "127.0.0.1"\n  port = {place}\n'
+            f'server "{name}" {{\n  group = "numbers"\n  zone = "a"\n  address = "127.0.0.1"\n  port = {server_port}\n'
             f"  primary = {primary}\n}}"
         )
     file = folder / "gateway.hcl"
@@ -175,7 +177,7 @@
 
 
 def start_gateway(file: Path, port: int, workers: int = 1) -> subprocess.Popen[bytes]:
-    """The gateway, listening."""
+    """Start the gateway and wait until it listens."""
     import socket
 
     process = subprocess.Popen([sys.executable, "-m", "yardbank", "serve", str(file), "--workers", str(workers)])
@@ -189,7 +191,7 @@
 
 
 def compare(clients: int, seconds: float, runs: int) -> None:
-    """Everything side by side, in turn within each run."""
+    """Compare all alternatives, one after the other within each run."""
     names = {
         name: start("server", "primary" if name == "primary" else "copy") for name in ("primary", "copy-1", "copy-2")
     }
@@ -214,28 +216,28 @@
             gateway.wait()
     for process in (*names.values(), relay):
         process.kill()
-    middle = {name: [statistics.median(column) for column in zip(*rows, strict=True)] for name, rows in found.items()}
+    medians = {name: [statistics.median(column) for column in zip(*rows, strict=True)] for name, rows in found.items()}
     rows = [
         [
             name,
             f"{rate:,.0f}",
-            f"{rate / middle['relay'][0]:.2f}",
+            f"{rate / medians['relay'][0]:.2f}",
             f"{failed:.0f}",
             f"{p50 / 1000:.2f}",
             f"{p99 / 1000:.2f}",
-            f"{(p50 - middle['direct'][2]) / 1000:+.2f}",
-            f"{(p99 - middle['direct'][3]) / 1000:+.2f}",
+            f"{(p50 - medians['direct'][2]) / 1000:+.2f}",
+            f"{(p99 - medians['direct'][3]) / 1000:+.2f}",
         ]
-        for name, (rate, failed, p50, p99) in middle.items()
+        for name, (rate, failed, p50, p99) in medians.items()
     ]
     head = ["way", "searches/s", "of relay", "failed", "p50 ms", "p99 ms", "added p50 ms", "added p99 ms"]
     notes = [
         f"Medians of {runs} runs of {seconds:g} s, ways in turn; {clients} clients, one search out each; servers that "
         "answer at once. Each way and the load in a process of its own. Aim: at least half the relay."
     ]
-    one = statistics.median(scaled[1])
+    single_worker_rate = statistics.median(scaled[1])
     worker_rows = [
-        [str(n), f"{statistics.median(rates):,.0f}", f"{statistics.median(rates) / one / n:.2f}"]
+        [str(n), f"{statistics.median(rates):,.0f}", f"{statistics.median(rates) / single_worker_rate / n:.2f}"]
         for n, rates in scaled.items()
     ]
     worker_notes = [
@@ -257,7 +259,7 @@
 @click.option("--seconds", default=3.0)
 @click.option("--runs", default=3)
 def main(words: tuple[str, ...], clients: int, seconds: float, runs: int) -> None:
-    """Compare; with WORDS, one of the processes that are compared."""
+    """Run the comparison, or with WORDS one of its processes."""
     match words:
         case ("server", role):
             serve_fast(role)
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,7 +1,7 @@
-"""Gateways that know of each other: python -m benchmarks.peers [--no-processes].
+"""Gossip between gateways: python -m benchmarks.peers [--no-processes].
 
-Deciders on a virtual clock: how soon all know of a death, false suspicions, octets. Processes behind the rig: one of
-five copies hangs under thin traffic, with sharing on and off in turn.
+On a virtual clock: time to detect a dead gateway, false suspicions, octets. With processes of the test rig: one of five
+copies hangs under light traffic, with sharing of health reports on and off in turn.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from yardbank.testing.rig.gossip import GossipFleet
 from yardbank.testing.rig.network import Effect
 
-VIRTUAL = (8, 24, 48, 200, 500)
-PROCESSES = (8, 24, 48)
-HOUR = 3600
-RATE = 10  # requests a second of each gateway
-WATCHED = 300  # seconds without a fault in which false suspicions are counted
+VIRTUAL_SIZES = (8, 24, 48, 200, 500)
+PROCESS_SIZES = (8, 24, 48)
+HOUR_S = 3600
+RATE = 10  # requests per second of each gateway
+OBSERVED_S = 300  # seconds without a fault during which false suspicions are counted
 
 
-def virtual(asked: tuple[int, float, bool]) -> list[str]:
-    """One size, loss and kind of fleet: all found, a death known, false suspicions, traffic."""
-    size, loss, slow = asked
+def measure_virtual_fleet(case: tuple[int, float, bool]) -> list[str]:
+    """Measure one size, loss and kind of fleet: discovery, detection of a death, false suspicions, traffic."""
+    size, loss, slow = case
     began = time.perf_counter()
     names = [f"g{number}" for number in range(size)]
     gossip = GossipFleet(names, seed=size)
     for name in names:
         gossip.start(name)
-    up = gossip.run_until(gossip.agreed, 300 * SECOND)
+    all_found_at = gossip.run_until(gossip.agreed, 300 * SECOND)
     gossip.way = Effect(delay=0.0005, jitter=0.001, lose=loss)
-    if slow:  # a tenth of the fleet stops for a second and a half now and then
+    if slow:  # a tenth of the fleet pauses for 1.5 s at random times
         random = Random(size)
         for name in names[::10]:
             at = gossip.now
-            while at < gossip.now + WATCHED * SECOND:
+            while at < gossip.now + OBSERVED_S * SECOND:
                 at += round(random.expovariate(1 / 20) * SECOND)
                 gossip.at(at, lambda name=name: gossip.pause(name) if name in gossip.nodes else None)
                 gossip.at(at + 3 * SECOND // 2, lambda name=name: gossip.resume(name))
     before, octets, since = len(gossip.history), dict(gossip.octets), gossip.now
-    gossip.run(since + WATCHED * SECOND)
+    gossip.run(since + OBSERVED_S * SECOND)
     changes = [change for _, _, change in gossip.history[before:]]
     suspected = len({(c.name, c.incarnation) for c in changes if c.state == SUSPECT})
     gone = sum(c.state == GONE for c in changes)
-    sent = [(gossip.octets[name] - octets[name]) / WATCHED for name in names]
+    sent = [(gossip.octets[name] - octets[name]) / OBSERVED_S for name in names]
     gossip.way = Effect(delay=0.0005, jitter=0.001, lose=loss)
     gossip.run_until(gossip.agreed, 120 * SECOND)
     dead, killed = names[1], gossip.now
@@ -61,19 +61,19 @@
     rest = [name for name in names if name != dead]
     known = gossip.run_until(lambda: all(gossip.believes(name, dead) == GONE for name in rest), 300 * SECOND)
     first = min((at for at, _, whom in gossip.told(GONE) if whom == dead and at >= killed), default=None)
-    took = time.perf_counter() - began
+    elapsed = time.perf_counter() - began
     return [
         str(size),
         f"{loss:.0%}",
         "yes" if slow else "no",
-        _seconds(up, 0),
+        _seconds(all_found_at, 0),
         _seconds(first, killed),
         _seconds(known, killed),
-        f"{suspected * HOUR / WATCHED:.0f}",
-        f"{gone * HOUR / WATCHED:.0f}",
+        f"{suspected * HOUR_S / OBSERVED_S:.0f}",
+        f"{gone * HOUR_S / OBSERVED_S:.0f}",
         f"{mean(sent):.0f}",
         f"{max(sent):.0f}",
-        f"{100 * took / (size * gossip.now / SECOND):.3f}",
+        f"{100 * elapsed / (size * gossip.now / SECOND):.3f}",
     ]
 
 
@@ -82,13 +82,13 @@
 
 
 def draw(rows: list[list[str]]) -> None:
-    """How long until all know of a death, by size and loss, as a chart beside the tables."""
+    """Draw the time until all gateways know of a death, by size and loss, as a chart beside the tables."""
     kinds = {"no loss": ("0%", "no"), "5 %": ("5%", "no"), "30 %": ("30%", "no"), "slow peers": ("0%", "yes")}
     bars = {
         label: [float(row[5]) if row[5] != "never" else 0.0 for row in rows if (row[1], row[2]) == kind]
         for label, kind in kinds.items()
     }
-    chart("peers", "Seconds until all know of a death, by gateways", [str(size) for size in VIRTUAL], bars)
+    chart("peers", "Seconds until all know of a death, by gateways", [str(size) for size in VIRTUAL_SIZES], bars)
 
 
 SCENARIO = """
@@ -121,26 +121,26 @@
 """
 
 
-def processes(gateways: int, peers: bool) -> list[str]:
-    """One play: what went to the bad server, what was served while it hung, what it cost."""
+def measure_processes(gateways: int, peers: bool) -> list[str]:
+    """Run one scenario: requests that met the bad server, requests served while it hung, and the cost."""
     with tempfile.TemporaryDirectory() as folder:
-        file, kept = Path(folder) / "s.hcl", Path(folder) / "kept"
+        file, results_folder = Path(folder) / "s.hcl", Path(folder) / "kept"
         text = SCENARIO.format(gateways=gateways, peers=str(peers).lower(), rate=RATE * gateways, clients=4 * gateways)
         file.write_text(text)
         done = subprocess.run(
-            [sys.executable, "-m", "yardbank", "rig", "run", str(file), "--keep", str(kept)],
+            [sys.executable, "-m", "yardbank", "rig", "run", str(file), "--keep", str(results_folder)],
             capture_output=True,
             text=True,
             check=False,
         )
         if done.returncode == 2:
             raise SystemExit(done.stdout + done.stderr)
-        facts = [json.loads(line) for line in (kept / "record.jsonl").read_text().splitlines()]
+        facts = [json.loads(line) for line in (results_folder / "record.jsonl").read_text().splitlines()]
     begin = next(f["at"] for f in facts if f["kind"] == "step" and f["phase"] == "begin")
     end = next(f["at"] for f in facts if f["kind"] == "step" and f["phase"] == "end")
     load = next(f["at"] for f in facts if f["kind"] == "load_begun")
     gateway = {f["tag"]: f["gateway"] for f in facts if f["kind"] == "sent"}
-    met = [
+    requests_at_bad_server = [
         f
         for f in facts
         if f["kind"] == "received" and f["server"] == "numbers-4" and f["op"] != "probe" and begin < f["at"] < end
@@ -155,8 +155,8 @@
     return [
         str(gateways),
         "on" if peers else "off",
-        str(len(met)),
-        str(len({gateway.get(f["tag"]) for f in met})),
+        str(len(requests_at_bad_server)),
+        str(len({gateway.get(f["tag"]) for f in requests_at_bad_server})),
         f"{len(times) / len(wanted):.4f}",
         f"{late / len(wanted):.4f}",
         f"{times[int(0.99 * len(times))] * 1e3:.0f}",
@@ -169,10 +169,12 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--no-processes", action="store_true")
-    alone = parser.parse_args().no_processes
-    runs = [(size, loss, False) for size in VIRTUAL for loss in (0.0, 0.05, 0.3)] + [(s, 0.0, True) for s in VIRTUAL]
+    skip_processes = parser.parse_args().no_processes
+    runs = [(size, loss, False) for size in VIRTUAL_SIZES for loss in (0.0, 0.05, 0.3)] + [
+        (s, 0.0, True) for s in VIRTUAL_SIZES
+    ]
     with ProcessPoolExecutor(6) as pool:
-        rows = list(pool.map(virtual, runs))
+        rows = list(pool.map(measure_virtual_fleet, runs))
     draw(rows)
     head = [
         "gateways",
@@ -193,8 +195,8 @@
         "Slow peers: a tenth of the fleet stops for 1.5 s every 20 s on average. Octets are of the datagrams alone.",
     ]
     tables = [table("Who is there, by size of the fleet", head, rows, notes)]
-    if not alone:
-        rows = [processes(gateways, peers) for gateways in PROCESSES for peers in (False, True)]
+    if not skip_processes:
+        rows = [measure_processes(gateways, peers) for gateways in PROCESS_SIZES for peers in (False, True)]
         head = [
             "gateways",
             "sharing",
--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -1,4 +1,4 @@
-"""Plans: cost by size, against equal and hand-set weights, and on stand-ins of differing speed."""
+"""Plans: solver cost by size, comparison with equal and capacity weights, and servers of different speed."""
 
 from __future__ import annotations
 
@@ -31,113 +31,117 @@
 
 
 def problem(count: int, seed: int, load: float = 0.6) -> Problem:
-    """Servers of three kinds, more in one zone than in the others; demand that does not follow them."""
-    chance = random.Random(seed)
+    """Servers of three sizes, unevenly distributed over zones; demand with a different distribution."""
+    random_source = random.Random(seed)
     servers = tuple(
-        PlanServer(f"s{n:04}", "g", chance.choice("aaabbc"), chance.choice((50.0, 100.0, 200.0))) for n in range(count)
+        PlanServer(f"s{n:04}", "g", random_source.choice("aaabbc"), random_source.choice((50.0, 100.0, 200.0)))
+        for n in range(count)
     )
-    whole = sum(s.capacity for s in servers) * load
-    parts = [chance.uniform(0.2, 1.0) for _ in ZONES]
+    total_rate = sum(s.capacity for s in servers) * load
+    zone_weights = [random_source.uniform(0.2, 1.0) for _ in ZONES]
     demands = tuple(
-        Demand(kind, "g", zone, round(whole * share * part / sum(parts), 3))
+        Demand(kind, "g", zone, round(total_rate * share * zone_weight / sum(zone_weights), 3))
         for kind, share in (("lookup", 0.6), ("status", 0.4))
-        for zone, part in zip(ZONES, parts, strict=True)
+        for zone, zone_weight in zip(ZONES, zone_weights, strict=True)
     )
     return Problem(servers, demands, Limits(spill=dict.fromkeys(ZONES, 1.0)))
 
 
-def sizes() -> list[list[str]]:
+def measure_sizes() -> list[list[str]]:
     rows = []
     for count in (30, 300, 3_000):
-        asked = problem(count, 1)
+        case = problem(count, 1)
         times = []
         for _ in range(5):
             began = time.perf_counter()
-            plan = solve(asked)
+            plan = solve(case)
             times.append(time.perf_counter() - began)
         assert plan.feasible
-        shares = {s.name: Fraction(s.capacity) for s in asked.servers}
+        shares = {s.name: Fraction(s.capacity) for s in case.servers}
         began = time.perf_counter()
-        mine = [aperture(shares, g, 300, 20, spares=2) for g in range(3)]
-        cut = (time.perf_counter() - began) / 3
+        apertures = [aperture(shares, g, 300, 20, spares=2) for g in range(3)]
+        aperture_time = (time.perf_counter() - began) / 3
         ring = Ring(shares)
-        arc, number = ring.length / 300, ring.arcs(300, 20)
+        arc, arcs = ring.length / 300, ring.arcs(300, 20)
         reached = dict.fromkeys(ring.names, 0)
         for g in range(300):
-            for place in ring.covered(arc * g, arc * number):
-                reached[ring.names[place]] += 1
-        assert all(len(one.weights) <= 20 for one in mine)
+            for index in ring.covered(arc * g, arc * arcs):
+                reached[ring.names[index]] += 1
+        assert all(len(chosen.weights) <= 20 for chosen in apertures)
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
         rows.append(
             [
                 f"{count:,}",
                 f"{statistics.median(times) * 1e3:.0f}",
                 f"{peak:.0f}",
-                f"{cut * 1e3:.0f}",
+                f"{aperture_time * 1e3:.0f}",
                 f"{min(reached.values())} to {max(reached.values())}",
             ]
         )
     return rows
 
 
-def judged(
-    asked: Problem, shares: dict[tuple[str, str, str], dict[str, float]], without: set[str]
+def evaluate(
+    case: Problem, shares: dict[tuple[str, str, str], dict[str, float]], without: set[str]
 ) -> tuple[float, float, float]:
-    """Crossing and unserved as parts of the demand, and the worst server's load, with some servers gone."""
-    left = {s.name: s for s in asked.servers if s.name not in without}
-    load, crossing = dict.fromkeys(left, 0.0), 0.0
-    whole = sum(d.rate for d in asked.demands)
-    lost = 0.0
-    for d in asked.demands:
-        parts = {n: share for n, share in shares[d.kind, d.group, d.zone].items() if n in left}
-        total = sum(parts.values())
+    """Return cross-zone and unserved shares of the demand, and the highest utilization, without some servers."""
+    remaining = {s.name: s for s in case.servers if s.name not in without}
+    load, crossing = dict.fromkeys(remaining, 0.0), 0.0
+    total_rate = sum(d.rate for d in case.demands)
+    unserved = 0.0
+    for d in case.demands:
+        shares_left = {n: share for n, share in shares[d.kind, d.group, d.zone].items() if n in remaining}
+        total = sum(shares_left.values())
         if not total:
-            lost += d.rate
+            unserved += d.rate
             continue
-        for name, part in parts.items():  # gateways turn to the others, in the proportions of their shares
-            load[name] += d.rate * part / total
-            crossing += d.rate * part / total * (left[name].zone != d.zone)
-    over = sum(max(0.0, load[n] - left[n].capacity) for n in left)
-    worst = max(load[n] / left[n].capacity for n in left)
-    return crossing / whole, (over + lost) / whole, worst
+        for name, share_left in shares_left.items():  # gateways use the others, in proportion to their shares
+            load[name] += d.rate * share_left / total
+            crossing += d.rate * share_left / total * (remaining[name].zone != d.zone)
+    overload = sum(max(0.0, load[n] - remaining[n].capacity) for n in remaining)
+    worst = max(load[n] / remaining[n].capacity for n in remaining)
+    return crossing / total_rate, (overload + unserved) / total_rate, worst
 
 
-def again(asked: Problem, without: set[str]) -> float:
-    """What goes unserved when the rest is planned anew."""
-    rest = Problem(tuple(s for s in asked.servers if s.name not in without), asked.demands, asked.limits)
-    return sum(c.unserved for c in solve(rest).conflicts) / sum(d.rate for d in asked.demands)
+def unserved_after_replanning(case: Problem, without: set[str]) -> float:
+    """Return the unserved share of the demand after planning again without some servers."""
+    rest = Problem(tuple(s for s in case.servers if s.name not in without), case.demands, case.limits)
+    return sum(c.unserved for c in solve(rest).conflicts) / sum(d.rate for d in case.demands)
 
 
-def compared() -> tuple[list[list[str]], dict[str, list[float]]]:
-    """The optimum, equal shares and weights by size, over 30 fleets."""
-    ways = ("plan", "plan, worked out again after a loss", "weights by size", "equal shares")
-    figures: dict[str, list[list[float]]] = {way: [] for way in ways}
+def compare_weightings() -> tuple[list[list[str]], dict[str, list[float]]]:
+    """Compare the optimum, equal shares and weights by capacity on 30 fleets."""
+    weightings = ("plan", "plan, worked out again after a loss", "weights by size", "equal shares")
+    figures: dict[str, list[list[float]]] = {weighting: [] for weighting in weightings}
     for seed in range(30):
-        asked = problem(24, seed)
-        size = sum(s.capacity for s in asked.servers)
-        largest = max(asked.servers, key=lambda s: s.capacity).name
-        zone = {s.name for s in asked.servers if s.zone == "b"}
-        for way in ways:
-            if way.startswith("plan"):
-                shares = solve(asked).shares
+        case = problem(24, seed)
+        size = sum(s.capacity for s in case.servers)
+        largest = max(case.servers, key=lambda s: s.capacity).name
+        zone = {s.name for s in case.servers if s.zone == "b"}
+        for weighting in weightings:
+            if weighting.startswith("plan"):
+                shares = solve(case).shares
             else:
-                even = {s.name: s.capacity / size if way == "weights by size" else 1 / 24 for s in asked.servers}
-                shares = {(d.kind, d.group, d.zone): even for d in asked.demands}
-            crossing, unserved, worst = judged(asked, shares, set())
-            if way == ways[1]:
-                one, region = again(asked, {largest}), again(asked, zone)
+                even = {s.name: s.capacity / size if weighting == "weights by size" else 1 / 24 for s in case.servers}
+                shares = {(d.kind, d.group, d.zone): even for d in case.demands}
+            crossing, unserved, worst = evaluate(case, shares, set())
+            if weighting == weightings[1]:
+                without_server, without_zone = (
+                    unserved_after_replanning(case, {largest}),
+                    unserved_after_replanning(case, zone),
+                )
             else:
-                one, region = judged(asked, shares, {largest})[1], judged(asked, shares, zone)[1]
-            figures[way].append([crossing, worst, unserved, one, region])
+                without_server, without_zone = evaluate(case, shares, {largest})[1], evaluate(case, shares, zone)[1]
+            figures[weighting].append([crossing, worst, unserved, without_server, without_zone])
     rows, means = [], {}
-    for way in ways:
-        mean = [statistics.mean(row[n] for row in figures[way]) for n in range(5)]
-        means[way] = mean
+    for weighting in weightings:
+        mean = [statistics.mean(row[n] for row in figures[weighting]) for n in range(5)]
+        means[weighting] = mean
         rows.append(
             [
-                way,
+                weighting,
                 f"{mean[0]:.1%}",
-                f"{max(row[1] for row in figures[way]):.0%}",
+                f"{max(row[1] for row in figures[weighting]):.0%}",
                 *(f"{value:.1%}" for value in mean[2:]),
             ]
         )
@@ -146,7 +150,7 @@
 
 @inlineCallbacks
 def play(reactor: Any, planned: bool, rows: list[list[str]]) -> Generator[Deferred[Any], Any, None]:
-    """Bounded reads at 75 % of what four copies of differing speed can do, open loop, for 8 s."""
+    """Run bounded reads for 8 s at 75 % of the capacity of four copies of different speed, as an open loop."""
     members = {"numbers": [("n0", "norte"), *((f"n{n}", "norte") for n in range(1, 5))]}
     capacity = Capacity(slots=1, queue=200, read_s=0.01)
     world = World(
@@ -167,9 +171,9 @@
     (folder / "servers.hcl").write_text(render(specs))
     if planned:
         mean = sum(1 / factor for factor in slow.values()) / len(slow)
-        rows_ = "".join(f"    {n} = {1 / factor / mean:.4f}\n" for n, factor in slow.items())
+        weight_lines = "".join(f"    {n} = {1 / factor / mean:.4f}\n" for n, factor in slow.items())
         (folder / "plan.hcl").write_text(
-            f'plan "norte" {{\n  list = "{list_hash(specs)}"\n  made = {time.time():.3f}\n  weights {{\n{rows_}  }}\n}}\n'
+            f'plan "norte" {{\n  list = "{list_hash(specs)}"\n  made = {time.time():.3f}\n  weights {{\n{weight_lines}  }}\n}}\n'
         )
     world.watched = folder
     yield world.start_gateway()
@@ -178,27 +182,27 @@
         client = yield connect(reactor, "127.0.0.1", world.port, f"c{number}")
         yield client.bind(DESK_DN, DESK_PASSWORD)
         clients.append(client)
-    chance, times, bad, waiting = random.Random(1), [], [0], []
+    random_source, times, failures, waiting = random.Random(1), [], [0], []
     rate = 0.75 * sum(1 / (0.01 * factor) for factor in slow.values())
     began = reactor.seconds()
-    at = began
+    due_at = began
 
     def done(answer: Any, due: float) -> None:
         if answer.code == 0:
-            times.append(reactor.seconds() - due)  # from when it was due: a late start counts
+            times.append(reactor.seconds() - due)  # measured from the due time, so that a late start counts
         else:
-            bad[0] += 1
+            failures[0] += 1
 
-    while at < began + 8:
-        at += chance.expovariate(rate)
-        if (wait := at - reactor.seconds()) > 0.001:
+    while due_at < began + 8:
+        due_at += random_source.expovariate(rate)
+        if (wait := due_at - reactor.seconds()) > 0.001:
             yield deferLater(reactor, wait, lambda: None)
-        request = m.SearchRequest(f"cn={chance.randrange(20)},ou=numbers,dc=porting", 0, m.Present("cn"))
-        waiting.append(chance.choice(clients).request(request).addCallback(done, at))
-    for one in waiting:  # noqa: UP028 - of Deferreds, one by one
-        yield one
+        request = m.SearchRequest(f"cn={random_source.randrange(20)},ou=numbers,dc=porting", 0, m.Present("cn"))
+        waiting.append(random_source.choice(clients).request(request).addCallback(done, due_at))
+    for pending in waiting:  # noqa: UP028 - waits for one Deferred after the other
+        yield pending
     ordered = sorted(times)
-    served = len([t for t in times if t < 0.5]) / (len(times) + bad[0])
+    served = len([t for t in times if t < 0.5]) / (len(times) + failures[0])
     rows.append(
         [
             "by the plan" if planned else "equal",
@@ -221,17 +225,17 @@
     reactor: Any = installed
     reactor.seconds = time.monotonic
     set_up_logs("error", "console")
-    by_size = sizes()
-    rows, means = compared()
+    by_size = measure_sizes()
+    rows, means = compare_weightings()
     live: list[list[str]] = []
     failed: list[Any] = []
 
     @inlineCallbacks
-    def both() -> Generator[Deferred[Any], Any, None]:
+    def run_all() -> Generator[Deferred[Any], Any, None]:
         for planned in (False, True, False, True):
             yield play(reactor, planned, live)
 
-    done = both()
+    done = run_all()
     done.addErrback(failed.append)
     done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
--- a/benchmarks/scale/decisions.py
+++ b/benchmarks/scale/decisions.py
@@ -1,4 +1,4 @@
-"""The decision module and a gateway by databases, by sessions, and by connections of clients."""
+"""Costs of the decision module and of a gateway by number of databases, sessions and client connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 MS = 1_000_000
 START = 1000 * 1000 * MS
-MEMBERS = 3  # of a group: a primary and two replicas
+MEMBERS = 3  # of each group: a primary and two replicas
 DATABASES = (100, 400, 1000, 2000, 3900)
 REQUESTS = 6000
 READ = RequestClass("lookup", 400 * MS, 1000 * MS, 1, 0, "safe", read="bounded", staleness_bound=800 * MS)
@@ -29,14 +29,14 @@
 
 
 class SilentLog:
-    """A log that keeps nothing."""
+    """A log that discards everything."""
 
     def bind(self, **facts: Any) -> SilentLog:
-        """This one."""
+        """Returns the same log."""
         return self
 
     def is_enabled_for(self, level: int) -> bool:
-        """Nothing is."""
+        """Returns False: no level is enabled."""
         return False
 
     def __getattr__(self, name: str) -> Any:
@@ -61,7 +61,7 @@
 
 
 def specs(databases: int) -> list[ServerSpec]:
-    """Databases in groups of three over eleven zones, the first of each group its primary."""
+    """Databases in groups of three over eleven zones; the first of each group is its primary."""
     return [
         ServerSpec(f"db-{n:05}", f"group-{n // MEMBERS:05}", f"z{n % 11}", "10.0.0.1", 1024 + n, n % MEMBERS == 0)
         for n in range(databases)
@@ -74,85 +74,87 @@
 
 
 def module_by_databases(databases: int, seed: int) -> Values:
-    """Memory, first list, one changed entry, and a request with its outcome."""
-    made, memory = grown_kib(lambda: Router(settings()))
-    assert isinstance(made, Router)
+    """Measure memory, the first list, one changed entry, and a request with its outcome."""
+    router, memory = grown_kib(lambda: Router(settings()))
+    assert isinstance(router, Router)
     listed = members(databases)
     began = time.process_time()
-    _, more = grown_kib(lambda: made.handle(START, ServerList("saved", listed)))
+    _, list_memory = grown_kib(lambda: router.handle(START, ServerList("saved", listed)))
     first = (time.process_time() - began) * 1e3
     changed = ServerList("delta", (Member(1, "z1", 0, False, "draining", started=1),))
-    change = processor_ms(lambda: made.handle(START + 1, changed), 200)
+    change = processor_ms(lambda: router.handle(START + 1, changed), 200)
     now, began = START, time.process_time()
     for number in range(REQUESTS):
         now += MS // 2
         kind = CLASSES[(number + seed) % 3]
         group = (number * 7919) % (databases // MEMBERS)
         asked = Request(f"r{number}", group, kind.name, now + kind.deadline, session=f"s{number % 500}")
-        for action in made.handle(now, asked):
+        for action in router.handle(now, asked):
             if isinstance(action, Send):
                 role = Role.PRIMARY if kind is WRITE else Role.UNKNOWN
-                made.handle(now, Outcome(action.id, 0, action.server, "ok", 4 * MS, True, role))
+                router.handle(now, Outcome(action.id, 0, action.server, "ok", 4 * MS, True, role))
     request = (time.process_time() - began) / REQUESTS * 1e6
-    return {"memory": memory + more, "first list": first, "changed entry": change, "request": request}
+    return {"memory": memory + list_memory, "first list": first, "changed entry": change, "request": request}
 
 
 def gateway_by_databases(databases: int, seed: int) -> Values:
-    """A gateway without sockets: memory, first list, one changed entry, the whole list again, and its view line."""
+    """Measure a gateway without sockets: memory, first list, one changed entry, the whole list again, and its view."""
     clock = Clock()
     clock.advance(100 + seed)
 
-    def made() -> Gateway:
+    def make_gateway() -> Gateway:
         return Gateway(settings(), None, reactor=clock, seconds=clock.seconds, log=SilentLog())  # type: ignore[arg-type]
 
     listed = specs(databases)
-    gateway, memory = grown_kib(made)
+    gateway, memory = grown_kib(make_gateway)
     assert isinstance(gateway, Gateway)
     began = time.process_time()
-    _, more = grown_kib(lambda: gateway.apply_list(listed, 1))
+    _, list_memory = grown_kib(lambda: gateway.apply_list(listed, 1))
     first = (time.process_time() - began) * 1e3
     names = iter(range(10, 110))
 
     def change() -> None:
-        at = listed[next(names) % databases]
-        gateway.apply_changes({at.name: ServerSpec(at.name, at.group, at.zone, "10.0.0.2", 5432, at.primary)}, 2)
+        spec = listed[next(names) % databases]
+        gateway.apply_changes(
+            {spec.name: ServerSpec(spec.name, spec.group, spec.zone, "10.0.0.2", 5432, spec.primary)}, 2
+        )
 
     changed = processor_ms(change, 60)
-    again = processor_ms(lambda: gateway.apply_list(listed, 3))
+    whole_list_again = processor_ms(lambda: gateway.apply_list(listed, 3))
     return {
-        "memory": memory + more,
+        "memory": memory + list_memory,
         "first list": first,
         "changed entry": changed,
-        "whole list again": again,
+        "whole list again": whole_list_again,
         "view": processor_ms(gateway.view, 5),
     }
 
 
 def module_by_sessions(sessions: int, seed: int) -> Values:
-    """Memory of remembered sessions, and what a write's answer costs with so many."""
-    made = Router(settings())
-    made.handle(START, ServerList("saved", members(300)))
+    """Measure the memory of remembered sessions, and the cost of a write."""
+    router = Router(settings())
+    router.handle(START, ServerList("saved", members(300)))
     began = time.process_time()
 
     def write_all() -> None:
         for number in range(sessions):
             now = START + number * MS // 10
-            asked = Request(f"w{number}", number % 100, WRITE.name, now + WRITE.deadline, session=f"session-{number}")
-            for action in made.handle(now, asked):
+            request = Request(f"w{number}", number % 100, WRITE.name, now + WRITE.deadline, session=f"session-{number}")
+            for action in router.handle(now, request):
                 if isinstance(action, Send):
                     role = Role.PRIMARY
-                    made.handle(now, Outcome(action.id, 0, action.server, "ok", 4 * MS, True, role, position=now))
+                    router.handle(now, Outcome(action.id, 0, action.server, "ok", 4 * MS, True, role, position=now))
 
     _, memory = grown_kib(write_all)
     return {
         "memory": memory,
         "write": (time.process_time() - began) / sessions * 1e6,
-        "remembered": len(made.sessions.tokens),
+        "remembered": len(router.sessions.tokens),
     }
 
 
 class IdleTransport:
-    """A transport that carries nothing, as small as can be."""
+    """A transport that discards everything, with minimal memory."""
 
     __slots__ = ("bufferSize",)
 
@@ -161,7 +163,7 @@
 
 
 def gateway_by_connections(connections: int, seed: int) -> Values:
-    """Idle connections of clients: memory without the sockets' own, and processor time of one sweep over them."""
+    """Measure idle client connections: memory without sockets, and processor time of one sweep over them."""
     clock = Clock()
     clock.advance(100 + seed)
     gateway = Gateway(
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,4 +1,4 @@
-"""Laws of growth fitted to measured values by least squares."""
+"""Growth laws fitted to measured values by least squares."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-FLAT_SPREAD = 0.1  # values that differ by no more than this part of their mean are called flat
-SCATTERED = 0.5  # of which no law explains so much vary for other reasons: their mean stands for them
-BETTER = 0.5  # a steeper law is taken if it leaves less than this part of the residuals of the one before
+FLAT_SPREAD = 0.1  # values whose range is at most this share of their mean are flat
+MIN_R_SQUARED = 0.5  # below this R² the values vary for other reasons, and their mean is used
+RESIDUAL_RATIO = 0.5  # a steeper law must leave less than this share of the residuals of the one before
 
 SHAPES: dict[str, Callable[[float], float]] = {
     "log": math.log2,
@@ -26,15 +26,15 @@
     shape: str  # "flat" or a name of SHAPES
     base: float
     slope: float
-    r_squared: float  # 1: all is explained; of a flat law: of the best other one, nan if none was tried
-    worst: float  # the largest residual, as a part of the value there
+    r_squared: float  # for a flat law: that of the best other law, nan if none was tried
+    worst: float  # the largest residual, relative to the value
 
     def at(self, size: float) -> float:
-        """The value that the law gives for a size."""
+        """Return the predicted value for a size."""
         return self.base if self.shape == "flat" else self.base + self.slope * SHAPES[self.shape](size)
 
     def formula(self) -> str:
-        """The law as a reader would write it."""
+        """Return the law as a formula."""
         if self.shape == "flat":
             return f"{self.base:.4g}"
         term = {"log": "log2(n)", "linear": "n", "square": "n^2"}[self.shape]
@@ -42,37 +42,39 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Law:
-    """The simplest law that fits. Raises ``ValueError`` for fewer than two sizes."""
+    """Return the simplest law that fits. Raises ``ValueError`` for fewer than two sizes."""
     if len(set(sizes)) < 2:
         raise ValueError("a law needs two sizes at least")
     mean = sum(values) / len(values)
     if max(values) - min(values) <= FLAT_SPREAD * abs(mean) or mean == 0:
         return Law("flat", mean, 0.0, math.nan, _worst(values, [mean] * len(values)))
     best: Law | None = None
-    least = math.inf
-    for shape, of in SHAPES.items():
-        law, residuals = _fitted(shape, of, sizes, values)
-        if best is None or residuals < BETTER * least:
-            best, least = law, residuals
+    lowest_residuals = math.inf
+    for shape, function in SHAPES.items():
+        law, residuals = _fitted(shape, function, sizes, values)
+        if best is None or residuals < RESIDUAL_RATIO * lowest_residuals:
+            best, lowest_residuals = law, residuals
     assert best is not None
-    if best.r_squared < SCATTERED:
+    if best.r_squared < MIN_R_SQUARED:
         return Law("flat", mean, 0.0, best.r_squared, _worst(values, [mean] * len(values)))
     return best
 
 
 def _fitted(
-    shape: str, of: Callable[[float], float], sizes: Sequence[float], values: Sequence[float]
+    shape: str, function: Callable[[float], float], sizes: Sequence[float], values: Sequence[float]
 ) -> tuple[Law, float]:
-    """One law, and the sum of its squared residuals."""
-    columns = np.array([[1.0, of(size)] for size in sizes])
-    wanted = np.array(values, dtype=float)
-    (base, slope), *_ = np.linalg.lstsq(columns, wanted, rcond=None)
-    found = columns @ np.array([base, slope])
-    residuals = float(((wanted - found) ** 2).sum())
-    spread = float(((wanted - wanted.mean()) ** 2).sum())
-    law = Law(shape, float(base), float(slope), 1 - residuals / spread, _worst(values, list(found)))
+    """Fit one law; returns it with the sum of its squared residuals."""
+    columns = np.array([[1.0, function(size)] for size in sizes])
+    observed = np.array(values, dtype=float)
+    (base, slope), *_ = np.linalg.lstsq(columns, observed, rcond=None)
+    predicted = columns @ np.array([base, slope])
+    residuals = float(((observed - predicted) ** 2).sum())
+    spread = float(((observed - observed.mean()) ** 2).sum())
+    law = Law(shape, float(base), float(slope), 1 - residuals / spread, _worst(values, list(predicted)))
     return law, residuals
 
 
-def _worst(values: Sequence[float], found: Sequence[float]) -> float:
-    return max(abs(value - at) / max(abs(value), 1e-12) for value, at in zip(values, found, strict=True))
+def _worst(values: Sequence[float], predicted: Sequence[float]) -> float:
+    return max(
+        abs(value - prediction) / max(abs(value), 1e-12) for value, prediction in zip(values, predicted, strict=True)
+    )
--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -1,4 +1,4 @@
-"""The link between gateways by their number: octets, processor time, memory, a death, and all finding each other."""
+"""Gossip by number of gateways: octets, processor time, memory, failure detection and discovery."""
 
 from __future__ import annotations
 
@@ -16,54 +16,54 @@
 
 SECOND = 1_000_000_000
 ZONES = 11
-SAMPLE = 24  # gateways whose view is looked at
-STEADY = 20  # seconds of which the mean is taken
-LONGEST_JOIN, LONGEST_DEATH = 900, 180  # seconds until it is given up
+SAMPLE = 24  # gateways whose view is checked
+STEADY = 20  # seconds over which the mean is taken
+LONGEST_JOIN, LONGEST_DEATH = 900, 180  # seconds until the measurement gives up
 LOSS = 0.05
 
 
 def zoned(gateways: int) -> dict[str, str]:
-    """Gateways by turns in eleven zones."""
+    """Distribute gateways over eleven zones in turn."""
     return {f"g{number:04}": f"z{number % ZONES}" for number in range(gateways)}
 
 
-def acquaint(gossip: GossipFleet) -> None:
-    """Have all know all, as after a long time; what they would have told each other on the way is left out."""
+def mark_all_known(gossip: GossipFleet) -> None:
+    """Make all gateways know each other as after a long time, without the messages in between."""
     for name, node in gossip.nodes.items():
         for other, peer in node.detector.peers.items():
             peer.state, peer.incarnation = ALIVE, gossip.nodes[other].detector.incarnation
             peer.witness, peer.heard_at = other, gossip.own(name)
 
 
-def knowing(gossip: GossipFleet, names: Iterable[str], other: str, state: int) -> int:
-    """How many of some gateways hold another to be in a state."""
+def count_believing(gossip: GossipFleet, names: Iterable[str], other: str, state: int) -> int:
+    """Return how many of the given gateways believe that another is in a state."""
     return sum(gossip.believes(name, other) == state for name in names)
 
 
-def _started(gateways: int, seed: int, known: bool) -> GossipFleet:
+def _started_fleet(gateways: int, seed: int, known: bool) -> GossipFleet:
     zones = zoned(gateways)
     gossip = GossipFleet(zones, seed=seed, zones=zones)
     for name in zones:
         gossip.start(name)
     if known:
-        acquaint(gossip)
+        mark_all_known(gossip)
     return gossip
 
 
-def _death(gossip: GossipFleet, names: list[str], sample: list[str]) -> float:
-    """Kill one; seconds until all of the sample hold it gone."""
+def _detection_time(gossip: GossipFleet, names: list[str], sample: list[str]) -> float:
+    """Kill a gateway; returns the seconds until the whole sample believes that it is gone."""
     dead, killed = names[0], gossip.now
     gossip.kill(dead)
     known = gossip.run_until(
-        lambda: knowing(gossip, sample, dead, GONE) == len(sample), LONGEST_DEATH * SECOND, SECOND // 4
+        lambda: count_believing(gossip, sample, dead, GONE) == len(sample), LONGEST_DEATH * SECOND, SECOND // 4
     )
     return float("inf") if known is None else (known - killed) / SECOND
 
 
 def link_by_gateways(gateways: int, seed: int) -> Values:
-    """A fleet whose members know each other: octets a second, processor time, memory; then one dies. 0 and 5 % loss."""
+    """Measure octets, processor time and memory of a converged fleet and the detection of a death, at 0 and 5 % loss."""
     before = resident_kib()
-    gossip = _started(gateways, seed, known=True)
+    gossip = _started_fleet(gateways, seed, known=True)
     names = list(gossip.names)
     sample = Random(seed).sample(names[1:], min(SAMPLE, gateways - 1))
     gossip.run(5 * SECOND)
@@ -72,12 +72,12 @@
     processor = (time.process_time() - began) / STEADY / gateways * 100
     rate = (sum(gossip.octets.values()) - sent) / STEADY / gateways
     memory = (resident_kib() - before) / gateways
-    death = _death(gossip, names, sample)
+    death = _detection_time(gossip, names, sample)
     gossip.way = Effect(delay=0.0005, jitter=0.001, lose=LOSS)
     sent, since = sum(gossip.octets.values()), gossip.now
     gossip.run(since + STEADY * SECOND)
     lossy = (sum(gossip.octets.values()) - sent) / STEADY / gateways
-    death_lossy = _death(gossip, names[1:], [name for name in sample if name != names[1]])
+    death_lossy = _detection_time(gossip, names[1:], [name for name in sample if name != names[1]])
     return {
         "octets": rate,
         "octets at 5 % loss": lossy,
@@ -89,34 +89,34 @@
 
 
 def join_by_gateways(gateways: int, seed: int) -> Values:
-    """All start at once and know nothing but the list: seconds until a sample holds all others alive."""
-    gossip = _started(gateways, seed, known=False)
+    """Start all gateways at once with only the list; returns seconds until a sample believes that all others are alive."""
+    gossip = _started_fleet(gateways, seed, known=False)
     sample = Random(seed).sample(gossip.names, min(SAMPLE, gateways))
 
     def found() -> bool:
         return all(peer.state == ALIVE for name in sample for peer in gossip.nodes[name].detector.peers.values())
 
-    at = gossip.run_until(found, LONGEST_JOIN * SECOND, SECOND)
-    return {"all found": float("inf") if at is None else at / SECOND}
+    found_at = gossip.run_until(found, LONGEST_JOIN * SECOND, SECOND)
+    return {"all found": float("inf") if found_at is None else found_at / SECOND}
 
 
 def counts_by_gateways(gateways: int, seed: int) -> Values:
-    """One gateway that has heard the counts of all others: memory, and processor time of its view's totals."""
+    """Measure a gateway with the counters of all others: memory, and processor time of the totals in its view."""
     zones = zoned(gateways)
     node = GossipNode("g0000", "porting", [b"k" * 32], 1, Random(seed))
     node.listed(0, zones, zones)
     before = resident_kib()
     for name in zones:
-        hear_counts(node, name)
+        receive_counters(node, name)
     memory = resident_kib() - before
     began = time.process_time()
     totals = node.totals(SECOND)
     view = (time.process_time() - began) * 1e3
-    return {"memory": memory, "totals": view, "kept": sum(sum_.contributors for sum_ in totals.values())}
+    return {"memory": memory, "totals": view, "kept": sum(total.contributors for total in totals.values())}
 
 
-def hear_counts(node: GossipNode, name: str) -> None:
-    """As many counts of a peer as one gateway tells: two of each database, up to its bound."""
+def receive_counters(node: GossipNode, name: str) -> None:
+    """Receive the counters of a peer: two for each database, up to the limit."""
     keys = [f"{what}:db-{number:05}" for number in range(MAX_KEYS // 2) for what in ("out", "connections")]
     node.counters.receive(SECOND, name, 1, [CounterValue(key, at + 1, at % 7) for at, key in enumerate(keys)])
 
--- a/benchmarks/scale/health.py
+++ b/benchmarks/scale/health.py
@@ -1,4 +1,4 @@
-"""What is known of databases, and who asks them: judging words on them, and questions that the whole fleet puts."""
+"""Health of databases: cost of evaluating reports on them, and probes sent by the whole fleet."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from yardbank.testing.rig.virtual_world import World
 
 SECOND = 1_000_000_000
-JUDGED = SECOND / JUDGE_INTERVAL  # times a second, where datagrams come that often
-DOUBTED = 4  # databases that others say words of, as on an ordinary bad day
-RATE, LENGTH = 240.0, 12.0  # first tries a second of the whole fleet; seconds
+EVALUATIONS_PER_S = SECOND / JUDGE_INTERVAL  # evaluations per second, if datagrams arrive that often
+REPORTED_DATABASES = 4  # databases that others report as failing
+RATE, LENGTH = 240.0, 12.0  # first attempts per second of the whole fleet; seconds
 
 
 def sharing_by_databases(databases: int, seed: int) -> Values:
-    """One gateway's side of what is shared: words judged, figures told; as a share of a core."""
+    """Measure one gateway's sharing: evaluating reports and publishing figures, as a share of a core."""
     router = Router(settings())
     router.handle(START, ServerList("saved", members(databases)))
     listed = {spec.name: spec for spec in specs(databases)}
@@ -33,25 +33,31 @@
     sharing = Sharing(router, listed, numbers, lambda: dict.fromkeys(listed, 1), {}, lambda event: None)
     node = GossipNode("g0000", "porting", [b"k" * 32], 1, Random(seed))
     node.listed(START, [f"g{number:04}" for number in range(20)])
-    words = [
-        HealthReport(f"g{n:04}", 1, n + 1, f"db-{d:05}", 0, SILENT, 10) for n in range(1, 4) for d in range(DOUBTED)
+    reports = [
+        HealthReport(f"g{n:04}", 1, n + 1, f"db-{d:05}", 0, SILENT, 10)
+        for n in range(1, 4)
+        for d in range(REPORTED_DATABASES)
     ]
-    node.report_store.receive(START, words)
+    node.report_store.receive(START, reports)
 
-    def judge() -> None:
+    def evaluate() -> None:
         own = sharing.first_hand(START)
         node.report_store.record_first_hand(START, own)
         sharing.apply_consensus(reach_consensus(START, node.report_store, sharing.listed(), own, lambda name: 0.5))
 
-    def tell() -> None:
+    def publish() -> None:
         node.counters.update(sharing.figures())
 
-    judged, told = processor_ms(judge, 30), processor_ms(tell, 10)
-    return {"one judgement": judged, "figures": told, "processor": (judged * JUDGED + told) / 10}
+    evaluate_ms, publish_ms = processor_ms(evaluate, 30), processor_ms(publish, 10)
+    return {
+        "one judgement": evaluate_ms,
+        "figures": publish_ms,
+        "processor": (evaluate_ms * EVALUATIONS_PER_S + publish_ms) / 10,
+    }
 
 
 def questions_by_gateways(gateways: int, seed: int) -> Values:
-    """Of a fleet with the same traffic and databases: what each database is asked and opened, and what it holds."""
+    """Measure probes, opened and held connections of each database, at constant traffic and number of databases."""
     world = World(seed=seed, gateways=gateways, groups=4, copies=5, rate=RATE, length=LENGTH)
     fleet = Fleet(world, Router)
     counts: dict[str, int] = {}
--- a/benchmarks/scale/line.py
+++ b/benchmarks/scale/line.py
@@ -1,4 +1,4 @@
-"""One line of the measurements: what is varied, what is measured, and what was found."""
+"""One line of measurements: the varied size, the measured quantities, and the results."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Quantity:
-    """One value of a line. ``how``: ``counted`` values are the same in each run of a seed, ``timed`` ones are not."""
+    """One value of a line. ``how``: ``counted`` values are identical in all runs of a seed, ``timed`` ones are not."""
 
     name: str
     unit: str
@@ -26,23 +26,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """What is measured at several sizes. ``measure`` takes a size and a seed, and runs in a process of its own."""
+    """A measurement at several sizes. ``measure`` takes a size and a seed, and runs in a separate process."""
 
     name: str
     title: str
     size_of: str
     sizes: tuple[int, ...]
-    target: int  # the size that is planned for
+    target: int  # the planned size of the deployment
     quantities: tuple[Quantity, ...]
     measure: Callable[[int, int], Values]
     note: str
-    small: tuple[int, ...] = ()  # sizes for a quick look, as in CI
+    small: tuple[int, ...] = ()  # sizes for quick runs, as in CI
     runs: int = 3
 
 
 @dataclass(slots=True)
-class Found:
-    """What was measured of a line: by size, the values of each run."""
+class LineResults:
+    """Results of a line: by size, the values of each run."""
 
     line: str
     commit: str
@@ -50,26 +50,26 @@
     runs: dict[int, list[dict[str, float]]] = field(default_factory=dict)
 
     def median(self, size: int, quantity: str) -> float:
-        """The median over the runs of a size."""
+        """Return the median of all runs of a size."""
         return statistics.median(run[quantity] for run in self.runs[size])
 
     def spread(self, size: int, quantity: str) -> tuple[float, float]:
-        """The least and the most over the runs of a size."""
+        """Return the minimum and maximum of all runs of a size."""
         values = [run[quantity] for run in self.runs[size]]
         return min(values), max(values)
 
     def save(self, folder: Path = FOLDER) -> None:
-        """Keep it, whole."""
+        """Store all results."""
         folder.mkdir(parents=True, exist_ok=True)
-        kept = {"line": self.line, "commit": self.commit, "machine": self.machine, "runs": self.runs}
-        (folder / f"{self.line}.json").write_text(json.dumps(kept, indent=1) + "\n")
+        document = {"line": self.line, "commit": self.commit, "machine": self.machine, "runs": self.runs}
+        (folder / f"{self.line}.json").write_text(json.dumps(document, indent=1) + "\n")
 
 
-def load(line: str, folder: Path = FOLDER) -> Found | None:
-    """What was kept of a line; None: nothing."""
+def load(line: str, folder: Path = FOLDER) -> LineResults | None:
+    """Load the stored results of a line; None if there are none."""
     path = folder / f"{line}.json"
     if not path.exists():
         return None
-    kept = json.loads(path.read_text())
-    runs = {int(size): list(values) for size, values in kept["runs"].items()}
-    return Found(kept["line"], kept["commit"], kept["machine"], runs)
+    document = json.loads(path.read_text())
+    runs = {int(size): list(values) for size, values in document["runs"].items()}
+    return LineResults(document["line"], document["commit"], document["machine"], runs)
--- a/benchmarks/scale/lines.py
+++ b/benchmarks/scale/lines.py
@@ -1,4 +1,4 @@
-"""Every line, by name."""
+"""All lines of measurements, by name."""
 
 from __future__ import annotations
 
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -1,4 +1,4 @@
-"""Lists of databases by their length: octets, and processor time to read and apply them."""
+"""Server lists by length: octets, and processor time to read them."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 def files_by_databases(databases: int, seed: int) -> Values:
-    """List files of the operator's: octets, first read, read with one entry changed."""
-    membership = ServerListLifecycle({f"group-{n:05}" for n in range(databases // MEMBERS + 1)}, settle=0)
+    """Measure the operator's list files: octets, first read, and read with one changed entry."""
+    lifecycle = ServerListLifecycle({f"group-{n:05}" for n in range(databases // MEMBERS + 1)}, settle=0)
     listed = specs(databases)
     text = render(listed).encode()
     began = time.process_time()
-    (action,), memory = grown_kib(lambda: membership.seen(1, {"list": text}))  # type: ignore[misc]
+    (action,), memory = grown_kib(lambda: lifecycle.seen(1, {"list": text}))  # type: ignore[misc]
     first = (time.process_time() - began) * 1e3
     assert isinstance(action, Apply)
     times = []
     for turn in range(5):
-        at = 1 + (seed + turn) * 7 % (databases - 1)
-        was = listed[at]
-        listed[at] = ServerSpec(was.name, was.group, was.zone, "10.0.0.2", 6000 + turn, was.primary)
+        index = 1 + (seed + turn) * 7 % (databases - 1)
+        old = listed[index]
+        listed[index] = ServerSpec(old.name, old.group, old.zone, "10.0.0.2", 6000 + turn, old.primary)
         changed = render(listed).encode()
         began = time.process_time()
-        (action,) = membership.seen(2 + turn, {"list": changed})
+        (action,) = lifecycle.seen(2 + turn, {"list": changed})
         times.append((time.process_time() - began) * 1e3)
         assert isinstance(action, Apply)
     return {
@@ -43,7 +43,7 @@
     }
 
 
-def _json(databases: int, reset: bool) -> bytes:
+def _discovery_message(databases: int, reset: bool) -> bytes:
     entries = [
         {
             "instanceId": f"s-{n:08x}",
@@ -61,8 +61,8 @@
 
 
 def discovery_by_databases(databases: int, seed: int) -> Values:
-    """Discovery's lists on the operators' platform: octets and time to read."""
-    whole, one = _json(databases, True), _json(1, False)
+    """Measure the lists of the platform's discovery service: octets and time to read."""
+    whole, one = _discovery_message(databases, True), _discovery_message(1, False)
     began = time.process_time()
     parse_listing(whole)
     first = (time.process_time() - began) * 1e3
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -13,20 +13,20 @@
 
 
 def resident_kib() -> float:
-    """Resident memory of this process, KiB, after a collection."""
+    """Return the resident memory of this process in KiB, after a garbage collection."""
     gc.collect()
     return int(Path("/proc/self/statm").read_text().split()[1]) * _PAGE / KIB
 
 
 def grown_kib(make: Callable[[], object]) -> tuple[object, float]:
-    """What was made, and by how much this process grew by it, KiB."""
+    """Return the made object and the growth of this process in KiB."""
     before = resident_kib()
     made = make()
     return made, resident_kib() - before
 
 
 def processor_ms(work: Callable[[], object], turns: int = 1) -> float:
-    """Processor time of one turn of some work, ms: the mean of several."""
+    """Return the mean processor time of one turn of some work, in ms."""
     began = time.process_time()
     for _ in range(turns):
         work()
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -1,7 +1,7 @@
-"""How well hollow gateways stand for real ones: python -m benchmarks.scale.real [--gateways N].
+"""Comparison of hollow gateways with real ones: python -m benchmarks.scale.real [--gateways N].
 
-The same fleet twice: processes of the program behind the rig, and the same number of hollow gateways. Both publish a
-change each two seconds. A value whose two figures differ by over a fifth is called unbacked.
+Runs the same fleet twice: as processes of the test rig, and as hollow gateways. Both publish a change every two
+seconds. A value is called unbacked if its two figures differ by more than a fifth.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 from benchmarks.common import machine, table
 from benchmarks.scale.__main__ import commit
-from benchmarks.scale.gossip import acquaint
+from benchmarks.scale.gossip import mark_all_known
 from benchmarks.scale.hollow import HollowFleet
 from benchmarks.scale.line import FOLDER
 
 SECOND = 1_000_000_000
-LENGTH, EVERY = 24, 2  # seconds of the play, between two changes
+LENGTH, CHANGE_INTERVAL = 24, 2  # seconds: of the run, between two changes
 SERVERS = 12
-ALIKE = 0.2  # the part by which two figures of a backed value may differ
+MAX_DIFFERENCE = 0.2  # relative difference of the two figures up to which a value is backed
 SCENARIO = """
 title = "Gateways with a published list, for comparison with hollow ones"
 fleet {{
@@ -52,22 +52,24 @@
 
 
 def in_force(published: dict[tuple[int, int], float], held: list[tuple[float, tuple[int, int]]]) -> list[float]:
-    """Seconds from each publication to each first announcement of it or of a later one."""
+    """Return seconds from the publication of a version to each announcement of it."""
     return [at - published[version] for at, version in held if version in published]
 
 
-def processes(gateways: int) -> dict[str, float]:
-    """The program's own processes."""
-    steps = "".join(STEP.format(at=at, server=1 + at // EVERY % SERVERS) for at in range(8, LENGTH - 4, EVERY))
+def run_processes(gateways: int) -> dict[str, float]:
+    """Run the fleet as processes of the program."""
+    steps = "".join(
+        STEP.format(at=at, server=1 + at // CHANGE_INTERVAL % SERVERS) for at in range(8, LENGTH - 4, CHANGE_INTERVAL)
+    )
     with tempfile.TemporaryDirectory() as folder:
-        file, kept = Path(folder) / "s.hcl", Path(folder) / "kept"
+        file, results_folder = Path(folder) / "s.hcl", Path(folder) / "kept"
         file.write_text(SCENARIO.format(gateways=gateways, servers=SERVERS, length=LENGTH, steps=steps))
-        command = [sys.executable, "-m", "yardbank", "rig", "run", str(file), "--keep", str(kept)]
+        command = [sys.executable, "-m", "yardbank", "rig", "run", str(file), "--keep", str(results_folder)]
         done = subprocess.run(command, capture_output=True, text=True, check=False)
         if done.returncode:
             raise SystemExit(done.stdout + done.stderr)
-        facts = [json.loads(line) for line in (kept / "record.jsonl").read_text().splitlines()]
-    began = min(fact["at"] for fact in facts if fact["kind"] == "peer_start")  # octets are counted from then on
+        facts = [json.loads(line) for line in (results_folder / "record.jsonl").read_text().splitlines()]
+    began = min(fact["at"] for fact in facts if fact["kind"] == "peer_start")  # octets are counted from here
     ended = next(fact["at"] for fact in facts if fact["kind"] == "load_over")
     first: dict[tuple[int, int], float] = {}
     last: dict[tuple[int, int], float] = {}
@@ -84,20 +86,20 @@
     }
 
 
-def hollow(gateways: int, counts: bool, leases: bool) -> dict[str, float]:
-    """The same on the virtual clock."""
+def run_hollow_gateways(gateways: int, counts: bool, leases: bool) -> dict[str, float]:
+    """Run the fleet as hollow gateways on the virtual clock."""
     fleet = HollowFleet(gateways, SERVERS, 1, counts, leases)
-    fleet.controls = fleet.names[:1]
+    fleet.publishers = fleet.names[:1]
     for name in fleet.names:
         fleet.start(name)
-    acquaint(fleet)
+    mark_all_known(fleet)
     fleet.distribution[fleet.publisher].source(fleet.own(fleet.publisher), fleet.entries)
     random = Random(1)
-    for at in range(8, LENGTH - 4, EVERY):
+    for at in range(8, LENGTH - 4, CHANGE_INTERVAL):
         fleet.at(at * SECOND, lambda: fleet.change(random))
     began = time.process_time()
     fleet.run(LENGTH * SECOND)
-    spread = [max(one.held.values()) - one.at for one in fleet.versions.values()]
+    spread = [max(version.held.values()) - version.at for version in fleet.versions.values()]
     return {
         "octets/s a gateway": sum(fleet.octets.values()) / gateways / LENGTH,
         "versions": len(fleet.versions),
@@ -107,20 +109,20 @@
 
 
 def main() -> None:
-    """Measure and keep."""
+    """Measure and store the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--gateways", type=int, default=24)
     gateways = parser.parse_args().gateways
     real, models = (
-        processes(gateways),
-        {"hollow": hollow(gateways, False), "hollow with counts": hollow(gateways, True)},
+        run_processes(gateways),
+        {"hollow": run_hollow_gateways(gateways, False), "hollow with counts": run_hollow_gateways(gateways, True)},
     )
     key = "octets/s a gateway"
     rows = []
     for name, model in models.items():
-        differ = abs(real[key] - model[key]) / real[key]
-        verdict = "backed" if differ <= ALIKE else "unbacked"
-        rows.append([f"{key}, {name}", f"{real[key]:.0f}", f"{model[key]:.0f}", f"{differ:.2f}", verdict])
+        difference = abs(real[key] - model[key]) / real[key]
+        verdict = "backed" if difference <= MAX_DIFFERENCE else "unbacked"
+        rows.append([f"{key}, {name}", f"{real[key]:.0f}", f"{model[key]:.0f}", f"{difference:.2f}", verdict])
     notes = [
         "Hollow gateways tell no counts of databases unless it is said, and have no lease; real ones do, and tell words.",
         "",
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -1,4 +1,4 @@
-"""Tables and charts of what was measured, with the law of each value and what it gives at the planned size."""
+"""Tables and charts of results, with the growth law of each value and its prediction at the planned size."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from benchmarks.common import table
 from benchmarks.scale.fit import Law, fit
-from benchmarks.scale.line import FOLDER, Found, Line, Quantity
+from benchmarks.scale.line import FOLDER, Line, LineResults, Quantity
 
 
-def law_of(line: Line, found: Found, quantity: Quantity) -> Law | None:
-    """The law of a value; None: it was measured at fewer than two sizes."""
+def law_of(line: Line, found: LineResults, quantity: Quantity) -> Law | None:
+    """Return the law of a value; None if it was measured at fewer than two sizes."""
     sizes = sorted(found.runs)
     if len(sizes) < 2:
         return None
     return fit(sizes, [found.median(size, quantity.name) for size in sizes])
 
 
-def page(line: Line, found: Found) -> str:
-    """One line as a page in Markdown."""
+def page(line: Line, found: LineResults) -> str:
+    """Render one line as a page in Markdown."""
     head = [line.size_of] + [f"{quantity.name}, {quantity.unit}" for quantity in line.quantities]
     rows = [
         [f"{size:,}"] + [_cell(found, size, quantity) for quantity in line.quantities] for size in sorted(found.runs)
@@ -32,8 +32,8 @@
                     quantity.name,
                     law.shape,
                     law.formula(),
-                    _part(law.r_squared),
-                    _part(law.worst),
+                    _ratio_text(law.r_squared),
+                    _ratio_text(law.worst),
                     *_at_target(line, found, quantity, law),
                 ]
             )
@@ -56,25 +56,25 @@
     )
 
 
-def _cell(found: Found, size: int, quantity: Quantity) -> str:
+def _cell(found: LineResults, size: int, quantity: Quantity) -> str:
     least, most = found.spread(size, quantity.name)
-    middle = found.median(size, quantity.name)
-    return f"{middle:.4g}" if least == most else f"{middle:.4g} ({least:.4g} to {most:.4g})"
+    median = found.median(size, quantity.name)
+    return f"{median:.4g}" if least == most else f"{median:.4g} ({least:.4g} to {most:.4g})"
 
 
-def _part(value: float) -> str:
+def _ratio_text(value: float) -> str:
     return "-" if math.isnan(value) else f"{value:.3f}"
 
 
-def _at_target(line: Line, found: Found, quantity: Quantity, law: Law) -> list[str]:
+def _at_target(line: Line, found: LineResults, quantity: Quantity, law: Law) -> list[str]:
     largest = max(found.runs)
     if line.target in found.runs:
         return [f"{found.median(line.target, quantity.name):.4g}", "measured"]
     return [f"{law.at(line.target):.4g}", f"extrapolated {line.target / largest:.1f} times"]
 
 
-def draw(line: Line, found: Found) -> None:
-    """A chart of each value against the size, beside the page. Needs matplotlib (``.[bench]``)."""
+def draw(line: Line, found: LineResults) -> None:
+    """Draw each value against the size, beside the page. Needs matplotlib (``.[bench]``)."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -100,8 +100,8 @@
     pyplot.close(figure)
 
 
-def write(line: Line, found: Found, charts: bool = True) -> None:
-    """The page and the chart of a line."""
+def write(line: Line, found: LineResults, charts: bool = True) -> None:
+    """Write the page and the chart of a line."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     (FOLDER / f"{line.name}.md").write_text(page(line, found))
     if charts:
--- a/benchmarks/scale/together.py
+++ b/benchmarks/scale/together.py
@@ -1,4 +1,4 @@
-"""What gateways do together: leases and feeds by channels, the latency map by zones, a rollout by gateways."""
+"""Coordination between gateways: leases and channels, the latency map by zones, a rollout by gateways."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 
 SECOND = 1_000_000_000
 GATEWAYS = 12
-SPAN = 10  # seconds of which the mean is taken
+MEASURED_S = 10  # seconds over which the mean is taken
 MAP_GATEWAYS = 44
 STAGES = (0.02, 0.1, 0.5, 1.0)
 
 
 def feeds_by_channels(channels: int, seed: int) -> Values:
-    """Twelve gateways that all follow all channels, one item a second on each."""
+    """Measure twelve gateways that all follow all channels, with one item per second on each."""
     fleet = ChannelFleet(GATEWAYS, channels, seed, every=SECOND)
     fleet.start()
     owned = fleet.run_until(fleet.all_owned, 120 * SECOND)
     fleet.run(5 * SECOND)
     sent, began = sum(fleet.gossip.octets.values()), time.process_time()
-    fleet.run(SPAN * SECOND)
+    fleet.run(MEASURED_S * SECOND)
     return {
         "all owned": float("inf") if owned is None else owned / SECOND,
-        "octets": (sum(fleet.gossip.octets.values()) - sent) / SPAN / GATEWAYS,
-        "processor": (time.process_time() - began) / SPAN / GATEWAYS * 100,
+        "octets": (sum(fleet.gossip.octets.values()) - sent) / MEASURED_S / GATEWAYS,
+        "processor": (time.process_time() - began) / MEASURED_S / GATEWAYS * 100,
         "most carried": max(fleet.loads().values()),
     }
 
 
 def map_by_zones(zones: int, seed: int) -> Values:
-    """Gateways in so many zones that share a map of what ways between zones cost."""
+    """Measure gateways that share a latency map of the given number of zones."""
     trips = sites(zones, seed)
     fleet = MapFleet(spread_over(MAP_GATEWAYS, trips), trips, seed, probes=0.5)
     fleet.run(60)
     sent, began = sum(fleet.gossip.octets.values()), time.process_time()
-    fleet.run(SPAN)
-    processor = (time.process_time() - began) / SPAN / MAP_GATEWAYS * 100
+    fleet.run(MEASURED_S)
+    processor = (time.process_time() - began) / MEASURED_S / MAP_GATEWAYS * 100
     part = next(iter(fleet.parts.values()))
     _, unknown = fleet.errors(own=False)
     return {
-        "octets": (sum(fleet.gossip.octets.values()) - sent) / SPAN / MAP_GATEWAYS,
+        "octets": (sum(fleet.gossip.octets.values()) - sent) / MEASURED_S / MAP_GATEWAYS,
         "processor": processor,
         "unknown ways": unknown / len(fleet.parts),
         "ways": len(part.zone_latencies(fleet.gossip.own(next(iter(fleet.parts))))),
@@ -52,7 +52,7 @@
 
 
 def rollout_by_gateways(gateways: int, seed: int) -> Values:
-    """A sound change through all stages: seconds until everybody is over, octets of all that is told meanwhile."""
+    """Measure a good change through all stages: seconds until all gateways have changed, and octets meanwhile."""
     world = World(zoned(gateways, 3), seed=seed)
     world.run(30)
     sent, began = sum(world.gossip.octets.values()), world.gossip.now
@@ -61,11 +61,11 @@
             stages=STAGES, hold=20 * SECOND, most_at_once=max(1, gateways // 12), longest=1800 * SECOND, worse_by=0.02
         )
     )
-    over = world.until(lambda: len(world.said("finished")) == gateways, 3600)
-    spent = (world.gossip.now - began) / SECOND
+    finished_at = world.until(lambda: len(world.said("finished")) == gateways, 3600)
+    elapsed_s = (world.gossip.now - began) / SECOND
     return {
-        "over": float("inf") if over is None else (over - began) / SECOND,
-        "octets": (sum(world.gossip.octets.values()) - sent) / spent / gateways,
+        "over": float("inf") if finished_at is None else (finished_at - began) / SECOND,
+        "octets": (sum(world.gossip.octets.values()) - sent) / elapsed_s / gateways,
     }
 
 
--- a/benchmarks/scale/whole.py
+++ b/benchmarks/scale/whole.py
@@ -1,8 +1,8 @@
-"""The whole fleet as one: python -m benchmarks.scale.whole [--gateways N] [--databases N] [--seconds N].
+"""Simulation of the whole fleet: python -m benchmarks.scale.whole [--gateways N] [--databases N] [--seconds N].
 
-Hollow gateways in three regions and eleven zones on a virtual clock: the program's own deciders of the link, of the
-distributed list and of its publisher; a day compressed to its events. Hollow are statements, connections to databases,
-sockets, and the lease of the publisher (one grant, moved by the script). It reports against each budget.
+Hollow gateways in three regions and eleven zones run on a virtual clock, with the real logic of gossip, of list
+distribution and of its publisher, through the compressed events of a day. Not simulated are statements, connections to
+databases and sockets; the script moves the publisher's lease. The result is compared with each budget.
 """
 
 from __future__ import annotations
@@ -15,70 +15,70 @@
 
 from benchmarks.common import machine, table
 from benchmarks.scale.__main__ import commit
-from benchmarks.scale.gossip import acquaint
-from benchmarks.scale.hollow import CONTROLS, SECOND, HollowFleet, Published, snapshot_of
+from benchmarks.scale.gossip import mark_all_known
+from benchmarks.scale.hollow import PUBLISHERS, SECOND, HollowFleet, Published, snapshot_of
 from benchmarks.scale.line import FOLDER
 from benchmarks.scale.memory import resident_kib
 from yardbank.cluster.list_distribution.transfer import split
 from yardbank.cluster.list_distribution.version import Version
 
-CHANGE_EVERY = 5.0  # seconds; of a day of 4,600 it would be 18.8
+CHANGE_EVERY = 5.0  # seconds; 18.8 on a day with 4,600 changes
 BUDGET_OCTETS, BUDGET_PROCESSOR, BUDGET_KIB, BUDGET_SECONDS = 7000, 1.1, 128 * 1024, 7.0
 
 
 def script(fleet: HollowFleet, seconds: float, random: Random) -> None:
-    """A day's events, compressed."""
+    """Schedule the compressed events of a day."""
     names = fleet.names
 
-    def at(second: float, do: Callable[[], object]) -> None:
-        fleet.at(round(second * SECOND), lambda: (do(), None)[1])
+    def at(second: float, action: Callable[[], object]) -> None:
+        fleet.at(round(second * SECOND), lambda: (action(), None)[1])
 
     second = 10.0
-    while second < seconds - 15:  # 4,600 changes a day; this is four times as many a second
+    while second < seconds - 15:  # four times the rate of 4,600 changes per day
         at(second, lambda: fleet.change(random))
         second += CHANGE_EVERY
-    for _ in range(round(seconds / 4)):  # 2,100 restarts a day; ten times as many a second
-        name = random.choice(names[CONTROLS:])
+    for _ in range(round(seconds / 4)):  # ten times the rate of 2,100 restarts per day
+        name = random.choice(names[PUBLISHERS:])
         begin = random.uniform(10, seconds - 30)
         at(begin, lambda name=name: fleet.stop(name))
-        at(begin + 3, lambda name=name: fleet.again(name))
-    for name in names[30:40] if len(names) > 100 else names[-2:]:  # machines that fail for good
+        at(begin + 3, lambda name=name: fleet.restart(name))
+    for name in names[30:40] if len(names) > 100 else names[-2:]:  # machines that fail permanently
         at(random.uniform(10, seconds - 30), lambda name=name: fleet.stop(name))
-    rack = names[200:240] if len(names) > 400 else names[CONTROLS : CONTROLS + max(1, len(names) // 45)]
+    rack = names[200:240] if len(names) > 400 else names[PUBLISHERS : PUBLISHERS + max(1, len(names) // 45)]
     for name in rack:
         at(0.15 * seconds, lambda name=name: fleet.stop(name))
-        at(0.30 * seconds, lambda name=name: fleet.again(name))
+        at(0.30 * seconds, lambda name=name: fleet.restart(name))
     zone = [name for name in names if fleet.zone_of[name].endswith("z07")]
     for name in zone:
         at(0.25 * seconds, lambda name=name: fleet.stop(name))
-        at(0.45 * seconds, lambda name=name: fleet.again(name))
+        at(0.45 * seconds, lambda name=name: fleet.restart(name))
     at(0.20 * seconds, lambda: _next_publisher(fleet))
-    at(0.55 * seconds, lambda: fleet.apart.add("r2"))
-    at(0.80 * seconds, lambda: _reunite(fleet))
+    at(0.55 * seconds, lambda: fleet.separated_regions.add("r2"))
+    at(0.80 * seconds, lambda: _reconnect_region(fleet))
 
 
 def _next_publisher(fleet: HollowFleet) -> None:
-    """The publisher's machine fails; another gets the lease under a higher epoch."""
+    """Stop the publisher; another gateway gets the lease with a higher epoch."""
     fleet.stop(fleet.publisher)
-    fleet.publisher, fleet.epoch = fleet.controls[3], fleet.epoch + 1
+    fleet.publisher, fleet.epoch = fleet.publishers[3], fleet.epoch + 1
 
 
-def _reunite(fleet: HollowFleet) -> None:
-    fleet.apart.clear()
+def _reconnect_region(fleet: HollowFleet) -> None:
+    fleet.separated_regions.clear()
     for name in fleet.nodes:
         if fleet.region(name) == "r2":
             fleet.returned[name] = fleet.now
 
 
 def play(gateways: int, databases: int, seconds: float, seed: int = 1) -> dict[str, float]:
-    """One compressed day; what it cost."""
+    """Run one compressed day and return its costs."""
     before = resident_kib()
     fleet = HollowFleet(gateways, databases, seed)
     for name in fleet.names:
         fleet.start(name)
-    acquaint(fleet)
-    for control in fleet.controls:
-        fleet.distribution[control].source(fleet.own(control), fleet.entries)
+    mark_all_known(fleet)
+    for publisher in fleet.publishers:
+        fleet.distribution[publisher].source(fleet.own(publisher), fleet.entries)
     script(fleet, seconds, Random(f"{seed}/script"))
     began = time.process_time()
     fleet.run(round(seconds * SECOND))
@@ -87,14 +87,14 @@
     times, missed = [], 0
     for version in fleet.versions.values():
         if version.at < (seconds - BUDGET_SECONDS) * SECOND:
-            reached = [name for name in version.reachable if name in fleet.nodes]
-            late = [name for name in reached if name not in version.held]
-            missed += sum(_later(fleet, version, name) is None for name in late)
-            times += [(_later(fleet, version, name) or version.at) - version.at for name in reached]
+            reachable = [name for name in version.reachable if name in fleet.nodes]
+            late = [name for name in reachable if name not in version.held]
+            missed += sum(_adopted_at(fleet, version, name) is None for name in late)
+            times += [(_adopted_at(fleet, version, name) or version.at) - version.at for name in reachable]
     file = sum(len(block) + 2 for block in fleet.entries.values())
-    pieces = split(snapshot_of(fleet.entries, Version(1, 1)))
+    chunks = split(snapshot_of(fleet.entries, Version(1, 1)))
     rates = sorted(octets / seconds for octets in fleet.octets.values())
-    worst = max(octets for second, octets in fleet.seconds.items() if second > 5) / gateways
+    worst = max(octets for second, octets in fleet.octets_by_second.items() if second > 5) / gateways
     returns = sorted(took for _, took in fleet.caught_up)
     return {
         "gateways": gateways,
@@ -113,18 +113,18 @@
         "processor, % of a core": processor / seconds / gateways * 100,
         "memory, KiB": memory,
         "list as a file, octets": file,
-        "list as a snapshot, octets": sum(len(piece.body) for piece in pieces),
+        "list as a snapshot, octets": sum(len(chunk.body) for chunk in chunks),
     }
 
 
-def _later(fleet: HollowFleet, version: Published, name: str) -> int | None:
-    """When a gateway went on to a version or to one after it; None: never."""
+def _adopted_at(fleet: HollowFleet, version: Published, name: str) -> int | None:
+    """Return when a gateway adopted a version or a later one; None: never."""
     after = [other.held[name] for other in fleet.versions.values() if other.at >= version.at and name in other.held]
     return min(after, default=None)
 
 
 def report(found: dict[str, float]) -> str:
-    """The page: what was measured against each budget, and what whole lists would have cost."""
+    """Render the results against each budget, and the calculated costs of whole lists."""
     per_change = 86_400 / 4600
     link = found["octets/s, mean"]
     before = found["list as a file, octets"] / per_change
@@ -172,22 +172,22 @@
 
 
 def main() -> None:
-    """Play and keep."""
+    """Run the simulation and store the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--gateways", type=int, default=1800)
     parser.add_argument("--databases", type=int, default=3900)
     parser.add_argument("--seconds", type=float, default=200)
-    asked = parser.parse_args()
-    found = play(asked.gateways, asked.databases, asked.seconds)
-    name = f"whole-{asked.gateways}"
+    arguments = parser.parse_args()
+    found = play(arguments.gateways, arguments.databases, arguments.seconds)
+    name = f"whole-{arguments.gateways}"
     FOLDER.mkdir(parents=True, exist_ok=True)
     (FOLDER / f"{name}.json").write_text(
         json.dumps({"commit": commit(), "machine": machine(), **found}, indent=1) + "\n"
     )
     text = (
-        f"# The whole fleet: {asked.gateways:,} hollow gateways\n\nTaken on {commit()}; {machine()}. Again:"
-        f" `python -m benchmarks.scale.whole --gateways {asked.gateways} --databases {asked.databases}"
-        f" --seconds {asked.seconds:g}`.\n\n" + report(found)
+        f"# The whole fleet: {arguments.gateways:,} hollow gateways\n\nTaken on {commit()}; {machine()}. Again:"
+        f" `python -m benchmarks.scale.whole --gateways {arguments.gateways} --databases {arguments.databases}"
+        f" --seconds {arguments.seconds:g}`.\n\n" + report(found)
     )
     (FOLDER / f"{name}.md").write_text(text)
     print(text)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,4 +1,4 @@
-"""A search over many groups against asking each group by hand, and with one group slow: python -m benchmarks.spread."""
+"""Searches over many groups, compared with one search per group, and with a slow group: python -m benchmarks.spread."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 """
 
 
-class First(Client):
-    """A client that notes when an answer's first entry came."""
+class FirstEntryClient(Client):
+    """A client that records when the first entry of an answer arrived."""
 
     first_at = 0.0
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Note when the first entry came."""
+        """Record the arrival of the first entry."""
         super().dataReceived(data)
         if not self.first_at and any(asked.answer.entries for asked in self._asked.values()):
             self.first_at = time.perf_counter()
 
 
-def world_of(reactor: Any, count: int) -> World:
+def make_world(reactor: Any, count: int) -> World:
     groups = {f"g{i}": f"ou=g{i},{BASE}" for i in range(count)}
     members = {name: [(f"{name}-{i}", "norte") for i in range(2)] for name in groups}
     capacity = Capacity(slots=64, queue=1000, read_s=0.0005)
@@ -60,13 +60,13 @@
     )
 
 
-def whole(client: Client) -> Deferred[Any]:
+def search_all_groups(client: Client) -> Deferred[Any]:
     return client.request(m.SearchRequest(BASE, Scope.SUBTREE, m.Present("objectClass")))
 
 
 @inlineCallbacks
-def by_hand(client: Client, suffixes: list[str]) -> Generator[Deferred[Any], Any, int]:
-    """Each group asked by itself, as many at once as the gateway would."""
+def search_each_group(client: Client, suffixes: list[str]) -> Generator[Deferred[Any], Any, int]:
+    """Search each group separately, with as many requests in parallel as the gateway uses."""
     found, waiting = 0, list(suffixes)
 
     @inlineCallbacks
@@ -89,23 +89,23 @@
 
 @inlineCallbacks
 def measure(reactor: Any, count: int, rows: list[Any], slow: list[Any]) -> Generator[Deferred[Any], Any, None]:
-    world = world_of(reactor, count)
+    world = make_world(reactor, count)
     world.load(ENTRIES)
     yield world.start_gateway()
     client: Any = yield connect(reactor, "127.0.0.1", world.port, "bench")
-    client.__class__ = First
+    client.__class__ = FirstEntryClient
     yield client.bind(DESK_DN, DESK_PASSWORD)
     suffixes, wanted = list(world.groups.values()), count * (ENTRIES + 1)
-    for _ in range(3):  # connections and positions
-        yield by_hand(client, suffixes)
+    for _ in range(3):  # warm-up of connections and positions
+        yield search_each_group(client, suffixes)
     spread, hand = [], []
-    for _ in range(max(6, 300 // count)):  # in turn, so that both see the same machine
+    for _ in range(max(6, 300 // count)):  # alternating, so that both run under the same conditions
         began = time.perf_counter()
-        answer = yield whole(client)
+        answer = yield search_all_groups(client)
         spread.append(time.perf_counter() - began)
         assert answer.code == 0 and len(answer.entries) == wanted + 1, (answer.code, answer.diagnostic)
         began = time.perf_counter()
-        found = yield by_hand(client, suffixes)
+        found = yield search_each_group(client, suffixes)
         hand.append(time.perf_counter() - began)
         assert found == wanted
     ratio = statistics.median(b / a for a, b in zip(spread, hand, strict=True))
@@ -123,7 +123,7 @@
         first, final = [], []
         for _ in range(60 if count < 200 else 20):
             client.first_at, began = 0.0, time.perf_counter()
-            answer = yield whole(client)
+            answer = yield search_all_groups(client)
             first.append((client.first_at - began) * 1e3)
             final.append((time.perf_counter() - began) * 1e3)
             assert answer.code == 0, (answer.code, answer.diagnostic)
@@ -134,7 +134,7 @@
 
 
 def main() -> None:
-    """Measure and keep."""
+    """Measure and store the results."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.fit import fit
 from benchmarks.scale.gossip import link_by_gateways
 from benchmarks.scale.health import questions_by_gateways
-from benchmarks.scale.line import COUNTED, Found, load
+from benchmarks.scale.line import COUNTED, LineResults, load
 from benchmarks.scale.lines import LINES
 from benchmarks.scale.report import page
 from benchmarks.scale.whole import play
@@ -70,7 +70,7 @@
 
 def test_saved_results_are_loaded_and_rendered_as_a_page(tmp_path):
     line = LINES["module-sessions"]
-    found = Found(line.name, "abc", "a machine")
+    found = LineResults(line.name, "abc", "a machine")
     for size in (1000, 2500, 5000):
         found.runs[size] = [{quantity.name: float(size) for quantity in line.quantities}] * 2
     found.save(tmp_path)
--- a/tests/support/list_distribution_fleet.py
+++ b/tests/support/list_distribution_fleet.py
@@ -33,10 +33,8 @@
         self.options, self.wanted = options, {"db-1": "a"}
         self.parts, self.kept = {}, defaultdict(Table)
         self.reached = {}  # by gateway: the last adopted version, unless its copy was lost since
-        self.published, self.adopted = (
-            {},
-            defaultdict(list),
-        )  # entries by version; by gateway: (time, version, whether from a snapshot)
+        # Entries by version; by gateway: (time, version, whether from a snapshot).
+        self.published, self.adopted = {}, defaultdict(list)
         self.gossip = GossipFleet(self.names, seed, zones=self.zones, parts=self._made)
 
     def _made(self, node, random):
