--- a/examples/porting_notices.py
+++ b/examples/porting_notices.py
@@ -75,7 +75,7 @@
 
     config = load_or_exit(file)
     if config.peers is None or config.channels is None:
-        click.echo(f"porting_notices: {file}: a peers block and a channels block are wanted", err=True)
+        click.echo(f"porting_notices: {file}: a peers block and a channels block are required", err=True)
         sys.exit(EXIT_FAULT)
     reactor: Any = installed
     clocks = Clocks(clock_rate, clock_offset)
--- a/tests/support/list_distribution_faults.py
+++ b/tests/support/list_distribution_faults.py
@@ -1,4 +1,4 @@
-"""Seeded faults in a gateway's replica of the distributed list; each patches one method."""
+"""Seeded faults in a gateway's replica of the distributed list; each changes one behavior."""
 
 
 def deaf_to_lists():
--- a/yardbank/cli/fleet.py
+++ b/yardbank/cli/fleet.py
@@ -104,11 +104,11 @@
     """
     config = load_or_exit(settings)
     if config.membership is None:
-        click.echo(f"yardbank: {settings}: no membership block: the list stands in the settings", err=True)
+        click.echo(f"yardbank: {settings}: no membership block: the server list is part of the settings", err=True)
         sys.exit(EXIT_FAULT)
     target = settings.parent / config.membership.path
     if target.is_dir():
-        click.echo(f"yardbank: {target}: a directory of parts; change its parts", err=True)
+        click.echo(f"yardbank: {target}: is a directory of parts; change its files instead", err=True)
         sys.exit(EXIT_FAULT)
     fleet = _load_list(file, config)
     old = _load_list(target, config).servers if target.exists() else ()
--- a/yardbank/cli/peers.py
+++ b/yardbank/cli/peers.py
@@ -31,7 +31,7 @@
     """Show the view of the gateway that runs with the settings in FILE; ages are those when it was written."""
     block = load_or_exit(file).peers
     if block is None:
-        click.echo(f"yardbank: {file}: no peers block: this gateway knows of no others", err=True)
+        click.echo(f"yardbank: {file}: no peers block: this gateway has no peers", err=True)
         sys.exit(EXIT_FAULT)
     view = _read_view(file.parent / block.view)
     if as_json:
--- a/yardbank/cli/plan.py
+++ b/yardbank/cli/plan.py
@@ -42,7 +42,7 @@
         click.echo(f"yardbank: {before}: {fault.strerror or fault}", err=True)
         sys.exit(EXIT_FAULT)
     except (ValueError, KeyError, TypeError, AttributeError) as fault:
-        click.echo(f"yardbank: {before}: no plan as JSON: {fault!r}", err=True)
+        click.echo(f"yardbank: {before}: not a plan as JSON: {fault!r}", err=True)
         sys.exit(EXIT_FAULT)
     try:
         data = file.read_bytes()
@@ -100,7 +100,7 @@
         click.echo(f"yardbank: --fade: {fault}", err=True)
         sys.exit(EXIT_FAULT)
     if (out is None) != (zone is None):
-        click.echo("yardbank: --out and --zone belong together", err=True)
+        click.echo("yardbank: --out and --zone must be given together", err=True)
         sys.exit(EXIT_FAULT)
     if out is not None and zone is not None:
         temporary = out.with_name(f".{out.name}.new")
@@ -184,7 +184,7 @@
         sys.exit(EXIT_FAULT)
     wanted = list_hash(fleet.servers)
     if any(made.list_hash != wanted for made in plans):
-        click.echo(f"yardbank: {file}: made for another list than the one in {target}; solve it anew", err=True)
+        click.echo(f"yardbank: {file}: made for another list than the one in {target}; solve it again", err=True)
         sys.exit(EXIT_HELD_BACK)
     temporary = target / ".plan.new"
     temporary.write_bytes(file.read_bytes())
--- a/yardbank/cli/rig.py
+++ b/yardbank/cli/rig.py
@@ -82,7 +82,7 @@
     play.run().addBoth(outcomes.append).addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
     if not outcomes:
-        click.echo(f"yardbank: {file}: interrupted, so nothing is judged; its folder: {folder}", err=True)
+        click.echo(f"yardbank: {file}: interrupted, so no claim was checked; its folder: {folder}", err=True)
         sys.exit(EXIT_FAULT)
     failed = [problem for problem in outcomes if problem is not None]
     if failed:
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -53,7 +53,7 @@
     from yardbank.config.checked import check_text
 
     if config.peers is None:
-        _fail(f"{file}: no peers block: this gateway knows of no others")
+        _fail(f"{file}: no peers block: this gateway has no peers")
     assert config.peers is not None
     path = file.parent / config.peers.list
     found = checked_or_exit(lambda path: check_text(read_text(path), str(path), PEERS), path)
@@ -107,7 +107,7 @@
     config = load_or_exit(file)
     _request_file(file, config)
     if config.peers is None:
-        _fail(f"{file}: no peers block: this gateway knows of no others")
+        _fail(f"{file}: no peers block: this gateway has no peers")
     assert config.peers is not None
     path = file.parent / config.peers.view
     try:
@@ -174,7 +174,7 @@
     try:
         taken(text.encode(), str(path), COMMANDS)
     except ConfigError:
-        _fail(f"{path}: '{rollout}' is no name of a rollout")
+        _fail(f"{path}: '{rollout}' is not a valid rollout name")
     try:
         write_atomically(path, text)
     except OSError as problem:
--- a/yardbank/cli/serve.py
+++ b/yardbank/cli/serve.py
@@ -78,14 +78,14 @@
 
     config = load_or_exit(file)
     if supervised and (config.rollout is None or workers > 1):
-        click.echo(f"yardbank: {file}: rollout: --supervised wants such a block, and one worker", err=True)
+        click.echo(f"yardbank: {file}: --supervised requires a rollout block and one worker", err=True)
         sys.exit(EXIT_FAULT)
     if config.peers is not None and workers > 1:
-        click.echo(f"yardbank: {file}: peers: one process has the port; use one worker", err=True)
+        click.echo(f"yardbank: {file}: peers: only one process can use the port; use one worker", err=True)
         sys.exit(EXIT_FAULT)
     clocks = Clocks(clock_rate, clock_offset)
     if clocks.odd and workers > 1:
-        click.echo("yardbank: --clock-rate, --clock-offset: of one process only; use one worker", err=True)
+        click.echo("yardbank: --clock-rate, --clock-offset: apply to one process only; use one worker", err=True)
         sys.exit(EXIT_FAULT)
     log = set_up_logs(config.logging.level, config.logging.format)
     started = None
--- a/yardbank/plan/document.py
+++ b/yardbank/plan/document.py
@@ -81,7 +81,7 @@
             else:
                 _read_block(kind, models[kind], block, name, found, faults)
     if len(found["limits"]) > 1:
-        faults.append(f"{name}: limits is given twice")
+        faults.append(f"{name}: only one limits block is allowed")
     if faults:
         raise PlanError(faults)
     limits = found["limits"][0][1] if found["limits"] else _Limits()
@@ -119,7 +119,7 @@
     kind: str, model: Any, block: Body, name: str, found: dict[str, list[tuple[str, Any]]], faults: list[str]
 ) -> None:
     if kind != "limits" and not block.label:
-        faults.append(f"{name}:{block.line}: {kind}: a label is wanted")
+        faults.append(f"{name}:{block.line}: {kind}: a label is required")
         return
     try:
         found[kind].append((block.label, model.model_validate(block.attributes)))
@@ -134,7 +134,7 @@
     found = []
     for key, value in block.attributes.items():
         if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-            faults.append(f"{name}:{block.lines[key]}: {kind} {block.label!r}: {key}: a number above 0 is wanted")
+            faults.append(f"{name}:{block.lines[key]}: {kind} {block.label!r}: {key}: a number above 0 is required")
         else:
             found.append((key, float(value)))
     return found
@@ -144,7 +144,7 @@
     found = {}
     for zone, share in block.attributes.items():
         if isinstance(share, bool) or not isinstance(share, int | float) or not 0 <= share <= 1:
-            faults.append(f"{name}:{block.lines[zone]}: spill: {zone}: a share between 0 and 1 is wanted")
+            faults.append(f"{name}:{block.lines[zone]}: spill: {zone}: a share between 0 and 1 is required")
         else:
             found[zone] = float(share)
     return found
--- a/yardbank/plan/model.py
+++ b/yardbank/plan/model.py
@@ -67,7 +67,7 @@
             raise ValueError("servers: a name is given twice")
         keys = [(d.kind, d.group, d.zone) for d in self.demands]
         if len(set(keys)) != len(keys):
-            raise ValueError("demands: the same class, group and zone twice")
+            raise ValueError("demands: two demands have the same class, group and zone")
 
     def _check_servers_and_demands(self) -> None:
         for server in self.servers:
