--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -51,11 +51,11 @@
         """Answer each search with that entry."""
         out = []
         for frame in self.framer.feed(data):
-            asked = codec.open_envelope(frame)
-            if asked.tag == m.Tag.SEARCH:
-                out += [self.entry.with_id(asked.id), self.done.with_id(asked.id)]
-            elif asked.tag == m.Tag.BIND:
-                out.append(self.bound.with_id(asked.id))
+            envelope = codec.open_envelope(frame)
+            if envelope.tag == m.Tag.SEARCH:
+                out += [self.entry.with_id(envelope.id), self.done.with_id(envelope.id)]
+            elif envelope.tag == m.Tag.BIND:
+                out.append(self.bound.with_id(envelope.id))
         self.transport.write(b"".join(out))
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -40,7 +40,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Record the arrival of the first entry."""
         super().dataReceived(data)
-        if not self.first_at and any(asked.answer.entries for asked in self._asked.values()):
+        if not self.first_at and any(pending.answer.entries for pending in self._asked.values()):
             self.first_at = time.perf_counter()
 
 
--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -286,8 +286,8 @@
 
 
 def test_commands_solve_diff_and_apply(tmp_path):
-    def call(*words):
-        return CliRunner().invoke(main, ["plan", *map(str, words)])
+    def call(*arguments):
+        return CliRunner().invoke(main, ["plan", *map(str, arguments)])
 
     model = tmp_path / "model.hcl"
     blocks = [
--- a/tests/plan/test_solver.py
+++ b/tests/plan/test_solver.py
@@ -55,20 +55,20 @@
 def within_limits(problem, plan):
     """Checks a plan against all limits in rationals, independently of the solver."""
     zone = {s.name: s.zone for s in problem.servers}
-    load, out, asked = {}, {}, {}
+    load_by_server, spilled_by_zone, demand_by_zone = {}, {}, {}
     for d in problem.demands:
         shares = {name: Fraction(share) for name, share in plan.shares.get((d.kind, d.group, d.zone), {}).items()}
         assert abs(sum(shares.values()) - 1) <= Fraction(1, 10**9)
-        asked[d.zone] = asked.get(d.zone, 0) + written(d.rate)
+        demand_by_zone[d.zone] = demand_by_zone.get(d.zone, 0) + written(d.rate)
         for name, share in shares.items():
             assert share > 0
-            load[name] = load.get(name, 0) + share * written(d.rate)
-            out[d.zone] = out.get(d.zone, 0) + (zone[name] != d.zone) * share * written(d.rate)
+            load_by_server[name] = load_by_server.get(name, 0) + share * written(d.rate)
+            spilled_by_zone[d.zone] = spilled_by_zone.get(d.zone, 0) + (zone[name] != d.zone) * share * written(d.rate)
     for s in problem.servers:
         room = max(Fraction(0), written(s.capacity) * written(s.warmth) - written(s.taken))
-        assert load.get(s.name, 0) <= room * (1 + Fraction(1, 10**9))
+        assert load_by_server.get(s.name, 0) <= room * (1 + Fraction(1, 10**9))
     for name, most in problem.limits.spill.items():
-        assert out.get(name, 0) <= written(most) * asked.get(name, 0) * (1 + Fraction(1, 10**9))
+        assert spilled_by_zone.get(name, 0) <= written(most) * demand_by_zone.get(name, 0) * (1 + Fraction(1, 10**9))
 
 
 def test_feasibility_is_exact_for_numbers_of_very_different_magnitude():
@@ -177,39 +177,39 @@
 
 def test_reads_move_at_most_as_far_as_most_moved_allows():
     servers = (PlanServer("s1", "g", "a", 100), PlanServer("s2", "g", "a", 100))
-    key, asked = ("read", "g", "a"), (Demand("read", "g", "a", 80),)
+    key, demands = ("read", "g", "a"), (Demand("read", "g", "a", 80),)
     old = {key: {"s1": 1.0}}
-    half = solve(Problem(servers, asked, Limits(most_moved=0.2, before=old))).shares[key]
+    half = solve(Problem(servers, demands, Limits(most_moved=0.2, before=old))).shares[key]
     assert half == pytest.approx({"s1": 0.8, "s2": 0.2})  # equal shares would move half of the reads
-    assert solve(Problem(servers, asked, Limits(most_moved=0.5, before=old))).shares[key] == {"s1": 0.5, "s2": 0.5}
+    assert solve(Problem(servers, demands, Limits(most_moved=0.5, before=old))).shares[key] == {"s1": 0.5, "s2": 0.5}
     small = (PlanServer("s1", "g", "a", 60), servers[1])  # s1 has less capacity: a quarter must move
-    (conflict,) = solve(Problem(small, asked, Limits(most_moved=0.2, before=old))).conflicts
+    (conflict,) = solve(Problem(small, demands, Limits(most_moved=0.2, before=old))).conflicts
     assert conflict.limits == ("moved: at most 20% of reads, and 25% must go elsewhere", "capacity of s1: 60/s")
-    just = solve(Problem(small, asked, Limits(most_moved=0.25, before=old))).shares[key]
+    just = solve(Problem(small, demands, Limits(most_moved=0.25, before=old))).shares[key]
     assert just == pytest.approx({"s1": 0.75, "s2": 0.25})
-    gone = solve(Problem(servers, asked, Limits(most_moved=0.0, before={key: {"lost": 0.5, "s2": 0.5}}))).shares[key]
+    gone = solve(Problem(servers, demands, Limits(most_moved=0.0, before={key: {"lost": 0.5, "s2": 0.5}}))).shares[key]
     assert gone == {"s2": 1.0}  # the share of a removed server goes to the others of the active plan
 
 
 def test_cross_zone_reads_go_to_the_zone_with_the_lower_price():
     servers = (PlanServer("b1", "g", "b", 100), PlanServer("c1", "g", "c", 100))
-    asked = (Demand("read", "g", "a", 80),)
+    demands = (Demand("read", "g", "a", 80),)
     for near, far in (("b", "c"), ("c", "b")):
-        plan = solve(Problem(servers, asked, Limits(prices={("a", near): 1.0, ("a", far): 3.0})))
+        plan = solve(Problem(servers, demands, Limits(prices={("a", near): 1.0, ("a", far): 3.0})))
         assert plan.shares["read", "g", "a"] == {f"{near}1": 1.0} and plan.crossing == 80.0
     with pytest.raises(ValueError, match="price from 'a' to 'b'"):
-        Problem(servers, asked, Limits(prices={("a", "b"): 0.0}))
+        Problem(servers, demands, Limits(prices={("a", "b"): 0.0}))
 
 
 def test_the_gap_is_the_distance_from_the_optimal_price():
     servers = (PlanServer("a1", "g", "a", 100), PlanServer("b1", "g", "b", 100))
-    asked, key = (Demand("read", "g", "a", 80),), ("read", "g", "a")
-    plan = solve(Problem(servers, asked))
+    demands, key = (Demand("read", "g", "a", 80),), ("read", "g", "a")
+    plan = solve(Problem(servers, demands))
     assert plan.proven and plan.gap == 0
-    held = solve(Problem(servers, asked, Limits(most_moved=0.25, before={key: {"b1": 1.0}})))
+    held = solve(Problem(servers, demands, Limits(most_moved=0.25, before={key: {"b1": 1.0}})))
     assert held.gap == pytest.approx(0.75) and not held.proven  # three quarters still cross zones without need
     # Without time for any linear program, the plan still respects all limits.
-    late = solve(Problem(servers, asked), seconds=1e-12)
+    late = solve(Problem(servers, demands), seconds=1e-12)
     assert late.feasible and sum(late.shares[key].values()) == pytest.approx(1)
 
 
@@ -283,8 +283,8 @@
 """
 
 
-def call(*words):
-    return CliRunner().invoke(main, ["plan", *map(str, words)])
+def call(*arguments):
+    return CliRunner().invoke(main, ["plan", *map(str, arguments)])
 
 
 def test_commands_solve_and_explain(tmp_path):
--- a/yardbank/cli/plan.py
+++ b/yardbank/cli/plan.py
@@ -108,8 +108,8 @@
         os.replace(temporary, out)
     if as_json:
         shares = [
-            {"class": kind, "group": group, "zone": asked, "shares": by_server}
-            for (kind, group, asked), by_server in sorted(found.shares.items())
+            {"class": kind, "group": group, "zone": requesting_zone, "shares": by_server}
+            for (kind, group, requesting_zone), by_server in sorted(found.shares.items())
         ]
         whole = {"shares": shares, "crossing": found.crossing, "used": found.used}
         whole |= {"gap": found.gap, "proven": found.proven, "relaxed": list(relax)}
@@ -120,9 +120,9 @@
     table = Table(title=f"Shares; {found.crossing:g}/s between zones{remarks}", title_justify="left")
     for column in ("class", "group", "asked in", "server", "share"):
         table.add_column(column)
-    for (kind, group, asked), by_server in sorted(found.shares.items()):
+    for (kind, group, requesting_zone), by_server in sorted(found.shares.items()):
         for server, share in sorted(by_server.items()):
-            table.add_row(kind, group, asked, server, f"{share:.3f}")
+            table.add_row(kind, group, requesting_zone, server, f"{share:.3f}")
     Console(width=120).print(table)
 
 
--- a/yardbank/cli/rollout.py
+++ b/yardbank/cli/rollout.py
@@ -111,8 +111,8 @@
     assert config.peers is not None
     path = file.parent / config.peers.view
     try:
-        whole = json.loads(path.read_text(encoding="utf-8"))
-        view, written = whole.get("parts", {}).get("rollout"), whole["written"]
+        document = json.loads(path.read_text(encoding="utf-8"))
+        view, written = document.get("parts", {}).get("rollout"), document["written"]
     except OSError as problem:
         _fail(f"{path}: {problem.strerror or problem}: has the gateway run?")
     except (ValueError, KeyError, AttributeError):
@@ -142,16 +142,16 @@
     for place, names in view["places"].items():
         table.add_row(place, ", ".join(names))
     console.print(table)
-    seen = view["evidence"]
+    evidence = view["evidence"]
     console.print(
-        f"evidence that it is worse {seen['worse']} (stops at {seen['stops_at']}), that it is not "
-        f"{seen['well']} (goes on at {seen['passes_at']}), of {seen['windows']} windows; classes compared: "
-        f"{', '.join(seen['classes']) or 'none yet'}",
+        f"evidence that it is worse {evidence['worse']} (stops at {evidence['stops_at']}), that it is not "
+        f"{evidence['well']} (goes on at {evidence['passes_at']}), of {evidence['windows']} windows; classes compared: "
+        f"{', '.join(evidence['classes']) or 'none yet'}",
         markup=False,
         highlight=False,
     )
-    if seen["not_compared"]:
-        console.print(f"not compared: {', '.join(seen['not_compared'])}", markup=False, highlight=False)
+    if evidence["not_compared"]:
+        console.print(f"not compared: {', '.join(evidence['not_compared'])}", markup=False, highlight=False)
 
 
 def _write_command(file: Path, rollout: str, stop: bool) -> None:
