--- a/tests/plan/test_active_plan.py
+++ b/tests/plan/test_active_plan.py
@@ -206,7 +206,7 @@
         (b"n1 = 2", b"n1 = -2", "a number above 0"),
         (b"made = 1000000.0", b'made = "now"', "made: not what is wanted"),
         (b"weights {", b"shares {", "shares: unknown block"),
-        (b"  made", b'  fade = "soon"\n  made', "is no duration"),
+        (b"  made", b'  fade = "soon"\n  made', "is not a duration"),
     ],
 )
 def test_an_invalid_plan_is_reported_with_file_and_line(old, new, reason):
--- a/tests/testing/rig/test_scenarios.py
+++ b/tests/testing/rig/test_scenarios.py
@@ -38,7 +38,7 @@
     (step("x", 'do = "cut"\nfrom = ["g1"]\nto = ["b-1"]'), 's.hcl:11: step "x": to: nothing is called "b-1"'),
     (step("x", 'do = "cut"\nfrom = ["g1"]'), 's.hcl:8: step "x": to: missing for do = "cut"'),
     (step("x", 'do = "kill"\nwho = ["g1"]\nby = "1s"'), 's.hcl:8: step "x": by: not for do = "kill"'),
-    (step("x", 'do = "kill"\nwho = ["g1"]\nlasts = "1 s"'), "s.hcl:11: step \"x\": lasts: '1 s' is no duration"),
+    (step("x", 'do = "kill"\nwho = ["g1"]\nlasts = "1 s"'), "s.hcl:11: step \"x\": lasts: '1 s' is not a duration"),
     (step("x", 'do = "delay"\nfrom = ["g1"]\nto = ["a-1"]'), 's.hcl:8: step "x": by: missing for do = "delay"'),
     (step("x", 'do = "kill"\nwho = ["g1"]\nlasts = "1s"\nuntil = "elected:a"'), "lasts and until: one of both"),
     (step("x", 'do = "kill"\nwho = ["g1"]\nafter = "y"'), 's.hcl:11: step "x": after: no step or event "y"'),
--- a/tests/testing/rig/test_taps.py
+++ b/tests/testing/rig/test_taps.py
@@ -186,7 +186,7 @@
     ('claim "s" {\n  kind = "cold_sum"\n  cases = 2\n}\n', 'claim "s": cases: not for kind = "cold_sum"'),
     ('claim "s" {\n  kind = "gone_clients"\n  cases = 0\n}\n', 'claim "s": cases: Input should be greater than 0'),
     ('claim "s" {\n  kind = "cold_sum"\n  window = "0s"\n}\n', 'claim "s": window: Input should be greater than 0'),
-    ('claim "s" {\n  kind = "told"\n  grace = "soon"\n}\n', "claim \"s\": grace: 'soon' is no duration"),
+    ('claim "s" {\n  kind = "told"\n  grace = "soon"\n}\n', "claim \"s\": grace: 'soon' is not a duration"),
     ("load {\n  uneven = 0.5\n}\n", "load.uneven: Input should be greater than or equal to 1"),
 ]
 
